--- a/enginemodel/figures.go
+++ b/enginemodel/figures.go
@@ -8,7 +8,7 @@
 
 // Figures are what is known of the engines of a pool at one moment. All times are in
 // milliseconds.
-type Figures struct {
+type Parameters struct {
 	prefill, decode reading
 	takeover        handoff
 	interval        line
@@ -40,7 +40,7 @@
 
 func lineOf(f *fit) line { return line{base: f.coef[0], slope: f.coef[1]} }
 
-func (f *Figures) of(role upstream.Role) reading {
+func (f *Parameters) of(role upstream.Role) reading {
 	switch role {
 	case upstream.RolePrefill:
 		return f.prefill
@@ -53,7 +53,7 @@
 
 // Reading returns how long an engine of a role is busy with a prompt, the time to
 // begin left out.
-func (f *Figures) Reading(role upstream.Role, p Prompt) float64 {
+func (f *Parameters) PrefillMillis(role upstream.Role, p Prompt) float64 {
 	if p.Tokens <= 0 {
 		return 0
 	}
@@ -63,17 +63,17 @@
 
 // Start returns how long an engine takes beside its reading until it answers. It
 // doesn't keep the engine from the next prompt.
-func (f *Figures) Start(role upstream.Role) float64 { return f.of(role).start }
+func (f *Parameters) StartMillis(role upstream.Role) float64 { return f.of(role).start }
 
 // Common returns the time of reading a prompt averaged over the roles: what it costs
 // the pool, whichever engine does it.
-func (f *Figures) Common(p Prompt) float64 {
-	return (f.Reading(upstream.RolePrefill, p) + f.Reading(upstream.RoleDecode, p)) / 2
+func (f *Parameters) MeanPrefillMillis(p Prompt) float64 {
+	return (f.PrefillMillis(upstream.RolePrefill, p) + f.PrefillMillis(upstream.RoleDecode, p)) / 2
 }
 
 // Takeover returns the time from a prompt's having been read at one engine to the
 // first event of another, before which some reading waits.
-func (f *Figures) Takeover(tokens int, queue float64) float64 {
+func (f *Parameters) HandoffMillis(tokens int, queue float64) float64 {
 	return f.takeover.base + f.takeover.move*float64(tokens)/1000 + f.takeover.queue*queue
 }
 
@@ -83,7 +83,7 @@
 // interval the base and that for each other stream. All are in milliseconds, but for the
 // events that come for a token and the tokens of the longest answers, behind which the time
 // that callers give them stands.
-func (f *Figures) Coefficients() map[string][]float64 {
+func (f *Parameters) Coefficients() map[string][]float64 {
 	return map[string][]float64{
 		"prefill":  {f.prefill.start, f.prefill.token, f.prefill.pair},
 		"decode":   {f.decode.start, f.decode.token, f.decode.pair},
@@ -98,31 +98,31 @@
 
 // Known reports whether a reading of an engine of a role has been seen. Until then
 // nothing can be said of the next one.
-func (f *Figures) Known(role upstream.Role) bool { return f.known[role] }
+func (f *Parameters) Known(role upstream.Role) bool { return f.known[role] }
 
 // Interval returns the time between two events of a stream beside others, while its
 // engine reads no prompt.
-func (f *Figures) Interval(others int) float64 {
+func (f *Parameters) IntervalMillis(others int) float64 {
 	return f.interval.base + f.interval.slope*float64(max(0, others))
 }
 
 // Generation returns the time of generating some tokens.
-func (f *Figures) Generation(tokens int) float64 { return float64(tokens) * f.output }
+func (f *Parameters) DecodeMillis(tokens int) float64 { return float64(tokens) * f.output }
 
 // Events returns the number of events in which some tokens come; 0 if no stream was seen
 // whole yet.
-func (f *Figures) Events(tokens int) float64 { return float64(tokens) * f.events }
+func (f *Parameters) Events(tokens int) float64 { return float64(tokens) * f.events }
 
 // LongestAnswer returns the length that only the longest of the long answers exceed, in
 // tokens; 0 if none was asked for yet.
-func (f *Figures) LongestAnswer() float64 { return f.longest }
+func (f *Parameters) LongResponseTokens() float64 { return f.longest }
 
 // AnswerTime returns the mean time that callers give their long answers, in milliseconds.
-func (f *Figures) AnswerTime() float64 { return f.left }
+func (f *Parameters) LongResponseMillis() float64 { return f.left }
 
 // MostBeside returns beside how many other streams events come within some milliseconds of
 // each other, if the engine reads no prompt; infinitely many if other streams don't matter.
-func (f *Figures) MostBeside(interval float64) float64 {
+func (f *Parameters) MaxConcurrent(interval float64) float64 {
 	if interval < f.interval.base {
 		return 0
 	}
@@ -133,4 +133,4 @@
 }
 
 // TypicalReading returns the smoothed time of reading a prompt.
-func (f *Figures) TypicalReading() float64 { return f.typical }
+func (f *Parameters) TypicalPrefillMillis() float64 { return f.typical }
--- a/enginemodel/learnt.go
+++ b/enginemodel/learnt.go
@@ -9,22 +9,22 @@
 // Learnt is what one process has observed of the engines of a pool. The processes tell
 // each other, so that each knows what all have seen: one that has just started would
 // otherwise begin with guesses, and let in what can't be in time.
-type Learnt struct {
+type Observations struct {
 	Prefill, Decode    Stats
 	Takeover, Interval Stats
 	// Generated is the time of whole streams, in milliseconds, Events the number of
 	// their events, Expected the tokens that were expected of them.
 	Generated, Events, Expected float64
 	// Answers are the long answers asked for.
-	Answers Answers
+	Answers ResponseStats
 	// Typical is the smoothed time of reading a prompt, in milliseconds; 0 if none
 	// was read.
 	Typical float64
 }
 
 // Learnt returns what this process has observed.
-func (m *Model) Learnt() Learnt {
-	return Learnt{
+func (m *Model) LocalObservations() Observations {
+	return Observations{
 		Prefill: m.reading[upstream.RolePrefill].own.clone(), Decode: m.reading[upstream.RoleDecode].own.clone(),
 		Takeover: m.takeover.own.clone(), Interval: m.interval.own.clone(),
 		Generated: m.generated, Events: m.events, Expected: m.expected, Answers: m.answers, Typical: m.typical,
@@ -36,7 +36,7 @@
 }
 
 // Merge takes over what another process has observed, in place of what it said before.
-func (m *Model) Merge(from string, l Learnt) {
+func (m *Model) Merge(from string, l Observations) {
 	m.reading[upstream.RolePrefill].merge(from, l.Prefill)
 	m.reading[upstream.RoleDecode].merge(from, l.Decode)
 	m.takeover.merge(from, l.Takeover)
@@ -48,8 +48,8 @@
 }
 
 // streams sums up what all processes have seen of streams.
-func (m *Model) streams() Learnt {
-	all := Learnt{Generated: m.generated, Events: m.events, Expected: m.expected, Answers: m.answers}
+func (m *Model) streams() Observations {
+	all := Observations{Generated: m.generated, Events: m.events, Expected: m.expected, Answers: m.answers}
 	for _, l := range m.others {
 		all.Generated += l.Generated
 		all.Events += l.Events
@@ -60,7 +60,7 @@
 }
 
 // output returns the time of generating a token.
-func (l Learnt) output() float64 {
+func (l Observations) output() float64 {
 	if l.Expected <= 0 {
 		return assumedOutput
 	}
@@ -69,7 +69,7 @@
 
 // eventsPerToken returns the events that streams have for each token expected of them; 0 if
 // none has been seen whole.
-func (l Learnt) eventsPerToken() float64 {
+func (l Observations) eventsPerToken() float64 {
 	if l.Expected <= 0 {
 		return 0
 	}
@@ -94,8 +94,8 @@
 
 // LearntByAll returns what all processes together have observed; some is false if none
 // has seen anything.
-func (m *Model) LearntByAll() (l Learnt, some bool) {
-	l = Learnt{
+func (m *Model) AllObservations() (l Observations, some bool) {
+	l = Observations{
 		Prefill: m.reading[upstream.RolePrefill].sum(), Decode: m.reading[upstream.RoleDecode].sum(),
 		Takeover: m.takeover.sum(), Interval: m.interval.sum(),
 		Typical: m.typicalOfAll(),
--- a/enginemodel/model.go
+++ b/enginemodel/model.go
@@ -60,15 +60,15 @@
 	// the tokens that were expected of them.
 	generated, events, expected float64
 	// answers are those asked for.
-	answers Answers
+	answers ResponseStats
 	// typical is the smoothed time of reading a prompt, in milliseconds.
 	typical float64
 	// others is what other processes have observed, by their names.
-	others map[string]Learnt
+	others map[string]Observations
 	errors map[upstream.Role]*errorShares
 	// current is nil if something was learnt since it was last asked for: others tell far
 	// more often what they have learnt than anything is decided by it.
-	current *Figures
+	current *Parameters
 }
 
 // New returns a model that has seen nothing.
@@ -80,7 +80,7 @@
 		},
 		takeover: newFit(assumedTakeover, assumedMove, assumedBehind),
 		interval: newFit(assumedInterval, assumedShared),
-		others:   make(map[string]Learnt),
+		others:   make(map[string]Observations),
 		errors: map[upstream.Role]*errorShares{
 			upstream.RolePrefill: newErrorShares(),
 			upstream.RoleDecode:  newErrorShares(),
@@ -90,20 +90,20 @@
 }
 
 // Figures returns what is known now. It never changes.
-func (m *Model) Figures() *Figures {
+func (m *Model) Parameters() *Parameters {
 	if m.current == nil {
 		m.current = m.figures()
 	}
 	return m.current
 }
 
-func (m *Model) figures() *Figures {
+func (m *Model) figures() *Parameters {
 	for _, f := range []*fit{m.reading[upstream.RolePrefill], m.reading[upstream.RoleDecode], m.takeover, m.interval} {
 		f.settle()
 	}
 	prefill, decode := m.readings()
 	streams := m.streams()
-	return &Figures{
+	return &Parameters{
 		prefill: prefill, decode: decode,
 		takeover: handoffOf(m.takeover), interval: lineOf(m.interval),
 		output: streams.output(), events: streams.eventsPerToken(), typical: m.typicalOfAll(),
@@ -135,14 +135,14 @@
 const typicalStep = 0.02
 
 // Read is a prompt that an engine has read, as it was seen.
-type Read struct {
+type PrefillSample struct {
 	Role upstream.Role
 	Prompt
 	// Took is the time from its sending to the sign that it had been read, Ahead
 	// that which the prompts sent there before were believed to take.
-	Took, Ahead time.Duration
+	Took, QueueTime time.Duration
 	// Alone says that no other prompt waited there when it was sent.
-	Alone bool
+	QueueEmpty bool
 }
 
 // behindWeight is what a prompt that had to wait for others counts. The belief about
@@ -152,13 +152,13 @@
 const behindWeight = 0.02
 
 // LearnRead takes a prompt that was read.
-func (m *Model) LearnRead(r Read) {
+func (m *Model) LearnPrefill(r PrefillSample) {
 	f := m.reading[r.Role]
 	if f == nil || r.Tokens <= 0 {
 		return
 	}
-	took, ahead := Millis(r.Took), Millis(r.Ahead)
-	own := m.Figures().Reading(r.Role, r.Prompt)
+	took, ahead := Millis(r.Took), Millis(r.QueueTime)
+	own := m.Parameters().PrefillMillis(r.Role, r.Prompt)
 	m.errors[r.Role].note(took, ahead+own+f.coef[0])
 	if m.typical == 0 {
 		m.typical = own
@@ -166,7 +166,7 @@
 	m.typical += typicalStep * (own - m.typical)
 	if alone := took - ahead; alone > 0 {
 		weight := behindWeight
-		if r.Alone {
+		if r.QueueEmpty {
 			weight = 1
 		}
 		f.learn(alone, weight, 1, float64(r.Tokens), r.pairs())
@@ -176,7 +176,7 @@
 
 // LearnTakeover takes the time until an engine that took a KV cache over gave its
 // first event, and the reading that waited there, in milliseconds.
-func (m *Model) LearnTakeover(tokens int, queue float64, took time.Duration) {
+func (m *Model) LearnHandoff(tokens int, queue float64, took time.Duration) {
 	m.takeover.learn(Millis(took), 1, 1, float64(tokens)/1000, queue)
 	m.current = nil
 }
@@ -193,7 +193,7 @@
 
 // LearnGeneration takes the time from the first event of a whole stream to its last, and
 // how many events it had.
-func (m *Model) LearnGeneration(expected, events int, took time.Duration) {
+func (m *Model) LearnStream(expected, events int, took time.Duration) {
 	m.generated += Millis(took)
 	m.events += float64(events)
 	m.expected += float64(expected)
--- a/enginemodel/model_test.go
+++ b/enginemodel/model_test.go
@@ -42,7 +42,7 @@
 		if r.Float64() < wrong {
 			took *= []float64{0.1, 5, 20}[r.IntN(3)]
 		}
-		m.LearnRead(Read{Role: upstream.RolePrefill, Prompt: p, Took: after(took), Alone: true})
+		m.LearnPrefill(PrefillSample{Role: upstream.RolePrefill, Prompt: p, Took: after(took), QueueEmpty: true})
 	}
 }
 
@@ -50,7 +50,7 @@
 	worst := 0.0
 	for range 50 {
 		p := somePrompt(r)
-		got := m.Figures().Start(upstream.RolePrefill) + m.Figures().Reading(upstream.RolePrefill, p)
+		got := m.Parameters().StartMillis(upstream.RolePrefill) + m.Parameters().PrefillMillis(upstream.RolePrefill, p)
 		worst = max(worst, got/e.reading(p), e.reading(p)/got)
 	}
 	return worst
@@ -104,32 +104,32 @@
 	r := rand.New(rand.NewPCG(7, 8))
 	old, fresh := New(), New()
 	learn(old, e, r, 100, 0)
-	old.LearnTakeover(10_000, 0, 30*time.Millisecond)
+	old.LearnHandoff(10_000, 0, 30*time.Millisecond)
 	old.LearnInterval(4, 50*time.Millisecond)
-	old.LearnGeneration(100, 10, 400*time.Millisecond)
-	old.LearnAnswer(100, 2*time.Second)
-	fresh.Merge("old", old.Learnt())
-	require.True(t, fresh.Figures().Known(upstream.RolePrefill))
+	old.LearnStream(100, 10, 400*time.Millisecond)
+	old.LearnLongResponse(100, 2*time.Second)
+	fresh.Merge("old", old.LocalObservations())
+	require.True(t, fresh.Parameters().Known(upstream.RolePrefill))
 	require.Less(t, offBy(fresh, e, r), 1.35)
-	require.InEpsilon(t, old.Figures().Generation(100), fresh.Figures().Generation(100), 0.01)
-	require.InEpsilon(t, 10, fresh.Figures().Events(100), 0.01)
-	require.InEpsilon(t, old.Figures().LongestAnswer(), fresh.Figures().LongestAnswer(), 0.01)
-	require.InEpsilon(t, 2000, fresh.Figures().AnswerTime(), 0.01)
-	require.InEpsilon(t, old.Figures().Takeover(10_000, 0), fresh.Figures().Takeover(10_000, 0), 0.01)
+	require.InEpsilon(t, old.Parameters().DecodeMillis(100), fresh.Parameters().DecodeMillis(100), 0.01)
+	require.InEpsilon(t, 10, fresh.Parameters().Events(100), 0.01)
+	require.InEpsilon(t, old.Parameters().LongResponseTokens(), fresh.Parameters().LongResponseTokens(), 0.01)
+	require.InEpsilon(t, 2000, fresh.Parameters().LongResponseMillis(), 0.01)
+	require.InEpsilon(t, old.Parameters().HandoffMillis(10_000, 0), fresh.Parameters().HandoffMillis(10_000, 0), 0.01)
 
 	// The old daemon starts again and knows little: what it knew before stays.
 	restarted := New()
 	learn(restarted, e, r, 1, 1)
-	fresh.Merge("old", restarted.Learnt())
+	fresh.Merge("old", restarted.LocalObservations())
 	require.Less(t, offBy(fresh, e, r), 1.35)
 
 	// All are lost, but what they knew together was kept.
-	kept, some := fresh.LearntByAll()
+	kept, some := fresh.AllObservations()
 	require.True(t, some)
 	anew := New()
 	anew.Merge("store", kept)
 	require.Less(t, offBy(anew, e, r), 1.35)
-	_, some = New().LearntByAll()
+	_, some = New().AllObservations()
 	require.False(t, some)
 }
 
@@ -138,19 +138,19 @@
 func TestRoleThatNobodyHasSeen(t *testing.T) {
 	m := New()
 	for range 20 {
-		m.LearnRead(Read{Role: upstream.RoleDecode, Prompt: Prompt{Tokens: 30_000}, Took: 6 * time.Millisecond, Alone: true})
+		m.LearnPrefill(PrefillSample{Role: upstream.RoleDecode, Prompt: Prompt{Tokens: 30_000}, Took: 6 * time.Millisecond, QueueEmpty: true})
 	}
-	f := m.Figures()
+	f := m.Parameters()
 	p := Prompt{Tokens: 30_000}
-	require.Less(t, f.Reading(upstream.RolePrefill, p), f.Reading(upstream.RoleDecode, p))
+	require.Less(t, f.PrefillMillis(upstream.RolePrefill, p), f.PrefillMillis(upstream.RoleDecode, p))
 }
 
 // Statistics of a process that models engines in another way are left out.
 func TestForeignStatisticsAreLeftOut(t *testing.T) {
 	m := New()
-	before := m.Figures().Coefficients()
-	m.Merge("other", Learnt{Prefill: Stats{Normal: []float64{1}, Right: []float64{1, 2}, Count: 99}})
-	require.Equal(t, before, m.Figures().Coefficients())
+	before := m.Parameters().Coefficients()
+	m.Merge("other", Observations{Prefill: Stats{Normal: []float64{1}, Right: []float64{1, 2}, Count: 99}})
+	require.Equal(t, before, m.Parameters().Coefficients())
 }
 
 // Reading rates and attention are told apart: an engine reads a prompt slower the
@@ -160,9 +160,9 @@
 	r := rand.New(rand.NewPCG(9, 10))
 	m := New()
 	learn(m, e, r, 200, 0)
-	short := m.Figures().Reading(upstream.RolePrefill, Prompt{Tokens: 3000})
-	long := m.Figures().Reading(upstream.RolePrefill, Prompt{Tokens: 3000, Context: 12_000})
-	require.Greater(t, long, 1.4*short, fmt.Sprint(m.Figures().Coefficients()))
+	short := m.Parameters().PrefillMillis(upstream.RolePrefill, Prompt{Tokens: 3000})
+	long := m.Parameters().PrefillMillis(upstream.RolePrefill, Prompt{Tokens: 3000, Context: 12_000})
+	require.Greater(t, long, 1.4*short, fmt.Sprint(m.Parameters().Coefficients()))
 }
 
 // BenchmarkLearn is the cost of one reading that was seen.
@@ -177,16 +177,16 @@
 // What the longest answers are is known from all processes' answers, each of which sees few.
 func TestLongestAnswersOfAllProcesses(t *testing.T) {
 	one, other, all := New(), New(), New()
-	require.Zero(t, all.Figures().LongestAnswer())
+	require.Zero(t, all.Parameters().LongResponseTokens())
 	r := rand.New(rand.NewPCG(9, 10))
 	learn(one, engines["even"], r, 1, 0)
 	learn(other, engines["even"], r, 1, 0)
 	for range 5 * answersMemory {
-		one.LearnAnswer(r.IntN(1000), time.Second)
-		other.LearnAnswer(1000+r.IntN(1000), time.Second)
+		one.LearnLongResponse(r.IntN(1000), time.Second)
+		other.LearnLongResponse(1000+r.IntN(1000), time.Second)
 	}
-	all.Merge("one", one.Learnt())
-	all.Merge("other", other.Learnt())
+	all.Merge("one", one.LocalObservations())
+	all.Merge("other", other.LocalObservations())
 	// The lengths are spread evenly from 0 to 2000; some hundred of them are remembered.
-	require.InEpsilon(t, 1000+longestDeviations*2000/math.Sqrt(12), all.Figures().LongestAnswer(), 0.1)
+	require.InEpsilon(t, 1000+longestDeviations*2000/math.Sqrt(12), all.Parameters().LongResponseTokens(), 0.1)
 }
--- a/internal/adapters/engineclient/engineclient_test.go
+++ b/internal/adapters/engineclient/engineclient_test.go
@@ -254,7 +254,7 @@
 	slow := standin.DefaultSpeed()
 	slow.Change = time.Hour
 	role := func(id string, fence uint64) upstream.Order {
-		return upstream.Order{ID: id, Kind: upstream.OrderRole, Role: upstream.RoleDecode, Fence: fence}
+		return upstream.Order{ID: id, Kind: upstream.OrderRole, Role: upstream.RoleDecode, FencingToken: fence}
 	}
 	cases := []struct {
 		name    string
@@ -271,10 +271,10 @@
 		{"conflicts", true, `{}`, []upstream.Order{role("1", 5), role("2", 5)}, upstream.ErrBusy,
 			func(c standin.EngineCounters) int64 { return c.ConflictingOrders }},
 		{"outdated and checked", true, `{}`,
-			[]upstream.Order{{Kind: upstream.OrderFence, Fence: 9}, role("1", 5)}, upstream.ErrFenced,
+			[]upstream.Order{{Kind: upstream.OrderFence, FencingToken: 9}, role("1", 5)}, upstream.ErrFenced,
 			func(c standin.EngineCounters) int64 { return c.FencedOrders }},
 		{"outdated and not checked", false, `{}`,
-			[]upstream.Order{{Kind: upstream.OrderFence, Fence: 9}, role("1", 5)}, nil,
+			[]upstream.Order{{Kind: upstream.OrderFence, FencingToken: 9}, role("1", 5)}, nil,
 			func(c standin.EngineCounters) int64 { return c.OutdatedOrdersTaken }},
 		{"reply lost", true, `{"lose_order_reply":{"next":1}}`, []upstream.Order{role("1", 5)}, upstream.ErrBroken,
 			func(c standin.EngineCounters) int64 { return c.Orders }},
--- a/internal/controller/executor.go
+++ b/internal/controller/executor.go
@@ -211,7 +211,7 @@
 	}
 	err := x.control.Order(callCtx, action.Order)
 	x.contact.SendDone(action.Change, err, begun, time.Now(), x.limits.Retry)
-	x.log.Info("order sent", "order", action.Order.ID, "fence", action.Order.Fence,
+	x.log.Info("order sent", "order", action.Order.ID, "fence", action.Order.FencingToken,
 		"attempt", action.Change.Attempt, "error", err)
 	x.trail.Order(err)
 	return err == nil
--- a/internal/controller/interleave/engine.go
+++ b/internal/controller/interleave/engine.go
@@ -95,8 +95,8 @@
 		return upstream.ErrBusy
 	}
 	e.checkTaken(o)
-	e.fence = max(e.fence, o.Fence)
-	e.highest = max(e.highest, o.Fence)
+	e.fence = max(e.fence, o.FencingToken)
+	e.highest = max(e.highest, o.FencingToken)
 	e.lastOrder = o.ID
 	e.busy = true
 	e.epoch++
@@ -107,19 +107,19 @@
 
 func (e *engine) raise(o upstream.Order) error {
 	if e.w.mutant == mutantNoRaise {
-		e.pretended = max(e.pretended, o.Fence)
+		e.pretended = max(e.pretended, o.FencingToken)
 		return nil
 	}
 	if e.refuses(o) {
 		return upstream.ErrFenced
 	}
-	e.fence = max(e.fence, o.Fence)
-	e.highest = max(e.highest, o.Fence)
+	e.fence = max(e.fence, o.FencingToken)
+	e.highest = max(e.highest, o.FencingToken)
 	return nil
 }
 
 func (e *engine) refuses(o upstream.Order) bool {
-	if e.w.mutant == mutantNoFencing || !e.checks || o.Fence >= e.fence {
+	if e.w.mutant == mutantNoFencing || !e.checks || o.FencingToken >= e.fence {
 		return false
 	}
 	e.w.report.Event("order refused by its fencing number")
@@ -153,7 +153,7 @@
 		LastOrder: e.lastOrder, Incarnation: e.incarnation,
 	}
 	if e.checks {
-		s.FencingNumber = max(e.fence, e.pretended)
+		s.FencingToken = max(e.fence, e.pretended)
 	}
 	return s
 }
@@ -174,13 +174,13 @@
 
 func (e *engine) checkTaken(o upstream.Order) {
 	w := e.w
-	w.report.Check(invariantFence, o.Fence >= e.highest, func() string {
-		return fmt.Sprintf("%s took %s with number %d after %d at %v", e.name, o.ID, o.Fence, e.highest, w.now)
+	w.report.Check(invariantFence, o.FencingToken >= e.highest, func() string {
+		return fmt.Sprintf("%s took %s with number %d after %d at %v", e.name, o.ID, o.FencingToken, e.highest, w.now)
 	})
 	open := w.truth.changes.Engine(e.name).Open()
-	ordered := open != nil && open.ID == o.ID && open.Phase == orders.PhaseOrdered && open.Fence == o.Fence
+	ordered := open != nil && open.ID == o.ID && open.Phase == orders.PhaseOrdered && open.Fence == o.FencingToken
 	w.report.Check(invariantOpen, ordered, func() string {
-		return fmt.Sprintf("%s took %s with number %d at %v, open is %+v", e.name, o.ID, o.Fence, w.now, open)
+		return fmt.Sprintf("%s took %s with number %d at %v, open is %+v", e.name, o.ID, o.FencingToken, w.now, open)
 	})
 	w.report.Check(invariantCut, e.running == 0, func() string {
 		return fmt.Sprintf("%s took %s with %d requests at %v", e.name, o.ID, e.running, w.now)
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -68,7 +68,7 @@
 	out := EngineStatus{
 		Engine: u.Name, Scope: ScopeOf(u), Believed: known.Believed, Change: known.Change,
 		Open: known.Open() != nil, Doing: doing, Busy: state.Busy, Running: state.Running,
-		FencingNumber: state.FencingNumber, LastOrder: state.LastOrder, Incarnation: state.Incarnation,
+		FencingNumber: state.FencingToken, LastOrder: state.LastOrder, Incarnation: state.Incarnation,
 	}
 	if known.Change != nil {
 		out.Phase = known.Change.Phase.String()
--- a/internal/member/catchup.go
+++ b/internal/member/catchup.go
@@ -61,12 +61,12 @@
 		if passed > askOwn {
 			c.fromEngines(ctx, passed > askAll)
 		}
-		if len(c.member.books.Unlisted()) == 0 || passed > giveUpAfter {
+		if len(c.member.books.UnknownCaches()) == 0 || passed > giveUpAfter {
 			break
 		}
 	}
-	c.member.books.Inform()
-	c.log.Info("caught up", "unknown_engines", len(c.member.books.Unlisted()))
+	c.member.books.AssumeNewEnginesEmpty()
+	c.log.Info("caught up", "unknown_engines", len(c.member.books.UnknownCaches()))
 	sleep(ctx, askOnceMore)
 	c.onceMore(ctx)
 	return suture.ErrDoNotRestart
@@ -101,7 +101,7 @@
 // fromPeers asks the peers that serve, one after the other, for what is missing.
 func (c *catchUp) fromPeers(ctx context.Context) {
 	for _, peer := range c.member.peers.Up() {
-		missing := c.member.books.Unlisted()
+		missing := c.member.books.UnknownCaches()
 		if len(missing) == 0 {
 			return
 		}
@@ -121,14 +121,14 @@
 	if !ok {
 		return
 	}
-	c.member.books.Adopt(peer, reply.Beliefs)
-	c.log.Info("beliefs of a peer", "peer", peer, "missing", len(missing), "engines", len(reply.Beliefs.Kept))
+	c.member.books.Restore(peer, reply.Beliefs)
+	c.log.Info("beliefs of a peer", "peer", peer, "missing", len(missing), "engines", len(reply.Beliefs.Cached))
 }
 
 // fromEngines asks the engines that are still missing what they keep: this daemon's
 // part of them, as the other daemons ask the rest and all tell each other, or all.
 func (c *catchUp) fromEngines(ctx context.Context, all bool) {
-	missing := c.member.books.Unlisted()
+	missing := c.member.books.UnknownCaches()
 	for _, u := range c.engines() {
 		if ctx.Err() == nil && slices.Contains(missing, placement.KeyOf(u.ID, u.Started)) && (all || c.isMine(u)) {
 			c.ask(ctx, u)
@@ -152,6 +152,6 @@
 		c.log.Warn("engine didn't say what it keeps", "engine", u.ID, "err", err)
 		return
 	}
-	c.member.books.Listed(u.ID, parts)
+	c.member.books.SetCachedParts(u.ID, parts)
 	c.log.Info("engine said what it keeps", "engine", u.ID, "parts", len(parts))
 }
--- a/internal/member/collector.go
+++ b/internal/member/collector.go
@@ -56,7 +56,7 @@
 	}
 	away := p.awayNow()
 	p.mu.Unlock()
-	own := wire.LoadReport{Peers: p.self.Peers, Full: full, Loads: p.books.Own(full), Daemons: 1, Away: away, Reads: p.books.Reads()}
+	own := wire.LoadReport{Peers: p.self.Peers, Full: full, Loads: p.books.LocalLoads(full), Daemons: 1, Away: away, Reads: p.books.PrefillEvents()}
 	if full {
 		own.Demands = p.demand()
 	}
@@ -242,5 +242,5 @@
 // as often.
 func (p *Peers) noteTotals(totals wire.LoadTotals) {
 	p.noteAway(totals.Away)
-	p.books.NotePeer(totalsFrom, totals.Loads, totals.Reads)
+	p.books.ApplyPeerUpdate(totalsFrom, totals.Loads, totals.Reads)
 }
--- a/internal/member/collector_test.go
+++ b/internal/member/collector_test.go
@@ -14,7 +14,7 @@
 )
 
 func loadsOf(running int, sent uint32) wire.Loads {
-	return wire.Loads{{At: 1, Load: placement.Load{Running: running, Sent: sent}}}
+	return wire.Loads{{Upstream: 1, Load: placement.Load{Running: running, PrefillSent: sent}}}
 }
 
 // reported books a report and returns the totals in the answer.
@@ -80,13 +80,13 @@
 				have[from] = make(map[placement.Key]placement.Load)
 			}
 			at := placement.Key(rapid.IntRange(1, 3).Draw(t, "at"))
-			l := placement.Load{Running: rapid.IntRange(0, 5).Draw(t, "running"), Sent: rapid.Uint32Range(0, 9).Draw(t, "sent")}
+			l := placement.Load{Running: rapid.IntRange(0, 5).Draw(t, "running"), PrefillSent: rapid.Uint32Range(0, 9).Draw(t, "sent")}
 			have[from][at] = l
-			m := wire.LoadReport{Peers: from, Loads: []placement.LoadAt{{At: at, Load: l}}, Full: rapid.IntRange(0, 4).Draw(t, "full") == 0}
+			m := wire.LoadReport{Peers: from, Loads: []placement.UpstreamLoad{{Upstream: at, Load: l}}, Full: rapid.IntRange(0, 4).Draw(t, "full") == 0}
 			if m.Full {
 				m.Loads = nil
 				for at, l := range have[from] {
-					m.Loads = append(m.Loads, placement.LoadAt{At: at, Load: l})
+					m.Loads = append(m.Loads, placement.UpstreamLoad{Upstream: at, Load: l})
 				}
 			}
 			lost := from == "me" && !m.Full && rapid.IntRange(0, 9).Draw(t, "lost") == 0
@@ -96,17 +96,17 @@
 				continue
 			}
 			for _, l := range answer.Loads {
-				known[l.At] = l.Load
+				known[l.Upstream] = l.Load
 			}
 		}
 		m := wire.LoadReport{Peers: "me", Full: true}
 		for at, l := range have["me"] {
-			m.Loads = append(m.Loads, placement.LoadAt{At: at, Load: l})
+			m.Loads = append(m.Loads, placement.UpstreamLoad{Upstream: at, Load: l})
 		}
 		answer, ok := c.take(m, now)
 		require.True(t, ok)
 		for _, l := range answer.Loads {
-			known[l.At] = l.Load
+			known[l.Upstream] = l.Load
 		}
 		want := make(map[placement.Key]placement.Load)
 		for from, loads := range have {
@@ -153,7 +153,7 @@
 				reports[i] = wire.LoadReport{Peers: fmt.Sprint("daemon ", i), Full: true}
 				for j := range 20 {
 					at := placement.KeyOf(fmt.Sprint((i*7+j*13)%size.upstreams), time.Time{})
-					reports[i].Loads = append(reports[i].Loads, placement.LoadAt{At: at, Load: placement.Load{Running: 1, Sent: uint32(i + j)}})
+					reports[i].Loads = append(reports[i].Loads, placement.UpstreamLoad{Upstream: at, Load: placement.Load{Running: 1, PrefillSent: uint32(i + j)}})
 				}
 				t.take(reports[i], now)
 			}
@@ -212,7 +212,7 @@
 		c := s.tallies[a.Peers]
 		own := wire.LoadReport{Peers: a.Peers, Full: full, Daemons: 1}
 		for at, l := range s.have[a.Peers] {
-			own.Loads = append(own.Loads, placement.LoadAt{At: at, Load: l})
+			own.Loads = append(own.Loads, placement.UpstreamLoad{Upstream: at, Load: l})
 		}
 		answer, ok := c.take(own, s.now)
 		require.True(t, ok)
@@ -235,7 +235,7 @@
 	known := make(map[placement.Key]placement.Load)
 	for _, l := range c.totalsFor(self, s.now).Loads {
 		if l.Load != (placement.Load{}) {
-			known[l.At] = l.Load
+			known[l.Upstream] = l.Load
 		}
 	}
 	return known
@@ -365,15 +365,15 @@
 	for range 5 {
 		s.round(t, all, false)
 	}
-	read := placement.Read{At: 3, State: placement.Finished, Last: placement.Part{ID: 9, Tokens: 100}}
-	answer, ok := s.tallies[all[17].Peers].take(wire.LoadReport{Peers: all[17].Peers, Daemons: 1, Reads: []placement.Read{read}}, s.now)
+	read := placement.PrefillEvent{Engine: 3, State: placement.PrefillFinished, LastShared: placement.Part{ID: 9, Tokens: 100}}
+	answer, ok := s.tallies[all[17].Peers].take(wire.LoadReport{Peers: all[17].Peers, Daemons: 1, Reads: []placement.PrefillEvent{read}}, s.now)
 	require.True(t, ok)
 	require.Empty(t, answer.Reads)
 	for range 10 {
 		s.round(t, all, false)
 	}
 	for i, a := range all {
-		var heard []placement.Read
+		var heard []placement.PrefillEvent
 		for _, told := range s.told[a.Peers] {
 			heard = append(heard, told.Reads...)
 		}
@@ -381,7 +381,7 @@
 			require.Empty(t, heard, "its own")
 			continue
 		}
-		require.Equal(t, []placement.Read{read}, heard, a.Peers)
+		require.Equal(t, []placement.PrefillEvent{read}, heard, a.Peers)
 	}
 }
 
@@ -414,7 +414,7 @@
 	c := newTally()
 	now := time.Unix(1000, 0)
 	reported(t, c, wire.LoadReport{Peers: "a"}, now)
-	reported(t, c, wire.LoadReport{Peers: "b", Loads: loadsOf(2, 20), Reads: []placement.Read{{At: 3}}}, now)
+	reported(t, c, wire.LoadReport{Peers: "b", Loads: loadsOf(2, 20), Reads: []placement.PrefillEvent{{Engine: 3}}}, now)
 	require.Empty(t, reported(t, c, wire.LoadReport{Peers: "a", Loads: loadsOf(1, 10), Unanswered: true}, now))
 	totals := reported(t, c, wire.LoadReport{Peers: "a"}, now)
 	require.Equal(t, loadsOf(2, 20), totals.Loads)
@@ -430,7 +430,7 @@
 	now := time.Unix(1000, 0)
 	reported(t, c, wire.LoadReport{Peers: "a", Loads: loadsOf(1, 10), Daemons: 1}, now)
 	require.Equal(t, loadsOf(1, 10), c.reportAbove("a", false, now).Loads)
-	c.takeAbove(wire.LoadTotals{Loads: append(loadsOf(7, 70), placement.LoadAt{At: 2, Load: placement.Load{Running: 5}})}, now)
+	c.takeAbove(wire.LoadTotals{Loads: append(loadsOf(7, 70), placement.UpstreamLoad{Upstream: 2, Load: placement.Load{Running: 5}})}, now)
 	require.Empty(t, c.reportAbove("a", false, now).Loads)
 	require.Equal(t, loadsOf(1, 10), c.reportAbove("a", true, now).Loads, "in full only its own")
 	reported(t, c, wire.LoadReport{Peers: "a", Loads: loadsOf(2, 20), Daemons: 1}, now)
--- a/internal/member/figures.go
+++ b/internal/member/figures.go
@@ -17,7 +17,7 @@
 // figuresTeller tells operators what this daemon has learnt of the engines, which its
 // decisions rest on, and how far its predictions were off.
 type figuresTeller struct {
-	books *placement.Books
+	books *placement.Tracker
 	scope metrics.Scope
 	log   *slog.Logger
 }
@@ -29,19 +29,19 @@
 func (f *figuresTeller) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		sleep(ctx, figuresEvery)
-		for pool, figures := range f.books.Figures() {
+		for pool, figures := range f.books.Parameters() {
 			f.tell(pool, figures)
 		}
 	}
 	return ctx.Err()
 }
 
-func (f *figuresTeller) tell(pool string, p placement.PoolFigures) {
-	f.log.Info("engines learnt", "pool", pool, "figures", p.Figures.Coefficients(),
-		"prefill_readings", p.Prefill.Count, "prefill_error_p50", p.Prefill.P50, "prefill_error_p90", p.Prefill.P90,
-		"decode_readings", p.Decode.Count, "decode_error_p50", p.Decode.P50, "decode_error_p90", p.Decode.P90)
-	f.publish(pool, "prefill", p.Prefill)
-	f.publish(pool, "decode", p.Decode)
+func (f *figuresTeller) tell(pool string, p placement.PoolParameters) {
+	f.log.Info("engines learnt", "pool", pool, "figures", p.Parameters.Coefficients(),
+		"prefill_readings", p.PrefillError.Count, "prefill_error_p50", p.PrefillError.P50, "prefill_error_p90", p.PrefillError.P90,
+		"decode_readings", p.DecodeError.Count, "decode_error_p50", p.DecodeError.P50, "decode_error_p90", p.DecodeError.P90)
+	f.publish(pool, "prefill", p.PrefillError)
+	f.publish(pool, "decode", p.DecodeError)
 }
 
 func (f *figuresTeller) publish(pool, role string, e enginemodel.Error) {
--- a/internal/member/large_test.go
+++ b/internal/member/large_test.go
@@ -58,7 +58,7 @@
 
 // kept is what the engine is believed to keep of a prompt of one part.
 func (r *daemonRig) kept(part placement.Part) int {
-	return r.books.Engines([]string{"e"})[0].Cached([]placement.Part{part}).Read
+	return r.books.Engines([]string{"e"})[0].Cached([]placement.Part{part}).Ready
 }
 
 // The daemon that adds up for all dies, and one that adds up for its data centre.
@@ -82,12 +82,12 @@
 	share := func(part placement.Part) {
 		t.Helper()
 		for _, r := range live {
-			r.books.Begin("e", placement.Work{Read: enginemodel.Prompt{Tokens: 10}})
+			r.books.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
 		}
 		begun++
 		all(func(r *daemonRig) bool { return r.running() == begun*len(live) })
 		ticket := live[0].books.Begin("e", placement.Work{Parts: []placement.Part{part, {ID: 1, Tokens: 1}}})
-		ticket.PromptRead()
+		ticket.PrefillDone()
 		ticket.End(placement.Done)
 		all(func(r *daemonRig) bool { return r.kept(part) == part.Tokens }) // most only hear of it
 	}
@@ -171,7 +171,7 @@
 func TestWorkIsNotCountedTwiceInAGrownSite(t *testing.T) {
 	a, b := newPeersRig("a"), newPeersRig("b")
 	now := time.Now()
-	a.books.Begin("e", placement.Work{Read: enginemodel.Prompt{Tokens: 10}})
+	a.books.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
 	b.Handle("", a.state(now), nil)
 	require.Equal(t, 1, b.running())
 
@@ -180,7 +180,7 @@
 	}
 	b.Handle("", a.state(now), nil)
 	require.Zero(t, b.running(), "told with the totals from now on")
-	b.noteTotals(wire.LoadTotals{Loads: a.books.Own(true)})
+	b.noteTotals(wire.LoadTotals{Loads: a.books.LocalLoads(true)})
 	require.Equal(t, 1, b.running())
 }
 
@@ -205,7 +205,7 @@
 		t.Fatal("nothing has come yet")
 	default:
 	}
-	r.takeTotals(above.Peers, wire.LoadTotals{Loads: []placement.LoadAt{{At: r.books.KeyOf("e"), Load: placement.Load{Running: 3}}}})
+	r.takeTotals(above.Peers, wire.LoadTotals{Loads: []placement.UpstreamLoad{{Upstream: r.books.KeyOf("e"), Load: placement.Load{Running: 3}}}})
 	<-answered
 	require.Equal(t, 3, r.running())
 	require.Nil(t, r.askTotals(r.collect.heard.Add(freshFor/2)), "fresh")
@@ -220,7 +220,7 @@
 		r.Learn(other)
 	}
 	require.False(t, r.meshed())
-	r.noteTotals(wire.LoadTotals{Loads: []placement.LoadAt{{At: r.books.KeyOf("e"), Load: placement.Load{Running: 3}}}})
+	r.noteTotals(wire.LoadTotals{Loads: []placement.UpstreamLoad{{Upstream: r.books.KeyOf("e"), Load: placement.Load{Running: 3}}}})
 	require.Equal(t, 3, r.running())
 	for address, other := range r.peers {
 		other.named = time.Now().Add(-2 * forgetAfter)
--- a/internal/member/learnt.go
+++ b/internal/member/learnt.go
@@ -25,7 +25,7 @@
 // out several times wrong, and most answers were late until the next restart.
 type engineMemory struct {
 	store   Store
-	books   *placement.Books
+	books   *placement.Tracker
 	peers   *Peers
 	backoff *backoff
 	log     *slog.Logger
@@ -65,9 +65,9 @@
 }
 
 func (e *engineMemory) take(entries []Entry) {
-	models := make(map[string]enginemodel.Learnt, len(entries))
+	models := make(map[string]enginemodel.Observations, len(entries))
 	for _, entry := range entries {
-		var learnt enginemodel.Learnt
+		var learnt enginemodel.Observations
 		if err := json.Unmarshal(entry.Value, &learnt); err != nil {
 			e.log.Warn("what was learnt of a pool's engines can't be read", "pool", entry.Key, "err", err)
 			continue
@@ -80,7 +80,7 @@
 
 // keep writes what all daemons have learnt.
 func (e *engineMemory) keep(ctx context.Context) {
-	for pool, learnt := range e.books.LearntByAll() {
+	for pool, learnt := range e.books.AllObservations() {
 		value, err := json.Marshal(learnt)
 		if err != nil {
 			e.log.Error("what was learnt of a pool's engines can't be written", "pool", pool, "err", err)
--- a/internal/member/learnt_test.go
+++ b/internal/member/learnt_test.go
@@ -42,13 +42,13 @@
 func TestFiguresOutlastAllDaemons(t *testing.T) {
 	members := []placement.Member{{ID: "e", Pool: "p", Role: upstream.RolePrefill, Slots: 4, KVTokens: 1 << 20}}
 	now := time.Unix(1, 0)
-	before := placement.NewBooks(func() time.Time { return now })
-	before.Inform()
+	before := placement.NewTracker(func() time.Time { return now })
+	before.AssumeNewEnginesEmpty()
 	before.Sync(members)
 	for range 40 {
-		ticket := before.Begin("e", placement.Work{Read: enginemodel.Prompt{Tokens: 5000}})
+		ticket := before.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 5000}})
 		now = now.Add(200 * time.Millisecond)
-		ticket.PromptRead()
+		ticket.PrefillDone()
 		ticket.End(placement.Done)
 		now = now.Add(time.Second)
 	}
@@ -56,10 +56,10 @@
 	(&engineMemory{store: store, books: before, backoff: newBackoff(alone), log: quiet}).keep(t.Context())
 	require.Len(t, store.entries, 2)
 
-	after := placement.NewBooks(nil)
+	after := placement.NewTracker(nil)
 	(&engineMemory{store: store, books: after, backoff: newBackoff(alone), log: quiet}).recall(t.Context())
 	prompt := enginemodel.Prompt{Tokens: 5000}
-	want := before.Reading("p", upstream.RolePrefill, prompt)
+	want := before.PrefillMillis("p", upstream.RolePrefill, prompt)
 	require.Greater(t, want, 100.0)
-	require.InEpsilon(t, want, after.Reading("p", upstream.RolePrefill, prompt), 0.05)
+	require.InEpsilon(t, want, after.PrefillMillis("p", upstream.RolePrefill, prompt), 0.05)
 }
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -66,7 +66,7 @@
 	cfg   Config
 	log   *slog.Logger
 	state *fleet.State
-	books *placement.Books
+	books *placement.Tracker
 	relay *relay.Relay
 	// callers are connections to the callers' address, pages those to the others.
 	callers, pages *graceful.Connections
@@ -86,7 +86,7 @@
 // New builds a daemon.
 func New(cfg Config) *Member {
 	s := cfg.Settings
-	m := &Member{cfg: cfg, log: cfg.Logger, state: fleet.NewState(), books: placement.NewBooks(nil), callers: graceful.New(cfg.Logger), pages: graceful.New(cfg.Logger)}
+	m := &Member{cfg: cfg, log: cfg.Logger, state: fleet.NewState(), books: placement.NewTracker(nil), callers: graceful.New(cfg.Logger), pages: graceful.New(cfg.Logger)}
 	m.self = wire.MemberAddress{Instance: s.Instance, DataCentre: s.DataCentre, Callers: s.Callers, Peers: s.PeerAddress, Capacity: s.Capacity}
 	cfg.Store.Eras().LogTo(m.log)
 	m.settings.Store(&s)
--- a/internal/member/peers.go
+++ b/internal/member/peers.go
@@ -43,7 +43,7 @@
 type Peers struct {
 	self   wire.MemberAddress
 	cfg    wire.Config
-	books  *placement.Books
+	books  *placement.Tracker
 	log    *slog.Logger
 	about  func() About
 	view   func(configOnly bool) wire.ViewReply
@@ -106,7 +106,7 @@
 	meshed bool
 }
 
-func newPeers(self wire.MemberAddress, cfg wire.Config, books *placement.Books, log *slog.Logger) *Peers {
+func newPeers(self wire.MemberAddress, cfg wire.Config, books *placement.Tracker, log *slog.Logger) *Peers {
 	p := &Peers{
 		self: self, cfg: cfg, books: books, log: log,
 		links:       suture.New("peers' links", suture.Spec{FailureBackoff: time.Second}),
@@ -169,7 +169,7 @@
 	case wire.ViewRequest:
 		reply(p.view(m.ConfigOnly))
 	case wire.BeliefsRequest:
-		reply(wire.BeliefsReply{Beliefs: p.books.Beliefs(m.Of)})
+		reply(wire.BeliefsReply{Beliefs: p.books.Snapshot(m.Of)})
 	case wire.LoadReport:
 		p.answerReport(m, reply)
 	}
@@ -214,7 +214,7 @@
 	}
 	p.sameList(Position(m.ListPosition), m.ListDigest, m.ReadAge)
 	p.noteAway(m.Away)
-	p.books.NotePeer(m.Peers, m.Loads, m.Reads)
+	p.books.ApplyPeerUpdate(m.Peers, m.Loads, m.Reads)
 	p.books.Merge(m.Peers, m.Learnt)
 	p.change()
 }
@@ -232,7 +232,7 @@
 	from.heard = time.Now()
 	address := from.Peers
 	p.mu.Unlock()
-	p.books.NotePeer(address, m.Loads, m.Reads)
+	p.books.ApplyPeerUpdate(address, m.Loads, m.Reads)
 	p.change()
 }
 
--- a/internal/member/peers_test.go
+++ b/internal/member/peers_test.go
@@ -15,7 +15,7 @@
 // peersRig is a daemon's exchange with books of one engine, and no links.
 type peersRig struct {
 	*Peers
-	books *placement.Books
+	books *placement.Tracker
 	about About
 }
 
@@ -24,7 +24,7 @@
 }
 
 func newPeersRigOf(self wire.MemberAddress, cfg wire.Config) *peersRig {
-	r := &peersRig{books: placement.NewBooks(nil), about: About{Serving: true, Config: 1, ListPosition: 2, ListDigest: 3}}
+	r := &peersRig{books: placement.NewTracker(nil), about: About{Serving: true, Config: 1, ListPosition: 2, ListDigest: 3}}
 	r.books.Sync([]placement.Member{{ID: "e", DataCentre: "d", Role: upstream.RoleDecode, Slots: 4, KVTokens: 1000}})
 	r.Peers = newPeers(self, cfg, r.books, quiet)
 	r.Peers.about = func() About { return r.about }
@@ -45,7 +45,7 @@
 	require.Nil(t, r.changes(now), "nothing has changed")
 	r.state(now)
 
-	r.books.Begin("e", placement.Work{Read: enginemodel.Prompt{Tokens: 10}})
+	r.books.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
 	loads, ok := r.changes(now).(wire.MemberLoads)
 	require.True(t, ok)
 	require.Len(t, loads.Loads, 1)
@@ -58,17 +58,17 @@
 		func() { r.about.Serving = false },
 	} {
 		change()
-		r.books.Begin("e", placement.Work{Read: enginemodel.Prompt{Tokens: 10}})
+		r.books.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
 		require.IsType(t, wire.MemberState{}, r.changes(now))
 	}
 
 	// The list has grown older by as much as has passed: nothing new.
 	now = now.Add(time.Second)
 	r.about.ReadAge = time.Second
-	r.books.Begin("e", placement.Work{Read: enginemodel.Prompt{Tokens: 10}})
+	r.books.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
 	require.IsType(t, wire.MemberLoads{}, r.changes(now))
 	r.about.ReadAge = 0 // read just now
-	r.books.Begin("e", placement.Work{Read: enginemodel.Prompt{Tokens: 10}})
+	r.books.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
 	require.IsType(t, wire.MemberState{}, r.changes(now))
 }
 
@@ -77,16 +77,16 @@
 func TestLoadsOfAPeer(t *testing.T) {
 	a, b := newPeersRig("a"), newPeersRig("b")
 	now := time.Now()
-	a.books.Begin("e", placement.Work{Read: enginemodel.Prompt{Tokens: 10}})
+	a.books.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
 	a.state(now) // lost on the way
-	a.books.Begin("e", placement.Work{Read: enginemodel.Prompt{Tokens: 10}})
+	a.books.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
 	early := a.changes(now)
 	b.Handle("", early, nil)
 	require.Zero(t, b.running(), "whose are they?")
 
 	b.Handle("", a.state(now), nil)
 	require.Equal(t, 2, b.running())
-	a.books.Begin("e", placement.Work{Read: enginemodel.Prompt{Tokens: 10}})
+	a.books.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
 	later := a.changes(now)
 	b.Handle("", later, nil)
 	require.Equal(t, 3, b.running())
--- a/internal/member/peerview.go
+++ b/internal/member/peerview.go
@@ -17,7 +17,7 @@
 // until it has a role; "" if it doesn't change.
 func (p *Peers) SendAway(id string, to upstream.Role, d time.Duration) {
 	at := p.books.KeyOf(id)
-	p.books.SendAway(at, to, d)
+	p.books.MarkUnavailable(at, to, d)
 	p.mu.Lock()
 	told := time.Until(p.away[at].until) > d/2
 	p.away[at] = awayEngine{to: to, until: time.Now().Add(d)}
@@ -30,7 +30,7 @@
 // noteAway takes another daemon's word of engines that take no work.
 func (p *Peers) noteAway(engines []wire.AwayEngine) {
 	for _, a := range engines {
-		p.books.SendAway(a.At, a.To, a.Left)
+		p.books.MarkUnavailable(a.At, a.To, a.Left)
 	}
 }
 
--- a/internal/member/rolepicture.go
+++ b/internal/member/rolepicture.go
@@ -22,7 +22,7 @@
 	for _, u := range s.Pools[name] {
 		switch {
 		case u.Leaving:
-		case books.Away(u.ID):
+		case books.Unavailable(u.ID):
 			// It is on its way to the role that it hasn't.
 			p.Changing++
 			if u.Role == upstream.RolePrefill {
@@ -39,7 +39,7 @@
 		}
 	}
 	engines := books.Engines(ids)
-	p.Generating = placement.Generating(engines)
+	p.Generating = placement.DecodeDemand(engines)
 	p.Beside = beside(engines)
 	return p, engines
 }
@@ -52,7 +52,7 @@
 			continue
 		}
 		prompt := enginemodel.Prompt{Tokens: typicalPrompt}
-		return e.Model.Reading(upstream.RolePrefill, prompt) / e.Model.Reading(upstream.RoleDecode, prompt)
+		return e.Model.PrefillMillis(upstream.RolePrefill, prompt) / e.Model.PrefillMillis(upstream.RoleDecode, prompt)
 	}
 	return 1
 }
@@ -68,9 +68,9 @@
 	if c.To == upstream.RoleDecode {
 		from = upstream.RolePrefill
 	}
-	engines = slices.DeleteFunc(engines, func(e placement.Engine) bool { return e.Role != from || e.Trial })
+	engines = slices.DeleteFunc(engines, func(e placement.Engine) bool { return e.Role != from || e.Probing })
 	slices.SortFunc(engines, func(a, b placement.Engine) int {
-		return cmp.Or(cmp.Compare(a.Long, b.Long), cmp.Compare(a.Running, b.Running), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(a.LongStreams, b.LongStreams), cmp.Compare(a.Running, b.Running), cmp.Compare(a.ID, b.ID))
 	})
 	var chosen []*fleet.Upstream
 	for _, e := range engines[:min(c.Engines, len(engines))] {
--- a/internal/member/schedule.go
+++ b/internal/member/schedule.go
@@ -10,7 +10,7 @@
 	done := p.links.ServeBackground(ctx)
 	defer func() { <-done }()
 	every := p.tellEvery()
-	p.books.SetBlind(p.blindFor())
+	p.books.SetUpdateDelay(p.blindFor())
 	ticker := time.NewTicker(every)
 	defer ticker.Stop()
 	var t timetable
@@ -27,7 +27,7 @@
 		if wait != every {
 			every = wait
 			ticker.Reset(every)
-			p.books.SetBlind(p.blindFor())
+			p.books.SetUpdateDelay(p.blindFor())
 		}
 	}
 }
--- a/internal/member/tally.go
+++ b/internal/member/tally.go
@@ -53,7 +53,7 @@
 	// daemons is how many the report is of, depth how many stand below each other.
 	daemons, depth int
 	// reads are the others' prompts that the sender wasn't told of yet.
-	reads []placement.Read
+	reads []placement.PrefillEvent
 	// demands is what callers ask of those daemons, by pool.
 	demands map[string]wire.MemberDemand
 }
@@ -190,7 +190,7 @@
 
 // book takes a report's loads into the sum. If it is full, what it doesn't list is
 // taken out of it.
-func (t *tally) book(r *report, loads []placement.LoadAt, full bool, now time.Time) {
+func (t *tally) book(r *report, loads []placement.UpstreamLoad, full bool, now time.Time) {
 	t.version++
 	r.heard = now
 	if full {
@@ -201,10 +201,10 @@
 	}
 }
 
-func (t *tally) takeOutUnlisted(r *report, loads []placement.LoadAt, now time.Time) {
+func (t *tally) takeOutUnlisted(r *report, loads []placement.UpstreamLoad, now time.Time) {
 	listed := make(map[placement.Key]bool, len(loads))
 	for _, l := range loads {
-		listed[l.At] = true
+		listed[l.Upstream] = true
 	}
 	for at := range r.loads {
 		if !listed[at] {
@@ -214,15 +214,15 @@
 }
 
 // put takes one load of a report over.
-func (t *tally) put(r *report, l placement.LoadAt, now time.Time) {
-	before, known := r.loads[l.At]
+func (t *tally) put(r *report, l placement.UpstreamLoad, now time.Time) {
+	before, known := r.loads[l.Upstream]
 	if known && before == l.Load {
 		return
 	}
-	sum := t.sum[l.At]
+	sum := t.sum[l.Upstream]
 	if sum == nil {
-		sum = &total{of: l.At}
-		t.sum[l.At] = sum
+		sum = &total{of: l.Upstream}
+		t.sum[l.Upstream] = sum
 		t.order = append(t.order, sum)
 	}
 	if !known {
@@ -230,7 +230,7 @@
 	}
 	sum.load = sum.load.Minus(before).Plus(l.Load)
 	t.noteChange(sum, r, now)
-	r.loads[l.At] = l.Load
+	r.loads[l.Upstream] = l.Load
 }
 
 // takeOut takes a load out of a report. An upstream where nobody has work any more
@@ -291,8 +291,8 @@
 
 // others returns the sum without one report, where it has changed since that one's
 // sender was told.
-func (t *tally) others(but *report) []placement.LoadAt {
-	var loads []placement.LoadAt
+func (t *tally) others(but *report) []placement.UpstreamLoad {
+	var loads []placement.UpstreamLoad
 	for _, sum := range t.order {
 		if sum.changed > but.told {
 			loads = append(loads, t.without(sum, but))
@@ -302,6 +302,6 @@
 	return loads
 }
 
-func (*tally) without(sum *total, r *report) placement.LoadAt {
-	return placement.LoadAt{At: sum.of, Load: sum.load.Minus(r.loads[sum.of])}
+func (*tally) without(sum *total, r *report) placement.UpstreamLoad {
+	return placement.UpstreamLoad{Upstream: sum.of, Load: sum.load.Minus(r.loads[sum.of])}
 }
--- a/internal/member/tallynews.go
+++ b/internal/member/tallynews.go
@@ -48,7 +48,7 @@
 const maxReads = 2000
 
 // passOn keeps what became of one sender's prompts for all others.
-func (t *tally) passOn(from *report, reads []placement.Read) {
+func (t *tally) passOn(from *report, reads []placement.PrefillEvent) {
 	if len(reads) == 0 {
 		return
 	}
@@ -62,14 +62,14 @@
 	}
 }
 
-func (r *report) addReads(reads []placement.Read) {
+func (r *report) addReads(reads []placement.PrefillEvent) {
 	r.reads = append(r.reads, reads...)
 	if over := len(r.reads) - maxReads; over > 0 {
 		r.reads = slices.Delete(r.reads, 0, over)
 	}
 }
 
-func (r *report) takeReads() []placement.Read {
+func (r *report) takeReads() []placement.PrefillEvent {
 	reads := r.reads
 	r.reads = nil
 	return reads
--- a/internal/member/telling.go
+++ b/internal/member/telling.go
@@ -10,7 +10,7 @@
 // changes returns what is to be told between two beats, nil if nothing has
 // changed. A whole state goes out only if there is more to tell than loads.
 func (p *Peers) changes(now time.Time) wire.Message {
-	loads := p.books.Own(false)
+	loads := p.books.LocalLoads(false)
 	if len(loads) == 0 {
 		return nil
 	}
@@ -18,10 +18,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.toldAbout.covers(about, now) {
-		return p.stateOf(about, loads, p.books.Reads(), now)
+		return p.stateOf(about, loads, p.books.PrefillEvents(), now)
 	}
 	p.seq++
-	return wire.MemberLoads{Incarnation: p.incarnation, Seq: p.seq, Loads: loads, Reads: p.books.Reads()}
+	return wire.MemberLoads{Incarnation: p.incarnation, Seq: p.seq, Loads: loads, Reads: p.books.PrefillEvents()}
 }
 
 // toldAbout is what the last state said of this daemon, and when.
@@ -43,7 +43,7 @@
 }
 
 // stateOf returns the state to be told. p.mu is held.
-func (p *Peers) stateOf(about About, loads []placement.LoadAt, reads []placement.Read, now time.Time) wire.MemberState {
+func (p *Peers) stateOf(about About, loads []placement.UpstreamLoad, reads []placement.PrefillEvent, now time.Time) wire.MemberState {
 	p.seq++
 	p.toldAbout = toldAbout{about, now}
 	return wire.MemberState{
@@ -57,10 +57,10 @@
 // state returns the state of a beat: it carries the loads even if they haven't
 // changed, and now and then the addresses of other daemons.
 func (p *Peers) state(now time.Time) wire.MemberState {
-	var loads []placement.LoadAt
-	var reads []placement.Read
+	var loads []placement.UpstreamLoad
+	var reads []placement.PrefillEvent
 	if p.meshed() {
-		loads, reads = p.books.Own(true), p.books.Reads()
+		loads, reads = p.books.LocalLoads(true), p.books.PrefillEvents()
 	}
 	about := p.about()
 	p.mu.Lock()
@@ -69,7 +69,7 @@
 	s.Demands = p.demand()
 	p.beats++
 	if p.beats%learntEvery == 0 {
-		s.Learnt = p.books.Learnt()
+		s.Learnt = p.books.LocalObservations()
 	}
 	if p.beats%knownEvery != 1 {
 		return s
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -43,7 +43,7 @@
 		c.kept, c.keptBy, c.keptTries = Handoff{Address: p.prefill.Address, Handle: handle}, p.prefill, 0
 	}
 	if c.kept.Handle != "" {
-		p.ticket.HandedOver()
+		p.ticket.HandoffStarted()
 	}
 	res := c.send(ctx, p, c.kept)
 	p.ticket.End(res.outcome)
@@ -110,7 +110,7 @@
 	switch {
 	case c.behind:
 		return leastUrgent
-	case p.plan.Reading <= brief:
+	case p.plan.PrefillTime <= brief:
 		return 0
 	default:
 		return min(leastUrgent-1, c.rule.Priority+1)
--- a/internal/relay/log.go
+++ b/internal/relay/log.go
@@ -19,13 +19,13 @@
 		"request", c.ID, "upstream", p.target.ID, "pool", c.pool, "config", c.version,
 		"waited_ms", telemetry.Millis(p.waited), "expected_ms", telemetry.Millis(p.plan.FirstToken),
 		"prompt", c.promptTokens(), "output", c.outputTokens(), "max_output", c.maxOutput(),
-		"uncached", p.plan.Uncached, "fetched", p.plan.Fetched, "reread", p.plan.Reread,
-		"queue_ms", telemetry.Millis(p.plan.Queue), "ideal_ms", telemetry.Millis(p.plan.Ideal),
-		"expected_gap_ms", telemetry.Millis(p.plan.Pause), "behind", c.behind, "considered", p.plan.Considered,
+		"uncached", p.plan.Uncached, "fetched", p.plan.Transferred, "reread", p.plan.Recomputes,
+		"queue_ms", telemetry.Millis(p.plan.QueueTime), "ideal_ms", telemetry.Millis(p.plan.IdealFirstToken),
+		"expected_gap_ms", telemetry.Millis(p.plan.MaxGap), "behind", c.behind, "considered", p.plan.Candidates,
 		"read_ms", telemetry.Millis(p.read), "first_ms", telemetry.Millis(p.first),
 		"lasted_ms", telemetry.Millis(time.Since(p.sentAt)), "done", res.done, "status", res.status,
 	}
-	if p.plan.Long {
+	if p.plan.LongStream {
 		attrs = append(attrs, c.wholeAttrs(p)...)
 	}
 	if p.prefill != nil {
@@ -40,7 +40,7 @@
 // wholeAttrs tells whether a long answer was expected whole in time, and how far it came.
 func (c *call) wholeAttrs(p *place) []any {
 	return []any{
-		"beside", p.plan.Beside, "expected_whole_ms", telemetry.Millis(p.plan.Whole),
+		"beside", p.plan.Concurrent, "expected_whole_ms", telemetry.Millis(p.plan.Completion),
 		"left_ms", telemetry.Millis(c.deadline.Sub(p.sentAt)), "events", c.eventsOf(p),
 	}
 }
@@ -62,9 +62,9 @@
 		return
 	}
 	if f.reason == reasonNoPlace {
-		attrs = append(attrs, "expected_ms", telemetry.Millis(c.looked.FirstToken), "queue_ms", telemetry.Millis(c.looked.Queue),
-			"ideal_ms", telemetry.Millis(c.looked.Ideal), "uncached", c.looked.Uncached, "reread", c.looked.Reread,
-			"considered", c.looked.Considered, "objective_ms", telemetry.Millis(c.rule.Objective), "comeback", c.comeback)
+		attrs = append(attrs, "expected_ms", telemetry.Millis(c.looked.FirstToken), "queue_ms", telemetry.Millis(c.looked.QueueTime),
+			"ideal_ms", telemetry.Millis(c.looked.IdealFirstToken), "uncached", c.looked.Uncached, "reread", c.looked.Recomputes,
+			"considered", c.looked.Candidates, "objective_ms", telemetry.Millis(c.rule.Objective), "comeback", c.comeback)
 	}
 	if f.reason == reasonNoRule {
 		attrs = append(attrs, "host", c.in.Host, "path", pathOf(c.in.RequestURI))
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -96,7 +96,7 @@
 		return false
 	}
 	r := c.placementRequest()
-	return c.relay.cfg.Books.Shortest(c.pool, r) > max(0, r.Left)
+	return c.relay.cfg.Books.MinCompletionTime(c.pool, r) > max(0, r.TimeLeft)
 }
 
 // late reports whether the request can't be in time any more: it has failed at
@@ -144,21 +144,21 @@
 // engine could answer it in time.
 func (c *call) choose(req *placement.Request, late bool) (plan placement.Plan, behind, ok bool) {
 	books := c.relay.cfg.Books
-	req.Behind = late
+	req.Late = late
 	if !late {
 		c.inTime(req)
 	}
 	plan, ok = books.Pick(c.pool, *req)
 	if !late && c.hopeless(plan, *req) {
-		req.Behind, req.Within, req.WithinReread = true, 0, 0
+		req.Late, req.FirstTokenLimit, req.RecomputeLimit = true, 0, 0
 		plan, ok = books.Pick(c.pool, *req)
 	}
-	c.behind = req.Behind
-	if ok || c.looked.Considered == 0 {
+	c.behind = req.Late
+	if ok || c.looked.Candidates == 0 {
 		c.looked = plan
 	}
 	c.noteDemand(plan, ok, *req)
-	return plan, req.Behind, ok
+	return plan, req.Late, ok
 }
 
 // book enters a plan in the books.
@@ -167,15 +167,15 @@
 	books := c.relay.cfg.Books
 	work := generating(plan, req)
 	if plan.Prefill == "" {
-		work.Read, work.Fetched = plan.PromptAt(req), plan.Fetched
+		work.Prefill, work.TransferredTokens = plan.PrefillWork(req), plan.Transferred
 		p.ticket = books.Begin(plan.Engine, work)
 		return p
 	}
-	work.Fetched = req.PromptTokens
+	work.TransferredTokens = req.PromptTokens
 	p.prefill = s.Upstreams[plan.Prefill]
 	p.ticket = books.Begin(plan.Engine, work)
 	p.reader = books.Begin(plan.Prefill, placement.Work{
-		Read: plan.PromptAt(req), Fetched: plan.Fetched, Parts: req.Parts, Held: req.PromptTokens, Behind: req.Behind,
+		Prefill: plan.PrefillWork(req), TransferredTokens: plan.Transferred, Parts: req.Parts, ReservedKVTokens: req.PromptTokens, Late: req.Late,
 	})
 	return p
 }
@@ -183,19 +183,19 @@
 // generating is the work of the engine that generates, whoever reads the prompt.
 func generating(plan placement.Plan, req placement.Request) placement.Work {
 	return placement.Work{
-		Parts: req.Parts, Held: req.PromptTokens + req.OutputTokens, Output: req.OutputTokens, Long: plan.Long, Left: req.Left, Behind: req.Behind,
+		Parts: req.Parts, ReservedKVTokens: req.PromptTokens + req.OutputTokens, OutputTokens: req.OutputTokens, LongStream: plan.LongStream, TimeLeft: req.TimeLeft, Late: req.Late,
 	}
 }
 
 // tryGenerator looks for an engine to take over the prompt's KV cache, which is
 // there already: it needn't be read again because one engine turned it away.
 func (c *call) tryGenerator(s *fleet.Snapshot, req placement.Request) *place {
-	plan, ok := c.relay.cfg.Books.PickGenerator(c.pool, c.keptBy.DataCentre, req)
+	plan, ok := c.relay.cfg.Books.PickDecode(c.pool, c.keptBy.DataCentre, req)
 	if !ok || s.Upstreams[plan.Engine] == nil {
 		return nil
 	}
 	work := generating(plan, req)
-	work.Fetched = req.PromptTokens
+	work.TransferredTokens = req.PromptTokens
 	ticket := c.relay.cfg.Books.Begin(plan.Engine, work)
 	return &place{target: s.Upstreams[plan.Engine], plan: plan, ticket: ticket}
 }
@@ -208,9 +208,9 @@
 	c.counted = true
 	prompt := enginemodel.Prompt{Tokens: req.PromptTokens}
 	if ok {
-		prompt = plan.PromptAt(req)
+		prompt = plan.PrefillWork(req)
 	}
-	work := c.relay.cfg.Books.Reading(c.pool, upstream.RolePrefill, prompt)
+	work := c.relay.cfg.Books.PrefillMillis(c.pool, upstream.RolePrefill, prompt)
 	c.relay.demand.add(c.pool, work, time.Now())
 }
 
@@ -223,7 +223,7 @@
 	if late {
 		return time.Until(c.deadline) > plan.FirstToken
 	}
-	return plan.InTime(req)
+	return plan.MeetsLimit(req)
 }
 
 // inTime says until when first events are to be expected for a request to be in time. Its
@@ -233,15 +233,15 @@
 		return
 	}
 	left := func(share float64) time.Duration {
-		return max(1, time.Duration(share*float64(c.rule.Objective))-r.Spent)
+		return max(1, time.Duration(share*float64(c.rule.Objective))-r.Elapsed)
 	}
-	r.Within, r.WithinReread = left(onTimeShare), left(rereadShare)
+	r.FirstTokenLimit, r.RecomputeLimit = left(onTimeShare), left(rereadShare)
 }
 
 // hopeless reports whether no engine could answer in time even if it were idle.
 func (c *call) hopeless(plan placement.Plan, req placement.Request) bool {
 	limit := time.Duration(onTimeShare * float64(c.rule.Objective))
-	return c.rule.Objective > 0 && plan.Ideal > limit-req.Spent
+	return c.rule.Objective > 0 && plan.IdealFirstToken > limit-req.Elapsed
 }
 
 func (c *call) tryService(s *fleet.Snapshot) *place {
@@ -262,10 +262,10 @@
 		r.PromptTokens = g.PromptTokens
 		r.BodyBytes = len(c.body)
 		r.Objective = c.rule.Objective
-		r.OutputTokens, r.MaxOutput = expectedOutput(g), g.MaxOutput
-		r.Left = time.Until(c.deadline)
-		r.PauseObjective = c.rule.PauseObjective
-		r.Spent = time.Since(c.arrived)
+		r.OutputTokens, r.MaxOutputTokens = expectedOutput(g), g.MaxOutput
+		r.TimeLeft = time.Until(c.deadline)
+		r.GapObjective = c.rule.PauseObjective
+		r.Elapsed = time.Since(c.arrived)
 	}
 	return r
 }
--- a/internal/relay/prefill.go
+++ b/internal/relay/prefill.go
@@ -64,7 +64,7 @@
 	if res.err == nil {
 		c.prefills++
 		p.read = time.Since(p.sentAt)
-		p.reader.PromptRead()
+		p.reader.PrefillDone()
 		p.reader.End(placement.Done)
 		c.relay.Changed()
 		return handle, res
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -23,7 +23,7 @@
 	DataCentre string
 	Dialect    Dialect
 	State      *fleet.State
-	Books      *placement.Books
+	Books      *placement.Tracker
 	Budget     *Budget
 	Logger     *slog.Logger
 	// Refresh brings the books up to date with other daemons' work before a request is
@@ -140,14 +140,14 @@
 }
 
 func member(s *fleet.Snapshot, u *fleet.Upstream) placement.Member {
-	m := placement.Member{ID: u.ID, DataCentre: u.DataCentre, Started: u.Started, Pool: u.Pool, Role: u.Role, Slots: u.Slots, Leaving: u.Leaving}
+	m := placement.Member{ID: u.ID, DataCentre: u.DataCentre, Started: u.Started, Pool: u.Pool, Role: u.Role, Slots: u.Slots, Draining: u.Leaving}
 	if s.Config == nil {
 		return m
 	}
 	if p := s.Config.Pools[u.Pool]; p != nil && p.Engine != nil {
 		m.KVTokens = p.Engine.KVTokens
 		if rate := p.Engine.LinkBytesPerSecond; rate > 0 {
-			m.MoveMillisPerToken = float64(p.Engine.KVTokenBytes) / rate * 1000
+			m.TransferMillisPerToken = float64(p.Engine.KVTokenBytes) / rate * 1000
 		}
 	}
 	return m
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -44,13 +44,13 @@
 			if p.prefill == nil {
 				p.read = p.first
 			} else {
-				p.ticket.TakenOver()
+				p.ticket.HandoffDone()
 			}
-			p.ticket.PromptRead()
+			p.ticket.PrefillDone()
 			c.relay.Changed()
 		}
 		if s := c.stream; s != nil {
-			p.ticket.Paused(time.Since(s.lastAt))
+			p.ticket.RecordGap(time.Since(s.lastAt))
 		}
 		if err := c.deliver(e, resp); err != nil {
 			return c.cutStream(ctx, p, err)
@@ -98,7 +98,7 @@
 		c.beginStream(resp)
 	}
 	if p.first > 0 && p.after == 0 {
-		p.ticket.Generated(c.stream.last, time.Since(p.sentAt)-p.first)
+		p.ticket.RecordStream(c.stream.last, time.Since(p.sentAt)-p.first)
 	}
 	return result{done: true, arrived: true, outcome: placement.Done, status: resp.Status}
 }
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -245,7 +245,7 @@
 		DecodePerSec:    decode,
 		MaxBatch:        e.config.Speed.MaxBatch,
 		Models:          e.control.models,
-		FencingNumber:   e.control.state.FencingNumber,
+		FencingToken:    e.control.state.FencingToken,
 		OrdersCompleted: e.control.completed,
 	})
 }
--- a/internal/standin/engine_control.go
+++ b/internal/standin/engine_control.go
@@ -59,7 +59,7 @@
 	c.state.Incarnation = uuid.NewString()
 	c.inService = true
 	if forgetFence {
-		c.state.FencingNumber = 0
+		c.state.FencingToken = 0
 	}
 }
 
@@ -68,8 +68,8 @@
 	outdated = fence < c.highest
 	c.highest = max(c.highest, fence)
 	if c.checksFencing {
-		outdated = fence < c.state.FencingNumber
-		c.state.FencingNumber = max(c.state.FencingNumber, fence)
+		outdated = fence < c.state.FencingToken
+		c.state.FencingToken = max(c.state.FencingToken, fence)
 	}
 	return outdated
 }
@@ -142,7 +142,7 @@
 	defer e.mu.Unlock()
 	defer func() { e.note(time.Now()) }()
 	e.counters.Orders++
-	if e.control.raise(o.Fence) {
+	if e.control.raise(o.FencingToken) {
 		if e.control.checksFencing {
 			e.counters.FencedOrders++
 			return upstream.ErrFenced
--- a/internal/standin/engine_test.go
+++ b/internal/standin/engine_test.go
@@ -116,7 +116,7 @@
 		gone := submit(t, e, message("gone", words(10), 500))
 		require.NoError(t, gone.Close())
 
-		order := upstream.Order{ID: "1", Kind: upstream.OrderRole, Role: upstream.RoleDecode, Fence: 1}
+		order := upstream.Order{ID: "1", Kind: upstream.OrderRole, Role: upstream.RoleDecode, FencingToken: 1}
 		require.NoError(t, e.order(order))
 		for _, r := range readers {
 			_, err := io.ReadAll(r)
@@ -145,7 +145,7 @@
 		e := startLoop(t, EngineConfig{Name: "e", Role: upstream.RoleMixed, ChecksFencing: true, Speed: DefaultSpeed()})
 		require.NoError(t, e.SetFaults([]byte(`{"crash_in_change":{"next":1}}`)))
 		before := e.State()
-		order := upstream.Order{ID: "1", Kind: upstream.OrderRole, Role: upstream.RoleDecode, Fence: 7}
+		order := upstream.Order{ID: "1", Kind: upstream.OrderRole, Role: upstream.RoleDecode, FencingToken: 7}
 		require.NoError(t, e.order(order))
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
@@ -153,7 +153,7 @@
 		assert.Equal(t, upstream.RoleMixed, after.Role)
 		assert.False(t, after.Busy)
 		assert.Empty(t, after.LastOrder)
-		assert.EqualValues(t, 7, after.FencingNumber)
+		assert.EqualValues(t, 7, after.FencingToken)
 		assert.NotEqual(t, before.Incarnation, after.Incarnation)
 		require.NoError(t, e.order(order), "the same order again is carried out")
 		time.Sleep(6 * time.Second)
--- a/internal/standin/set_test.go
+++ b/internal/standin/set_test.go
@@ -133,7 +133,7 @@
 			standintest.Faults(t, w, tc.faults)
 			e := standintest.Engine(t, standin.EngineConfig{Weights: w.Addr()})
 			c := engineclient.New(e.Addr(), httpx.Options{})
-			order := upstream.Order{ID: "1", Kind: upstream.OrderModel, Model: "m", Version: "v2", Fence: 1}
+			order := upstream.Order{ID: "1", Kind: upstream.OrderModel, Model: "m", Version: "v2", FencingToken: 1}
 			require.NoError(t, c.Order(t.Context(), order))
 			require.Eventually(t, func() bool { return !e.State().Busy }, 10*time.Second, time.Millisecond)
 			assert.Equal(t, tc.version, e.State().Version)
--- a/internal/wire/loads.go
+++ b/internal/wire/loads.go
@@ -9,10 +9,10 @@
 
 // Loads are daemons' work at upstreams. They make up most of what daemons tell each other,
 // and are written out here: by reflection each takes five times as long (BenchmarkLoads).
-type Loads []placement.LoadAt
+type Loads []placement.UpstreamLoad
 
 // Reads are what became of prompts.
-type Reads []placement.Read
+type Reads []placement.PrefillEvent
 
 // The number of fields of each form.
 const (
@@ -28,15 +28,15 @@
 	w.array(len(l))
 	for _, at := range l {
 		w.array(loadAtFields)
-		w.uint(uint64(at.At))
+		w.uint(uint64(at.Upstream))
 		w.array(loadFields)
 		w.int(at.Load.Running)
-		w.int(at.Load.Long)
-		w.int(at.Load.Held)
-		w.int(at.Load.Behind)
-		w.uint(uint64(at.Load.Sent))
-		w.uint(uint64(at.Load.Done))
-		w.uint(uint64(at.Load.Moved))
+		w.int(at.Load.LongStreams)
+		w.int(at.Load.ReservedKVTokens)
+		w.int(at.Load.LatePrefills)
+		w.uint(uint64(at.Load.PrefillSent))
+		w.uint(uint64(at.Load.PrefillDone))
+		w.uint(uint64(at.Load.TransferredTokens))
 		w.uint(uint64(at.Load.EventTime))
 		w.uint(uint64(at.Load.ExpectedEventTime))
 	}
@@ -49,17 +49,17 @@
 	n := r.length()
 	*l = make(Loads, 0, n)
 	for range n {
-		var at placement.LoadAt
+		var at placement.UpstreamLoad
 		r.array(loadAtFields)
-		at.At = placement.Key(r.uint32())
+		at.Upstream = placement.Key(r.uint32())
 		r.array(loadFields)
 		at.Load.Running = r.int()
-		at.Load.Long = r.int()
-		at.Load.Held = r.int()
-		at.Load.Behind = r.int()
-		at.Load.Sent = r.uint32()
-		at.Load.Done = r.uint32()
-		at.Load.Moved = r.uint32()
+		at.Load.LongStreams = r.int()
+		at.Load.ReservedKVTokens = r.int()
+		at.Load.LatePrefills = r.int()
+		at.Load.PrefillSent = r.uint32()
+		at.Load.PrefillDone = r.uint32()
+		at.Load.TransferredTokens = r.uint32()
 		at.Load.EventTime = r.uint32()
 		at.Load.ExpectedEventTime = r.uint32()
 		*l = append(*l, at)
@@ -73,12 +73,12 @@
 	w.array(len(l))
 	for _, read := range l {
 		w.array(readFields)
-		w.uint(uint64(read.At))
+		w.uint(uint64(read.Engine))
 		w.uint(uint64(read.State))
 		w.array(partFields)
-		w.uint(read.Last.ID)
-		w.int(read.Last.Tokens)
-		w.int(read.Own)
+		w.uint(read.LastShared.ID)
+		w.int(read.LastShared.Tokens)
+		w.int(read.UnsharedTokens)
 	}
 	return w.err
 }
@@ -89,14 +89,14 @@
 	n := r.length()
 	*l = make(Reads, 0, n)
 	for range n {
-		var read placement.Read
+		var read placement.PrefillEvent
 		r.array(readFields)
-		read.At = placement.Key(r.uint32())
-		read.State = placement.ReadState(r.uint32())
+		read.Engine = placement.Key(r.uint32())
+		read.State = placement.PrefillState(r.uint32())
 		r.array(partFields)
-		read.Last.ID = r.uint64()
-		read.Last.Tokens = r.int()
-		read.Own = r.int()
+		read.LastShared.ID = r.uint64()
+		read.LastShared.Tokens = r.int()
+		read.UnsharedTokens = r.int()
 		*l = append(*l, read)
 	}
 	return r.err
--- a/internal/wire/member.go
+++ b/internal/wire/member.go
@@ -50,7 +50,7 @@
 	Loads Loads
 	Reads Reads
 	// Learnt is what it has observed of the engines, by pool; now and then.
-	Learnt map[string]enginemodel.Learnt
+	Learnt map[string]enginemodel.Observations
 	// Demands is what callers ask of it, by pool.
 	Demands map[string]MemberDemand
 	// Away are engines that have been ordered to change.
@@ -187,7 +187,7 @@
 
 // BeliefsReply is the answer.
 type BeliefsReply struct {
-	Beliefs placement.Beliefs `msgpack:"b"`
+	Beliefs placement.Snapshot `msgpack:"b"`
 }
 
 // Kind implements Message.
--- a/internal/wire/member_test.go
+++ b/internal/wire/member_test.go
@@ -14,19 +14,19 @@
 // that was cut off from the store served by an old configuration.
 func TestMemberMessagesSurviveTheWire(t *testing.T) {
 	at := placement.KeyOf("e", time.Time{})
-	loads := []placement.LoadAt{{At: at, Load: placement.Load{Running: 1, Long: 2, Sent: 3, EventTime: 4, ExpectedEventTime: 5}}}
-	reads := []placement.Read{{At: at, State: placement.Finished, Last: placement.Part{ID: 1 << 63, Tokens: 7}, Own: 9}}
+	loads := []placement.UpstreamLoad{{Upstream: at, Load: placement.Load{Running: 1, LongStreams: 2, PrefillSent: 3, EventTime: 4, ExpectedEventTime: 5}}}
+	reads := []placement.PrefillEvent{{Engine: at, State: placement.PrefillFinished, LastShared: placement.Part{ID: 1 << 63, Tokens: 7}, UnsharedTokens: 9}}
 	address := MemberAddress{Instance: "n", DataCentre: "d", Callers: "c", Peers: "p", Capacity: 4}
 	for _, m := range []Message{
 		MemberState{
 			MemberAddress: address, Incarnation: 1, Seq: 2, Serving: true, Config: 3,
 			ListPosition: 4, ListDigest: 5, ListSize: 6, ReadAge: time.Second, Loads: loads,
-			Reads:   []placement.Read{{At: at, Last: placement.Part{ID: 6, Tokens: 7}}},
+			Reads:   []placement.PrefillEvent{{Engine: at, LastShared: placement.Part{ID: 6, Tokens: 7}}},
 			Demands: map[string]MemberDemand{"pool": {Readers: 8}},
 			Away:    []AwayEngine{{At: at, To: "prefill", Left: time.Minute}},
 			Known:   []MemberAddress{address},
 		},
-		MemberLoads{Incarnation: 1, Seq: 2, Loads: loads, Reads: []placement.Read{{At: at, Last: placement.Part{ID: 6, Tokens: 7}}}},
+		MemberLoads{Incarnation: 1, Seq: 2, Loads: loads, Reads: []placement.PrefillEvent{{Engine: at, LastShared: placement.Part{ID: 6, Tokens: 7}}}},
 		ViewRequest{},
 		ViewRequest{ConfigOnly: true},
 		ViewReply{Config: []byte("c"), Upstreams: map[string][]byte{"u": []byte("x")}, Position: 1, Age: 2},
--- a/internal/wire/size_test.go
+++ b/internal/wire/size_test.go
@@ -12,7 +12,7 @@
 // What daemons tell each other many times a second is paid for between data
 // centres. One changed load must stay a small message.
 func TestLoadsAreSmall(t *testing.T) {
-	loads := []placement.LoadAt{{At: placement.KeyOf("e", time.Time{}), Load: placement.Load{Running: 3, Long: 1, Sent: 1 << 30, Done: 1 << 30}}}
+	loads := []placement.UpstreamLoad{{Upstream: placement.KeyOf("e", time.Time{}), Load: placement.Load{Running: 3, LongStreams: 1, PrefillSent: 1 << 30, PrefillDone: 1 << 30}}}
 	body, err := encode(MemberLoads{Incarnation: 1 << 62, Seq: 100_000, Loads: loads})
 	require.NoError(t, err)
 	require.Less(t, len(body), 50)
@@ -29,10 +29,10 @@
 func BenchmarkLoads(b *testing.B) {
 	var m LoadTotals
 	for i := range 22 {
-		m.Loads = append(m.Loads, placement.LoadAt{At: placement.Key(i << 20), Load: placement.Load{Running: i, Held: i << 10, Sent: uint32(i) << 20, Done: uint32(i) << 19}})
+		m.Loads = append(m.Loads, placement.UpstreamLoad{Upstream: placement.Key(i << 20), Load: placement.Load{Running: i, ReservedKVTokens: i << 10, PrefillSent: uint32(i) << 20, PrefillDone: uint32(i) << 19}})
 	}
 	for i := range 30 {
-		m.Reads = append(m.Reads, placement.Read{At: placement.Key(i << 20), State: placement.Finished, Last: placement.Part{ID: uint64(i) << 50, Tokens: 6300}, Own: 2890})
+		m.Reads = append(m.Reads, placement.PrefillEvent{Engine: placement.Key(i << 20), State: placement.PrefillFinished, LastShared: placement.Part{ID: uint64(i) << 50, Tokens: 6300}, UnsharedTokens: 2890})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/orders/contact.go
+++ b/orders/contact.go
@@ -102,7 +102,7 @@
 		c.answeringSince = now
 	}
 	// An engine that restarted may have forgotten the number that guards it.
-	if s.FencingNumber < c.fence {
+	if s.FencingToken < c.fence {
 		c.raised = false
 	}
 }
--- a/orders/next.go
+++ b/orders/next.go
@@ -121,7 +121,7 @@
 
 func raise(s Situation) Action {
 	id := fmt.Sprintf("fence-%s-%d", s.Engine.Name, s.Authority.Fence)
-	o := upstream.Order{ID: id, Kind: upstream.OrderFence, Fence: s.Authority.Fence}
+	o := upstream.Order{ID: id, Kind: upstream.OrderFence, FencingToken: s.Authority.Fence}
 	return Action{Kind: ActionRaise, Order: o, Reason: "new leader"}
 }
 
--- a/orders/record.go
+++ b/orders/record.go
@@ -100,7 +100,7 @@
 // Order returns the order that carries the change out.
 func (c Change) Order() upstream.Order {
 	return upstream.Order{
-		ID: c.ID, Kind: c.Kind, Fence: c.Fence, Role: c.Target.Role,
+		ID: c.ID, Kind: c.Kind, FencingToken: c.Fence, Role: c.Target.Role,
 		Model: c.Target.Model, Version: c.Target.Version, Adapter: c.Target.Adapter,
 	}
 }
--- a/orders/state_test.go
+++ b/orders/state_test.go
@@ -133,7 +133,7 @@
 	require.Equal(t, ActionRaise, Next(s, &c).Kind)
 	c.RaiseDone(nil, now, s.Limits.Retry)
 	require.Equal(t, ActionRead, Next(s, &c).Kind)
-	c.ReadDone(upstream.EngineState{FencingNumber: 5, Role: "mixed"}, nil, now, now, s.Limits)
+	c.ReadDone(upstream.EngineState{FencingToken: 5, Role: "mixed"}, nil, now, now, s.Limits)
 	require.Equal(t, ActionAppend, Next(s, &c).Kind, "believed settings")
 	c.ReadDone(upstream.EngineState{Role: "mixed"}, nil, now, now, s.Limits)
 	assert.Equal(t, ActionRaise, Next(s, &c).Kind)
@@ -148,7 +148,7 @@
 		ID: "c", Engine: "e", Kind: upstream.OrderRole, Target: Settings{Role: upstream.RoleDecode},
 		Phase: PhaseOrdered, Scope: "a", Fence: 5, Attempt: 1, Incarnation: "1",
 	}
-	seen := upstream.EngineState{Role: upstream.RoleMixed, FencingNumber: 5, Incarnation: "1"}
+	seen := upstream.EngineState{Role: upstream.RoleMixed, FencingToken: 5, Incarnation: "1"}
 	for _, checked := range []bool{true, false} {
 		var c Contact
 		at := func(d time.Duration) Situation {
--- a/placement/batchreplay_test.go
+++ b/placement/batchreplay_test.go
@@ -16,7 +16,7 @@
 // the engine reads. One daemon decides for all requests.
 type batchReplay struct {
 	clock   *clock
-	books   *Books
+	books   *Tracker
 	engines []*batchEngine
 	rand    *rand.Rand
 	// slow is how many times as long as the first engines' all times are.
@@ -70,11 +70,11 @@
 
 func newBatchReplay(engines int, slow float64, seed uint64) *batchReplay {
 	p := &batchReplay{clock: &clock{time.Unix(1000, 0)}, rand: rand.New(rand.NewPCG(seed, 27)), slow: slow}
-	p.books = NewBooks(p.clock.now)
-	p.books.Inform()
+	p.books = NewTracker(p.clock.now)
+	p.books.AssumeNewEnginesEmpty()
 	var members []Member
 	for i := range engines {
-		m := Member{ID: fmt.Sprint("e", i), DataCentre: "d", Pool: "p", Role: upstream.RoleDecode, Slots: 32, KVTokens: 1_250_000, MoveMillisPerToken: 0.0001}
+		m := Member{ID: fmt.Sprint("e", i), DataCentre: "d", Pool: "p", Role: upstream.RoleDecode, Slots: 32, KVTokens: 1_250_000, TransferMillisPerToken: 0.0001}
 		if i%3 == 0 {
 			m.Role = upstream.RolePrefill
 		}
@@ -92,12 +92,12 @@
 	for i := range 200 {
 		n := i % 24
 		m.LearnInterval(n, millis(p.interval(n)))
-		m.LearnGeneration(eventTokens*50, 50, millis(50*p.interval(12)))
+		m.LearnStream(eventTokens*50, 50, millis(50*p.interval(12)))
 		tokens := 1000 + 100*(i%50)
 		for _, role := range []upstream.Role{upstream.RolePrefill, upstream.RoleDecode} {
-			m.LearnRead(enginemodel.Read{Role: role, Prompt: enginemodel.Prompt{Tokens: tokens}, Took: millis(10*p.slow + p.reading(role, tokens)), Alone: true})
+			m.LearnPrefill(enginemodel.PrefillSample{Role: role, Prompt: enginemodel.Prompt{Tokens: tokens}, Took: millis(10*p.slow + p.reading(role, tokens)), QueueEmpty: true})
 		}
-		m.LearnTakeover(3000, 0, millis(5*p.slow))
+		m.LearnHandoff(3000, 0, millis(5*p.slow))
 	}
 }
 
@@ -146,23 +146,23 @@
 	events := min(longestEvents, 51*math.Exp(0.84*p.rand.NormFloat64()))
 	guess := events * math.Exp(0.5*p.rand.NormFloat64())
 	r := Request{
-		PromptTokens: 141, OutputTokens: eventTokens * int(min(longestEvents, guess)), MaxOutput: eventTokens * longestEvents,
-		DataCentre: "d", Objective: p.scaled(150 * time.Millisecond), PauseObjective: p.scaled(250 * time.Millisecond),
-		Left: time.Duration((leastPatience + (1-leastPatience)*p.rand.Float64()) * float64(p.scaled(patience))),
+		PromptTokens: 141, OutputTokens: eventTokens * int(min(longestEvents, guess)), MaxOutputTokens: eventTokens * longestEvents,
+		DataCentre: "d", Objective: p.scaled(150 * time.Millisecond), GapObjective: p.scaled(250 * time.Millisecond),
+		TimeLeft: time.Duration((leastPatience + (1-leastPatience)*p.rand.Float64()) * float64(p.scaled(patience))),
 	}
 	r.Parts = []Part{{ID: p.rand.Uint64(), Tokens: r.PromptTokens}}
-	r.Within = r.Objective * 85 / 100
-	r.WithinReread = r.Within
-	s := &playedStream{events: math.Ceil(events), deadline: p.clock.at.Add(r.Left)}
+	r.FirstTokenLimit = r.Objective * 85 / 100
+	r.RecomputeLimit = r.FirstTokenLimit
+	s := &playedStream{events: math.Ceil(events), deadline: p.clock.at.Add(r.TimeLeft)}
 	p.streams = append(p.streams, s)
 	plan, ok := p.books.Pick("p", r)
-	if !ok || !plan.InTime(r) {
+	if !ok || !plan.MeetsLimit(r) {
 		return // refused
 	}
 	s.ticket = p.books.Begin(plan.Engine, Work{
-		Read: plan.PromptAt(r), Parts: r.Parts, Held: r.PromptTokens + r.OutputTokens, Output: r.OutputTokens, Long: plan.Long, Left: r.Left,
+		Prefill: plan.PrefillWork(r), Parts: r.Parts, ReservedKVTokens: r.PromptTokens + r.OutputTokens, OutputTokens: r.OutputTokens, LongStream: plan.LongStream, TimeLeft: r.TimeLeft,
 	})
-	s.ticket.PromptRead()
+	s.ticket.PrefillDone()
 	e := p.engine(plan.Engine)
 	e.streams = append(e.streams, s)
 }
@@ -176,21 +176,21 @@
 	p.prompts.asked++
 	r := Request{
 		PromptTokens: 2890, OutputTokens: 2, DataCentre: "d",
-		Objective: p.scaled(250 * time.Millisecond), PauseObjective: p.scaled(250 * time.Millisecond), Left: p.scaled(2 * time.Second),
+		Objective: p.scaled(250 * time.Millisecond), GapObjective: p.scaled(250 * time.Millisecond), TimeLeft: p.scaled(2 * time.Second),
 	}
 	r.Parts = []Part{{ID: p.rand.Uint64(), Tokens: r.PromptTokens}}
-	r.Within = r.Objective * 85 / 100
-	r.WithinReread = r.Within
+	r.FirstTokenLimit = r.Objective * 85 / 100
+	r.RecomputeLimit = r.FirstTokenLimit
 	plan, ok := p.books.Pick("p", r)
-	if !ok || !plan.InTime(r) {
+	if !ok || !plan.MeetsLimit(r) {
 		return
 	}
 	e := p.engine(reader(plan))
 	read := &playedRead{left: e.slower * p.reading(e.Role, r.PromptTokens), deadline: p.clock.at.Add(r.Objective), at: p.engine(plan.Engine)}
-	read.reader = p.books.Begin(e.ID, Work{Read: plan.PromptAt(r), Parts: r.Parts, Held: r.PromptTokens})
-	read.answer = &playedStream{events: shortEvents, deadline: p.clock.at.Add(r.Left), ticket: read.reader}
+	read.reader = p.books.Begin(e.ID, Work{Prefill: plan.PrefillWork(r), Parts: r.Parts, ReservedKVTokens: r.PromptTokens})
+	read.answer = &playedStream{events: shortEvents, deadline: p.clock.at.Add(r.TimeLeft), ticket: read.reader}
 	if plan.Prefill != "" {
-		read.answer.ticket = p.books.Begin(plan.Engine, Work{Parts: r.Parts, Held: r.PromptTokens, Fetched: r.PromptTokens})
+		read.answer.ticket = p.books.Begin(plan.Engine, Work{Parts: r.Parts, ReservedKVTokens: r.PromptTokens, TransferredTokens: r.PromptTokens})
 	}
 	e.reads = append(e.reads, read)
 }
@@ -217,7 +217,7 @@
 	e.streams = slices.DeleteFunc(e.streams, func(s *playedStream) bool {
 		s.done += each
 		if int(s.done) > int(s.done-each) && len(e.reads) == 0 {
-			s.ticket.Paused(millis(interval))
+			s.ticket.RecordGap(millis(interval))
 		}
 		s.whole = s.done >= s.events
 		over := s.whole || p.clock.at.After(s.deadline)
@@ -229,7 +229,7 @@
 }
 
 func (p *batchReplay) endRead(read *playedRead) {
-	read.reader.PromptRead()
+	read.reader.PrefillDone()
 	if read.answer.ticket != read.reader {
 		read.reader.End(Done)
 	}
--- a/placement/behind.go
+++ b/placement/behind.go
@@ -21,7 +21,7 @@
 func roomBehind(engines []Engine) bool {
 	busy := 0
 	for i := range engines {
-		if engines[i].Behind > 0 {
+		if engines[i].LatePrefills > 0 {
 			busy++
 		}
 	}
@@ -31,9 +31,9 @@
 // disturbs reports whether a late answer's prompt would keep others from being in time
 // at the engine that reads it.
 func disturbs(e *Engine, p Plan, r Request) bool {
-	if e.Behind > 0 || enginemodel.Millis(p.Queue) > behindQueue*enginemodel.Millis(r.Objective) {
+	if e.LatePrefills > 0 || enginemodel.Millis(p.QueueTime) > behindQueue*enginemodel.Millis(r.Objective) {
 		return true
 	}
 	streams := e.Role == upstream.RoleDecode && e.Running > 0
-	return streams && r.PauseObjective > 0 && p.Pause > r.PauseObjective
+	return streams && r.GapObjective > 0 && p.MaxGap > r.GapObjective
 }
--- a/placement/beliefs.go
+++ b/placement/beliefs.go
@@ -8,57 +8,57 @@
 // Beliefs are what a daemon has learnt, for another one that has just started: it
 // would send prompts to engines that don't keep their parts, and take the time of
 // those that happen to be kept for the engines' speed.
-type Beliefs struct {
+type Snapshot struct {
 	// Models are what it has observed, by pool.
-	Models map[string]enginemodel.Learnt
-	Kept   []KeptAt
+	Models map[string]enginemodel.Observations
+	Cached []EngineCache `msgpack:"Kept" json:"Kept"`
 }
 
 // KeptAt are the parts that an engine keeps, the most recently used last.
-type KeptAt struct {
+type EngineCache struct {
 	//lint:ignore U1000 msgpack reads it: the fields go without their names.
 	_msgpack struct{} `msgpack:",as_array"`
-	At       Key
+	Engine   Key
 	Parts    []Part
 }
 
 // Beliefs returns what is believed now, of what engines keep only for some of them, as
 // far as it is known.
-func (b *Books) Beliefs(of []Key) Beliefs {
+func (b *Tracker) Snapshot(of []Key) Snapshot {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	all := Beliefs{Models: b.learnt()}
+	all := Snapshot{Models: b.learnt()}
 	for _, key := range of {
 		if e := b.keys[key]; e != nil && e.listed {
-			all.Kept = append(all.Kept, KeptAt{At: key, Parts: e.cache.list()})
+			all.Cached = append(all.Cached, EngineCache{Engine: key, Parts: e.cache.list()})
 		}
 	}
 	return all
 }
 
 // learnt returns what this daemon has observed, by pool. b.mu is held.
-func (b *Books) learnt() map[string]enginemodel.Learnt {
-	all := make(map[string]enginemodel.Learnt, len(b.models))
+func (b *Tracker) learnt() map[string]enginemodel.Observations {
+	all := make(map[string]enginemodel.Observations, len(b.models))
 	for pool, m := range b.models {
-		all[pool] = m.Learnt()
+		all[pool] = m.LocalObservations()
 	}
 	return all
 }
 
 // Learnt returns what this daemon has observed of the engines, by pool.
-func (b *Books) Learnt() map[string]enginemodel.Learnt {
+func (b *Tracker) LocalObservations() map[string]enginemodel.Observations {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.learnt()
 }
 
 // LearntByAll returns what all daemons have observed of the engines, by pool.
-func (b *Books) LearntByAll() map[string]enginemodel.Learnt {
+func (b *Tracker) AllObservations() map[string]enginemodel.Observations {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	all := make(map[string]enginemodel.Learnt, len(b.models))
+	all := make(map[string]enginemodel.Observations, len(b.models))
 	for pool, m := range b.models {
-		if learnt, some := m.LearntByAll(); some {
+		if learnt, some := m.AllObservations(); some {
 			all[pool] = learnt
 		}
 	}
@@ -66,7 +66,7 @@
 }
 
 // Merge takes over what a peer has observed of the engines.
-func (b *Books) Merge(peer string, models map[string]enginemodel.Learnt) {
+func (b *Tracker) Merge(peer string, models map[string]enginemodel.Observations) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for pool, learnt := range models {
@@ -75,12 +75,12 @@
 }
 
 // Adopt takes over what a peer believes.
-func (b *Books) Adopt(peer string, beliefs Beliefs) {
+func (b *Tracker) Restore(peer string, beliefs Snapshot) {
 	b.Merge(peer, beliefs.Models)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, k := range beliefs.Kept {
-		if e := b.keys[k.At]; e != nil && e.cache != nil {
+	for _, k := range beliefs.Cached {
+		if e := b.keys[k.Engine]; e != nil && e.cache != nil {
 			e.cache.adopt(k.Parts)
 			e.listed = true
 		}
@@ -88,7 +88,7 @@
 }
 
 // Listed takes an engine's own word on what it keeps. The peers are told of it.
-func (b *Books) Listed(id string, parts []Part) {
+func (b *Tracker) SetCachedParts(id string, parts []Part) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	e := b.upstreams[id]
@@ -98,7 +98,7 @@
 	e.cache.adopt(parts)
 	e.listed = true
 	for _, p := range parts {
-		b.reads = append(b.reads, Read{At: e.key(), State: Finished, Last: p})
+		b.reads = append(b.reads, PrefillEvent{Engine: e.key(), State: PrefillFinished, LastShared: p})
 	}
 }
 
@@ -127,18 +127,18 @@
 
 // PoolFigures are what is known of a pool's engines, with how well their readings were
 // predicted.
-type PoolFigures struct {
-	Figures         *enginemodel.Figures
-	Prefill, Decode enginemodel.Error
+type PoolParameters struct {
+	Parameters                *enginemodel.Parameters
+	PrefillError, DecodeError enginemodel.Error
 }
 
 // Figures returns what is known of the engines, by pool.
-func (b *Books) Figures() map[string]PoolFigures {
+func (b *Tracker) Parameters() map[string]PoolParameters {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	all := make(map[string]PoolFigures, len(b.models))
+	all := make(map[string]PoolParameters, len(b.models))
 	for pool, m := range b.models {
-		all[pool] = PoolFigures{Figures: m.Figures(), Prefill: m.Error(upstream.RolePrefill), Decode: m.Error(upstream.RoleDecode)}
+		all[pool] = PoolParameters{Parameters: m.Parameters(), PrefillError: m.Error(upstream.RolePrefill), DecodeError: m.Error(upstream.RoleDecode)}
 	}
 	return all
 }
--- a/placement/beliefs_test.go
+++ b/placement/beliefs_test.go
@@ -14,23 +14,23 @@
 // they are, as nothing had to be read.
 func TestNothingIsLearntBeforeItIsKnownWhatIsKept(t *testing.T) {
 	c := &clock{time.Unix(1, 0)}
-	b := NewBooks(c.now)
+	b := NewTracker(c.now)
 	members := fleet(upstream.RolePrefill, upstream.RolePrefill)
 	b.Sync(members)
-	require.Len(t, b.Unlisted(), 2)
-	before := b.Reading("p", upstream.RolePrefill, tokens(10_000))
-	ticket := b.Begin("e0", Work{Read: tokens(10_000), Parts: prompt(2).Parts})
+	require.Len(t, b.UnknownCaches(), 2)
+	before := b.PrefillMillis("p", upstream.RolePrefill, tokens(10_000))
+	ticket := b.Begin("e0", Work{Prefill: tokens(10_000), Parts: prompt(2).Parts})
 	c.pass(time.Millisecond)
-	ticket.PromptRead()
-	require.InDelta(t, before, b.Reading("p", upstream.RolePrefill, tokens(10_000)), 0)
+	ticket.PrefillDone()
+	require.InDelta(t, before, b.PrefillMillis("p", upstream.RolePrefill, tokens(10_000)), 0)
 
-	b.Listed("e0", []Part{{ID: 3, Tokens: 4000}})
-	require.Equal(t, []Key{b.KeyOf("e1")}, b.Unlisted())
-	require.Equal(t, 5000, b.Engines(ids(members))[0].Cached(sharedParts(prompt(3).Parts)).Read)
-	ticket = b.Begin("e0", Work{Read: tokens(10_000), Parts: prompt(2).Parts})
+	b.SetCachedParts("e0", []Part{{ID: 3, Tokens: 4000}})
+	require.Equal(t, []Key{b.KeyOf("e1")}, b.UnknownCaches())
+	require.Equal(t, 5000, b.Engines(ids(members))[0].Cached(sharedParts(prompt(3).Parts)).Ready)
+	ticket = b.Begin("e0", Work{Prefill: tokens(10_000), Parts: prompt(2).Parts})
 	c.pass(time.Second)
-	ticket.PromptRead()
-	require.Greater(t, b.Reading("p", upstream.RolePrefill, tokens(10_000)), before)
+	ticket.PrefillDone()
+	require.Greater(t, b.PrefillMillis("p", upstream.RolePrefill, tokens(10_000)), before)
 }
 
 // A daemon that starts while others serve takes over what they believe: what engines
@@ -38,31 +38,31 @@
 func TestBeliefsAreHandedOver(t *testing.T) {
 	members := fleet(upstream.RoleDecode, upstream.RolePrefill)
 	old := seen(&clock{time.Unix(1, 0)}, members)
-	ticket := old.Begin("e0", Work{Read: tokens(5000), Parts: prompt(2).Parts})
-	ticket.PromptRead()
+	ticket := old.Begin("e0", Work{Prefill: tokens(5000), Parts: prompt(2).Parts})
+	ticket.PrefillDone()
 	ticket.End(Done)
 
-	fresh := NewBooks(nil)
+	fresh := NewTracker(nil)
 	fresh.Sync(members)
-	missing := fresh.Unlisted()
+	missing := fresh.UnknownCaches()
 	require.Len(t, missing, 2)
-	fresh.Adopt("old", old.Beliefs(missing))
-	require.Empty(t, fresh.Unlisted())
-	require.Equal(t, 5000, fresh.Engines(ids(members))[0].Cached(sharedParts(prompt(2).Parts)).Read)
+	fresh.Restore("old", old.Snapshot(missing))
+	require.Empty(t, fresh.UnknownCaches())
+	require.Equal(t, 5000, fresh.Engines(ids(members))[0].Cached(sharedParts(prompt(2).Parts)).Ready)
 	for _, role := range []upstream.Role{upstream.RoleDecode, upstream.RolePrefill} {
-		want := old.Reading("p", role, tokens(8000))
-		require.InEpsilon(t, want, fresh.Reading("p", role, tokens(8000)), 0.05)
+		want := old.PrefillMillis("p", role, tokens(8000))
+		require.InEpsilon(t, want, fresh.PrefillMillis("p", role, tokens(8000)), 0.05)
 	}
 
 	// One that knows nothing itself says nothing of engines.
-	ignorant := NewBooks(nil)
+	ignorant := NewTracker(nil)
 	ignorant.Sync(members)
-	require.Empty(t, ignorant.Beliefs(missing).Kept)
+	require.Empty(t, ignorant.Snapshot(missing).Cached)
 
 	// An engine that appears later has just started, and keeps nothing.
-	fresh.Inform()
+	fresh.AssumeNewEnginesEmpty()
 	fresh.Sync(fleet(upstream.RoleDecode, upstream.RolePrefill, upstream.RoleDecode))
-	require.Empty(t, fresh.Unlisted())
+	require.Empty(t, fresh.UnknownCaches())
 }
 
 // A second daemon asks for a prompt while the first one's is being read at another
@@ -71,19 +71,19 @@
 	c := &clock{time.Unix(1, 0)}
 	members := fleet(upstream.RoleDecode, upstream.RoleDecode)
 	a, b := seen(c, members), seen(c, members)
-	ticket := a.Begin("e1", Work{Read: tokens(6000), Parts: prompt(2).Parts})
-	a.Own(false)
-	b.NotePeer("a", nil, a.Reads())
+	ticket := a.Begin("e1", Work{Prefill: tokens(6000), Parts: prompt(2).Parts})
+	a.LocalLoads(false)
+	b.ApplyPeerUpdate("a", nil, a.PrefillEvents())
 	kept := b.Engines(ids(members))[1].Cached(sharedParts(prompt(2).Parts))
-	require.Equal(t, Kept{Coming: 5000}, kept)
+	require.Equal(t, CachedPrefix{Expected: 5000}, kept)
 
 	ticket.End(Cancelled)
-	b.NotePeer("a", nil, a.Reads())
+	b.ApplyPeerUpdate("a", nil, a.PrefillEvents())
 	require.Zero(t, b.Engines(ids(members))[1].Cached(sharedParts(prompt(2).Parts)))
 
 	// The first daemon ends without a word.
-	a.Begin("e1", Work{Read: tokens(6000), Parts: prompt(3).Parts})
-	b.NotePeer("a", nil, a.Reads())
+	a.Begin("e1", Work{Prefill: tokens(6000), Parts: prompt(3).Parts})
+	b.ApplyPeerUpdate("a", nil, a.PrefillEvents())
 	c.pass(comingFor + time.Millisecond)
 	require.Zero(t, b.Engines(ids(members))[1].Cached(sharedParts(prompt(3).Parts)))
 }
--- a/placement/books.go
+++ b/placement/books.go
@@ -23,14 +23,14 @@
 	KVTokens int
 	// MoveMillisPerToken is the time to move a token's KV cache between two engines
 	// of one data centre, in milliseconds.
-	MoveMillisPerToken float64
+	TransferMillisPerToken float64
 	// Leaving says that it takes no new work.
-	Leaving bool
+	Draining bool
 }
 
 // Books keep what is in flight where, of this daemon and of its peers, and what
 // was learnt of each upstream. They are safe for use by many goroutines.
-type Books struct {
+type Tracker struct {
 	now func() time.Time
 
 	mu        sync.Mutex
@@ -40,7 +40,7 @@
 	// informed says that what new engines keep is known: nothing. See Inform.
 	informed bool
 	// reads are the prompts sent and read since the last Reads, for the peers.
-	reads []Read
+	reads []PrefillEvent
 	// touched are those with work of this daemon that may have changed since the last Own,
 	// changed is called for the first of them.
 	touched []*entry
@@ -93,11 +93,11 @@
 )
 
 // NewBooks returns empty books; now is the clock, nil means time.Now.
-func NewBooks(now func() time.Time) *Books {
+func NewTracker(now func() time.Time) *Tracker {
 	if now == nil {
 		now = time.Now
 	}
-	return &Books{
+	return &Tracker{
 		now: now, upstreams: make(map[string]*entry), keys: make(map[Key]*entry),
 		models: make(map[string]*enginemodel.Model),
 	}
@@ -106,7 +106,7 @@
 func (m Member) key() Key { return KeyOf(m.ID, m.Started) }
 
 // KeyOf returns the key of the present start of an upstream, by its ID.
-func (b *Books) KeyOf(id string) Key {
+func (b *Tracker) KeyOf(id string) Key {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if e := b.upstreams[id]; e != nil {
@@ -117,7 +117,7 @@
 
 // Inform says that an engine that appears from now on has just started, and keeps
 // nothing.
-func (b *Books) Inform() {
+func (b *Tracker) AssumeNewEnginesEmpty() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.informed = true
@@ -126,7 +126,7 @@
 // Unlisted returns the engines of which it isn't known what they keep. What their
 // readings take says nothing meanwhile: a prompt that was kept already would pass for a
 // fast one, and engines believed to be fast get more than they can read.
-func (b *Books) Unlisted() []Key {
+func (b *Tracker) UnknownCaches() []Key {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var list []Key
@@ -140,7 +140,7 @@
 
 // Sync replaces the list of upstreams. What was learnt of those that stay is
 // kept.
-func (b *Books) Sync(members []Member) {
+func (b *Tracker) Sync(members []Member) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	listed := make(map[string]*entry, len(members))
@@ -163,7 +163,7 @@
 	b.pools = rosters(listed)
 }
 
-func (b *Books) newEntry(m Member) *entry {
+func (b *Tracker) newEntry(m Member) *entry {
 	e := &entry{Member: m, peers: make(map[string]Load), hash: xxhash.Sum64String(m.ID), slowness: 1, listed: b.informed}
 	if m.Role != "" {
 		e.model = b.model(m.Pool)
@@ -173,7 +173,7 @@
 }
 
 // model returns what was learnt of a pool's engines. b.mu is held.
-func (b *Books) model(pool string) *enginemodel.Model {
+func (b *Tracker) model(pool string) *enginemodel.Model {
 	m := b.models[pool]
 	if m == nil {
 		m = enginemodel.New()
@@ -184,14 +184,14 @@
 
 // Reading returns the time that an engine of a pool takes to read a prompt, in
 // milliseconds.
-func (b *Books) Reading(pool string, role upstream.Role, p enginemodel.Prompt) float64 {
+func (b *Tracker) PrefillMillis(pool string, role upstream.Role, p enginemodel.Prompt) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.model(pool).Figures().Reading(role, p)
+	return b.model(pool).Parameters().PrefillMillis(role, p)
 }
 
 // Engines returns the upstreams among some that may take work now.
-func (b *Books) Engines(ids []string) []Engine {
+func (b *Tracker) Engines(ids []string) []Engine {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
@@ -216,28 +216,28 @@
 	load := e.total()
 	*v = Engine{
 		ID: e.ID, DataCentre: e.DataCentre, Role: e.Role, Slots: e.Slots,
-		Running: load.Running, Long: load.Long, Behind: load.Behind, HeldTokens: load.Held,
-		KVTokens: e.KVTokens, MoveMillisPerToken: e.MoveMillisPerToken,
-		Slowness: e.slowness, PaceFactor: load.paceFactor(), Trial: e.health.trial, LatencyMillis: e.latency,
+		Running: load.Running, LongStreams: load.LongStreams, LatePrefills: load.LatePrefills, ReservedKVTokens: load.ReservedKVTokens,
+		KVTokens: e.KVTokens, TransferMillisPerToken: e.TransferMillisPerToken,
+		PrefillSlowdown: e.slowness, DecodeSlowdown: load.paceFactor(), Probing: e.health.trial, LatencyMillis: e.latency,
 		Model: nothingKnown, hash: e.hash, entry: e, now: now,
 	}
 	if e.cache == nil {
 		return
 	}
-	v.Model = e.model.Figures()
-	v.UnreadMillis = e.unread()
-	e.queue.bound(now, v.UnreadMillis, v.Model.Start(e.Role)+toldAfter)
+	v.Model = e.model.Parameters()
+	v.PendingPrefillMillis = e.unread()
+	e.queue.bound(now, v.PendingPrefillMillis, v.Model.StartMillis(e.Role)+toldAfter)
 	v.QueueMillis, v.LinkMillis = e.queue.millis, e.link.left(now)
 }
 
 // nothingKnown stands for what isn't followed of servers without a role.
-var nothingKnown = enginemodel.New().Figures()
+var nothingKnown = enginemodel.New().Parameters()
 
 // SendAway keeps requests from an engine for some time, or until it has a role;
 // "" for an engine that doesn't change. Of two times the later one holds. Word of
 // a change that is done already counts for nothing: it would keep an engine idle
 // that is ready.
-func (b *Books) SendAway(at Key, to upstream.Role, d time.Duration) {
+func (b *Tracker) MarkUnavailable(at Key, to upstream.Role, d time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if e := b.keys[at]; e != nil && (to == "" || e.Role != to) {
@@ -248,7 +248,7 @@
 }
 
 // Away reports whether an engine is changing.
-func (b *Books) Away(id string) bool {
+func (b *Tracker) Unavailable(id string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	e := b.upstreams[id]
--- a/placement/cache.go
+++ b/placement/cache.go
@@ -59,16 +59,16 @@
 }
 
 // note takes another daemon's word on a prompt.
-func (c *cacheBelief) note(r Read, now time.Time) {
+func (c *cacheBelief) note(r PrefillEvent, now time.Time) {
 	switch r.State {
-	case Begun:
-		c.begin(r.Last.ID, now)
-	case Abandoned:
-		c.end(r.Last.ID)
-	case Finished:
-		c.end(r.Last.ID)
+	case PrefillStarted:
+		c.begin(r.LastShared.ID, now)
+	case PrefillAbandoned:
+		c.end(r.LastShared.ID)
+	case PrefillFinished:
+		c.end(r.LastShared.ID)
 		c.fillers++
-		c.read([]Part{r.Last, {ID: ^c.fillers, Tokens: r.Own}})
+		c.read([]Part{r.LastShared, {ID: ^c.fillers, Tokens: r.UnsharedTokens}})
 	}
 }
 
@@ -81,18 +81,18 @@
 func (c *cacheBelief) end(last uint64) { delete(c.coming, last) }
 
 // kept returns how many tokens from the beginning of a prompt are kept.
-func (c *cacheBelief) kept(parts []Part, now time.Time) Kept {
-	var k Kept
+func (c *cacheBelief) kept(parts []Part, now time.Time) CachedPrefix {
+	var k CachedPrefix
 	for i := len(parts) - 1; i >= 0; i-- {
 		if c.parts.Contains(parts[i].ID) {
-			k.Read = sumTokens(parts[:i+1])
+			k.Ready = sumTokens(parts[:i+1])
 			break
 		}
 	}
-	k.Coming = k.Read
+	k.Expected = k.Ready
 	for i := len(parts) - 1; i >= 0; i-- {
 		if now.Before(c.coming[parts[i].ID]) {
-			k.Coming = max(k.Coming, sumTokens(parts[:i+1]))
+			k.Expected = max(k.Expected, sumTokens(parts[:i+1]))
 			break
 		}
 	}
--- a/placement/cost.go
+++ b/placement/cost.go
@@ -45,7 +45,7 @@
 	if e.DataCentre == r.DataCentre {
 		return 0
 	}
-	return (crossing + crossingPerKB*float64(r.BodyBytes)/1000) * e.Model.TypicalReading()
+	return (crossing + crossingPerKB*float64(r.BodyBytes)/1000) * e.Model.TypicalPrefillMillis()
 }
 
 // waitCost is the cost of a time to the first token.
@@ -54,8 +54,8 @@
 	if r.Objective <= 0 {
 		return cost
 	}
-	if certain := comfort * enginemodel.Millis(r.Objective-r.Spent); first > certain {
-		cost += min(lateWeight*(first-certain), mostLate*e.Model.TypicalReading())
+	if certain := comfort * enginemodel.Millis(r.Objective-r.Elapsed); first > certain {
+		cost += min(lateWeight*(first-certain), mostLate*e.Model.TypicalPrefillMillis())
 	}
 	return cost
 }
@@ -63,7 +63,7 @@
 // pause returns the longest pause that streams of an engine see if it reads for some
 // more milliseconds: what it reads between two events comes on top of their interval.
 func pause(e *Engine, read float64) float64 {
-	return e.Model.Interval(e.Running) + max(e.QueueMillis, e.readLately) + read
+	return e.Model.IntervalMillis(e.Running) + max(e.QueueMillis, e.readLately) + read
 }
 
 // readBesideStreams is the cost of reading at an engine that generates too.
@@ -72,8 +72,8 @@
 		return 0
 	}
 	cost := slowedShare*read + overrunCost(e, read)
-	if r.PauseObjective > 0 && pause(e, read) > pauseShare*enginemodel.Millis(r.PauseObjective) {
-		cost += harmShare * float64(e.Running) * e.Model.TypicalReading()
+	if r.GapObjective > 0 && pause(e, read) > pauseShare*enginemodel.Millis(r.GapObjective) {
+		cost += harmShare * float64(e.Running) * e.Model.TypicalPrefillMillis()
 	}
 	return cost
 }
@@ -97,8 +97,8 @@
 	for i := range engines {
 		e := &engines[i]
 		e.kept = e.Cached(shared)
-		h.coming = max(h.coming, e.kept.Coming)
-		if e.kept.Read > 0 {
+		h.coming = max(h.coming, e.kept.Expected)
+		if e.kept.Ready > 0 {
 			h.add(e)
 		}
 	}
@@ -107,10 +107,10 @@
 // add takes an engine that keeps some of the prompt.
 func (h *holders) add(e *Engine) {
 	switch {
-	case h.best == nil || e.kept.Read > h.best.kept.Read:
+	case h.best == nil || e.kept.Ready > h.best.kept.Ready:
 		h.best, h.near = e, append(h.near[:0], e)
 		return
-	case e.kept.Read < h.best.kept.Read:
+	case e.kept.Ready < h.best.kept.Ready:
 		return
 	case h.freer(e, h.best):
 		h.best = e
@@ -174,26 +174,26 @@
 // shared parts is answered in time by 0.79 with fetching and by 0.70 without, and a
 // quarter as many tokens are read again.
 func toRead(e *Engine, sources *holders, r Request) (enginemodel.Prompt, fetching) {
-	kept := min(e.kept.Coming, r.PromptTokens-1)
+	kept := min(e.kept.Expected, r.PromptTokens-1)
 	prompt := enginemodel.Prompt{Tokens: r.PromptTokens - kept, Context: kept}
 	from := sources.source(e)
-	if from == nil || from == e || from.kept.Read <= kept || e.MoveMillisPerToken <= 0 {
+	if from == nil || from == e || from.kept.Ready <= kept || e.TransferMillisPerToken <= 0 {
 		return prompt, fetching{}
 	}
-	lacking := from.kept.Read - kept
+	lacking := from.kept.Ready - kept
 	move := moveMillis(from, e, lacking)
-	saved := e.Model.Reading(e.Role, enginemodel.Prompt{Tokens: lacking, Context: kept})
+	saved := e.Model.PrefillMillis(e.Role, enginemodel.Prompt{Tokens: lacking, Context: kept})
 	if move > leastFetch*saved {
 		return prompt, fetching{}
 	}
-	kept = min(from.kept.Read, r.PromptTokens-1)
+	kept = min(from.kept.Ready, r.PromptTokens-1)
 	prompt = enginemodel.Prompt{Tokens: r.PromptTokens - kept, Context: kept}
 	return prompt, fetching{from: from, tokens: lacking, millis: max(from.LinkMillis, e.LinkMillis) + move}
 }
 
 // moveMillis is the time that the KV cache of some tokens is on its way.
 func moveMillis(from, to *Engine, tokens int) float64 {
-	took := float64(tokens) * to.MoveMillisPerToken
+	took := float64(tokens) * to.TransferMillisPerToken
 	if from.DataCentre != to.DataCentre {
 		took *= acrossFactor
 	}
@@ -207,5 +207,5 @@
 	if !r.long(e) || e.generator || e.Role != upstream.RoleDecode {
 		return 0
 	}
-	return openingLong * float64(e.rank) * e.Model.TypicalReading()
+	return openingLong * float64(e.rank) * e.Model.TypicalPrefillMillis()
 }
--- a/placement/generators.go
+++ b/placement/generators.go
@@ -39,7 +39,7 @@
 	if r.Objective <= 0 || e.Model == nil {
 		return false
 	}
-	return e.Model.Generation(r.OutputTokens) > longFactor*enginemodel.Millis(r.Objective)
+	return e.Model.DecodeMillis(r.OutputTokens) > longFactor*enginemodel.Millis(r.Objective)
 }
 
 // LongSlots returns how many long streams an engine with some slots takes.
@@ -86,15 +86,15 @@
 
 // generating is the share of an engine that its generating takes up.
 func generating(e *Engine) float64 {
-	share := float64(e.Long) / longStreams(e)
+	share := float64(e.LongStreams) / longStreams(e)
 	if e.KVTokens > 0 {
-		share = max(share, float64(e.HeldTokens)/(heldShare*float64(e.KVTokens)))
+		share = max(share, float64(e.ReservedKVTokens)/(heldShare*float64(e.KVTokens)))
 	}
-	return max(share, e.MovedLately(linkWindow)/(linkShare*enginemodel.Millis(linkWindow)))
+	return max(share, e.RecentTransfers(linkWindow)/(linkShare*enginemodel.Millis(linkWindow)))
 }
 
 // Generating returns how many engines' worth of generating some engines have.
-func Generating(engines []Engine) float64 {
+func DecodeDemand(engines []Engine) float64 {
 	sum := 0.0
 	for i := range engines {
 		if engines[i].Role == upstream.RoleDecode {
@@ -140,8 +140,8 @@
 		if e.Role != upstream.RoleDecode || excluded(e, r) || full(e, r) {
 			continue
 		}
-		took := e.LinkMillis + e.Model.Takeover(r.PromptTokens, e.QueueMillis)
-		move := float64(r.PromptTokens) * e.MoveMillisPerToken
+		took := e.LinkMillis + e.Model.HandoffMillis(r.PromptTokens, e.QueueMillis)
+		move := float64(r.PromptTokens) * e.TransferMillisPerToken
 		if e.DataCentre != from {
 			took += (acrossFactor - 1) * move
 			move *= acrossFactor
@@ -156,13 +156,13 @@
 
 // crowding is the cost of generating at an engine, by what it does beside that.
 func crowding(e *Engine, r Request) float64 {
-	typical := e.Model.TypicalReading()
+	typical := e.Model.TypicalPrefillMillis()
 	cost := typical * e.generating
 	if !e.generator {
 		cost += elsewhere * typical
 	}
 	// Prompts that it reads make the stream's pauses too long.
-	if r.PauseObjective > 0 && pause(e, 0) > pauseShare*enginemodel.Millis(r.PauseObjective) {
+	if r.GapObjective > 0 && pause(e, 0) > pauseShare*enginemodel.Millis(r.GapObjective) {
 		cost += harmShare * typical
 	}
 	return cost
--- a/placement/home.go
+++ b/placement/home.go
@@ -21,7 +21,7 @@
 		return 0
 	}
 	shared := sumTokens(sharedParts(r.Parts))
-	return homeShares[e.home] * e.Model.Common(enginemodel.Prompt{Tokens: shared})
+	return homeShares[e.home] * e.Model.MeanPrefillMillis(enginemodel.Prompt{Tokens: shared})
 }
 
 // markHomes marks the engines to which a prompt belongs first, by rendezvous hashing.
--- a/placement/load.go
+++ b/placement/load.go
@@ -26,14 +26,14 @@
 	// Running counts requests in flight, Long those of them that generate for
 	// long, Held the KV memory that they take, in tokens. Behind counts those of them
 	// whose prompts are read for a late answer, and weren't read yet.
-	Running, Long, Held, Behind int
+	Running, LongStreams, ReservedKVTokens, LatePrefills int
 	// Sent sums up the reading ever sent there, in microseconds that it takes an
 	// engine of that role, Done that which is over. The difference between two states
 	// is what was added, also if states in between are lost; that between the two sums
 	// is what the engine still has to read.
-	Sent, Done uint32
+	PrefillSent, PrefillDone uint32
 	// Moved sums up the tokens whose KV caches were ever fetched there.
-	Moved uint32
+	TransferredTokens uint32
 	// EventTime sums up the times between events of streams there while it read nothing,
 	// ExpectedEventTime what these take engines of its pool on average, in units of 10
 	// microseconds; the older ones count less. Their ratio says how much slower than the
@@ -44,8 +44,8 @@
 // Plus returns the sum of two daemons' loads.
 func (l Load) Plus(o Load) Load {
 	return Load{
-		Running: l.Running + o.Running, Long: l.Long + o.Long, Held: l.Held + o.Held, Behind: l.Behind + o.Behind,
-		Sent: l.Sent + o.Sent, Done: l.Done + o.Done, Moved: l.Moved + o.Moved,
+		Running: l.Running + o.Running, LongStreams: l.LongStreams + o.LongStreams, ReservedKVTokens: l.ReservedKVTokens + o.ReservedKVTokens, LatePrefills: l.LatePrefills + o.LatePrefills,
+		PrefillSent: l.PrefillSent + o.PrefillSent, PrefillDone: l.PrefillDone + o.PrefillDone, TransferredTokens: l.TransferredTokens + o.TransferredTokens,
 		EventTime: l.EventTime + o.EventTime, ExpectedEventTime: l.ExpectedEventTime + o.ExpectedEventTime,
 	}
 }
@@ -53,8 +53,8 @@
 // Minus takes a load back that Plus has added.
 func (l Load) Minus(o Load) Load {
 	return Load{
-		Running: l.Running - o.Running, Long: l.Long - o.Long, Held: l.Held - o.Held, Behind: l.Behind - o.Behind,
-		Sent: l.Sent - o.Sent, Done: l.Done - o.Done, Moved: l.Moved - o.Moved,
+		Running: l.Running - o.Running, LongStreams: l.LongStreams - o.LongStreams, ReservedKVTokens: l.ReservedKVTokens - o.ReservedKVTokens, LatePrefills: l.LatePrefills - o.LatePrefills,
+		PrefillSent: l.PrefillSent - o.PrefillSent, PrefillDone: l.PrefillDone - o.PrefillDone, TransferredTokens: l.TransferredTokens - o.TransferredTokens,
 		EventTime: l.EventTime - o.EventTime, ExpectedEventTime: l.ExpectedEventTime - o.ExpectedEventTime,
 	}
 }
@@ -89,35 +89,35 @@
 }
 
 // LoadAt is a load with the upstream's key.
-type LoadAt struct {
+type UpstreamLoad struct {
 	//lint:ignore U1000 msgpack reads it: the fields go without their names.
 	_msgpack struct{} `msgpack:",as_array"`
-	At       Key
+	Upstream Key
 	Load     Load
 }
 
 // Read says what became of the shared parts of a prompt at an engine.
-type Read struct {
+type PrefillEvent struct {
 	//lint:ignore U1000 msgpack reads it: the fields go without their names.
 	_msgpack struct{} `msgpack:",as_array"`
-	At       Key
-	State    ReadState
+	Engine   Key
+	State    PrefillState
 	// Last is the last shared part, with the tokens of all up to it; those before it
 	// are kept as well.
-	Last Part
+	LastShared Part
 	// Own is the number of tokens of the prompt's own part, which take memory too.
-	Own int
+	UnsharedTokens int
 }
 
 // ReadState says how far the reading of a prompt is.
-type ReadState uint8
+type PrefillState uint8
 
 // The states.
 const (
 	// Begun: it is being read, or waits for it.
-	Begun ReadState = iota
+	PrefillStarted PrefillState = iota
 	// Finished: the engine keeps it.
-	Finished
+	PrefillFinished
 	// Abandoned: it won't be read.
-	Abandoned
+	PrefillAbandoned
 )
--- a/placement/oracle_test.go
+++ b/placement/oracle_test.go
@@ -31,11 +31,11 @@
 	sources := o.sources()
 	for i := range o.engines {
 		e := &o.engines[i]
-		if excluded(e, o.r) || full(e, o.r) || unproven(e) || (o.r.Behind && !roomBehind(o.engines)) {
+		if excluded(e, o.r) || full(e, o.r) || unproven(e) || (o.r.Late && !roomBehind(o.engines)) {
 			continue
 		}
 		p, cost, fits := o.consider(e, sources)
-		if !fits || (o.r.Behind && disturbs(e, p, o.r)) {
+		if !fits || (o.r.Late && disturbs(e, p, o.r)) {
 			continue
 		}
 		costs[p.Engine+" "+p.Prefill] = cost
@@ -52,7 +52,7 @@
 	need := 0.0
 	for i := range o.engines {
 		e := &o.engines[i]
-		e.readLately, e.readInWindow = e.ReadLately(o.r.PauseObjective), e.ReadLately(rememberedFor)
+		e.readLately, e.readInWindow = e.RecentPrefill(o.r.GapObjective), e.RecentPrefill(rememberedFor)
 		e.generating = generating(e)
 		if e.Role == upstream.RoleDecode {
 			decode = append(decode, e)
@@ -99,8 +99,8 @@
 	for i := range o.engines {
 		e := &o.engines[i]
 		e.kept = e.Cached(sharedParts(o.r.Parts))
-		h.coming = max(h.coming, e.kept.Coming)
-		if e.kept.Read > 0 && (h.best == nil || better(h, e, h.best)) {
+		h.coming = max(h.coming, e.kept.Expected)
+		if e.kept.Ready > 0 && (h.best == nil || better(h, e, h.best)) {
 			h.best = e
 		}
 	}
@@ -108,7 +108,7 @@
 		var near *Engine
 		for i := range o.engines {
 			e := &o.engines[i]
-			if e.DataCentre == centre && e.kept.Read > 0 && e.kept.Read == h.best.kept.Read && (near == nil || better(h, e, near)) {
+			if e.DataCentre == centre && e.kept.Ready > 0 && e.kept.Ready == h.best.kept.Ready && (near == nil || better(h, e, near)) {
 				near = e
 			}
 		}
@@ -120,21 +120,21 @@
 }
 
 func better(h *holders, e, o *Engine) bool {
-	return e.kept.Read > o.kept.Read || (e.kept.Read == o.kept.Read && h.freer(e, o))
+	return e.kept.Ready > o.kept.Ready || (e.kept.Ready == o.kept.Ready && h.freer(e, o))
 }
 
 func (o oracle) consider(e *Engine, sources *holders) (p Plan, cost float64, fits bool) {
 	r := o.r
 	prompt, fetch := toRead(e, sources, r)
-	p = Plan{Engine: e.ID, Long: r.long(e), Uncached: prompt.Tokens, Fetched: fetch.tokens, Reread: sources.coming > prompt.Context}
+	p = Plan{Engine: e.ID, LongStream: r.long(e), Uncached: prompt.Tokens, Transferred: fetch.tokens, Recomputes: sources.coming > prompt.Context}
 	if fetch.from != nil {
 		p.Source = fetch.from.ID
 	}
-	read := e.Model.Reading(e.Role, prompt) * e.Slowness
-	first := max(e.QueueMillis, fetch.millis) + read + e.Model.Start(e.Role)
-	p.Queue, p.Reading = millis(e.QueueMillis), millis(read)
+	read := e.Model.PrefillMillis(e.Role, prompt) * e.PrefillSlowdown
+	first := max(e.QueueMillis, fetch.millis) + read + e.Model.StartMillis(e.Role)
+	p.QueueTime, p.PrefillTime = millis(e.QueueMillis), millis(read)
 	at := e
-	cost = e.Model.Common(prompt) + crossCost(e, r) + fetchWeight*fetch.millis - homeBonus(e, r)
+	cost = e.Model.MeanPrefillMillis(prompt) + crossCost(e, r) + fetchWeight*fetch.millis - homeBonus(e, r)
 	if e.Role == upstream.RolePrefill {
 		g := cheapestGenerator(o.engines, e.DataCentre, r)
 		if g.engine == nil {
@@ -142,39 +142,39 @@
 		}
 		at = g.engine
 		p.Engine, p.Prefill = g.engine.ID, e.ID
-		p.Pause = millis(pause(g.engine, 0))
+		p.MaxGap = millis(pause(g.engine, 0))
 		first += g.takeover
 		cost += g.cost
 	} else {
-		p.Pause = millis(pause(e, read))
+		p.MaxGap = millis(pause(e, read))
 		cost += readBesideStreams(e, r, read) + longCost(e, r) + wholeCost(e, first, r)
 	}
-	p.FirstToken, p.Whole, p.Beside = millis(first), whole(at, first, r), at.Running
+	p.FirstToken, p.Completion, p.Concurrent = millis(first), whole(at, first, r), at.Running
 	return p, cost + waitCost(e, first, r), true
 }
 
 // state is books in some state, with the requests that come next.
 type state struct {
 	clock *clock
-	books *Books
+	books *Tracker
 	ids   []string
 	rand  *rand.Rand
 }
 
 var (
 	centres = []string{"a", "b", "c"}
-	states  = []ReadState{Begun, Finished, Finished, Finished, Abandoned}
+	states  = []PrefillState{PrefillStarted, PrefillFinished, PrefillFinished, PrefillFinished, PrefillAbandoned}
 )
 
 func newState(seed uint64) *state {
 	s := &state{clock: &clock{time.Unix(1000, 0)}, rand: rand.New(rand.NewPCG(seed, 1))}
-	s.books = NewBooks(s.clock.now)
-	s.books.Inform()
+	s.books = NewTracker(s.clock.now)
+	s.books.AssumeNewEnginesEmpty()
 	var members []Member
 	for i := range 2 + s.rand.IntN(60) {
 		m := Member{
 			ID: fmt.Sprintf("e%02d", i), DataCentre: centres[s.rand.IntN(len(centres))], Pool: "p", Role: upstream.RoleDecode,
-			Slots: 1 + s.rand.IntN(64), KVTokens: 100_000, MoveMillisPerToken: 0.001,
+			Slots: 1 + s.rand.IntN(64), KVTokens: 100_000, TransferMillisPerToken: 0.001,
 		}
 		if s.rand.IntN(3) == 0 {
 			m.Role = upstream.RolePrefill
@@ -185,9 +185,9 @@
 	s.books.Sync(members)
 	for _, m := range members {
 		for range 3 {
-			t := s.books.Begin(m.ID, Work{Read: enginemodel.Prompt{Tokens: 1000 + s.rand.IntN(5000)}})
+			t := s.books.Begin(m.ID, Work{Prefill: enginemodel.Prompt{Tokens: 1000 + s.rand.IntN(5000)}})
 			s.clock.pass(time.Duration(10+s.rand.IntN(50)) * time.Millisecond)
-			t.PromptRead()
+			t.PrefillDone()
 			t.End(Done)
 		}
 	}
@@ -200,12 +200,12 @@
 	at := KeyOf(id, time.Time{})
 	switch s.rand.IntN(4) {
 	case 0:
-		l := Load{Running: s.rand.IntN(20), Long: s.rand.IntN(4), Held: s.rand.IntN(60_000), Sent: uint32(s.rand.IntN(200_000))}
-		l.Done = uint32(s.rand.IntN(int(l.Sent) + 1))
-		read := Read{At: at, State: states[s.rand.IntN(len(states))], Last: Part{ID: 1 + s.rand.Uint64N(8), Tokens: 5000}, Own: 1000}
-		s.books.NotePeer(fmt.Sprint("peer", s.rand.IntN(3)), []LoadAt{{At: at, Load: l}}, []Read{read})
+		l := Load{Running: s.rand.IntN(20), LongStreams: s.rand.IntN(4), ReservedKVTokens: s.rand.IntN(60_000), PrefillSent: uint32(s.rand.IntN(200_000))}
+		l.PrefillDone = uint32(s.rand.IntN(int(l.PrefillSent) + 1))
+		read := PrefillEvent{Engine: at, State: states[s.rand.IntN(len(states))], LastShared: Part{ID: 1 + s.rand.Uint64N(8), Tokens: 5000}, UnsharedTokens: 1000}
+		s.books.ApplyPeerUpdate(fmt.Sprint("peer", s.rand.IntN(3)), []UpstreamLoad{{Upstream: at, Load: l}}, []PrefillEvent{read})
 	case 1:
-		s.books.SendAway(at, "", time.Duration(s.rand.IntN(200))*time.Millisecond)
+		s.books.MarkUnavailable(at, "", time.Duration(s.rand.IntN(200))*time.Millisecond)
 	case 2:
 		s.books.ForgetPeer(fmt.Sprint("peer", s.rand.IntN(3)))
 	default:
@@ -217,8 +217,8 @@
 	r := Request{
 		Parts:        []Part{{ID: 1, Tokens: 1000}, {ID: 1 + s.rand.Uint64N(8), Tokens: 4000}, {ID: s.rand.Uint64(), Tokens: 100 + s.rand.IntN(3000)}},
 		OutputTokens: 1 + s.rand.IntN(300), BodyBytes: 400, DataCentre: centres[s.rand.IntN(len(centres))],
-		Objective: time.Duration(s.rand.IntN(500)) * time.Millisecond, PauseObjective: time.Duration(s.rand.IntN(200)) * time.Millisecond,
-		Behind: s.rand.IntN(5) == 0, Within: time.Duration(s.rand.IntN(100)) * time.Millisecond, WithinReread: time.Duration(s.rand.IntN(50)) * time.Millisecond,
+		Objective: time.Duration(s.rand.IntN(500)) * time.Millisecond, GapObjective: time.Duration(s.rand.IntN(200)) * time.Millisecond,
+		Late: s.rand.IntN(5) == 0, FirstTokenLimit: time.Duration(s.rand.IntN(100)) * time.Millisecond, RecomputeLimit: time.Duration(s.rand.IntN(50)) * time.Millisecond,
 	}
 	r.PromptTokens = sumTokens(r.Parts)
 	if s.rand.IntN(4) == 0 {
@@ -244,7 +244,7 @@
 			want, least, costs := oracle{s.books.Engines(s.ids), r}.pick()
 			require.Equal(t, !math.IsInf(least, 1), ok, "seed %d", seed)
 			decisions++
-			if got.Considered, got.Ideal = 0, 0; got == want {
+			if got.Candidates, got.IdealFirstToken = 0, 0; got == want {
 				continue
 			}
 			other++
--- a/placement/pick.go
+++ b/placement/pick.go
@@ -39,14 +39,14 @@
 	best, least := math.Inf(1), math.Inf(1)
 	var plain Plan
 	considered := 0
-	room := !r.Behind || roomBehind(s.engines)
+	room := !r.Late || roomBehind(s.engines)
 	for i := range s.engines {
 		e := &s.engines[i]
 		if !room || excluded(e, r) || full(e, r) || unproven(e) {
 			continue
 		}
 		p, cost, drawn, fits := s.consider(e, r)
-		if !fits || (r.Behind && disturbs(e, p, r)) {
+		if !fits || (r.Late && disturbs(e, p, r)) {
 			continue
 		}
 		considered++
@@ -57,11 +57,11 @@
 			best, plan = cost+drawn, p
 		}
 	}
-	if !plan.InTime(r) {
+	if !plan.MeetsLimit(r) {
 		plan = plain // the draw must not make a request late that needn't be
 	}
-	plan.Considered = considered
-	plan.Ideal = s.ideal(r)
+	plan.Candidates = considered
+	plan.IdealFirstToken = s.ideal(r)
 	return plan, !math.IsInf(best, 1)
 }
 
@@ -70,7 +70,7 @@
 	s.generators = s.generators[:0]
 	for i := range s.engines {
 		e := &s.engines[i]
-		e.readLately, e.readInWindow = e.ReadLately(r.PauseObjective), e.ReadLately(rememberedFor)
+		e.readLately, e.readInWindow = e.RecentPrefill(r.GapObjective), e.RecentPrefill(rememberedFor)
 	}
 	markGenerators(s.engines)
 	markHomes(s.engines, r)
@@ -85,26 +85,26 @@
 		return Plan{}, false
 	}
 	return Plan{
-		Engine: g.engine.ID, FirstToken: millis(g.takeover), Pause: millis(pause(g.engine, 0)), Considered: len(s.engines),
-		Whole: whole(g.engine, g.takeover, r), Beside: g.engine.Running,
+		Engine: g.engine.ID, FirstToken: millis(g.takeover), MaxGap: millis(pause(g.engine, 0)), Candidates: len(s.engines),
+		Completion: whole(g.engine, g.takeover, r), Concurrent: g.engine.Running,
 	}, true
 }
 
 // consider returns the plan that an engine reads the prompt, its cost, and what is drawn on
 // top for work that isn't known yet. fits is false if no engine can generate then.
 func (s *search) consider(e *Engine, r Request) (p Plan, cost, drawn float64, fits bool) {
-	p = Plan{Engine: e.ID, Long: r.long(e)}
+	p = Plan{Engine: e.ID, LongStream: r.long(e)}
 	prompt, fetch := toRead(e, &s.sources, r)
-	p.Uncached, p.Fetched = prompt.Tokens, fetch.tokens
+	p.Uncached, p.Transferred = prompt.Tokens, fetch.tokens
 	if fetch.from != nil {
 		p.Source = fetch.from.ID
 	}
-	p.Reread = s.sources.coming > prompt.Context
-	read := e.Model.Reading(e.Role, prompt) * e.Slowness
-	first := max(e.QueueMillis, fetch.millis) + read + e.Model.Start(e.Role)
-	p.Queue, p.Reading = millis(e.QueueMillis), millis(read)
+	p.Recomputes = s.sources.coming > prompt.Context
+	read := e.Model.PrefillMillis(e.Role, prompt) * e.PrefillSlowdown
+	first := max(e.QueueMillis, fetch.millis) + read + e.Model.StartMillis(e.Role)
+	p.QueueTime, p.PrefillTime = millis(e.QueueMillis), millis(read)
 	at := e
-	work := e.Model.Common(prompt)
+	work := e.Model.MeanPrefillMillis(prompt)
 	cost = work + crossCost(e, r) + fetchWeight*fetch.millis - homeBonus(e, r)
 	if e.Role == upstream.RolePrefill {
 		g := s.generatorFor(e.DataCentre, r)
@@ -113,29 +113,29 @@
 		}
 		at = g.engine
 		p.Engine, p.Prefill = g.engine.ID, e.ID
-		p.Pause = millis(pause(g.engine, 0))
+		p.MaxGap = millis(pause(g.engine, 0))
 		first += g.takeover
 		cost += g.cost
 	} else {
-		p.Pause = millis(pause(e, read))
+		p.MaxGap = millis(pause(e, read))
 		cost += readBesideStreams(e, r, read) + longCost(e, r) + wholeCost(e, first, r)
 	}
-	p.FirstToken, p.Whole, p.Beside = millis(first), whole(at, first, r), at.Running
+	p.FirstToken, p.Completion, p.Concurrent = millis(first), whole(at, first, r), at.Running
 	wait := waitCost(e, first, r)
 	return p, cost + wait, waitCost(e, first+e.unseen, r) - wait, true
 }
 
 // InTime reports whether the first event is expected soon enough for the plan to be of use.
-func (p Plan) InTime(r Request) bool {
-	limit := r.Within
-	if p.Reread {
-		limit = r.WithinReread
+func (p Plan) MeetsLimit(r Request) bool {
+	limit := r.FirstTokenLimit
+	if p.Recomputes {
+		limit = r.RecomputeLimit
 	}
 	return limit == 0 || p.FirstToken <= limit
 }
 
 // PromptAt returns what the engine that reads the prompt under a plan has to read.
-func (p Plan) PromptAt(r Request) enginemodel.Prompt {
+func (p Plan) PrefillWork(r Request) enginemodel.Prompt {
 	return enginemodel.Prompt{Tokens: p.Uncached, Context: r.PromptTokens - p.Uncached}
 }
 
@@ -152,9 +152,9 @@
 			continue // alike
 		}
 		last = e
-		took := e.Model.Reading(e.Role, prompt) + e.Model.Start(e.Role)
+		took := e.Model.PrefillMillis(e.Role, prompt) + e.Model.StartMillis(e.Role)
 		if e.Role == upstream.RolePrefill {
-			took += e.Model.Takeover(r.PromptTokens, 0)
+			took += e.Model.HandoffMillis(r.PromptTokens, 0)
 		}
 		best = min(best, took)
 	}
@@ -169,12 +169,12 @@
 // unproven reports whether an engine reads already and nothing is known yet of how
 // fast such engines do. Without it the first burst would be let in whole, and most of
 // it be late.
-func unproven(e *Engine) bool { return e.UnreadMillis > 0 && !e.Model.Known(e.Role) }
+func unproven(e *Engine) bool { return e.PendingPrefillMillis > 0 && !e.Model.Known(e.Role) }
 
 // full reports whether an engine has no place for one more request.
 func full(e *Engine, r Request) bool {
 	if e.Slots <= 0 {
 		return false
 	}
-	return e.Running >= e.Slots || (e.Role == upstream.RoleDecode && r.long(e) && e.Long >= LongSlots(e.Slots))
+	return e.Running >= e.Slots || (e.Role == upstream.RoleDecode && r.long(e) && e.LongStreams >= LongSlots(e.Slots))
 }
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -51,15 +51,15 @@
 // they would be read a second time.
 func TestSharedPartsDecide(t *testing.T) {
 	c := &clock{time.Unix(1, 0)}
-	b := NewBooks(c.now)
+	b := NewTracker(c.now)
 	members := fleet(upstream.RoleDecode, upstream.RoleDecode, upstream.RoleDecode, upstream.RoleDecode)
 	b.Sync(members)
 	for shared := uint64(2); shared < 10; shared++ {
 		r := prompt(shared)
 		first, ok := Pick(b.Engines(ids(members)), r)
 		require.True(t, ok)
-		ticket := b.Begin(first.Engine, Work{Read: first.PromptAt(r), Parts: r.Parts})
-		ticket.PromptRead()
+		ticket := b.Begin(first.Engine, Work{Prefill: first.PrefillWork(r), Parts: r.Parts})
+		ticket.PrefillDone()
 		ticket.End(Done)
 		r.Parts[2].ID++
 		again, ok := Pick(b.Engines(ids(members)), r)
@@ -77,7 +77,7 @@
 	for shared := uint64(2); shared < 60; shared++ {
 		var first string
 		for range 3 {
-			b := NewBooks(nil)
+			b := NewTracker(nil)
 			b.Sync(members)
 			plan, ok := Pick(b.Engines(ids(members)), prompt(shared))
 			require.True(t, ok)
@@ -93,7 +93,7 @@
 
 // A prefill engine can't generate: without a decode engine there is no place.
 func TestPrefillNeedsAGenerator(t *testing.T) {
-	b := NewBooks(nil)
+	b := NewTracker(nil)
 	members := fleet(upstream.RolePrefill, upstream.RoleDecode)
 	b.Sync(members)
 	plan, ok := Pick(b.Engines(ids(members)), prompt(2))
@@ -111,7 +111,7 @@
 // longer each time, and comes back by one request at a time.
 func TestEjectionAndTrial(t *testing.T) {
 	c := &clock{time.Unix(1, 0)}
-	b := NewBooks(c.now)
+	b := NewTracker(c.now)
 	members := fleet("", "")
 	b.Sync(members)
 	hold := firstHold
@@ -140,7 +140,7 @@
 
 // One broken connection is no reason to leave an upstream alone.
 func TestOneBreakIsForgiven(t *testing.T) {
-	b := NewBooks(nil)
+	b := NewTracker(nil)
 	members := fleet("", "")
 	b.Sync(members)
 	b.Begin("e0", Work{}).End(Unreachable)
@@ -151,29 +151,29 @@
 
 // The books balance whatever order attempts end in, and ending twice counts once.
 func TestTicketsBalance(t *testing.T) {
-	b := NewBooks(nil)
+	b := NewTracker(nil)
 	b.Sync(fleet(upstream.RoleDecode))
-	one := b.Begin("e0", Work{Read: tokens(1000), Parts: prompt(2).Parts, Held: 6000, Long: true})
-	two := b.Begin("e0", Work{Read: tokens(2000), Parts: prompt(3).Parts, Held: 7000, Behind: true})
-	loads := b.Own(false)
+	one := b.Begin("e0", Work{Prefill: tokens(1000), Parts: prompt(2).Parts, ReservedKVTokens: 6000, LongStream: true})
+	two := b.Begin("e0", Work{Prefill: tokens(2000), Parts: prompt(3).Parts, ReservedKVTokens: 7000, Late: true})
+	loads := b.LocalLoads(false)
 	require.Len(t, loads, 1)
-	sent := loads[0].Load.Sent
+	sent := loads[0].Load.PrefillSent
 	require.NotZero(t, sent)
-	require.Equal(t, []LoadAt{{At: KeyOf("e0", time.Time{}), Load: Load{Running: 2, Long: 1, Held: 13_000, Behind: 1, Sent: sent}}}, loads)
-	one.PromptRead()
-	one.PromptRead()
+	require.Equal(t, []UpstreamLoad{{Upstream: KeyOf("e0", time.Time{}), Load: Load{Running: 2, LongStreams: 1, ReservedKVTokens: 13_000, LatePrefills: 1, PrefillSent: sent}}}, loads)
+	one.PrefillDone()
+	one.PrefillDone()
 	two.End(Cancelled)
 	two.End(Done)
 	one.End(Done)
-	require.Equal(t, []LoadAt{{At: KeyOf("e0", time.Time{}), Load: Load{Sent: sent, Done: sent}}}, b.Own(false))
-	read := func(shared uint64, s ReadState) Read {
-		return Read{At: KeyOf("e0", time.Time{}), State: s, Last: Part{ID: shared, Tokens: 5000}, Own: 1000}
+	require.Equal(t, []UpstreamLoad{{Upstream: KeyOf("e0", time.Time{}), Load: Load{PrefillSent: sent, PrefillDone: sent}}}, b.LocalLoads(false))
+	read := func(shared uint64, s PrefillState) PrefillEvent {
+		return PrefillEvent{Engine: KeyOf("e0", time.Time{}), State: s, LastShared: Part{ID: shared, Tokens: 5000}, UnsharedTokens: 1000}
 	}
-	require.Equal(t, []Read{read(2, Begun), read(3, Begun), read(2, Finished), read(3, Abandoned)}, b.Reads())
-	require.Empty(t, b.Own(false), "nothing has changed")
-	require.Empty(t, b.Reads())
-	require.Len(t, b.Own(true), 1)
-	b.Begin("gone", Work{Read: tokens(5)}).End(Done) // an upstream that has left
+	require.Equal(t, []PrefillEvent{read(2, PrefillStarted), read(3, PrefillStarted), read(2, PrefillFinished), read(3, PrefillAbandoned)}, b.PrefillEvents())
+	require.Empty(t, b.LocalLoads(false), "nothing has changed")
+	require.Empty(t, b.PrefillEvents())
+	require.Len(t, b.LocalLoads(true), 1)
+	b.Begin("gone", Work{Prefill: tokens(5)}).End(Done) // an upstream that has left
 }
 
 func tokens(n int) enginemodel.Prompt { return enginemodel.Prompt{Tokens: n} }
@@ -183,47 +183,47 @@
 func TestReadingIsLearnt(t *testing.T) {
 	for rate, tolerance := range map[int]float64{5: 0.1, 60: 0.1, 600: 0.1, 6000: 0.3} {
 		c := &clock{time.Unix(1, 0)}
-		b := NewBooks(c.now)
-		b.Inform()
+		b := NewTracker(c.now)
+		b.AssumeNewEnginesEmpty()
 		members := fleet(upstream.RolePrefill)
 		b.Sync(members)
 		for range 50 {
 			for _, n := range []int{1000, 5000, 20_000} {
-				ticket := b.Begin("e0", Work{Read: tokens(n)})
+				ticket := b.Begin("e0", Work{Prefill: tokens(n)})
 				c.pass(20*time.Millisecond + time.Duration(n)*time.Millisecond/time.Duration(rate))
-				ticket.PromptRead()
+				ticket.PrefillDone()
 				ticket.End(Done)
 				c.pass(time.Second)
 			}
 		}
-		start := b.Engines(ids(members))[0].Model.Start(upstream.RolePrefill)
+		start := b.Engines(ids(members))[0].Model.StartMillis(upstream.RolePrefill)
 		for _, n := range []int{1000, 10_000} {
 			want := 20 + float64(n)/float64(rate)
-			require.InEpsilon(t, want, start+b.Reading("p", upstream.RolePrefill, tokens(n)), tolerance, "%d tokens, %d a millisecond", n, rate)
+			require.InEpsilon(t, want, start+b.PrefillMillis("p", upstream.RolePrefill, tokens(n)), tolerance, "%d tokens, %d a millisecond", n, rate)
 		}
 	}
 }
 
 // seen returns books whose daemon has seen what engines take for a while: 100 tokens a
 // millisecond to read, a token generated in 4 ms.
-func seen(c *clock, members []Member) *Books {
-	b := NewBooks(c.now)
-	b.Inform()
+func seen(c *clock, members []Member) *Tracker {
+	b := NewTracker(c.now)
+	b.AssumeNewEnginesEmpty()
 	b.Sync(members)
 	for range 20 {
 		for _, m := range members {
 			for _, n := range []int{500, 4000, 12_000} {
-				ticket := b.Begin(m.ID, Work{Read: tokens(n), Output: 100})
+				ticket := b.Begin(m.ID, Work{Prefill: tokens(n), OutputTokens: 100})
 				c.pass(10*time.Millisecond + time.Duration(n)*10*time.Microsecond)
-				ticket.PromptRead()
+				ticket.PrefillDone()
 				c.pass(2 * time.Second) // no reading falls between the events
-				ticket.Paused(40 * time.Millisecond)
-				ticket.Generated(10, 400*time.Millisecond)
+				ticket.RecordGap(40 * time.Millisecond)
+				ticket.RecordStream(10, 400*time.Millisecond)
 				ticket.End(Done)
 			}
 		}
 	}
-	b.Reads()
+	b.PrefillEvents()
 	return b
 }
 
@@ -235,13 +235,13 @@
 		members[i].Slots = 16
 	}
 	b := seen(&clock{time.Unix(1, 0)}, members)
-	chat := Request{PromptTokens: 200, OutputTokens: 500, DataCentre: "d", Objective: 100 * time.Millisecond, PauseObjective: 150 * time.Millisecond}
+	chat := Request{PromptTokens: 200, OutputTokens: 500, DataCentre: "d", Objective: 100 * time.Millisecond, GapObjective: 150 * time.Millisecond}
 	used := map[string]int{}
 	for range 2*LongSlots(16) - 1 {
 		plan, ok := Pick(b.Engines(ids(members)), chat)
 		require.True(t, ok)
-		require.True(t, plan.Long)
-		b.Begin(plan.Engine, Work{Read: plan.PromptAt(chat), Long: plan.Long}).PromptRead()
+		require.True(t, plan.LongStream)
+		b.Begin(plan.Engine, Work{Prefill: plan.PrefillWork(chat), LongStream: plan.LongStream}).PrefillDone()
 		used[plan.Engine]++
 	}
 	require.Len(t, used, 2)
@@ -263,7 +263,7 @@
 	}
 	require.LessOrEqual(t, cache.tokens, cache.capacity)
 	now := time.Unix(1, 0)
-	kept := func(parts ...Part) int { return cache.kept(parts, now).Read }
+	kept := func(parts ...Part) int { return cache.kept(parts, now).Ready }
 	require.Equal(t, 1500, kept(Part{ID: 1, Tokens: 500}, Part{ID: 199, Tokens: 1000}))
 	require.Equal(t, 500, kept(Part{ID: 1, Tokens: 500}, Part{ID: 100, Tokens: 1000}))
 	require.Zero(t, kept(Part{ID: 1000, Tokens: 500}, Part{ID: 2000, Tokens: 1000}))
@@ -298,7 +298,7 @@
 			}
 		}
 		members := fleet(roles...)
-		books := NewBooks(nil)
+		books := NewTracker(nil)
 		books.Sync(members)
 		list := ids(members)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -321,7 +321,7 @@
 				roles[i] = upstream.RolePrefill
 			}
 		}
-		books := NewBooks(nil)
+		books := NewTracker(nil)
 		books.Sync(fleet(roles...))
 		r := prompt(2)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -336,19 +336,19 @@
 // A server of a model pool doesn't say what role it has, as plain ones don't. A prompt
 // sent to its pool ended in a panic: there was no model of such a server.
 func TestServersWithoutARoleAreServed(t *testing.T) {
-	b := NewBooks(nil)
+	b := NewTracker(nil)
 	members := fleet("", "")
 	b.Sync(members)
 	r := prompt(2)
-	r.Objective, r.PauseObjective = 100*time.Millisecond, 150*time.Millisecond
+	r.Objective, r.GapObjective = 100*time.Millisecond, 150*time.Millisecond
 	for range 3 {
 		plan, ok := Pick(b.Engines(ids(members)), r)
 		require.True(t, ok)
 		require.Empty(t, plan.Prefill)
-		ticket := b.Begin(plan.Engine, Work{Read: plan.PromptAt(r), Parts: r.Parts})
-		ticket.PromptRead()
-		ticket.Paused(time.Millisecond)
-		ticket.Generated(1, time.Millisecond)
+		ticket := b.Begin(plan.Engine, Work{Prefill: plan.PrefillWork(r), Parts: r.Parts})
+		ticket.PrefillDone()
+		ticket.RecordGap(time.Millisecond)
+		ticket.RecordStream(1, time.Millisecond)
 		defer ticket.End(Done)
 	}
 }
@@ -380,6 +380,6 @@
 		p, ok := Pick(at, r)
 		require.True(t, ok)
 		require.Less(t, p.FirstToken, r.Objective/2)
-		require.Zero(t, p.Queue)
+		require.Zero(t, p.QueueTime)
 	}
 }
--- a/placement/replay_test.go
+++ b/placement/replay_test.go
@@ -18,7 +18,7 @@
 // have read. One daemon decides for all requests.
 type replay struct {
 	clock   *clock
-	books   *Books
+	books   *Tracker
 	members []Member
 	engines map[string]*twin
 	events  eventQueue
@@ -71,8 +71,8 @@
 // tokens a millisecond.
 func newReplay(engines int, speed float64, fetch bool) *replay {
 	p := &replay{clock: &clock{time.Unix(1000, 0)}, engines: make(map[string]*twin), rand: rand.New(rand.NewPCG(11, 12))}
-	p.books = NewBooks(p.clock.now)
-	p.books.Inform()
+	p.books = NewTracker(p.clock.now)
+	p.books.AssumeNewEnginesEmpty()
 	for i := range engines {
 		m := Member{ID: fmt.Sprint("e", i), DataCentre: "d", Pool: "p", Role: upstream.RoleDecode, Slots: 64, KVTokens: int(10_000 * speed)}
 		per := 2 * float64(time.Millisecond) / speed
@@ -80,7 +80,7 @@
 			m.Role, per = upstream.RolePrefill, per/2
 		}
 		if fetch {
-			m.MoveMillisPerToken = 0.1 / speed
+			m.TransferMillisPerToken = 0.1 / speed
 		}
 		p.members = append(p.members, m)
 		p.engines[m.ID] = &twin{kept: make(map[uint64]bool), perToken: time.Duration(per)}
@@ -118,13 +118,13 @@
 	r := Request{
 		Parts:        []Part{{ID: subject, Tokens: k.shared}, {ID: 1<<40 + uint64(p.asked), Tokens: k.own}},
 		PromptTokens: k.shared + k.own, OutputTokens: k.outputs, DataCentre: "d",
-		Objective: k.objective, PauseObjective: 150 * time.Millisecond, Within: k.objective * 85 / 100,
+		Objective: k.objective, GapObjective: 150 * time.Millisecond, FirstTokenLimit: k.objective * 85 / 100,
 	}
-	r.WithinReread = r.Within
+	r.RecomputeLimit = r.FirstTokenLimit
 	plan, ok := p.books.Pick("p", r)
 	if !ok || float64(plan.FirstToken) > 0.85*float64(k.objective) {
 		// It can't be in time: a late answer is worth more than none.
-		r.Behind, r.Within, r.WithinReread = true, 0, 0
+		r.Late, r.FirstTokenLimit, r.RecomputeLimit = true, 0, 0
 		if plan, ok = p.books.Pick("p", r); !ok {
 			p.refused++
 			return
@@ -136,7 +136,7 @@
 // send has the prompt read by the twin that the plan names.
 func (p *replay) send(k kindOf, r Request, plan Plan) {
 	began := p.clock.at
-	work := Work{Read: plan.PromptAt(r), Fetched: plan.Fetched, Parts: r.Parts, Held: r.PromptTokens, Output: k.outputs, Behind: r.Behind}
+	work := Work{Prefill: plan.PrefillWork(r), TransferredTokens: plan.Transferred, Parts: r.Parts, ReservedKVTokens: r.PromptTokens, OutputTokens: k.outputs, Late: r.Late}
 	at := reader(plan)
 	ticket := p.books.Begin(at, work)
 	e := p.engines[at]
@@ -152,7 +152,7 @@
 	}
 	e.free = start.Add(time.Duration(tokens) * e.perToken)
 	p.at(e.free.Add(10*time.Millisecond), func() {
-		ticket.PromptRead()
+		ticket.PrefillDone()
 		e.kept[r.Parts[0].ID] = true
 		if p.clock.at.Sub(began) <= k.objective {
 			p.inTime++
@@ -257,14 +257,14 @@
 // with those that can be in time.
 func TestLateAnswersTakeFewEngines(t *testing.T) {
 	p := newReplay(12, 60, true)
-	large := Request{Parts: []Part{{ID: 7, Tokens: 40_000}}, PromptTokens: 40_000, DataCentre: "d", Objective: 500 * time.Millisecond, Behind: true}
+	large := Request{Parts: []Part{{ID: 7, Tokens: 40_000}}, PromptTokens: 40_000, DataCentre: "d", Objective: 500 * time.Millisecond, Late: true}
 	taken := map[string]bool{}
 	for range 50 {
 		plan, ok := Pick(p.books.Engines(ids(p.members)), large)
 		if !ok {
 			break
 		}
-		p.books.Begin(reader(plan), Work{Read: enginemodel.Prompt{Tokens: 40_000}, Behind: true})
+		p.books.Begin(reader(plan), Work{Prefill: enginemodel.Prompt{Tokens: 40_000}, Late: true})
 		taken[reader(plan)] = true
 	}
 	require.NotEmpty(t, taken)
@@ -275,22 +275,22 @@
 // each prompt that is read elsewhere fetches it. From whichever came first in the list all
 // would come over one link, half of them across data centres.
 func TestSharedPartsComeFromNearAndFreeEngines(t *testing.T) {
-	b := NewBooks((&clock{time.Unix(1000, 0)}).now)
-	b.Inform()
+	b := NewTracker((&clock{time.Unix(1000, 0)}).now)
+	b.AssumeNewEnginesEmpty()
 	var members []Member
 	for i := range 12 {
 		members = append(members, Member{
 			ID: fmt.Sprintf("e%02d", i), DataCentre: centres[i%2], Pool: "p", Role: upstream.RoleDecode,
-			Slots: 8, KVTokens: 100_000, MoveMillisPerToken: 0.0001,
+			Slots: 8, KVTokens: 100_000, TransferMillisPerToken: 0.0001,
 		})
 	}
 	b.Sync(members)
 	r := prompt(2)
 	for _, m := range members[:6] {
-		t := b.Begin(m.ID, Work{Parts: r.Parts, Read: tokens(100)})
-		t.PromptRead()
+		t := b.Begin(m.ID, Work{Parts: r.Parts, Prefill: tokens(100)})
+		t.PrefillDone()
 		t.End(Done)
-		b.Listed(m.ID, sharedParts(r.Parts))
+		b.SetCachedParts(m.ID, sharedParts(r.Parts))
 	}
 	for _, m := range members[:6] {
 		r.Exclude = append(r.Exclude, m.ID) // they have failed this request
--- a/placement/roster.go
+++ b/placement/roster.go
@@ -22,7 +22,7 @@
 func rosters(upstreams map[string]*entry) map[string]*roster {
 	pools := make(map[string]*roster)
 	for _, e := range upstreams {
-		if e.Leaving {
+		if e.Draining {
 			continue
 		}
 		r := pools[e.Pool]
@@ -44,7 +44,7 @@
 
 // Pick returns the plan with the least cost among the engines of a pool that have a free
 // place. ok is false if none has.
-func (b *Books) Pick(pool string, r Request) (plan Plan, ok bool) {
+func (b *Tracker) Pick(pool string, r Request) (plan Plan, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.searchIn(pool).pick(r)
@@ -52,7 +52,7 @@
 
 // PickGenerator returns the engine of a pool that soonest goes on from a KV cache that
 // another engine holds in a data centre.
-func (b *Books) PickGenerator(pool, dataCentre string, r Request) (plan Plan, ok bool) {
+func (b *Tracker) PickDecode(pool, dataCentre string, r Request) (plan Plan, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.searchIn(pool).pickGenerator(dataCentre, r)
@@ -60,7 +60,7 @@
 
 // PickService returns the upstream of a pool with the fewest requests for its slots, and
 // whether it has none free.
-func (b *Books) PickService(pool string, r Request) (id string, full, ok bool) {
+func (b *Tracker) PickService(pool string, r Request) (id string, full, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return PickService(b.searchIn(pool).engines, r)
@@ -68,7 +68,7 @@
 
 // searchIn begins a search among the upstreams of a pool that may take work now. b.mu is
 // held until it ends.
-func (b *Books) searchIn(pool string) *search {
+func (b *Tracker) searchIn(pool string) *search {
 	s := &b.search
 	s.engines = s.engines[:0]
 	r := b.pools[pool]
--- a/placement/site_test.go
+++ b/placement/site_test.go
@@ -12,7 +12,7 @@
 // late.
 type siteReplay struct {
 	*replay
-	daemons []*Books
+	daemons []*Tracker
 	// every and underway are how often a daemon tells of its work, and how long that takes
 	// to be known.
 	every, underway time.Duration
@@ -21,8 +21,8 @@
 func newSiteReplay(daemons, engines int, speed float64, every, underway time.Duration) *siteReplay {
 	p := &siteReplay{replay: newReplay(engines, speed, true), every: every, underway: underway}
 	for range daemons {
-		b := NewBooks(p.clock.now)
-		b.Inform()
+		b := NewTracker(p.clock.now)
+		b.AssumeNewEnginesEmpty()
 		b.Sync(p.members)
 		b.search.draw = p.rand.ExpFloat64
 		p.daemons = append(p.daemons, b)
@@ -53,15 +53,15 @@
 	}
 }
 
-func (p *siteReplay) tell(from *Books, name string) {
-	loads, reads := from.Own(false), from.Reads()
+func (p *siteReplay) tell(from *Tracker, name string) {
+	loads, reads := from.LocalLoads(false), from.PrefillEvents()
 	if len(loads)+len(reads) == 0 {
 		return
 	}
 	p.at(p.clock.at.Add(p.underway), func() {
 		for _, b := range p.daemons {
 			if b != from {
-				b.NotePeer(name, loads, reads)
+				b.ApplyPeerUpdate(name, loads, reads)
 			}
 		}
 	})
@@ -74,7 +74,7 @@
 	for i, from := range p.daemons {
 		for _, to := range p.daemons {
 			if to != from {
-				to.Merge(fmt.Sprint("daemon ", i), from.Learnt())
+				to.Merge(fmt.Sprint("daemon ", i), from.LocalObservations())
 			}
 		}
 	}
@@ -88,7 +88,7 @@
 	p := newSiteReplay(40, 16, 600, every, underway)
 	p.learn(kind)
 	for _, b := range p.daemons {
-		b.SetBlind(blind)
+		b.SetUpdateDelay(blind)
 	}
 	p.talk(3200 * time.Millisecond)
 	p.load(kind, 0, 3*time.Second, 2000)
--- a/placement/ticket.go
+++ b/placement/ticket.go
@@ -9,26 +9,26 @@
 // Work is what an attempt asks of an upstream.
 type Work struct {
 	// Read is what it has to read of the prompt, nothing if another engine does.
-	Read enginemodel.Prompt
+	Prefill enginemodel.Prompt
 	// Fetched are the tokens whose KV cache it fetches from another engine.
-	Fetched int
+	TransferredTokens int
 	// Parts are the prompt's.
 	Parts []Part
 	// Held is the KV memory that the request takes there, in tokens.
-	Held int
+	ReservedKVTokens int
 	// Output is the expected number of tokens generated there, 0 if none.
-	Output int
+	OutputTokens int
 	// Long says that it generates for long.
-	Long bool
+	LongStream bool
 	// Left is the time within which the whole answer must be there; 0 is none.
-	Left time.Duration
+	TimeLeft time.Duration
 	// Behind says that its answer will be late.
-	Behind bool
+	Late bool
 }
 
 // Ticket is one attempt at one upstream.
 type Ticket struct {
-	books *Books
+	books *Tracker
 	entry *entry
 	work  Work
 	began time.Time
@@ -50,7 +50,7 @@
 }
 
 // Begin books an attempt at an upstream.
-func (b *Books) Begin(id string, w Work) *Ticket {
+func (b *Tracker) Begin(id string, w Work) *Ticket {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	e := b.upstreams[id]
@@ -60,9 +60,9 @@
 	t := &Ticket{books: b, entry: e, work: w, began: b.now(), informed: e.listed}
 	b.touch(e)
 	e.own.Running++
-	e.own.Held += w.Held
-	if w.Long {
-		e.own.Long++
+	e.own.ReservedKVTokens += w.ReservedKVTokens
+	if w.LongStream {
+		e.own.LongStreams++
 		t.learnAnswer()
 	}
 	if e.model != nil {
@@ -78,53 +78,53 @@
 // learnAnswer notes what a long answer asks of the engines. Those of callers that come back
 // with what is left of their time say nothing of the next ones.
 func (t *Ticket) learnAnswer() {
-	if t.entry.model != nil && t.work.Left > 0 && !t.work.Behind {
-		t.entry.model.LearnAnswer(t.work.Output, t.work.Left)
+	if t.entry.model != nil && t.work.TimeLeft > 0 && !t.work.Late {
+		t.entry.model.LearnLongResponse(t.work.OutputTokens, t.work.TimeLeft)
 	}
 }
 
 func (t *Ticket) bookReading() {
 	e := t.entry
-	t.reading = e.model.Figures().Reading(e.Role, t.work.Read)
-	e.own.Moved += uint32(t.work.Fetched)
-	e.addMove(t.began, float64(t.work.Fetched)*e.MoveMillisPerToken)
-	if t.work.Read.Tokens == 0 {
+	t.reading = e.model.Parameters().PrefillMillis(e.Role, t.work.Prefill)
+	e.own.TransferredTokens += uint32(t.work.TransferredTokens)
+	e.addMove(t.began, float64(t.work.TransferredTokens)*e.TransferMillisPerToken)
+	if t.work.Prefill.Tokens == 0 {
 		return
 	}
 	t.ahead = e.queue.left(t.began)
 	t.alone = e.unread() == 0
-	if t.work.Fetched > 0 {
+	if t.work.TransferredTokens > 0 {
 		t.ahead = max(t.ahead, e.link.left(t.began))
 	}
-	e.own.Sent += t.micros()
-	if t.work.Behind {
-		e.own.Behind++
+	e.own.PrefillSent += t.micros()
+	if t.work.Late {
+		e.own.LatePrefills++
 	}
 	e.addReading(t.began, t.reading)
-	t.tell(Begun)
+	t.tell(PrefillStarted)
 }
 
 func (t *Ticket) micros() uint32 { return uint32(t.reading * microsPerMilli) }
 
 // tell notes what became of the prompt, here and for the peers. That parts are being
 // read which the engine keeps already is no news: most prompts are like that.
-func (t *Ticket) tell(s ReadState) {
+func (t *Ticket) tell(s PrefillState) {
 	shared := sharedParts(t.work.Parts)
 	if len(shared) == 0 {
 		return
 	}
 	last := shared[len(shared)-1]
-	if s == Begun {
+	if s == PrefillStarted {
 		t.kept = t.entry.cache.parts.Contains(last.ID)
 	}
-	if t.kept && s != Finished {
+	if t.kept && s != PrefillFinished {
 		return
 	}
 	last.Tokens = sumTokens(shared)
-	r := Read{At: t.entry.key(), State: s, Last: last, Own: t.work.Parts[len(shared)].Tokens}
+	r := PrefillEvent{Engine: t.entry.key(), State: s, LastShared: last, UnsharedTokens: t.work.Parts[len(shared)].Tokens}
 	t.books.reads = append(t.books.reads, r)
 	switch s {
-	case Begun:
+	case PrefillStarted:
 		t.entry.cache.begin(last.ID, t.books.now())
 	default:
 		t.entry.cache.end(last.ID)
@@ -133,7 +133,7 @@
 
 // PromptRead notes that the engine has the prompt in its memory: it has read it,
 // or fetched it.
-func (t *Ticket) PromptRead() {
+func (t *Ticket) PrefillDone() {
 	t.books.mu.Lock()
 	defer t.books.mu.Unlock()
 	e := t.entry
@@ -143,8 +143,8 @@
 	t.read = true
 	t.readingOver()
 	e.cache.read(t.work.Parts)
-	t.tell(Finished)
-	if t.work.Read.Tokens > 0 && t.informed {
+	t.tell(PrefillFinished)
+	if t.work.Prefill.Tokens > 0 && t.informed {
 		t.learnReading()
 	}
 }
@@ -152,9 +152,9 @@
 // readingOver takes the reading off what waits at the engine.
 func (t *Ticket) readingOver() {
 	t.books.touch(t.entry)
-	t.entry.own.Done += t.micros()
-	if t.work.Behind && t.work.Read.Tokens > 0 {
-		t.entry.own.Behind--
+	t.entry.own.PrefillDone += t.micros()
+	if t.work.Late && t.work.Prefill.Tokens > 0 {
+		t.entry.own.LatePrefills--
 	}
 }
 
@@ -169,14 +169,14 @@
 func (t *Ticket) learnReading() {
 	e, now := t.entry, t.books.now()
 	took := enginemodel.Millis(now.Sub(t.began))
-	start := e.model.Figures().Start(e.Role)
+	start := e.model.Parameters().StartMillis(e.Role)
 	late := took - start - t.ahead - t.reading*e.slowness
 	if alone := took - start - t.ahead; t.reading > t.ahead && alone > 0 {
 		sample := min(mostSlowness, max(1/mostSlowness, alone/t.reading))
 		e.slowness += slownessStep * (sample - e.slowness)
 	}
-	e.model.LearnRead(enginemodel.Read{
-		Role: e.Role, Prompt: t.work.Read, Took: now.Sub(t.began), Ahead: millis(t.ahead), Alone: t.alone,
+	e.model.LearnPrefill(enginemodel.PrefillSample{
+		Role: e.Role, Prompt: t.work.Prefill, Took: now.Sub(t.began), QueueTime: millis(t.ahead), QueueEmpty: t.alone,
 	})
 	// A reading that ended later than expected has kept those behind it too.
 	e.queue.add(now, latenessStep*late)
@@ -184,7 +184,7 @@
 
 // HandedOver notes that the request goes to this engine with the KV cache that
 // another one has made.
-func (t *Ticket) HandedOver() {
+func (t *Ticket) HandoffStarted() {
 	t.books.mu.Lock()
 	defer t.books.mu.Unlock()
 	t.handedAt = t.books.now()
@@ -192,16 +192,16 @@
 }
 
 // TakenOver notes the first event of a request that was handed over.
-func (t *Ticket) TakenOver() {
+func (t *Ticket) HandoffDone() {
 	t.books.mu.Lock()
 	defer t.books.mu.Unlock()
 	if t.entry.model != nil && !t.handedAt.IsZero() {
-		t.entry.model.LearnTakeover(sumTokens(t.work.Parts), t.before, t.books.now().Sub(t.handedAt))
+		t.entry.model.LearnHandoff(sumTokens(t.work.Parts), t.before, t.books.now().Sub(t.handedAt))
 	}
 }
 
 // Paused notes the time between two events of a stream.
-func (t *Ticket) Paused(d time.Duration) {
+func (t *Ticket) RecordGap(d time.Duration) {
 	t.books.mu.Lock()
 	defer t.books.mu.Unlock()
 	e := t.entry
@@ -212,18 +212,18 @@
 	if e.lately.within(t.books.now(), d) == 0 && e.unread() == 0 {
 		others := e.total().Running - 1
 		// It is told with the next change of the work there: events are too many.
-		e.own.noteEventTime(enginemodel.Millis(d), e.model.Figures().Interval(others))
+		e.own.noteEventTime(enginemodel.Millis(d), e.model.Parameters().IntervalMillis(others))
 		e.model.LearnInterval(others, d)
 	}
 }
 
 // Generated notes the time from the first event to the last of a whole stream, and how many
 // events it had.
-func (t *Ticket) Generated(events int, d time.Duration) {
+func (t *Ticket) RecordStream(events int, d time.Duration) {
 	t.books.mu.Lock()
 	defer t.books.mu.Unlock()
-	if t.entry.model != nil && t.work.Output > 0 {
-		t.entry.model.LearnGeneration(t.work.Output, events, d)
+	if t.entry.model != nil && t.work.OutputTokens > 0 {
+		t.entry.model.LearnStream(t.work.OutputTokens, events, d)
 	}
 }
 
@@ -237,14 +237,14 @@
 	t.ended = true
 	e := t.entry
 	t.books.touch(e)
-	if !t.read && t.work.Read.Tokens > 0 && e.model != nil {
+	if !t.read && t.work.Prefill.Tokens > 0 && e.model != nil {
 		t.readingOver()
-		t.tell(Abandoned)
+		t.tell(PrefillAbandoned)
 	}
 	e.own.Running--
-	e.own.Held -= t.work.Held
-	if t.work.Long {
-		e.own.Long--
+	e.own.ReservedKVTokens -= t.work.ReservedKVTokens
+	if t.work.LongStream {
+		e.own.LongStreams--
 	}
 	if t.trial {
 		e.trials--
--- a/placement/told.go
+++ b/placement/told.go
@@ -22,14 +22,14 @@
 // wrap around alike, so their difference is right.
 func (e *entry) unread() float64 {
 	all := e.total()
-	unread := int32(all.Sent - all.Done)
+	unread := int32(all.PrefillSent - all.PrefillDone)
 	return float64(max(0, unread)) / microsPerMilli * e.slowness
 }
 
 const microsPerMilli = 1000
 
 // Reads returns what became of prompts since the last call.
-func (b *Books) Reads() []Read {
+func (b *Tracker) PrefillEvents() []PrefillEvent {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	reads := b.reads
@@ -39,14 +39,14 @@
 
 // Own returns what has changed of this daemon's load since the last call. With
 // all, the whole load is returned.
-func (b *Books) Own(all bool) []LoadAt {
+func (b *Tracker) LocalLoads(all bool) []UpstreamLoad {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var loads []LoadAt
+	var loads []UpstreamLoad
 	if all {
 		for _, e := range b.upstreams {
 			if !e.touched && e.own != (Load{}) {
-				loads = append(loads, LoadAt{At: e.key(), Load: e.own})
+				loads = append(loads, UpstreamLoad{Upstream: e.key(), Load: e.own})
 			}
 		}
 	}
@@ -55,7 +55,7 @@
 		changed := e.own != e.told || (all && e.own != (Load{}))
 		if changed && b.upstreams[e.ID] == e {
 			e.told = e.own
-			loads = append(loads, LoadAt{At: e.key(), Load: e.own})
+			loads = append(loads, UpstreamLoad{Upstream: e.key(), Load: e.own})
 		}
 	}
 	b.touched = b.touched[:0]
@@ -63,7 +63,7 @@
 }
 
 // touch notes that this daemon's work at an upstream changes. b.mu is held.
-func (b *Books) touch(e *entry) {
+func (b *Tracker) touch(e *entry) {
 	if e.touched {
 		return
 	}
@@ -76,19 +76,19 @@
 
 // OnChange has f called when there is something new for Own to tell. f must not block, nor
 // call the books.
-func (b *Books) OnChange(f func()) {
+func (b *Tracker) OnChange(f func()) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.changed = f
 }
 
 // NotePeer takes what a peer says of its load at some upstreams.
-func (b *Books) NotePeer(peer string, loads []LoadAt, reads []Read) {
+func (b *Tracker) ApplyPeerUpdate(peer string, loads []UpstreamLoad, reads []PrefillEvent) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
 	for _, l := range loads {
-		e := b.keys[l.At]
+		e := b.keys[l.Upstream]
 		if e == nil {
 			continue
 		}
@@ -97,11 +97,11 @@
 		// A peer that was unknown, or has started anew, has added what it says at
 		// an unknown time; only the difference to a known state is news.
 		if known {
-			e.noteAdded(now, l.Load.Sent-before.Sent, l.Load.Moved-before.Moved)
+			e.noteAdded(now, l.Load.PrefillSent-before.PrefillSent, l.Load.TransferredTokens-before.TransferredTokens)
 		}
 	}
 	for _, r := range reads {
-		if e := b.keys[r.At]; e != nil && e.cache != nil {
+		if e := b.keys[r.Engine]; e != nil && e.cache != nil {
 			e.cache.note(r, now)
 		}
 	}
@@ -113,7 +113,7 @@
 		e.addReading(now, float64(sent)/microsPerMilli)
 	}
 	if moved < maxAdded {
-		e.addMove(now, float64(moved)*e.MoveMillisPerToken)
+		e.addMove(now, float64(moved)*e.TransferMillisPerToken)
 	}
 }
 
@@ -141,7 +141,7 @@
 const maxAdded = 1 << 24
 
 // ForgetPeer drops the load of a peer that has fallen silent.
-func (b *Books) ForgetPeer(peer string) {
+func (b *Tracker) ForgetPeer(peer string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, e := range b.upstreams {
--- a/placement/types.go
+++ b/placement/types.go
@@ -30,23 +30,23 @@
 	PromptTokens int
 	// OutputTokens is the expected length of the answer, MaxOutput the longest that its
 	// caller allows; 0 if it doesn't say.
-	OutputTokens, MaxOutput int
+	OutputTokens, MaxOutputTokens int
 	// BodyBytes is the size of the request.
 	BodyBytes int
 	// Objective is the time within which the first event is worth most; 0 is
 	// none. Spent is what has passed of it.
-	Objective, Spent time.Duration
+	Objective, Elapsed time.Duration
 	// Left is the time within which the whole answer must be there; 0 is none.
-	Left time.Duration
+	TimeLeft time.Duration
 	// Within is the time within which the first event must be expected for a plan to be of
 	// use, WithinReread that where parts would be read again that another engine keeps; 0
 	// is none.
-	Within, WithinReread time.Duration
+	FirstTokenLimit, RecomputeLimit time.Duration
 	// PauseObjective is the longest pause between two events that counts as on
 	// time; 0 is none.
-	PauseObjective time.Duration
+	GapObjective time.Duration
 	// Behind says that its answer will be late: it takes what the others leave.
-	Behind bool
+	Late bool
 	// DataCentre is where the request came in.
 	DataCentre string
 	// Exclude names engines that an earlier attempt has failed at.
@@ -61,41 +61,41 @@
 	Slots      int
 	// Running counts the requests in flight there, of all daemons as far as
 	// known, Long those of them that generate for long.
-	Running, Long int
+	Running, LongStreams int
 	// Behind counts the requests there whose prompts are read for a late answer.
-	Behind int
+	LatePrefills int
 	// QueueMillis is the time until the prompts sent there have been read.
 	QueueMillis float64
 	// UnreadMillis is what the prompts that weren't read yet take altogether.
-	UnreadMillis float64
+	PendingPrefillMillis float64
 	// LinkMillis is the time until the KV caches that it was told to fetch have
 	// come.
 	LinkMillis float64
 	// Slowness is how much longer than the others of its role it takes to read.
-	Slowness float64
+	PrefillSlowdown float64
 	// PaceFactor is how many times as long as at the others of its pool an event of a
 	// stream takes.
-	PaceFactor float64
+	DecodeSlowdown float64
 	// HeldTokens is the KV memory that its requests in flight take, KVTokens what it
 	// has.
-	HeldTokens, KVTokens int
+	ReservedKVTokens, KVTokens int
 	// MoveMillisPerToken is the time to move a token's KV cache between two engines
 	// of one data centre.
-	MoveMillisPerToken float64
+	TransferMillisPerToken float64
 	// Trial says that the engine has failed lately and gets one request at a
 	// time.
-	Trial bool
+	Probing bool
 	// LatencyMillis is the smoothed time of a call to a plain service.
 	LatencyMillis float64
 	// Model is what was learnt of the engines of its pool.
-	Model *enginemodel.Figures
+	Model *enginemodel.Parameters
 
 	// hash is that of the ID: all daemons order engines by it.
 	hash uint64
 	// entry is what the books hold of the engine, as of now. books is nil while the
 	// books are locked for the decision.
 	entry *entry
-	books *Books
+	books *Tracker
 	now   time.Time
 
 	// What follows is found out once for a decision.
@@ -109,7 +109,7 @@
 	// home is the engine's place in the order in which the prompt belongs to engines.
 	home int
 	// kept is what it keeps of the prompt.
-	kept Kept
+	kept CachedPrefix
 	// readLately is the reading sent there within the longest pause that counts as on
 	// time, in milliseconds.
 	readLately float64
@@ -121,9 +121,9 @@
 }
 
 // Cached returns what is believed to be in the engine's KV cache of a prompt.
-func (e *Engine) Cached(parts []Part) Kept {
+func (e *Engine) Cached(parts []Part) CachedPrefix {
 	if e.entry == nil || e.entry.cache == nil || len(parts) == 0 {
-		return Kept{}
+		return CachedPrefix{}
 	}
 	e.lock()
 	defer e.unlock()
@@ -132,7 +132,7 @@
 
 // ReadLately returns the milliseconds of reading that were sent there within the last
 // time.
-func (e *Engine) ReadLately(within time.Duration) float64 {
+func (e *Engine) RecentPrefill(within time.Duration) float64 {
 	if e.entry == nil {
 		return 0
 	}
@@ -143,7 +143,7 @@
 
 // MovedLately returns the milliseconds for which its link moved KV caches within the
 // last time.
-func (e *Engine) MovedLately(within time.Duration) float64 {
+func (e *Engine) RecentTransfers(within time.Duration) float64 {
 	if e.entry == nil {
 		return 0
 	}
@@ -166,12 +166,12 @@
 }
 
 // Kept is how many tokens from the beginning of a prompt an engine keeps.
-type Kept struct {
+type CachedPrefix struct {
 	// Read have been read, and may be fetched by other engines.
-	Read int
+	Ready int
 	// Coming counts those too that are being read there: a request that is sent
 	// there waits until they are.
-	Coming int
+	Expected int
 }
 
 // Plan is a decision.
@@ -186,25 +186,25 @@
 	// FirstToken is the expected time to the first token.
 	FirstToken time.Duration
 	// Queue is the part of it that passes before the engine begins to read.
-	Queue time.Duration
+	QueueTime time.Duration
 	// Reading is the part of it that the reading of the prompt takes.
-	Reading time.Duration
+	PrefillTime time.Duration
 	// Pause is the longest pause expected while the request generates.
-	Pause time.Duration
+	MaxGap time.Duration
 	// Whole is the expected time to the last event. Beside is how many requests run on
 	// the engine that generates.
-	Whole  time.Duration
-	Beside int
+	Completion time.Duration
+	Concurrent int
 	// Uncached is how many prompt tokens have to be read, Fetched how many the
 	// engine that reads it fetches.
-	Uncached, Fetched int
+	Uncached, Transferred int
 	// Reread says that Uncached has tokens that another engine keeps or is reading.
-	Reread bool
+	Recomputes bool
 	// Ideal is the expected time to the first token on an engine that is idle and
 	// keeps the parts that any engine keeps.
-	Ideal time.Duration
+	IdealFirstToken time.Duration
 	// Long says that it generates for long.
-	Long bool
+	LongStream bool
 	// Considered counts the engines that could take the request.
-	Considered int
+	Candidates int
 }
--- a/placement/unseen.go
+++ b/placement/unseen.go
@@ -25,7 +25,7 @@
 )
 
 // SetBlind sets how long others' work takes to be known here; 0 draws nothing.
-func (b *Books) SetBlind(d time.Duration) {
+func (b *Tracker) SetUpdateDelay(d time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.search.blind = d
@@ -42,7 +42,7 @@
 	}
 	sent := 0.0
 	for i := range s.engines {
-		sent += s.engines[i].ReadLately(sentWindow)
+		sent += s.engines[i].RecentPrefill(sentWindow)
 	}
 	mean := unseenFactor * sent / float64(len(s.engines)) * float64(s.blind) / float64(sentWindow)
 	for i := range s.engines {
--- a/placement/whole.go
+++ b/placement/whole.go
@@ -22,7 +22,7 @@
 // reading as much as it lately did, and some more within the same time, in milliseconds.
 func pace(e *Engine, read float64) float64 {
 	share := min(mostReading, (e.readInWindow+read)/enginemodel.Millis(rememberedFor))
-	return e.PaceFactor * e.Model.Interval(e.Running) / (1 - share)
+	return e.DecodeSlowdown * e.Model.IntervalMillis(e.Running) / (1 - share)
 }
 
 // whole returns the expected time to the last event of an answer whose first comes after
@@ -43,9 +43,9 @@
 // longest returns the tokens that the answer to a request may turn out to have: callers'
 // guesses are often half of that, and nothing takes a stream that has begun elsewhere.
 func (r Request) longest(e *Engine) int {
-	longest := max(r.OutputTokens, int(e.Model.LongestAnswer()))
-	if r.MaxOutput > 0 {
-		longest = min(longest, r.MaxOutput)
+	longest := max(r.OutputTokens, int(e.Model.LongResponseTokens()))
+	if r.MaxOutputTokens > 0 {
+		longest = min(longest, r.MaxOutputTokens)
 	}
 	return longest
 }
@@ -54,21 +54,21 @@
 // its share of the engine's time for nothing. It grows on beyond the deadline, so that of
 // engines that are all too slow the fastest is taken.
 func wholeCost(e *Engine, first float64, r Request) float64 {
-	if r.Left <= 0 || !r.long(e) {
+	if r.TimeLeft <= 0 || !r.long(e) {
 		return 0
 	}
-	left := enginemodel.Millis(r.Left)
+	left := enginemodel.Millis(r.TimeLeft)
 	events := e.Model.Events(r.longest(e))
 	return overrun(events, pace(e, 0), left-first) * left / float64(e.Running+1)
 }
 
 // overrunCost is the cost of reading at an engine whose longest streams it makes late.
 func overrunCost(e *Engine, read float64) float64 {
-	if e.Long == 0 {
+	if e.LongStreams == 0 {
 		return 0
 	}
-	events := e.Model.Events(int(e.Model.LongestAnswer()))
-	return overrunShare * read * min(1, overrun(events, pace(e, read), e.Model.AnswerTime()))
+	events := e.Model.Events(int(e.Model.LongResponseTokens()))
+	return overrunShare * read * min(1, overrun(events, pace(e, read), e.Model.LongResponseMillis()))
 }
 
 // leastSlowing is how many times as long as alone events may come beside others in any case.
@@ -81,12 +81,12 @@
 // generating.
 func longStreams(e *Engine) float64 {
 	slots := float64(LongSlots(e.Slots))
-	events := e.Model.Events(int(e.Model.LongestAnswer()))
-	if events <= 0 || e.Model.AnswerTime() <= 0 {
+	events := e.Model.Events(int(e.Model.LongResponseTokens()))
+	if events <= 0 || e.Model.LongResponseMillis() <= 0 {
 		return slots
 	}
-	interval := max(wholeShare*e.Model.AnswerTime()/(events*e.PaceFactor), leastSlowing*e.Model.Interval(0))
-	return min(slots, 1+e.Model.MostBeside(interval))
+	interval := max(wholeShare*e.Model.LongResponseMillis()/(events*e.DecodeSlowdown), leastSlowing*e.Model.IntervalMillis(0))
+	return min(slots, 1+e.Model.MaxConcurrent(interval))
 }
 
 // leastOutput is the share of its expected length that an answer has at least: callers' guesses
@@ -95,9 +95,9 @@
 
 // Shortest returns the least time in which the answer to a request can be whole: on an idle
 // engine, should it turn out as short as answers do. It is 0 if too little is known.
-func (b *Books) Shortest(pool string, r Request) time.Duration {
+func (b *Tracker) MinCompletionTime(pool string, r Request) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	f := b.model(pool).Figures()
-	return millis(leastOutput * f.Events(r.OutputTokens) * f.Interval(0))
+	f := b.model(pool).Parameters()
+	return millis(leastOutput * f.Events(r.OutputTokens) * f.IntervalMillis(0))
 }
--- a/placement/whole_test.go
+++ b/placement/whole_test.go
@@ -78,16 +78,16 @@
 func TestGeneratorsShareLongStreams(t *testing.T) {
 	p := newBatchReplay(12, 1, 1)
 	for range 300 {
-		p.books.model("p").LearnRead(enginemodel.Read{
-			Role: upstream.RoleDecode, Prompt: enginemodel.Prompt{Tokens: 200_000}, Took: millis(p.reading(upstream.RoleDecode, 200_000)), Alone: true,
+		p.books.model("p").LearnPrefill(enginemodel.PrefillSample{
+			Role: upstream.RoleDecode, Prompt: enginemodel.Prompt{Tokens: 200_000}, Took: millis(p.reading(upstream.RoleDecode, 200_000)), QueueEmpty: true,
 		})
 	}
 	for i := range 100 {
-		p.books.model("p").LearnAnswer(eventTokens*longestEvents*i/100, patience)
+		p.books.model("p").LearnLongResponse(eventTokens*longestEvents*i/100, patience)
 	}
 	for _, e := range p.engines {
 		if e.Role == upstream.RoleDecode {
-			p.books.NotePeer("other", []LoadAt{{At: KeyOf(e.ID, time.Time{}), Load: Load{Running: 8, Long: 8}}}, nil)
+			p.books.ApplyPeerUpdate("other", []UpstreamLoad{{Upstream: KeyOf(e.ID, time.Time{}), Load: Load{Running: 8, LongStreams: 8}}}, nil)
 		}
 	}
 	for range 40 {
@@ -108,13 +108,13 @@
 // generating than there were engines ("generating":19.89 of 16), and left one engine to read
 // ("prefill":1) in a burst of long prompts.
 func TestStreamsThatDontSlowEachOtherTakeNoEngineUp(t *testing.T) {
-	b := NewBooks((&clock{time.Unix(1000, 0)}).now)
+	b := NewTracker((&clock{time.Unix(1000, 0)}).now)
 	b.Sync([]Member{{ID: "e", Pool: "p", Role: upstream.RoleDecode, Slots: 32}})
 	m := b.model("p")
 	for i := range 100 {
 		m.LearnInterval(i%20, millis(30+0.1*float64(i%20)))
-		m.LearnGeneration(eventTokens*300, 300, 9*time.Second)
-		m.LearnAnswer(eventTokens*300, 10*time.Second)
+		m.LearnStream(eventTokens*300, 300, 9*time.Second)
+		m.LearnLongResponse(eventTokens*300, 10*time.Second)
 	}
 	require.InDelta(t, LongSlots(32), longStreams(&b.Engines([]string{"e"})[0]), 0.01)
 }
@@ -123,24 +123,24 @@
 // goes with what is told of the work, and is no news by itself: events are many.
 func TestPaceOfAnEngineIsTold(t *testing.T) {
 	c := &clock{time.Unix(1000, 0)}
-	one, other := NewBooks(c.now), NewBooks(c.now)
+	one, other := NewTracker(c.now), NewTracker(c.now)
 	members := []Member{{ID: "slow", Pool: "p", Role: upstream.RoleDecode}, {ID: "e", Pool: "p", Role: upstream.RoleDecode}}
 	one.Sync(members)
 	other.Sync(members)
 	for range 200 {
 		one.model("p").LearnInterval(0, 40*time.Millisecond)
 	}
-	stream := one.Begin("slow", Work{Output: 1000, Long: true})
-	one.Own(false)
+	stream := one.Begin("slow", Work{OutputTokens: 1000, LongStream: true})
+	one.LocalLoads(false)
 	for range 100 {
-		stream.Paused(60 * time.Millisecond)
+		stream.RecordGap(60 * time.Millisecond)
 	}
-	require.Empty(t, one.Own(false))
+	require.Empty(t, one.LocalLoads(false))
 	stream.End(Done)
-	other.NotePeer("one", one.Own(false), nil)
+	other.ApplyPeerUpdate("one", one.LocalLoads(false), nil)
 	engines := other.Engines([]string{"slow", "e"})
-	require.Greater(t, engines[0].PaceFactor, 1.2)
-	require.InDelta(t, 1, engines[1].PaceFactor, 0.01)
+	require.Greater(t, engines[0].DecodeSlowdown, 1.2)
+	require.InDelta(t, 1, engines[1].DecodeSlowdown, 0.01)
 }
 
 // Engines of any speed: what one event says isn't lost in the unit in which it is told.
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -100,7 +100,7 @@
 	DecodePerSec    float64   `json:"decode_tokens_per_s"`
 	MaxBatch        int       `json:"max_batch"`
 	Models          []string  `json:"models"`
-	FencingNumber   uint64    `json:"fencing_number"`
+	FencingToken    uint64    `json:"fencing_number"`
 	OrdersCompleted uint64    `json:"orders_completed"`
 }
 
@@ -133,19 +133,19 @@
 	Version string    `json:"version,omitempty" msgpack:"version"`
 	Adapter string    `json:"adapter,omitempty" msgpack:"adapter"`
 	// Fence is the fencing number: the log offset of the sender's lease claim.
-	Fence uint64 `json:"fence" msgpack:"fence"`
+	FencingToken uint64 `json:"fence" msgpack:"fence"`
 }
 
 // EngineState is what an engine answers when its state is read back.
 type EngineState struct {
-	Role          Role   `json:"role"`
-	Model         string `json:"model"`
-	Version       string `json:"version"`
-	Adapter       string `json:"adapter"`
-	Busy          bool   `json:"busy"` // an order is being carried out
-	Running       int    `json:"running"`
-	FencingNumber uint64 `json:"fencing_number"`
-	LastOrder     string `json:"last_order"`
+	Role         Role   `json:"role"`
+	Model        string `json:"model"`
+	Version      string `json:"version"`
+	Adapter      string `json:"adapter"`
+	Busy         bool   `json:"busy"` // an order is being carried out
+	Running      int    `json:"running"`
+	FencingToken uint64 `json:"fencing_number"`
+	LastOrder    string `json:"last_order"`
 	// Incarnation changes with each start of the engine.
 	Incarnation string `json:"incarnation"`
 }
