--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -137,7 +137,7 @@
 			for _, p := range waiting {
 				if g := granted(t, p); g != nil {
 					g.FirstToken()
-					g.Release(ResultDone, 50)
+					g.Release(ResultCompleted, 50)
 					break
 				}
 			}
@@ -147,7 +147,7 @@
 	_, err := c.Submit(longRequest("a", 5*time.Second, clock.at))
 	ref := refusal(t, err)
 	require.Equal(t, ReasonDeadline, ref.Reason)
-	require.InDelta(t, 20, ref.Expected.Seconds(), 7, "about twenty wait, one goes a second")
+	require.InDelta(t, 20, ref.ExpectedWait.Seconds(), 7, "about twenty wait, one goes a second")
 	require.InDelta(t, 16, ref.RetryAfter.Seconds(), 7)
 	submit(t, c, longRequest("a", time.Minute, clock.at))
 }
@@ -333,7 +333,7 @@
 						grant.FirstToken()
 					}
 					grant.Release(Result(rnd.IntN(3)), 10)
-					grant.Release(ResultDone, 10)
+					grant.Release(ResultCompleted, 10)
 				}
 				cancel()
 			}
@@ -391,7 +391,7 @@
 					}
 					if g, ok, _ := p.Poll(); ok {
 						g.FirstToken()
-						g.Release(ResultDone, 10)
+						g.Release(ResultCompleted, 10)
 					}
 				}
 			})
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -41,7 +41,7 @@
 		now:    now,
 		pools:  map[poolKey]*pool{},
 		limits: newLimits(cfg.MaxOrganisations),
-		budget: budget{share: cfg.RetryBudget},
+		budget: budget{share: cfg.RetryBudgetRatio},
 		counts: Counts{Refused: map[Reason]uint64{}},
 	}
 }
@@ -117,7 +117,7 @@
 	if r.Class != ClassAuto {
 		return r.Class
 	}
-	if r.PromptTokens >= c.cfg.LongTokens {
+	if r.PromptTokens >= c.cfg.LongPromptTokens {
 		return ClassLong
 	}
 	return ClassShort
@@ -222,10 +222,10 @@
 	p.tick(now)
 	ref := &Refusal{Reason: why, Waited: now.Sub(w.arrived)}
 	if why == ReasonDeadline {
-		ref.Needed = w.req.Estimate.Complete
-		ref.Left = w.req.Deadline.Sub(now)
-		ref.Expected = p.lane(w.class).meter.wait(p.lane(w.class).queue.ahead(w.req.Organisation, w.req.Priority))
-		ref.RetryAfter = p.whenToComeBack(w, ref.Expected, now)
+		ref.RequiredTime = w.req.Estimate.Complete
+		ref.TimeLeft = w.req.Deadline.Sub(now)
+		ref.ExpectedWait = p.lane(w.class).meter.wait(p.lane(w.class).queue.ahead(w.req.Organisation, w.req.Priority))
+		ref.RetryAfter = p.whenToComeBack(w, ref.ExpectedWait, now)
 	}
 	c.remove(p, w, ref)
 	return ref
--- a/admission/grant.go
+++ b/admission/grant.go
@@ -34,7 +34,7 @@
 		return
 	}
 	g.released = true
-	if res == ResultDone {
+	if res == ResultCompleted {
 		p := g.c.pool(g.w.req.Pool, g.w.req.Model)
 		p.settle(g.w, output)
 		p.completed(g.w, g.c.now())
--- a/admission/pool.go
+++ b/admission/pool.go
@@ -120,12 +120,12 @@
 		return nil
 	}
 	return &Refusal{
-		Reason:     ReasonDeadline,
-		RetryAfter: p.whenToComeBack(w, wait, now),
-		Waited:     now.Sub(w.arrived),
-		Expected:   wait,
-		Needed:     needed,
-		Left:       left,
+		Reason:       ReasonDeadline,
+		RetryAfter:   p.whenToComeBack(w, wait, now),
+		Waited:       now.Sub(w.arrived),
+		ExpectedWait: wait,
+		RequiredTime: needed,
+		TimeLeft:     left,
 	}
 }
 
@@ -215,7 +215,7 @@
 
 // completed marks a request's whole answer.
 func (p *pool) completed(w *waiter, now time.Time) {
-	p.press(w, now.Sub(w.granted)-w.req.Estimate.Alone)
+	p.press(w, now.Sub(w.granted)-w.req.Estimate.Unloaded)
 	p.steer(now)
 }
 
@@ -245,8 +245,8 @@
 	short, long := p.lane(ClassShort), p.lane(ClassLong)
 	onShort, onLong := short.pressure.mean(), long.pressure.mean()
 	noLong := long.window.atLeast() || long.window.requests == 0
-	long.window.adjust(onShort > p.cfg.LongPressure || onLong > p.cfg.ShortPressure)
-	short.window.adjust(onShort > p.cfg.ShortPressure && noLong)
+	long.window.adjust(onShort > p.cfg.LongThrottlePressure || onLong > p.cfg.ShortThrottlePressure)
+	short.window.adjust(onShort > p.cfg.ShortThrottlePressure && noLong)
 	short.pressure = pressure{}
 	long.pressure = pressure{}
 }
--- a/admission/refusal.go
+++ b/admission/refusal.go
@@ -36,7 +36,7 @@
 	// Expected is the wait in the queue that was foreseen, Needed the time
 	// that the answer takes after it, Left the time until the deadline. They
 	// are set for ReasonDeadline.
-	Expected, Needed, Left time.Duration
+	ExpectedWait, RequiredTime, TimeLeft time.Duration
 	// Rule names the rule whose limit it was.
 	Rule string
 }
@@ -45,7 +45,7 @@
 	switch r.Reason {
 	case ReasonDeadline:
 		return fmt.Sprintf("admission: not run: %s: %v in the queue and %v to answer, %v left",
-			r.Reason, round(r.Expected), round(r.Needed), round(r.Left))
+			r.Reason, round(r.ExpectedWait), round(r.RequiredTime), round(r.TimeLeft))
 	case ReasonRate, ReasonConcurrent:
 		return fmt.Sprintf("admission: not run: %s (rule %q)", r.Reason, r.Rule)
 	default:
--- a/admission/types.go
+++ b/admission/types.go
@@ -34,7 +34,7 @@
 	FirstToken time.Duration
 	Complete   time.Duration
 	// Alone is what Complete would be with no other work at the upstream.
-	Alone time.Duration
+	Unloaded time.Duration
 }
 
 // own is the time to the first token without a wait at the upstream.
@@ -89,7 +89,7 @@
 // The results of a granted request.
 const (
 	// ResultDone is a whole answer.
-	ResultDone Result = iota
+	ResultCompleted Result = iota
 	// ResultCancelled is a request that its caller gave up.
 	ResultCancelled
 	// ResultFailed is a request without a whole answer.
@@ -106,11 +106,11 @@
 	// LongPressure is the share of their slack that short requests may lose to
 	// waiting at the engines before fewer long ones are sent, and ShortPressure
 	// the share from which fewer short ones are.
-	LongPressure, ShortPressure float64
+	LongThrottlePressure, ShortThrottlePressure float64
 	// LongTokens is the prompt length from which ClassAuto means long.
-	LongTokens int
+	LongPromptTokens int
 	// RetryBudget is the share of requests that may be retried.
-	RetryBudget float64
+	RetryBudgetRatio float64
 	// MaxOrganisations bounds the organisations whose recent use is
 	// remembered while they have nothing waiting.
 	MaxOrganisations int
@@ -121,13 +121,13 @@
 // DefaultConfig returns the settings used where nothing else is said.
 func DefaultConfig() Config {
 	return Config{
-		MaxQueued:        2000,
-		ShortReserve:     0.15,
-		LongPressure:     0.2,
-		ShortPressure:    0.8,
-		LongTokens:       1024,
-		RetryBudget:      0.1,
-		MaxOrganisations: 4096,
-		MaxRetryAfter:    time.Minute,
+		MaxQueued:             2000,
+		ShortReserve:          0.15,
+		LongThrottlePressure:  0.2,
+		ShortThrottlePressure: 0.8,
+		LongPromptTokens:      1024,
+		RetryBudgetRatio:      0.1,
+		MaxOrganisations:      4096,
+		MaxRetryAfter:         time.Minute,
 	}
 }
--- a/admission/window.go
+++ b/admission/window.go
@@ -119,7 +119,7 @@
 func (w *waiter) lost(delay time.Duration) float64 {
 	slack := unboundedSlack
 	if !w.req.Deadline.IsZero() {
-		slack = w.req.Deadline.Sub(w.granted) - w.req.Estimate.Alone
+		slack = w.req.Deadline.Sub(w.granted) - w.req.Estimate.Unloaded
 	}
 	return float64(delay) / float64(max(slack, minSlack))
 }
--- a/internal/entry/answer/open.go
+++ b/internal/entry/answer/open.go
@@ -109,7 +109,7 @@
 
 func (a *Answer) noEngine(err error) *outcome.Failure {
 	var lack *router.NoUpstreamError
-	if errors.As(err, &lack) && lack.Reason == router.LackIsolated {
+	if errors.As(err, &lack) && lack.Reason == router.NoUpstreamIsolation {
 		return a.quarantined(a.runner.Suspects.Waiting(a.work.Digest))
 	}
 	f := a.fail(statusNoUpstream, outcome.CodeNoUpstream, err, "no engine can take the request now")
@@ -163,12 +163,12 @@
 			return err
 		}
 		request.KV = &handle
-		t.ticket.Prefilled()
+		t.ticket.PrefillDone()
 	}
 	// Waiting for the prompt elsewhere, or for a suspect's turn, takes seconds.
 	// An engine that has begun to leave meanwhile must not get new work: the
 	// platform could stop it, and with it the answer.
-	if t.ticket.EngineLeaves() {
+	if t.ticket.EngineShuttingDown() {
 		return errEngineLeaves
 	}
 	engine := a.runner.Engines.Engine(plan.Engine)
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -178,7 +178,7 @@
 	a := admission.DefaultConfig()
 	a.MaxQueued = d.Admission.MaxQueued
 	a.ShortReserve = d.Admission.ShortReserve
-	a.RetryBudget = d.Admission.RetryBudget
+	a.RetryBudgetRatio = d.Admission.RetryBudget
 	e.admission = admission.New(a, nil)
 	e.drains = newPeerDrains(e.orders, e.journal.CaughtUp())
 	e.inflight = inflight.NewBook(e.drains, e.journal.Applied, engineNames(d))
--- a/internal/entry/exchange.go
+++ b/internal/entry/exchange.go
@@ -75,5 +75,5 @@
 
 // listTakers are told each answer of the platform's list.
 func (e *Entry) listTakers() []func([]infra.Instance) {
-	return []func([]infra.Instance){e.tracker.SetList, e.node.TakeList}
+	return []func([]infra.Instance){e.tracker.SetInstances, e.node.TakeList}
 }
--- a/internal/entry/feeds.go
+++ b/internal/entry/feeds.go
@@ -67,12 +67,12 @@
 		if err != nil {
 			return
 		}
-		f.tracker.SetReport(f.name, report, time.Now())
+		f.tracker.SetLoadReport(f.name, report, time.Now())
 		events, err := f.engine.CacheEvents(ask, f.seq)
 		if err != nil || len(events) == 0 {
 			return
 		}
-		f.tracker.SetCacheEvents(f.name, events)
+		f.tracker.ApplyCacheEvents(f.name, events)
 		f.seq = events[len(events)-1].Seq
 	})
 }
@@ -112,10 +112,10 @@
 func (f *capacityFeed) localShare() float64 {
 	work, room := 0, 0
 	for _, u := range f.tracker.Snapshot().Upstreams(time.Now()) {
-		if u.Kind != infra.KindEngine || u.DataCentre != f.dataCentre || u.Leaving || u.Draining {
+		if u.Kind != infra.KindEngine || u.DataCentre != f.dataCentre || u.ShuttingDown || u.Draining {
 			continue
 		}
-		work += max(0, u.Report.Running+u.Report.Waiting+u.Own.Requests)
+		work += max(0, u.Report.Running+u.Report.Waiting+u.LocalDelta.Requests)
 		room += u.Report.MaxBatch
 	}
 	if room == 0 {
--- a/internal/entry/gateway/model.go
+++ b/internal/entry/gateway/model.go
@@ -162,7 +162,7 @@
 func admissionResult(f *outcome.Failure) admission.Result {
 	switch {
 	case f == nil:
-		return admission.ResultDone
+		return admission.ResultCompleted
 	case f.Code == outcome.CodeCallerGone:
 		return admission.ResultCancelled
 	default:
--- a/router/baselines.go
+++ b/router/baselines.go
@@ -10,8 +10,8 @@
 type LeastCost struct{}
 
 // Pick implements Picker.
-func (LeastCost) Pick(cands []Candidate, _ *Request, _ *rand.Rand) (int, Why) {
-	return cheapest(cands), WhyLeast
+func (LeastCost) Pick(cands []Candidate, _ *Request, _ *rand.Rand) (int, PlanReason) {
+	return cheapest(cands), ReasonLeastCost
 }
 
 // LeastOutstanding takes the candidate with the fewest own requests in flight,
@@ -19,7 +19,7 @@
 type LeastOutstanding struct{}
 
 // Pick implements Picker.
-func (LeastOutstanding) Pick(cands []Candidate, _ *Request, rnd *rand.Rand) (int, Why) {
+func (LeastOutstanding) Pick(cands []Candidate, _ *Request, rnd *rand.Rand) (int, PlanReason) {
 	best, equals := 0, 1
 	for i := 1; i < len(cands); i++ {
 		switch {
@@ -31,15 +31,15 @@
 			}
 		}
 	}
-	return best, WhyLeast
+	return best, ReasonLeastCost
 }
 
 // RoundRobin takes the candidates in turn.
 type RoundRobin struct{ next atomic.Uint64 }
 
 // Pick implements Picker.
-func (p *RoundRobin) Pick(cands []Candidate, _ *Request, _ *rand.Rand) (int, Why) {
-	return int((p.next.Add(1) - 1) % uint64(len(cands))), WhyLeast
+func (p *RoundRobin) Pick(cands []Candidate, _ *Request, _ *rand.Rand) (int, PlanReason) {
+	return int((p.next.Add(1) - 1) % uint64(len(cands))), ReasonLeastCost
 }
 
 // Baseline returns a pipeline that filters as usual, costs as usual and picks
@@ -48,7 +48,7 @@
 	return func(cfg Config) *Scheduler {
 		s := NewScheduler(cfg)
 		s.Picker = p
-		s.cfg.SplitMinTokens = noSplit
+		s.cfg.MinSplitTokens = noSplit
 		return s
 	}
 }
--- a/router/candidate.go
+++ b/router/candidate.go
@@ -9,7 +9,7 @@
 
 // Candidate is an upstream under consideration for one request.
 type Candidate struct {
-	Up *Upstream
+	Upstream *Upstream
 	// Work is what is in flight there, the report corrected by own work.
 	Work     Work
 	InFlight int
@@ -18,8 +18,8 @@
 	// Trials counts the requests in flight that are to show whether it is well.
 	Trials int
 	// Link is the one-way latency from the request's data centre.
-	Link  time.Duration
-	Local bool
+	Link           time.Duration
+	SameDataCentre bool
 	// CachedTokens is how much of the prompt its cache should hold.
 	CachedTokens int
 	// ReportAge is how old the load report's figures are.
@@ -37,7 +37,7 @@
 // load reads a node for a decision.
 func (c *Candidate) load(s *Snapshot, n *node, r *Request, dc int32, now time.Time) {
 	u := n.state.Load()
-	*c = Candidate{Up: u, node: n, Local: n.dc == dc, Link: s.latency[dc][n.dc], slack: noSlack}
+	*c = Candidate{Upstream: u, node: n, SameDataCentre: n.dc == dc, Link: s.latency[dc][n.dc], slack: noSlack}
 	if !r.Deadline.IsZero() {
 		c.slack = r.Deadline.Sub(now)
 	}
@@ -58,13 +58,13 @@
 
 // outOfService says that the engine's own report has it out of service.
 func (c *Candidate) outOfService() bool {
-	return c.Up.Kind == infra.KindEngine && !c.Up.ReportAt.IsZero() && !c.Up.Report.InService
+	return c.Upstream.Kind == infra.KindEngine && !c.Upstream.ReportAt.IsZero() && !c.Upstream.Report.InService
 }
 
 // role returns the role in force; an engine of unknown role counts as mixed.
 func (c *Candidate) role() upstream.Role {
-	if c.Up.Role == "" {
+	if c.Upstream.Role == "" {
 		return upstream.RoleMixed
 	}
-	return c.Up.Role
+	return c.Upstream.Role
 }
--- a/router/engine.go
+++ b/router/engine.go
@@ -34,7 +34,7 @@
 	}
 	m.prefill /= l.prefillFactor.load()
 	m.stepFull = float64(m.batch) / decode * l.gapFactor.load()
-	m.stepFirst = m.stepFull * cfg.FirstStepShare
+	m.stepFirst = m.stepFull * cfg.SingleStreamStepFraction
 	m.stepIdle = m.stepFirst / l.gapFactor.load()
 	return m
 }
@@ -85,7 +85,7 @@
 // memorySeconds is the wait for KV memory: what is in use comes free as the
 // answers end, all of it within about the time of an answer.
 func (c *Candidate) memorySeconds(answer float64) float64 {
-	total := c.Up.Report.KVTotalTokens
+	total := c.Upstream.Report.KVTotalTokens
 	if total <= 0 || c.needTokens == 0 {
 		return 0
 	}
--- a/router/filter.go
+++ b/router/filter.go
@@ -7,7 +7,7 @@
 	// Keep reports whether the candidate may run the request.
 	Keep(c *Candidate, r *Request) bool
 	// Lack is the reason given if this filter dropped the last candidate.
-	Lack() Lack
+	Reason() NoUpstreamReason
 }
 
 type (
@@ -22,41 +22,43 @@
 
 // leavingFilter holds new work back from upstreams that leave or are about to
 // be changed.
-func (leavingFilter) Keep(c *Candidate, _ *Request) bool { return !c.Up.Leaving && !c.Up.Draining }
-func (leavingFilter) Lack() Lack                         { return LackLeaving }
+func (leavingFilter) Keep(c *Candidate, _ *Request) bool {
+	return !c.Upstream.ShuttingDown && !c.Upstream.Draining
+}
+func (leavingFilter) Reason() NoUpstreamReason { return NoUpstreamDraining }
 
 // serviceFilter holds work back from an engine whose report has it out of
 // service, as during a role change.
 func (serviceFilter) Keep(c *Candidate, _ *Request) bool { return !c.outOfService() }
-func (serviceFilter) Lack() Lack                         { return LackService }
+func (serviceFilter) Reason() NoUpstreamReason           { return NoUpstreamOutOfService }
 
 // ejectedFilter holds work back from an upstream that failed lately.
 func (ejectedFilter) Keep(c *Candidate, _ *Request) bool { return !c.Ejected }
-func (ejectedFilter) Lack() Lack                         { return LackEjected }
+func (ejectedFilter) Reason() NoUpstreamReason           { return NoUpstreamEjected }
 
 // trialFilter lets an upstream on probation have one request at a time, and
 // none that must not fail.
 func (trialFilter) Keep(c *Candidate, r *Request) bool {
 	return !c.Trial || (c.Trials == 0 && !r.NoTrial)
 }
-func (trialFilter) Lack() Lack { return LackEjected }
+func (trialFilter) Reason() NoUpstreamReason { return NoUpstreamEjected }
 
 // excludedFilter keeps a retry away from upstreams already tried.
 func (excludedFilter) Keep(c *Candidate, r *Request) bool {
-	return len(r.Exclude) == 0 || !slices.Contains(r.Exclude, c.Up.Name)
+	return len(r.Exclude) == 0 || !slices.Contains(r.Exclude, c.Upstream.Name)
 }
-func (excludedFilter) Lack() Lack { return LackExcluded }
+func (excludedFilter) Reason() NoUpstreamReason { return NoUpstreamExcluded }
 
 // isolatedFilter keeps suspected requests apart from each other.
 func (isolatedFilter) Keep(c *Candidate, r *Request) bool {
-	return r.MayRunOn == nil || r.MayRunOn(c.Up.Name)
+	return r.MayRunOn == nil || r.MayRunOn(c.Upstream.Name)
 }
-func (isolatedFilter) Lack() Lack { return LackIsolated }
+func (isolatedFilter) Reason() NoUpstreamReason { return NoUpstreamIsolation }
 
 // memoryFilter drops engines whose KV memory couldn't hold the request even if
 // it were alone there.
 func (memoryFilter) Keep(c *Candidate, _ *Request) bool {
-	total := c.Up.Report.KVTotalTokens
+	total := c.Upstream.Report.KVTotalTokens
 	return total <= 0 || c.needTokens <= total
 }
-func (memoryFilter) Lack() Lack { return LackMemory }
+func (memoryFilter) Reason() NoUpstreamReason { return NoUpstreamKVMemory }
--- a/router/fleet_test.go
+++ b/router/fleet_test.go
@@ -149,7 +149,7 @@
 		if j.left == 0 {
 			e.drop(j)
 			j.inTime = !now.After(j.deadline)
-			j.end(router.OutcomeOK, admission.ResultDone)
+			j.end(router.OutcomeOK, admission.ResultCompleted)
 		}
 	}
 	e.chunks = nil
@@ -172,7 +172,7 @@
 }
 
 func (j *job) handOver(now time.Time) {
-	j.ticket.Prefilled()
+	j.ticket.PrefillDone()
 	j.prefillOnly = false
 	j.engine = j.decode
 	j.todo = 1
@@ -355,7 +355,7 @@
 			r := e.reports[at]
 			r.AgeMillis = f.now.Sub(e.reportsAt[at]).Milliseconds()
 			for _, en := range f.entries {
-				en.tracker.SetReport(e.name, r, f.now)
+				en.tracker.SetLoadReport(e.name, r, f.now)
 			}
 		}
 		held := float64(len(e.running) + len(e.waiting))
--- a/router/node.go
+++ b/router/node.go
@@ -53,13 +53,13 @@
 // newNode makes a node whose live part starts from the values in u.
 func newNode(id, dc int32, u Upstream) *node {
 	n := &node{id: id, dc: dc}
-	n.live.requests.Store(int64(u.Own.Requests))
-	n.live.prompt.Store(int64(u.Own.PromptTokens))
-	n.live.output.Store(int64(u.Own.OutputTokens))
-	n.live.kv.Store(int64(u.Own.KVTokens))
+	n.live.requests.Store(int64(u.LocalDelta.Requests))
+	n.live.prompt.Store(int64(u.LocalDelta.PromptTokens))
+	n.live.output.Store(int64(u.LocalDelta.OutputTokens))
+	n.live.kv.Store(int64(u.LocalDelta.KVTokens))
 	n.live.inFlight.Store(int64(u.InFlight))
-	n.live.ownPrompt.Store(int64(u.Own.PromptTokens))
-	n.live.ownKV.Store(int64(u.Own.KVTokens))
+	n.live.ownPrompt.Store(int64(u.LocalDelta.PromptTokens))
+	n.live.ownKV.Store(int64(u.LocalDelta.KVTokens))
 	n.live.prefillFactor.store(factorOrOne(u.PrefillFactor))
 	n.live.gapFactor.store(factorOrOne(u.GapFactor))
 	n.live.failureRate.store(u.FailureRate)
@@ -97,7 +97,7 @@
 // view returns the upstream as it is now, live parts filled in.
 func (n *node) view(now time.Time) Upstream {
 	u := *n.state.Load()
-	u.Own = Work{
+	u.LocalDelta = Work{
 		Requests:     int(n.live.requests.Load()),
 		PromptTokens: int(n.live.prompt.Load()),
 		KVTokens:     int(n.live.kv.Load()),
--- a/router/peers.go
+++ b/router/peers.go
@@ -79,7 +79,7 @@
 // staleAfter is the age at which a report counts for a quarter: a share of the
 // time of an answer, in which the prompts that it saw have been worked through.
 func (p *peers) staleAfter(cfg *Config) time.Duration {
-	share := seconds(cfg.StaleShare * p.answer.load())
+	share := seconds(cfg.StaleFraction * p.answer.load())
 	if share <= 0 {
 		return cfg.StaleAfter
 	}
--- a/router/pick.go
+++ b/router/pick.go
@@ -9,7 +9,7 @@
 type Picker interface {
 	// Pick returns the index of the candidate chosen, and why. There is at
 	// least one.
-	Pick(cands []Candidate, r *Request, rnd *rand.Rand) (int, Why)
+	Pick(cands []Candidate, r *Request, rnd *rand.Rand) (int, PlanReason)
 }
 
 // spreadPicker draws among the candidates whose cost is near the least, each
@@ -31,10 +31,10 @@
 // leastSpread is the band's least width.
 const leastSpread = 5 * time.Millisecond
 
-func (p spreadPicker) Pick(cands []Candidate, _ *Request, rnd *rand.Rand) (int, Why) {
+func (p spreadPicker) Pick(cands []Candidate, _ *Request, rnd *rand.Rand) (int, PlanReason) {
 	best := cheapest(cands)
 	if len(cands) == 1 {
-		return 0, WhyOnly
+		return 0, ReasonOnlyUpstream
 	}
 	width := p.width(&cands[best])
 	limit := cands[best].Cost + width
@@ -47,22 +47,22 @@
 		}
 	}
 	if near == 1 {
-		return best, reasonOf(&cands[best], WhyLeast)
+		return best, reasonOf(&cands[best], ReasonLeastCost)
 	}
 	return p.draw(cands, limit, width, rnd.Float64()*total, best)
 }
 
-func (p spreadPicker) draw(cands []Candidate, limit, width time.Duration, at float64, best int) (int, Why) {
+func (p spreadPicker) draw(cands []Candidate, limit, width time.Duration, at float64, best int) (int, PlanReason) {
 	for i := range cands {
 		w := weight(&cands[i], limit, width)
 		if w <= 0 {
 			continue
 		}
 		if at -= w; at <= 0 {
-			return i, reasonOf(&cands[i], WhySpread)
+			return i, reasonOf(&cands[i], ReasonSpread)
 		}
 	}
-	return best, reasonOf(&cands[best], WhySpread)
+	return best, reasonOf(&cands[best], ReasonSpread)
 }
 
 func (p spreadPicker) width(best *Candidate) time.Duration {
@@ -79,12 +79,12 @@
 	return min(1, float64(limit-c.Cost)/float64(width))
 }
 
-func reasonOf(c *Candidate, otherwise Why) Why {
+func reasonOf(c *Candidate, otherwise PlanReason) PlanReason {
 	if c.Trial {
-		return WhyTrial
+		return ReasonTrial
 	}
 	if c.CachedTokens > 0 {
-		return WhyPrefix
+		return ReasonCachedPrefix
 	}
 	return otherwise
 }
--- a/router/pick_test.go
+++ b/router/pick_test.go
@@ -47,26 +47,26 @@
 		ups  []Upstream
 		r    Request
 		want string
-		lack Lack
+		lack NoUpstreamReason
 	}{
-		{"unknown pool", nil, request, "", LackPool},
-		{"unknown model", []Upstream{engine("a", nil)}, with(func(r *Request) { r.Model = "x" }), "", LackModel},
-		{"leaving", []Upstream{engine("a", func(u *Upstream) { u.Leaving = true })}, request, "", LackLeaving},
+		{"unknown pool", nil, request, "", NoUpstreamUnknownPool},
+		{"unknown model", []Upstream{engine("a", nil)}, with(func(r *Request) { r.Model = "x" }), "", NoUpstreamUnknownModel},
+		{"leaving", []Upstream{engine("a", func(u *Upstream) { u.ShuttingDown = true })}, request, "", NoUpstreamDraining},
 		{"draining passed over", []Upstream{engine("a", func(u *Upstream) { u.Draining = true }), engine("b", nil)}, request, "b", ""},
-		{"out of service", []Upstream{engine("a", func(u *Upstream) { u.Report.InService = false })}, request, "", LackService},
+		{"out of service", []Upstream{engine("a", func(u *Upstream) { u.Report.InService = false })}, request, "", NoUpstreamOutOfService},
 		{"ejected passed over", []Upstream{engine("a", func(u *Upstream) { u.Ejected = true }), engine("b", nil)}, request, "b", ""},
-		{"all ejected", []Upstream{engine("a", func(u *Upstream) { u.Ejected = true })}, request, "", LackEjected},
+		{"all ejected", []Upstream{engine("a", func(u *Upstream) { u.Ejected = true })}, request, "", NoUpstreamEjected},
 		{"not on trial", []Upstream{engine("a", func(u *Upstream) { u.Trial = true }), engine("b", func(u *Upstream) { u.Report.QueuedPrompt = 9000 })},
 			with(func(r *Request) { r.NoTrial = true }), "b", ""},
 		{"on trial if nothing else is left", []Upstream{engine("a", func(u *Upstream) { u.Trial = true })},
 			with(func(r *Request) { r.NoTrial = true }), "a", ""},
-		{"excluded", []Upstream{engine("a", nil)}, with(func(r *Request) { r.Exclude = []string{"a"} }), "", LackExcluded},
+		{"excluded", []Upstream{engine("a", nil)}, with(func(r *Request) { r.Exclude = []string{"a"} }), "", NoUpstreamExcluded},
 		{"isolated", []Upstream{engine("a", nil), engine("b", nil)},
 			with(func(r *Request) { r.MayRunOn = func(e string) bool { return e == "b" } }), "b", ""},
-		{"too large for any memory", []Upstream{engine("a", nil)}, with(func(r *Request) { r.PromptTokens = 70000 }), "", LackMemory},
+		{"too large for any memory", []Upstream{engine("a", nil)}, with(func(r *Request) { r.PromptTokens = 70000 }), "", NoUpstreamKVMemory},
 		{"shorter queue", []Upstream{engine("a", func(u *Upstream) { u.Report.QueuedPrompt = 9000 }), engine("b", nil)}, request, "b", ""},
 		{"full memory counts as a queue", []Upstream{engine("a", func(u *Upstream) { u.Report.KVUsedTokens = 59900; u.Report.Running = 9 }), engine("b", func(u *Upstream) { u.Report.Running = 9 })}, request, "b", ""},
-		{"own work corrects the report", []Upstream{engine("a", func(u *Upstream) { u.Own.PromptTokens = 9000; u.InFlight = 3; u.Own.Requests = 3 }), engine("b", nil)}, request, "b", ""},
+		{"own work corrects the report", []Upstream{engine("a", func(u *Upstream) { u.LocalDelta.PromptTokens = 9000; u.InFlight = 3; u.LocalDelta.Requests = 3 }), engine("b", nil)}, request, "b", ""},
 		{"local first", []Upstream{engine("a", func(u *Upstream) { u.DataCentre = "far" }), engine("b", func(u *Upstream) { u.Report.Running = 1 })}, request, "b", ""},
 		{"far if the local queue costs more", []Upstream{engine("a", func(u *Upstream) { u.DataCentre = "far" }), engine("b", func(u *Upstream) { u.Report.QueuedPrompt = 5000 })}, request, "a", ""},
 		{"failures cost", []Upstream{engine("a", func(u *Upstream) { u.FailureRate = 0.4 }), engine("b", nil)}, request, "b", ""},
@@ -137,7 +137,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			cfg := testConfig()
-			cfg.HandoffBytesPerSecond = c.link
+			cfg.KVTransferBytesPerSecond = c.link
 			plan, err := Pick(NewSnapshot(cfg, fleet(c.queued), nil), Request{Pool: "p", Model: "m", PromptTokens: c.prompt, OutputTokens: 200}, testNow, testRand())
 			require.NoError(t, err)
 			require.Equal(t, c.split, plan.Prefill == "pre" && plan.Engine == "dec", "%+v", plan)
--- a/router/policy_test.go
+++ b/router/policy_test.go
@@ -45,7 +45,7 @@
 	}
 	minimum := router.DefaultConfig("dc")
 	minimum.Pipeline = router.Baseline(router.LeastCost{})
-	minimum.StaleAfter, minimum.StaleShare = 1000*time.Hour, 0 // reports are taken at their word
+	minimum.StaleAfter, minimum.StaleFraction = 1000*time.Hour, 0 // reports are taken at their word
 	for _, lag := range []time.Duration{time.Second, 2 * time.Second, 5 * time.Second} {
 		ours, least := imbalance(router.DefaultConfig("dc"), lag), imbalance(minimum, lag)
 		t.Logf("reports %v old: most requests over the mean %.2f, picking the minimum %.2f", lag, ours, least)
--- a/router/record.go
+++ b/router/record.go
@@ -55,7 +55,7 @@
 	l := &b.node.live
 	b.record.trialsPast++
 	l.health.Store(uint32(trial))
-	if b.record.trialsPast < b.t.cfg.Outlier.Trials {
+	if b.record.trialsPast < b.t.cfg.Outlier.SuccessfulTrials {
 		return
 	}
 	l.health.Store(uint32(healthy))
@@ -86,7 +86,7 @@
 		return
 	}
 	tooMany := r.attempts >= cfg.MinAttempts && l.failureRate.load() > cfg.MaxFailureRate
-	if r.consecutive >= cfg.Consecutive || tooMany || dies(o) {
+	if r.consecutive >= cfg.ConsecutiveFailures || tooMany || dies(o) {
 		b.ejectIfAllowed(o, now)
 	}
 }
@@ -132,7 +132,7 @@
 // fail alike, the cause isn't theirs. Upstreams that can't be reached are out
 // whatever their number.
 func (b *book) ejectIfAllowed(o Outcome, now time.Time) {
-	if dies(o) || b.ejectedShare(now) < b.t.cfg.Outlier.MaxFraction {
+	if dies(o) || b.ejectedShare(now) < b.t.cfg.Outlier.MaxEjectedFraction {
 		b.eject(o, now)
 	}
 }
@@ -162,14 +162,14 @@
 func (b *book) eject(o Outcome, now time.Time) {
 	cfg := &b.t.cfg.Outlier
 	r := &b.record
-	if now.Sub(r.lastEjected) > 4*cfg.MaxHold {
+	if now.Sub(r.lastEjected) > 4*cfg.MaxEjectionTime {
 		r.ejections = 0
 	}
-	most := cfg.MaxHold
+	most := cfg.MaxEjectionTime
 	if dies(o) {
-		most = cfg.MaxHoldDead
+		most = cfg.MaxEjectionTimeUnreachable
 	}
-	hold := min(most, cfg.Hold<<min(r.ejections, 16))
+	hold := min(most, cfg.BaseEjectionTime<<min(r.ejections, 16))
 	r.ejections++
 	r.trialsPast = 0
 	r.lastEjected = now
--- a/router/schedule.go
+++ b/router/schedule.go
@@ -40,7 +40,7 @@
 			leavingFilter{}, serviceFilter{}, memoryFilter{}, ejectedFilter{},
 			excludedFilter{}, isolatedFilter{},
 		},
-		Picker: spreadPicker{base: leastSpread, share: cfg.Spread, ageShare: cfg.SpreadByAge},
+		Picker: spreadPicker{base: leastSpread, share: cfg.SpreadByCost, ageShare: cfg.SpreadByAge},
 		cfg:    cfg,
 	}
 	s.Scorers = []Scorer{
@@ -94,9 +94,9 @@
 }
 
 func lackOf(s *Snapshot, pool, model string) error {
-	e := &NoUpstreamError{Pool: pool, Model: model, Reason: LackPool}
+	e := &NoUpstreamError{Pool: pool, Model: model, Reason: NoUpstreamUnknownPool}
 	if s.pools[pool] > 0 {
-		e.Reason = LackModel
+		e.Reason = NoUpstreamUnknownModel
 	}
 	return e
 }
@@ -123,10 +123,10 @@
 
 func (p *Scheduler) run(d *decision) (Plan, error) {
 	d.lookUpCache()
-	why := Why("")
+	why := PlanReason("")
 	d.gather(p.Filters)
 	if len(d.sc.cands) == 0 {
-		why = WhyFallback
+		why = ReasonFallback
 		d.gather(p.Fallback)
 	}
 	if len(d.sc.cands) == 0 {
@@ -139,7 +139,7 @@
 	}
 	c := &d.sc.cands[i]
 	plan := Plan{
-		Engine:       c.Up.Name,
+		Engine:       c.Upstream.Name,
 		Estimate:     c.Estimate,
 		Reason:       why,
 		CachedTokens: c.CachedTokens,
@@ -272,10 +272,10 @@
 	d.gather(filters)
 	most := 0
 	for i, f := range filters {
-		e.Dropped = append(e.Dropped, Dropped{f.Lack(), d.sc.dropped[i]})
+		e.Dropped = append(e.Dropped, FilterCount{f.Reason(), d.sc.dropped[i]})
 		if d.sc.dropped[i] >= most && d.sc.dropped[i] > 0 {
 			most = d.sc.dropped[i]
-			e.Reason = f.Lack()
+			e.Reason = f.Reason()
 		}
 	}
 	return e
--- a/router/score.go
+++ b/router/score.go
@@ -17,7 +17,7 @@
 type timeScorer struct{}
 
 func (timeScorer) Cost(c *Candidate, r *Request) time.Duration {
-	if c.Up.Kind == infra.KindService {
+	if c.Upstream.Kind == infra.KindService {
 		c.Estimate = estimateService(c)
 		return c.Estimate.Complete
 	}
@@ -47,7 +47,7 @@
 type occupancyScorer struct{ weight float64 }
 
 func (s occupancyScorer) Cost(c *Candidate, r *Request) time.Duration {
-	if c.Up.Kind == infra.KindService {
+	if c.Upstream.Kind == infra.KindService {
 		return 0
 	}
 	prompt := max(0, r.PromptTokens-c.CachedTokens)
@@ -61,10 +61,10 @@
 func (s crossScorer) Cost(c *Candidate, _ *Request) time.Duration { return s.cfg.crossCost(c) }
 
 func (cfg *Config) crossCost(c *Candidate) time.Duration {
-	if c.Local {
+	if c.SameDataCentre {
 		return 0
 	}
-	return cfg.CrossCost + time.Duration(cfg.CrossShare*float64(c.Estimate.Complete))
+	return cfg.CrossDCPenalty + time.Duration(cfg.CrossDCPenaltyFraction*float64(c.Estimate.Complete))
 }
 
 // failureScorer costs the attempts that an upstream's failures would waste: at
--- a/router/split.go
+++ b/router/split.go
@@ -27,9 +27,9 @@
 // handoffSeconds is the time that a prompt's KV cache takes between two
 // engines, as the settings have it.
 func (c *Config) handoffSeconds(tokens int, same bool, oneWay time.Duration) float64 {
-	rate := c.CrossHandoffBytesPerSecond
+	rate := c.CrossDCKVTransferBytesPerSecond
 	if same {
-		rate = c.HandoffBytesPerSecond
+		rate = c.KVTransferBytesPerSecond
 	}
 	return c.KVBytesPerToken*float64(tokens)/rate + 2*oneWay.Seconds()
 }
@@ -39,7 +39,7 @@
 // when the decode engines' streams would otherwise be held up by its prefill;
 // it costs the handoff, and a queue at each of two engines.
 func (p *Scheduler) trySplit(d *decision, whole Plan, cost time.Duration) Plan {
-	if d.r.NoSplit || d.r.PromptTokens-whole.CachedTokens < p.cfg.SplitMinTokens || len(d.g.prefill) == 0 {
+	if d.r.NoSplit || d.r.PromptTokens-whole.CachedTokens < p.cfg.MinSplitTokens || len(d.g.prefill) == 0 {
 		return whole
 	}
 	pre := d.prefillCandidates(p)
@@ -52,14 +52,14 @@
 		return whole
 	}
 	j, _ := p.Picker.Pick(dec, d.r, d.rnd)
-	if float64(dec[j].Cost) > float64(cost)*(1-p.cfg.SplitGain) {
+	if float64(dec[j].Cost) > float64(cost)*(1-p.cfg.MinSplitGain) {
 		return whole
 	}
 	return Plan{
-		Engine:       dec[j].Up.Name,
-		Prefill:      pre[i].Up.Name,
+		Engine:       dec[j].Upstream.Name,
+		Prefill:      pre[i].Upstream.Name,
 		Estimate:     dec[j].Estimate,
-		Reason:       WhySplit,
+		Reason:       ReasonSplit,
 		CachedTokens: pre[i].CachedTokens,
 		Considered:   len(pre) + len(dec),
 	}
@@ -118,7 +118,7 @@
 	first := pre.Estimate.Complete.Seconds() + move + wait + m.step(c.Work.Requests+1) + 2*c.Link.Seconds()
 	output := c.node.outputOf(r)
 	complete := first + output*m.step(c.Work.Requests+1)
-	alone := pre.Estimate.Alone + seconds(move) + m.alone(0, output)
+	alone := pre.Estimate.Unloaded + seconds(move) + m.alone(0, output)
 	c.Estimate = Estimate{pre.Estimate.Queue, seconds(first), seconds(complete), alone}
 	c.Cost = pre.Cost - urgent(pre.Estimate.Complete, c.slack) + urgent(c.Estimate.Complete, c.slack)
 	c.Cost += seconds(p.cfg.OccupancyWeight * c.occupancy(0, r.OutputTokens))
--- a/router/ticket.go
+++ b/router/ticket.go
@@ -69,7 +69,7 @@
 
 // Prefilled says that the engine for prefill is done and has handed over. It
 // is for plans with a Prefill only.
-func (k *Ticket) Prefilled() {
+func (k *Ticket) PrefillDone() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.ended || k.prefill == nil {
@@ -86,8 +86,8 @@
 
 // EngineLeaves reports whether the engine that should give the answer has
 // begun to leave since the attempt began.
-func (k *Ticket) EngineLeaves() bool {
-	return k.engine != nil && k.engine.node.state.Load().Leaving
+func (k *Ticket) EngineShuttingDown() bool {
+	return k.engine != nil && k.engine.node.state.Load().ShuttingDown
 }
 
 // FirstToken says that the first token has come.
--- a/router/tracker.go
+++ b/router/tracker.go
@@ -101,7 +101,7 @@
 // SetReport takes an engine's load report that was received at a time. Reports
 // that were measured before the one held are dropped. An unknown name is
 // ignored, here and below.
-func (t *Tracker) SetReport(name string, r upstream.LoadReport, received time.Time) {
+func (t *Tracker) SetLoadReport(name string, r upstream.LoadReport, received time.Time) {
 	b := t.books[name]
 	if b == nil {
 		return
@@ -114,7 +114,7 @@
 }
 
 // SetCacheEvents takes an engine's cache events, in order of their numbers.
-func (t *Tracker) SetCacheEvents(name string, events []upstream.CacheEvent) {
+func (t *Tracker) ApplyCacheEvents(name string, events []upstream.CacheEvent) {
 	if b := t.books[name]; b != nil {
 		t.cache.apply(b.node.id, events, t.now())
 	}
@@ -122,7 +122,7 @@
 
 // SetList takes the platform's list: an upstream that it calls leaving, or
 // that it has named before and doesn't any more, gets no new work.
-func (t *Tracker) SetList(list []infra.Instance) {
+func (t *Tracker) SetInstances(list []infra.Instance) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	listed := make(map[string]bool, len(list))
@@ -133,7 +133,7 @@
 	for name, b := range t.books {
 		leaving, ok := listed[name]
 		gone := !ok && t.seen[name]
-		b.change(func(u *Upstream) { u.Leaving = leaving || gone })
+		b.change(func(u *Upstream) { u.ShuttingDown = leaving || gone })
 	}
 }
 
@@ -193,7 +193,7 @@
 	now := t.now()
 	for _, n := range g.nodes {
 		u := n.state.Load()
-		if u.Leaving || u.Draining || n.standing(now) == ejected {
+		if u.ShuttingDown || u.Draining || n.standing(now) == ejected {
 			continue
 		}
 		m := modelOf(&s.cfg, u, &n.live)
--- a/router/tracker_test.go
+++ b/router/tracker_test.go
@@ -47,7 +47,7 @@
 	clock.advance(time.Second)
 	old.End(OutcomeOK)
 	clock.advance(time.Second)
-	tr.SetReport("a", report(1, 1000, 3*time.Second), clock.now())
+	tr.SetLoadReport("a", report(1, 1000, 3*time.Second), clock.now())
 
 	work := func() Work {
 		n := tr.Snapshot().byName["a"]
@@ -56,14 +56,14 @@
 	}
 	require.Equal(t, Work{Requests: 1, PromptTokens: 1000, KVTokens: 1050, OutputTokens: 50}, work())
 	u, _ := tr.Snapshot().Upstream("a", clock.now())
-	require.Equal(t, 0, u.Own.Requests, "one begun and one ended since the report")
+	require.Equal(t, 0, u.LocalDelta.Requests, "one begun and one ended since the report")
 	require.Equal(t, 1, u.InFlight)
 
 	young.FirstToken()
 	require.Equal(t, 0, work().PromptTokens)
 	young.End(OutcomeOK)
 	require.Equal(t, 0, work().Requests)
-	tr.SetReport("a", report(7, 0, 10*time.Second), clock.now())
+	tr.SetLoadReport("a", report(7, 0, 10*time.Second), clock.now())
 	require.Equal(t, 0, work().Requests, "an older report must not replace a younger one")
 }
 
@@ -76,7 +76,7 @@
 	estimate := func() time.Duration {
 		plan, err := tr.Pick(r)
 		require.NoError(t, err)
-		return plan.Estimate.Alone
+		return plan.Estimate.Unloaded
 	}
 	before := estimate()
 	for range 300 {
@@ -108,11 +108,11 @@
 				}
 				k := tr.Begin(plan, testRequest)
 				if rnd.IntN(2) == 0 {
-					k.Prefilled()
+					k.PrefillDone()
 					k.FirstToken()
 					k.Tokens(rnd.IntN(80))
 				}
-				tr.SetReport("c", report(rnd.IntN(9), rnd.IntN(9999), time.Duration(rnd.IntN(100))*time.Millisecond), time.Now())
+				tr.SetLoadReport("c", report(rnd.IntN(9), rnd.IntN(9999), time.Duration(rnd.IntN(100))*time.Millisecond), time.Now())
 				k.End(Outcome(rnd.IntN(3)))
 				k.End(OutcomeBroken)
 			}
@@ -207,14 +207,14 @@
 		}
 		return plan.Engine
 	}
-	tr.SetList([]infra.Instance{{Name: "a", Leaving: true}, {Name: "b"}})
+	tr.SetInstances([]infra.Instance{{Name: "a", Leaving: true}, {Name: "b"}})
 	require.Equal(t, "b", pick())
 	tr.SetDraining("b", true)
 	require.Equal(t, "", pick())
 	tr.SetDraining("b", false)
-	tr.SetList([]infra.Instance{{Name: "a"}})
+	tr.SetInstances([]infra.Instance{{Name: "a"}})
 	require.Equal(t, "a", pick(), "b has gone from the list")
-	tr.SetList(nil)
+	tr.SetInstances(nil)
 	require.Equal(t, "", pick())
 }
 
--- a/router/types.go
+++ b/router/types.go
@@ -37,13 +37,13 @@
 	// Own is the correction of the report by this process's own work: begun
 	// since ReportAt less ended since. Its parts may be negative. Where there
 	// is no report it is simply the own work in flight.
-	Own Work
+	LocalDelta Work
 	// InFlight counts this process's own requests in flight.
 	InFlight int
 	// Draining says that an order is about to change the upstream, Leaving
 	// that the platform takes it away. Neither gets new work.
-	Draining bool
-	Leaving  bool
+	Draining     bool
+	ShuttingDown bool
 	// Ejected says that its record of failures keeps it out for now, Trial
 	// that it is on probation and takes one request at a time.
 	Ejected bool
@@ -94,21 +94,21 @@
 	// Complete is the time until the whole answer is back.
 	Complete time.Duration
 	// Alone is what Complete would be if the engine had nothing else to do.
-	Alone time.Duration
+	Unloaded time.Duration
 }
 
 // Why says in a word what decided a plan.
-type Why string
+type PlanReason string
 
 // The reasons of plans.
 const (
-	WhyOnly     Why = "only upstream left"
-	WhyLeast    Why = "least expected time"
-	WhySpread   Why = "drawn among nearly equal upstreams"
-	WhyPrefix   Why = "prefix cache saves more than the queue costs"
-	WhyTrial    Why = "trial of an upstream coming back"
-	WhySplit    Why = "prefill and decode on two engines is faster"
-	WhyFallback Why = "upstreams on probation are all that is left"
+	ReasonOnlyUpstream PlanReason = "only upstream left"
+	ReasonLeastCost    PlanReason = "least expected time"
+	ReasonSpread       PlanReason = "drawn among nearly equal upstreams"
+	ReasonCachedPrefix PlanReason = "prefix cache saves more than the queue costs"
+	ReasonTrial        PlanReason = "trial of an upstream coming back"
+	ReasonSplit        PlanReason = "prefill and decode on two engines is faster"
+	ReasonFallback     PlanReason = "upstreams on probation are all that is left"
 )
 
 // Plan is a routing decision.
@@ -119,7 +119,7 @@
 	// means that Engine does both.
 	Prefill  string
 	Estimate Estimate
-	Reason   Why
+	Reason   PlanReason
 	// CachedTokens is how much of the prompt is expected in the prefix cache.
 	CachedTokens int
 	// Considered counts the upstreams that were scored.
