--- a/internal/audit/trail.go
+++ b/internal/audit/trail.go
@@ -49,7 +49,7 @@
 	t.Add(r)
 }
 
-// ObserveRules adds the verdict on a publication. Give it to a rules.Book as its
+// ObserveRules adds the verdict on a publication. Give it to a rules.Replica as its
 // observer.
 func (t *Trail) ObserveRules(v rules.Verdict) {
 	r := Record{
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -331,8 +331,8 @@
 	}
 	return rolepolicy.New(r.Policy, rolepolicy.Config{
 		ChangeWeight: r.ChangeWeight, Dwell: seconds(r.DwellSeconds),
-		Change: seconds(r.ChangeSeconds), MaxAtOnce: r.MaxAtOnce,
-		MaxPictureAge: seconds(r.MaxPictureAgeSeconds), Schedule: plan,
+		ChangeDuration: seconds(r.ChangeSeconds), MaxAtOnce: r.MaxAtOnce,
+		MaxReportAge: seconds(r.MaxPictureAgeSeconds), Schedule: plan,
 	})
 }
 
--- a/internal/ctl/publish.go
+++ b/internal/ctl/publish.go
@@ -43,7 +43,7 @@
 }
 
 func prepareMove(flags *flag.FlagSet) runner {
-	var to rules.Place
+	var to rules.MoveTarget
 	flags.StringVar(&to.Before, "before", "", "put it in front of this `rule`")
 	flags.BoolVar(&to.First, "first", false, "put it in front of all")
 	flags.BoolVar(&to.Last, "last", false, "put it behind all")
--- a/internal/entry/crash/crash.go
+++ b/internal/entry/crash/crash.go
@@ -72,7 +72,7 @@
 // quarantined.
 func (w *Watch) Check(d quarantine.Digest) (suspected bool, err error) {
 	v, err := w.guard.Check(d)
-	return v.Standing == quarantine.Suspected, err
+	return v.Status == quarantine.Suspected, err
 }
 
 // MayRunOn reports whether a suspected request may start on an engine.
@@ -105,7 +105,7 @@
 }
 
 // Begin books a request at an engine before anything is sent there. A suspected
-// one gets the engine without other suspects, or quarantine.ErrHeld.
+// one gets the engine without other suspects, or quarantine.ErrReserved.
 func (w *Watch) Begin(ctx context.Context, engine string, d quarantine.Digest, suspected bool) (*Run, error) {
 	r := &Run{watch: w, engine: engine, digest: d}
 	if suspected {
--- a/internal/entry/crash/crash_test.go
+++ b/internal/entry/crash/crash_test.go
@@ -55,9 +55,9 @@
 			require.NoError(t, err)
 			return r
 		}
-		standing := func(name string) quarantine.Standing {
+		standing := func(name string) quarantine.Status {
 			v, _ := guard.Check(digest(name))
-			return v.Standing
+			return v.Status
 		}
 
 		begin("e3", "unlucky", false).End(Broken)
@@ -76,7 +76,7 @@
 
 		run := begin("e3", "a", true)
 		_, err := w.Begin(t.Context(), "e3", digest("b"), true)
-		require.ErrorIs(t, err, quarantine.ErrHeld, "suspects run apart")
+		require.ErrorIs(t, err, quarantine.ErrReserved, "suspects run apart")
 		run.Acquit()
 		w.Wait()
 		require.Equal(t, quarantine.Clean, standing("a"))
--- a/internal/entry/demand.go
+++ b/internal/entry/demand.go
@@ -140,7 +140,7 @@
 
 // ruleSource matches requests against the rules in force.
 type ruleSource struct {
-	book     *rules.Book
+	book     *rules.Replica
 	caughtUp <-chan struct{}
 }
 
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -73,7 +73,7 @@
 	log         *slog.Logger
 
 	journal   *journal.Journal
-	rules     *rules.Book
+	rules     *rules.Replica
 	source    ruleSource
 	trail     *audit.Trail
 	leases    *lease.View
@@ -136,7 +136,7 @@
 		Logger:           e.log,
 	})
 	e.trail = audit.NewTrail(0, e.log)
-	e.rules = rules.NewBook(rules.BookOptions{Logger: e.log, Observe: e.trail.ObserveRules})
+	e.rules = rules.NewReplica(rules.ReplicaOptions{Logger: e.log, Observe: e.trail.ObserveRules})
 	e.source = ruleSource{e.rules, e.journal.CaughtUp()}
 	e.leases = lease.NewView()
 	e.orders = orders.NewView(e.leases)
--- a/internal/member/director.go
+++ b/internal/member/director.go
@@ -50,7 +50,7 @@
 	member  *Member
 	log     infra.Log
 	engines Engines
-	policy  map[string]*rolepolicy.Balance
+	policy  map[string]*rolepolicy.Balancer
 	logger  *slog.Logger
 
 	keeper *lease.Keeper
@@ -201,7 +201,7 @@
 		}
 		policy := d.policy[name]
 		if policy == nil {
-			policy = rolepolicy.NewBalance(rolepolicy.DefaultBalanceConfig())
+			policy = rolepolicy.NewBalancer(rolepolicy.DefaultBalancerConfig())
 			d.policy[name] = policy
 		}
 		picture, engines := d.picture(s, name, pool)
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -294,7 +294,7 @@
 	directing := suture.New("directing", spec)
 	directing.Add(&director{
 		member: m, log: m.cfg.Log, engines: m.cfg.Engines, logger: m.log,
-		policy: make(map[string]*rolepolicy.Balance), changes: make(map[string]roleChange),
+		policy: make(map[string]*rolepolicy.Balancer), changes: make(map[string]roleChange),
 		logged: make(map[string]time.Time),
 	})
 	root := suture.New("member", spec)
--- a/internal/member/rolepicture.go
+++ b/internal/member/rolepicture.go
@@ -17,7 +17,7 @@
 func (d *director) picture(s *fleet.Snapshot, name string, pool *fleet.Pool) (rolepolicy.Pool, []placement.Engine) {
 	books := d.member.books
 	demand := d.member.peers.Demand(name)
-	p := rolepolicy.Pool{ReadDemand: demand.Readers, Switch: pool.Engine.SwitchTime}
+	p := rolepolicy.Pool{PrefillDemand: demand.Readers, SwitchTime: pool.Engine.SwitchTime}
 	var ids []string
 	for _, u := range s.Pools[name] {
 		switch {
@@ -39,8 +39,8 @@
 		}
 	}
 	engines := books.Engines(ids)
-	p.Generating = placement.Generating(engines)
-	p.Beside = beside(engines)
+	p.DecodeLoad = placement.Generating(engines)
+	p.ConcurrentPrefillRate = beside(engines)
 	return p, engines
 }
 
@@ -88,7 +88,7 @@
 	if now := time.Now(); now.Sub(d.logged[pool]) >= pictureEvery {
 		d.logged[pool] = now
 		d.logger.Info("roles looked at", "pool", pool, "prefill", p.Prefill, "decode", p.Decode, "changing", p.Changing,
-			"read_demand", round(p.ReadDemand), "generating", round(p.Generating), "beside", round(p.Beside))
+			"read_demand", round(p.PrefillDemand), "generating", round(p.DecodeLoad), "beside", round(p.ConcurrentPrefillRate))
 	}
 }
 
--- a/internal/operator/api/api.go
+++ b/internal/operator/api/api.go
@@ -43,7 +43,7 @@
 	Document string        `json:"document"`
 	Note     string        `json:"note,omitempty"`
 	// Force is for a deployment that no longer knows its state, see
-	// rules.Publish.
+	// rules.Publication.
 	Force bool `json:"force,omitempty"`
 }
 
--- a/internal/operator/api/known.go
+++ b/internal/operator/api/known.go
@@ -8,8 +8,8 @@
 )
 
 // KnownNames lists the names of a deployment that its rules may use.
-func KnownNames(d *settings.Deployment) rules.Known {
-	known := rules.Known{Pools: []string{}, Models: []string{}, DataCentres: []string{}}
+func KnownNames(d *settings.Deployment) rules.KnownNames {
+	known := rules.KnownNames{Pools: []string{}, Models: []string{}, DataCentres: []string{}}
 	for _, u := range d.Upstreams {
 		known.Pools = appendNew(known.Pools, u.Pool)
 		for _, model := range u.Models {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -41,8 +41,8 @@
 type Deps struct {
 	Operators []settings.Operator
 	Publisher *rules.Publisher
-	Book      *rules.Book
-	Known     rules.Known
+	Book      *rules.Replica
+	Known     rules.KnownNames
 	Trail     *audit.Trail
 	// Journal takes audit records.
 	Journal    journal.Writer
--- a/internal/operator/operatortest/instance.go
+++ b/internal/operator/operatortest/instance.go
@@ -27,7 +27,7 @@
 const Token = "spring-lime-4711"
 
 // Known lists the names that rules may use.
-var Known = rules.Known{
+var Known = rules.KnownNames{
 	Pools:       []string{"agronomy", "booking"},
 	Models:      []string{"soil"},
 	DataCentres: []string{"cesis-a"},
@@ -37,7 +37,7 @@
 type Instance struct {
 	App     *fiber.App
 	Journal *journal.Journal
-	Book    *rules.Book
+	Book    *rules.Replica
 	Trail   *audit.Trail
 	Guard   *quarantine.Guard
 	Claims  *claim.Guard
@@ -51,7 +51,7 @@
 	i := &Instance{App: fiber.New(fiber.Config{DisableStartupMessage: true})}
 	i.Journal = journal.New(log, journal.Config{Writer: name + "/entry/1", Logger: logger})
 	i.Trail = audit.NewTrail(0, logger)
-	i.Book = rules.NewBook(rules.BookOptions{Logger: logger, Observe: i.Trail.ObserveRules})
+	i.Book = rules.NewReplica(rules.ReplicaOptions{Logger: logger, Observe: i.Trail.ObserveRules})
 	i.Guard = quarantine.NewGuard(quarantine.DefaultConfig(), i.Journal, name, nil)
 	i.Journal.Register(journal.KindRules, i.Book)
 	i.Journal.Register(journal.KindAudit, i.Trail)
--- a/internal/operator/rules.go
+++ b/internal/operator/rules.go
@@ -37,7 +37,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), h.WriteTimeout)
 	defer cancel()
-	result, err := h.Publisher.Publish(ctx, rules.Publish{
+	result, err := h.Publisher.Publish(ctx, rules.Publication{
 		ID: r.ID, Base: r.Base, Document: []byte(r.Document), Author: operatorOf(c), Note: r.Note, Force: r.Force,
 	})
 	if err != nil {
--- a/internal/status/fetch.go
+++ b/internal/status/fetch.go
@@ -82,7 +82,7 @@
 	}
 	// First the drains: with the rules the entry begins to serve.
 	n.opts.Drains.Avoid(reply.Draining)
-	return n.opts.Rules.Offer(reply.PeerState)
+	return n.opts.Rules.ApplyPeerState(reply.PeerState)
 }
 
 // rulesFetcher asks peers for rules at the start, until the log has been read to
--- a/internal/status/node.go
+++ b/internal/status/node.go
@@ -17,10 +17,10 @@
 	"tamarackchute/rules"
 )
 
-// Book is what a Node needs of the rules; rules.Book is one.
+// Book is what a Node needs of the rules; rules.Replica is one.
 type Book interface {
 	PeerState(applied journal.Position) rules.PeerState
-	Offer(rules.PeerState) bool
+	ApplyPeerState(rules.PeerState) bool
 }
 
 // Drains is what a Node needs of the engines' drains.
--- a/internal/status/status_test.go
+++ b/internal/status/status_test.go
@@ -43,7 +43,7 @@
 
 type testNode struct {
 	*Node
-	book   *rules.Book
+	book   *rules.Replica
 	leases *lease.View
 	drains *drains
 }
@@ -58,7 +58,7 @@
 
 // start runs the node of an instance until the test ends. Its log is down.
 func start(t *testing.T, d *settings.Deployment, i int) testNode {
-	n := testNode{book: rules.NewBook(rules.BookOptions{}), leases: lease.NewView(), drains: &drains{[]string{"e" + d.Instances[i].Name}, make(chan []string, 100)}}
+	n := testNode{book: rules.NewReplica(rules.ReplicaOptions{}), leases: lease.NewView(), drains: &drains{[]string{"e" + d.Instances[i].Name}, make(chan []string, 100)}}
 	n.Node = NewNode(Options{
 		Deployment: d, Self: d.Instances[i], Secret: []byte("a secret of the tests"),
 		Leases: n.leases, Rules: n.book, Drains: n.drains,
@@ -82,7 +82,7 @@
 	giver := start(t, d, 0)
 	version := rules.Version{Offset: 40, Index: 2}
 	document := []byte(`{"rules": [{"name": "all", "when": "true", "then": {"pool": "p"}}]}`)
-	require.True(t, giver.book.Offer(rules.PeerState{
+	require.True(t, giver.book.ApplyPeerState(rules.PeerState{
 		State:   rules.State{Version: version, Document: document, At: time.Unix(9, 0)},
 		Through: journal.Position(version),
 	}))
--- a/quarantine/guard.go
+++ b/quarantine/guard.go
@@ -12,9 +12,9 @@
 	"tamarackchute/journal"
 )
 
-// ErrHeld says that a suspect can't have the upstream that it asked for,
+// ErrReserved says that a suspect can't have the upstream that it asked for,
 // because another suspect runs there or it runs elsewhere already.
-var ErrHeld = errors.New("quarantine: upstream is kept for another suspect")
+var ErrReserved = errors.New("quarantine: upstream is kept for another suspect")
 
 // The bounds of what a guard remembers by itself.
 const (
@@ -82,8 +82,8 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	v := g.verdict(d)
-	if v.Standing == Quarantined {
-		return v, &Error{Digest: d, Verdict: v, RetryAfter: v.Left}
+	if v.Status == Quarantined {
+		return v, &Error{Digest: d, Verdict: v, RetryAfter: v.Remaining}
 	}
 	return v, nil
 }
@@ -97,7 +97,7 @@
 }
 
 func (g *Guard) mayRunOn(upstream string, d Digest) bool {
-	if g.verdict(d).Standing == Clean {
+	if g.verdict(d).Status == Clean {
 		return true
 	}
 	if have, ok := g.local[upstream]; ok && have != d {
@@ -154,7 +154,7 @@
 // another suspect has it. The isolation must be ended.
 func (g *Guard) Isolate(ctx context.Context, upstream string, d Digest) (*Isolation, error) {
 	if !g.holdLocally(upstream, d) {
-		return nil, ErrHeld
+		return nil, ErrReserved
 	}
 	e := entryOf(uuid.NewString(), g.writer, message{Isolate: &isolate{d, upstream}})
 	_, err := g.w.Append(ctx, e)
@@ -166,7 +166,7 @@
 	}
 	if !g.heldBy(upstream, d) {
 		g.dropLocally(upstream, d)
-		return nil, ErrHeld
+		return nil, ErrReserved
 	}
 	return iso, nil
 }
--- a/quarantine/own.go
+++ b/quarantine/own.go
@@ -53,7 +53,7 @@
 		delete(g.own, d)
 		return v
 	}
-	if v.Standing == Quarantined {
+	if v.Status == Quarantined {
 		return v
 	}
 	strikes, last := g.state.strikesOf(d, v)
@@ -66,16 +66,16 @@
 			v.Upstreams = append(v.Upstreams, u)
 		}
 	}
-	v.Standing, v.Left = Suspected, max(v.Left, left)
+	v.Status, v.Remaining = Suspected, max(v.Remaining, left)
 	if strikes >= maxStrikes {
-		v.Standing, v.Left = Quarantined, left
+		v.Status, v.Remaining = Quarantined, left
 	}
 	return v
 }
 
 // strikesOf returns the strikes behind a verdict and the upstream of the last.
 func (s *State) strikesOf(d Digest, v Verdict) (int, string) {
-	if v.Standing == Clean {
+	if v.Status == Clean {
 		return 0, ""
 	}
 	x := s.suspects[d]
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -69,9 +69,9 @@
 
 func digest(i int) Digest { return DigestOf("m", "/v1/completions", fmt.Appendf(nil, "request %d", i)) }
 
-func standing(g *Guard, d Digest) Standing {
+func standing(g *Guard, d Digest) Status {
 	v, _ := g.Check(d)
-	return v.Standing
+	return v.Status
 }
 
 var background = context.Background()
@@ -140,7 +140,7 @@
 			continue
 		}
 		iso, err := g.Isolate(background, name, d)
-		if errors.Is(err, ErrHeld) {
+		if errors.Is(err, ErrReserved) {
 			continue
 		}
 		started(e, iso)
@@ -159,7 +159,7 @@
 	cases := []struct {
 		name string
 		do   func(l *fakeLog)
-		want Standing
+		want Status
 	}{
 		{"one crash", func(l *fakeLog) { crash(l.guards[0], "a", "1") }, Suspected},
 		{"one crash told by all", func(l *fakeLog) {
@@ -262,7 +262,7 @@
 	require.NoError(t, err)
 	require.False(t, g.MayRunOn("b", digest(2)))
 	_, err = g.Isolate(background, "b", digest(2))
-	require.ErrorIs(t, err, ErrHeld)
+	require.ErrorIs(t, err, ErrReserved)
 	require.True(t, g.MayRunOn("b", digest(9)), "others may run there")
 	iso.End(background, false)
 	for range 2 * maxPending {
@@ -335,9 +335,9 @@
 	iso, err := l.guards[0].Isolate(background, "b", digest(1))
 	require.NoError(t, err)
 	_, err = l.guards[1].Isolate(background, "b", digest(2))
-	require.ErrorIs(t, err, ErrHeld)
+	require.ErrorIs(t, err, ErrReserved)
 	_, err = l.guards[1].Isolate(background, "c", digest(1))
-	require.ErrorIs(t, err, ErrHeld, "the same suspect on two engines could kill both")
+	require.ErrorIs(t, err, ErrReserved, "the same suspect on two engines could kill both")
 	iso.End(background, true)
 	_, err = l.guards[1].Isolate(background, "b", digest(2))
 	require.NoError(t, err)
--- a/quarantine/state.go
+++ b/quarantine/state.go
@@ -16,9 +16,9 @@
 	QuarantineFor time.Duration
 	// IsolateFor bounds an isolated run whose end nobody reported.
 	IsolateFor time.Duration
-	// SameCrash is the time within which reports of one upstream's death
+	// CrashDedupWindow is the time within which reports of one upstream's death
 	// without an incarnation mean the same crash.
-	SameCrash time.Duration
+	CrashDedupWindow time.Duration
 	// MaxDigests bounds the digests known; the oldest suspect goes first.
 	MaxDigests int
 }
@@ -26,11 +26,11 @@
 // DefaultConfig returns the settings used where nothing else is said.
 func DefaultConfig() Config {
 	return Config{
-		SuspectFor:    10 * time.Minute,
-		QuarantineFor: time.Hour,
-		IsolateFor:    time.Minute,
-		SameCrash:     15 * time.Second,
-		MaxDigests:    4096,
+		SuspectFor:       10 * time.Minute,
+		QuarantineFor:    time.Hour,
+		IsolateFor:       time.Minute,
+		CrashDedupWindow: 15 * time.Second,
+		MaxDigests:       4096,
 	}
 }
 
@@ -172,7 +172,7 @@
 			return true
 		}
 		oneUnknown := have.Incarnation == "" || c.Incarnation == ""
-		if oneUnknown && at.Sub(have.At) < s.cfg.SameCrash {
+		if oneUnknown && at.Sub(have.At) < s.cfg.CrashDedupWindow {
 			return true
 		}
 	}
--- a/quarantine/verdict.go
+++ b/quarantine/verdict.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Standing is what a digest is taken for.
-type Standing uint8
+// Status is what a digest is taken for.
+type Status uint8
 
 // The standings of a digest.
 const (
 	// Clean digests run anywhere.
-	Clean Standing = iota
+	Clean Status = iota
 	// Suspected digests run only where no other suspect runs.
 	Suspected
 	// Quarantined digests don't run.
@@ -20,11 +20,11 @@
 
 // Verdict is a digest's standing, with its reasons.
 type Verdict struct {
-	Standing Standing
+	Status Status
 	// Upstreams are those that died with it in flight.
 	Upstreams []string
-	// Left is how long the standing lasts if nothing else happens.
-	Left time.Duration
+	// Remaining is how long the standing lasts if nothing else happens.
+	Remaining time.Duration
 }
 
 // Verdict returns a digest's standing at a time of the reader's own clock. The
@@ -42,15 +42,15 @@
 	if left <= 0 {
 		return Verdict{}
 	}
-	v := Verdict{Left: left}
+	v := Verdict{Remaining: left}
 	for _, c := range x.crashes {
 		v.Upstreams = append(v.Upstreams, c.Upstream)
 	}
 	switch {
 	case !x.quarantined.IsZero():
-		v.Standing = Quarantined
+		v.Status = Quarantined
 	case x.strikes > 0:
-		v.Standing = Suspected
+		v.Status = Suspected
 	}
 	return v
 }
@@ -78,7 +78,7 @@
 }
 
 func (e *Error) Error() string {
-	if e.Verdict.Standing == Quarantined {
+	if e.Verdict.Status == Quarantined {
 		return fmt.Sprintf("quarantine: not run: request %s was in flight when %d upstreams crashed; an operator may release it",
 			e.Digest, len(e.Verdict.Upstreams))
 	}
--- a/rolepolicy/baselines.go
+++ b/rolepolicy/baselines.go
@@ -130,7 +130,7 @@
 
 // NewThreshold returns the policy; it uses MaxAtOnce and MaxPictureAge alone.
 func NewThreshold(c Config) *Threshold {
-	return &Threshold{maxAtOnce: max(1, c.MaxAtOnce), maxAge: c.MaxPictureAge}
+	return &Threshold{maxAtOnce: max(1, c.MaxAtOnce), maxAge: c.MaxReportAge}
 }
 
 // Decide moves one engine of the data centre if the reports ask for it.
--- a/rolepolicy/config.go
+++ b/rolepolicy/config.go
@@ -13,13 +13,13 @@
 	ChangeWeight float64
 	// Dwell is the least time between two changes of one engine.
 	Dwell time.Duration
-	// Change is how long an engine is out of service for a change, the drain
+	// ChangeDuration is how long an engine is out of service for a change, the drain
 	// before it included.
-	Change time.Duration
+	ChangeDuration time.Duration
 	// MaxAtOnce bounds the engines of one data centre changing at once.
 	MaxAtOnce int
-	// MaxPictureAge is the oldest demand and engine report acted on.
-	MaxPictureAge time.Duration
+	// MaxReportAge is the oldest demand and engine report acted on.
+	MaxReportAge time.Duration
 	// Horizon is how long a shift is expected to last until shifts have been
 	// seen; 0 means forty times Change.
 	Horizon time.Duration
--- a/rolepolicy/gain.go
+++ b/rolepolicy/gain.go
@@ -43,13 +43,13 @@
 func NewGain(c Config) *Gain {
 	c.MaxAtOnce = max(1, c.MaxAtOnce)
 	if c.Horizon <= 0 {
-		c.Horizon = horizonChanges * c.Change
+		c.Horizon = horizonChanges * c.ChangeDuration
 	}
 	return &Gain{
 		c:       c,
 		learner: newLearner(),
 		history: map[string]*history{},
-		changes: newDurations(drainPrior * c.Change),
+		changes: newDurations(drainPrior * c.ChangeDuration),
 		chosen:  map[string]time.Time{},
 	}
 }
@@ -90,12 +90,12 @@
 		h = &history{regime: regime{mean: g.c.Horizon.Seconds()}}
 		g.history[p.key()] = h
 	}
-	seen, fresh := sum(p, s.Demand, now, g.c.MaxPictureAge)
+	seen, fresh := sum(p, s.Demand, now, g.c.MaxReportAge)
 	if fresh <= minFresh {
 		return nil
 	}
-	h.add(seen, now, g.c.Change.Seconds())
-	if !h.settled(g.c.Change.Seconds()) {
+	h.add(seen, now, g.c.ChangeDuration.Seconds())
+	if !h.settled(g.c.ChangeDuration.Seconds()) {
 		return nil
 	}
 	serving := g.servingEngines(p)
@@ -117,7 +117,7 @@
 
 // reported is whether the engine's report is recent enough to rest on.
 func (g *Gain) reported(e Engine) bool {
-	return g.c.MaxPictureAge <= 0 || e.ReportAge <= g.c.MaxPictureAge
+	return g.c.MaxReportAge <= 0 || e.ReportAge <= g.c.MaxReportAge
 }
 
 // servingEngines are those that serve now or will after their change. An engine
--- a/rolepolicy/policy_test.go
+++ b/rolepolicy/policy_test.go
@@ -12,8 +12,8 @@
 	"tamarackchute/upstream"
 )
 
-var testConfig = Config{ChangeWeight: 1, Dwell: 30 * time.Second, Change: 5 * time.Second,
-	MaxAtOnce: 1, MaxPictureAge: 10 * time.Second}
+var testConfig = Config{ChangeWeight: 1, Dwell: 30 * time.Second, ChangeDuration: 5 * time.Second,
+	MaxAtOnce: 1, MaxReportAge: 10 * time.Second}
 
 func gainPolicy() Policy  { return NewGain(testConfig) }
 func fixedPolicy() Policy { return Fixed{} }
@@ -34,7 +34,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			for seed := uint64(1); seed <= 3; seed++ {
 				run := func(p func() Policy) outcome {
-					f := newFluid(seed, []int{3, 3, 2}, testConfig.Change)
+					f := newFluid(seed, []int{3, 3, 2}, testConfig.ChangeDuration)
 					f.lag, f.wrong = c.lag, c.wrong
 					return f.run(swings(8, seed), p)
 				}
@@ -48,7 +48,7 @@
 // A steady mix that the fleet can serve gives no reason for any change.
 func TestGainLeavesSteadyMixAlone(t *testing.T) {
 	for seed := uint64(1); seed <= 5; seed++ {
-		f := newFluid(seed, []int{3, 3, 3, 2}, testConfig.Change)
+		f := newFluid(seed, []int{3, 3, 3, 2}, testConfig.ChangeDuration)
 		o := f.run([]phase{mix(20*time.Minute, 11, 0.18, 0.18, 20)}, gainPolicy)
 		assert.Zero(t, o.changes, "seed %d", seed)
 	}
@@ -56,7 +56,7 @@
 
 // shortOfPrefill is a settled picture that asks for prefill engines.
 func shortOfPrefill(t *testing.T, centre string) (*Gain, State, time.Time) {
-	f := newFluid(1, []int{3, 3, 2}, testConfig.Change)
+	f := newFluid(1, []int{3, 3, 2}, testConfig.ChangeDuration)
 	f.step(phase{}, time.Unix(1000, 0))
 	g := NewGain(testConfig)
 	now := time.Unix(1000, 0)
@@ -128,7 +128,7 @@
 // Three leaders see one shortage that one engine answers. If each leader
 // answered it alone, three engines would change at once.
 func TestOneShortageIsAnsweredOnce(t *testing.T) {
-	f := newFluid(1, []int{3, 3, 2}, testConfig.Change)
+	f := newFluid(1, []int{3, 3, 2}, testConfig.ChangeDuration)
 	policies := []Policy{gainPolicy(), gainPolicy(), gainPolicy()}
 	now := time.Unix(1000, 0)
 	for i := range f.engines {
@@ -220,7 +220,7 @@
 func BenchmarkDecide(b *testing.B) {
 	for _, n := range []int{11, 500} {
 		b.Run(fmt.Sprintf("engines=%d", n), func(b *testing.B) {
-			f := newFluid(1, []int{n / 2, n - n/2}, testConfig.Change)
+			f := newFluid(1, []int{n / 2, n - n/2}, testConfig.ChangeDuration)
 			f.step(phase{}, time.Unix(1000, 0))
 			g := NewGain(testConfig)
 			now := time.Unix(1000, 0)
--- a/rules/book.go
+++ b/rules/book.go
@@ -14,8 +14,8 @@
 // when it is read. Older ones are compiled when a request wants them.
 const freshRecord = 5 * time.Second
 
-// BookOptions sets a Book up.
-type BookOptions struct {
+// ReplicaOptions sets a Book up.
+type ReplicaOptions struct {
 	// Logger takes reports of faults; slog.Default if nil.
 	Logger *slog.Logger
 	// Observe, if set, is called with each verdict, in the order in which they
@@ -23,11 +23,11 @@
 	Observe func(Verdict)
 }
 
-// Book folds the log's rules entries. It implements journal.Folder and
+// Replica folds the log's rules entries. It implements journal.Folder and
 // journal.Trimmer; register it for journal.KindRules. Its other methods may be
 // called from any goroutine.
-type Book struct {
-	options BookOptions
+type Replica struct {
+	options ReplicaOptions
 	// current is what requests get, swapped whole.
 	current atomic.Pointer[snapshot]
 
@@ -47,8 +47,8 @@
 }
 
 var (
-	_ journal.Folder  = (*Book)(nil)
-	_ journal.Trimmer = (*Book)(nil)
+	_ journal.Folder  = (*Replica)(nil)
+	_ journal.Trimmer = (*Replica)(nil)
 )
 
 // carried is when a record that holds the state in force was read last.
@@ -69,12 +69,12 @@
 	Uncompiled int `json:"uncompiled"`
 }
 
-// NewBook returns the book of a log that has no rules yet.
-func NewBook(o BookOptions) *Book {
+// NewReplica returns the book of a log that has no rules yet.
+func NewReplica(o ReplicaOptions) *Replica {
 	if o.Logger == nil {
 		o.Logger = slog.Default()
 	}
-	b := &Book{options: o, fold: newFold(), changed: make(chan struct{})}
+	b := &Replica{options: o, fold: newFold(), changed: make(chan struct{})}
 	b.current.Store(newSnapshot(State{}, nil))
 	return b
 }
@@ -82,7 +82,7 @@
 // Current returns the rules in force, or nil if none are known: the log's
 // beginning has expired and no checkpoint or peer has told the state. A process
 // that hasn't caught up yet may still get the zero version, or an old one.
-func (b *Book) Current() *InForce {
+func (b *Replica) Current() *InForce {
 	s := b.current.Load()
 	if s == nil {
 		return nil
@@ -92,21 +92,21 @@
 }
 
 // Verdict returns the verdict on a publication, if it was read lately.
-func (b *Book) Verdict(id string) (Verdict, bool) {
+func (b *Replica) Verdict(id string) (Verdict, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.verdicts.get(id)
 }
 
 // History returns the verdicts read lately, newest first.
-func (b *Book) History() []Verdict {
+func (b *Replica) History() []Verdict {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.history.list()
 }
 
 // Changed returns a channel that is closed at the next change of the book.
-func (b *Book) Changed() <-chan struct{} {
+func (b *Replica) Changed() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.changed
@@ -129,7 +129,7 @@
 }
 
 // Status returns the book's status.
-func (b *Book) Status() Status {
+func (b *Replica) Status() Status {
 	var status Status
 	if s := b.current.Load(); s != nil {
 		inForce, err := s.resolve()
@@ -148,7 +148,7 @@
 }
 
 // Apply implements journal.Folder.
-func (b *Book) Apply(p journal.Placed) {
+func (b *Replica) Apply(p journal.Placed) {
 	r, err := decodeBody(p.Entry.Body)
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -168,8 +168,8 @@
 	}
 }
 
-func (b *Book) applyPublish(p journal.Placed, publish Publish) {
-	verdicts := b.fold.publish(placedPublish{at: p.Position, logTime: p.At, Publish: publish})
+func (b *Replica) applyPublish(p journal.Placed, publish Publication) {
+	verdicts := b.fold.publish(placedPublish{at: p.Position, logTime: p.At, Publication: publish})
 	if b.fold.state.Version == Version(p.Position) {
 		b.carried = carried{logTime: p.At, readAt: p.ReadAt}
 	}
@@ -177,7 +177,7 @@
 	b.refresh(p.ReadAt.Sub(p.At) < freshRecord)
 }
 
-func (b *Book) applyCheckpoint(p journal.Placed, c Checkpoint) {
+func (b *Replica) applyCheckpoint(p journal.Placed, c Checkpoint) {
 	b.askedAt = time.Time{}
 	verdicts, consistent := b.fold.checkpoint(p.Position, c)
 	if !consistent {
@@ -194,7 +194,7 @@
 }
 
 // Trimmed implements journal.Trimmer.
-func (b *Book) Trimmed(oldest infra.Offset) {
+func (b *Replica) Trimmed(oldest infra.Offset) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	defer b.notify()
@@ -209,7 +209,7 @@
 }
 
 // note records verdicts.
-func (b *Book) note(verdicts []Verdict) {
+func (b *Replica) note(verdicts []Verdict) {
 	for _, v := range verdicts {
 		b.verdicts.put(v)
 		b.history.add(v)
@@ -224,7 +224,7 @@
 
 // refresh puts the newest known version in force. The version never falls: a
 // peer's state only stands in until the log has told as much.
-func (b *Book) refresh(compile bool) {
+func (b *Replica) refresh(compile bool) {
 	newest := b.fold.state
 	if newest.Version.Less(b.offered.Version) {
 		newest = b.offered
@@ -246,7 +246,7 @@
 	b.current.Store(next)
 }
 
-func (b *Book) compile(s *snapshot) {
+func (b *Replica) compile(s *snapshot) {
 	if _, err := s.resolve(); err != nil {
 		b.faults.Uncompiled++
 		b.options.Logger.Error("accepted rules don't compile here; the former stay in force",
@@ -255,7 +255,7 @@
 }
 
 // notify wakes those who wait for a change.
-func (b *Book) notify() {
+func (b *Replica) notify() {
 	close(b.changed)
 	b.changed = make(chan struct{})
 }
--- a/rules/check.go
+++ b/rules/check.go
@@ -37,7 +37,7 @@
 }
 
 // checkThen reports consequences that are out of range or contradict themselves.
-func checkThen(c *collector, s *source, known Known) {
+func checkThen(c *collector, s *source, known KnownNames) {
 	t := &s.rule.Then
 	fail := func(field, format string, args ...any) {
 		at, given := s.then[field]
@@ -140,7 +140,7 @@
 
 // checkConstants reports names of models and data centres that no part of the
 // deployment has. A rule that refuses may name a model that has gone.
-func checkConstants(c *collector, s *source, known Known) {
+func checkConstants(c *collector, s *source, known KnownNames) {
 	tree, err := parser.Parse(s.rule.When)
 	if err != nil {
 		return
--- a/rules/checkpointer.go
+++ b/rules/checkpointer.go
@@ -52,14 +52,14 @@
 type Checkpointer struct {
 	options CheckpointerOptions
 	log     Log
-	book    *Book
+	book    *Replica
 	// written and asked are when this process last tried, next when it may write
 	// of its own accord again.
 	written, asked, next time.Time
 }
 
 // NewCheckpointer returns a checkpointer for the book that log folds into.
-func NewCheckpointer(log Log, b *Book, o CheckpointerOptions) *Checkpointer {
+func NewCheckpointer(log Log, b *Replica, o CheckpointerOptions) *Checkpointer {
 	if o.Logger == nil {
 		o.Logger = slog.Default()
 	}
@@ -167,7 +167,7 @@
 	unsettledSince time.Time
 }
 
-func (b *Book) view() bookView {
+func (b *Replica) view() bookView {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return bookView{
@@ -186,7 +186,7 @@
 }
 
 // checkpoint returns the checkpoint to write.
-func (b *Book) checkpoint(applied journal.Position) Checkpoint {
+func (b *Replica) checkpoint(applied journal.Position) Checkpoint {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.checkpointAt(applied)
--- a/rules/edit.go
+++ b/rules/edit.go
@@ -8,8 +8,8 @@
 	"github.com/tailscale/hujson"
 )
 
-// Place says where a rule is moved to. Exactly one of its fields is set.
-type Place struct {
+// MoveTarget says where a rule is moved to. Exactly one of its fields is set.
+type MoveTarget struct {
 	Before string
 	First  bool
 	Last   bool
@@ -17,7 +17,7 @@
 
 // Move returns the document with one rule at another place. Comments that stand
 // before a rule, or behind it on its last line, go with it.
-func Move(document []byte, name string, to Place) ([]byte, error) {
+func Move(document []byte, name string, to MoveTarget) ([]byte, error) {
 	names, err := ruleNames(document)
 	if err != nil {
 		return nil, err
--- a/rules/edit_test.go
+++ b/rules/edit_test.go
@@ -23,7 +23,7 @@
 // end`
 
 func TestMoveTakesCommentsAlong(t *testing.T) {
-	moved, err := Move([]byte(commented), "book", Place{Last: true})
+	moved, err := Move([]byte(commented), "book", MoveTarget{Last: true})
 	require.NoError(t, err)
 	require.Equal(t, `// Spring rules.
 {
@@ -38,15 +38,15 @@
 // end`, string(moved))
 	for _, c := range []struct {
 		rule string
-		to   Place
+		to   MoveTarget
 		want string
 	}{
-		{"rest", Place{First: true}, "rest book short"},
-		{"book", Place{Before: "rest"}, "short book rest"},
-		{"rest", Place{Before: "short"}, "book rest short"},
-		{"gone", Place{First: true}, `no rule "gone"`},
-		{"book", Place{Before: "gone"}, `no rule "gone"`},
-		{"book", Place{Before: "book"}, "before itself"},
+		{"rest", MoveTarget{First: true}, "rest book short"},
+		{"book", MoveTarget{Before: "rest"}, "short book rest"},
+		{"rest", MoveTarget{Before: "short"}, "book rest short"},
+		{"gone", MoveTarget{First: true}, `no rule "gone"`},
+		{"book", MoveTarget{Before: "gone"}, `no rule "gone"`},
+		{"book", MoveTarget{Before: "book"}, "before itself"},
 	} {
 		moved, err := Move([]byte(commented), c.rule, c.to)
 		if err != nil {
--- a/rules/example_test.go
+++ b/rules/example_test.go
@@ -14,7 +14,7 @@
 	  {"name": "full", "when": "load > 2 && header(\"X-Rush\") == \"\"",
 	   "then": {"refuse": {"status": 429, "reason": "only rush requests for now"}}},
 	  {"name": "rest", "when": "model == \"agronomy\"", "then": {"pool": "engines"}},
-	]}`), rules.Known{Pools: []string{"booking", "engines"}})
+	]}`), rules.KnownNames{Pools: []string{"booking", "engines"}})
 	if err != nil {
 		fmt.Println(err)
 		return
@@ -24,7 +24,7 @@
 	fmt.Println(set.Match(rules.Request{Model: "agronomy"}).Then.Pool)
 	fmt.Println(set.Match(rules.Request{Path: "/"}).Then.Refuse.Reason)
 
-	_, err = rules.Parse([]byte(`{"rules": [{"name": "a", "when": "modle == 3", "then": {"pool": "x"}}]}`), rules.Known{})
+	_, err = rules.Parse([]byte(`{"rules": [{"name": "a", "when": "modle == 3", "then": {"pool": "x"}}]}`), rules.KnownNames{})
 	fmt.Println(err)
 	// Output:
 	// bookings
--- a/rules/fold.go
+++ b/rules/fold.go
@@ -44,7 +44,7 @@
 	at journal.Position
 	// logTime is the log's clock.
 	logTime time.Time
-	Publish
+	Publication
 }
 
 // fold is the state of the rules at a place of the log. Two folds that are
--- a/rules/fold_test.go
+++ b/rules/fold_test.go
@@ -21,7 +21,7 @@
 
 // modelReader is a process that folds the model's log, perhaps with gaps.
 type modelReader struct {
-	book    *Book
+	book    *Replica
 	next    infra.Offset
 	seen    map[string]bool
 	highest Version
@@ -41,7 +41,7 @@
 }
 
 func newModelReader() *modelReader {
-	return &modelReader{book: NewBook(BookOptions{}), next: 1, seen: map[string]bool{}}
+	return &modelReader{book: NewReplica(ReplicaOptions{}), next: 1, seen: map[string]bool{}}
 }
 
 func (m *foldMachine) append(r logRecord) {
@@ -94,7 +94,7 @@
 }
 
 func (m *foldMachine) publish(t *rapid.T) {
-	p := Publish{
+	p := Publication{
 		Base:     m.pick(t).book.fold.state.Version,
 		Through:  m.pick(t).applied().Offset,
 		Force:    rapid.IntRange(0, 5).Draw(t, "force") == 0,
@@ -128,7 +128,7 @@
 
 func (m *foldMachine) offer(t *rapid.T) {
 	giver := m.pick(t)
-	m.pick(t).book.Offer(giver.book.PeerState(giver.applied()))
+	m.pick(t).book.ApplyPeerState(giver.book.PeerState(giver.applied()))
 }
 
 // check compares each reader with the truth at the reader's place.
@@ -195,10 +195,10 @@
 // the newest record win, whatever version it holds.
 func TestStaleCheckpointIsIgnored(t *testing.T) {
 	m := &foldMachine{oldest: 1, truth: newModelReader()}
-	first := Publish{Document: document(rule("a", "stream", toAgronomy))}
+	first := Publication{Document: document(rule("a", "stream", toAgronomy))}
 	m.append(logRecord{id: "1", body: encodePublish(first)})
 	stale := encodeCheckpoint(m.truth.book.checkpoint(m.truth.applied()))
-	second := Publish{Base: Version{Offset: 1}, Document: document(rule("b", "stream", toAgronomy))}
+	second := Publication{Base: Version{Offset: 1}, Document: document(rule("b", "stream", toAgronomy))}
 	m.append(logRecord{id: "2", body: encodePublish(second)})
 	m.append(logRecord{id: "3", body: stale})
 	require.Equal(t, Version{Offset: 2}, m.truth.book.Current().Version)
@@ -222,7 +222,7 @@
 	m := &foldMachine{oldest: 1, truth: newModelReader()}
 	b := m.truth.book
 	publish := func(when string) {
-		p := Publish{Base: b.Status().Accepted, Document: document(rule("a", when, toAgronomy))}
+		p := Publication{Base: b.Status().Accepted, Document: document(rule("a", when, toAgronomy))}
 		m.append(logRecord{id: m.newID(), body: encodePublish(p)})
 	}
 	publish("stream")
--- a/rules/inforce.go
+++ b/rules/inforce.go
@@ -50,7 +50,7 @@
 	if s.state.Version.IsZero() {
 		document = []byte(`{"rules": []}`)
 	}
-	set, err := Parse(document, Known{})
+	set, err := Parse(document, KnownNames{})
 	if err == nil {
 		s.inForce = &InForce{
 			Version: s.state.Version, Set: set, Author: s.state.Author, Note: s.state.Note, At: s.state.At,
--- a/rules/peer.go
+++ b/rules/peer.go
@@ -14,7 +14,7 @@
 
 // PeerState returns what this process can tell another. The argument is the
 // position up to which its journal had folded, taken before the call.
-func (b *Book) PeerState(applied journal.Position) PeerState {
+func (b *Replica) PeerState(applied journal.Position) PeerState {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.fold.state.Version.Less(b.offered.Version) {
@@ -26,7 +26,7 @@
 
 // checkpointAt returns the state with the latest position that it is known to
 // account for: no entry between the last one folded and applied was missed.
-func (b *Book) checkpointAt(applied journal.Position) Checkpoint {
+func (b *Replica) checkpointAt(applied journal.Position) Checkpoint {
 	through := b.fold.through
 	if through.Less(applied) {
 		through = applied
@@ -34,10 +34,10 @@
 	return Checkpoint{State: b.fold.state, Through: through}
 }
 
-// Offer hands a peer's state in. A higher version than the one in force is put
+// ApplyPeerState hands a peer's state in. A higher version than the one in force is put
 // in force at once; the log must later tell the same or more. It reports
 // whether the state was of use.
-func (b *Book) Offer(p PeerState) bool {
+func (b *Replica) ApplyPeerState(p PeerState) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	before, wasSettled := b.current.Load(), b.fold.settled
@@ -63,7 +63,7 @@
 // checkOffered reports a peer's version that the log, read beyond its place,
 // doesn't have. That is a fault of the peer, or the log was replaced by an
 // older copy. The version stays in force, as rules never go back.
-func (b *Book) checkOffered() {
+func (b *Replica) checkOffered() {
 	if !b.fold.settled || b.fold.through.Less(journal.Position(b.offered.Version)) {
 		return
 	}
--- a/rules/publisher.go
+++ b/rules/publisher.go
@@ -13,12 +13,12 @@
 // Publisher appends publications and tells their verdicts.
 type Publisher struct {
 	log   Log
-	book  *Book
-	known Known
+	book  *Replica
+	known KnownNames
 }
 
 // NewPublisher returns a publisher over the log that folds into book.
-func NewPublisher(log Log, b *Book, known Known) *Publisher {
+func NewPublisher(log Log, b *Replica, known KnownNames) *Publisher {
 	return &Publisher{log: log, book: b, known: known}
 }
 
@@ -43,7 +43,7 @@
 // lost reply is settled by sending it again. An empty ID is replaced by a new
 // one. Errors are *InvalidError and those that match infra.ErrNotWritten:
 // the document is then not published and never will be.
-func (p *Publisher) Publish(ctx context.Context, publish Publish) (Result, error) {
+func (p *Publisher) Publish(ctx context.Context, publish Publication) (Result, error) {
 	if err := p.check(publish.Document); err != nil {
 		return Result{}, err
 	}
@@ -84,7 +84,7 @@
 }
 
 // await waits for the verdict on a publication that may be in the log.
-func (p *Publisher) await(ctx context.Context, publish Publish) Result {
+func (p *Publisher) await(ctx context.Context, publish Publication) Result {
 	for {
 		changed := p.book.Changed()
 		if v, decided := p.book.Verdict(publish.ID); decided {
@@ -98,7 +98,7 @@
 	}
 }
 
-func (p *Publisher) result(publish Publish, v Verdict) Result {
+func (p *Publisher) result(publish Publication, v Verdict) Result {
 	r := Result{ID: v.ID, Outcome: v.Outcome}
 	document := []byte(nil)
 	if inForce := p.book.Current(); inForce != nil {
--- a/rules/publisher_test.go
+++ b/rules/publisher_test.go
@@ -23,7 +23,7 @@
 // instance is a process with its journal, book and publisher over a log.
 type instance struct {
 	journal   *journal.Journal
-	book      *Book
+	book      *Replica
 	publisher *Publisher
 	stop      func()
 }
@@ -66,7 +66,7 @@
 func startInstance(log infra.Log, slot int) *instance {
 	quiet := slog.New(slog.DiscardHandler)
 	j := journal.New(log, journal.Config{Writer: fmt.Sprint("instance", slot), Retention: testRetention, Logger: quiet})
-	b := NewBook(BookOptions{Logger: quiet})
+	b := NewReplica(ReplicaOptions{Logger: quiet})
 	j.Register(journal.KindRules, b)
 	c := NewCheckpointer(j, b, CheckpointerOptions{Retention: testRetention, Slot: slot, Slots: 7, Logger: quiet})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -80,7 +80,7 @@
 func (i *instance) publish(t require.TestingT, base Version, when string) Result {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	r, err := i.publisher.Publish(ctx, Publish{Base: base, Document: document(rule("r", when, toAgronomy)), Author: "anna"})
+	r, err := i.publisher.Publish(ctx, Publication{Base: base, Document: document(rule("r", when, toAgronomy)), Author: "anna"})
 	require.NoError(t, err)
 	return r
 }
@@ -163,7 +163,7 @@
 			next := b.publish(t, result.Version, "!stream")
 			require.Equal(t, OutcomeAccepted, next.Outcome)
 			// Sent once more, elsewhere, it still has its first verdict.
-			again := Publish{ID: result.ID, Document: document(rule("r", "stream", toAgronomy))}
+			again := Publication{ID: result.ID, Document: document(rule("r", "stream", toAgronomy))}
 			settled, err := b.publisher.Publish(t.Context(), again)
 			require.NoError(t, err)
 			require.Equal(t, OutcomeAccepted, settled.Outcome)
@@ -204,7 +204,7 @@
 		time.Sleep(20 * time.Second)
 		require.Nil(t, lost.book.Current(), "nothing is known, and that isn't the same as no rules")
 		require.Equal(t, OutcomeUnknown, lost.publish(t, Version{}, "stream").Outcome)
-		forced, err := lost.publisher.Publish(t.Context(), Publish{Document: document(rule("r", "load > 1", toAgronomy)), Force: true})
+		forced, err := lost.publisher.Publish(t.Context(), Publication{Document: document(rule("r", "load > 1", toAgronomy)), Force: true})
 		require.NoError(t, err)
 		require.Equal(t, OutcomeAccepted, forced.Outcome)
 		require.Equal(t, forced.Version, lost.book.Current().Version)
@@ -244,7 +244,7 @@
 	noise := make([]byte, maxCompressedBytes)
 	_, _ = rand.NewChaCha8([32]byte{1}).Read(noise)
 	large := fmt.Appendf(nil, "/* %x */ {\"rules\": []}", noise)
-	_, err := NewPublisher(nil, nil, testKnown).Publish(t.Context(), Publish{Document: large})
+	_, err := NewPublisher(nil, nil, testKnown).Publish(t.Context(), Publication{Document: large})
 	require.ErrorContains(t, err, "after compression")
 	fits := Checkpoint{State: State{Document: large[:maxCompressedBytes]}}
 	record, err := journal.EncodeRecord("w", []journal.Entry{{Body: encodeCheckpoint(fits)}})
@@ -266,19 +266,19 @@
 		defer b.stop()
 		time.Sleep(time.Second)
 		require.True(t, b.book.Current().Version.IsZero())
-		require.True(t, b.book.Offer(a.book.PeerState(a.journal.Applied())))
+		require.True(t, b.book.ApplyPeerState(a.book.PeerState(a.journal.Applied())))
 		require.Equal(t, first, b.book.Current().Version)
 		// Between two tries of the journal's writer, which come at multiples of 50
 		// ms: whoever gives up at the instant of one can't know its end.
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second+25*time.Millisecond)
 		defer cancel()
-		_, err := a.publisher.Publish(ctx, Publish{Base: first, Document: document(rule("r", "!stream", toAgronomy))})
+		_, err := a.publisher.Publish(ctx, Publication{Base: first, Document: document(rule("r", "!stream", toAgronomy))})
 		require.True(t, errors.Is(err, infra.ErrNotWritten), "refused while the log is down: %v", err)
 		log.Outage(false)
 		second := a.publish(t, first, "!stream").Version
 		time.Sleep(3 * time.Second)
 		require.Equal(t, second, b.book.Current().Version)
 		require.Zero(t, b.book.Status().Faults)
-		require.False(t, b.book.Offer(PeerState{State: State{Version: first}, Through: journal.Position(first)}))
+		require.False(t, b.book.ApplyPeerState(PeerState{State: State{Version: first}, Through: journal.Position(first)}))
 	})
 }
--- a/rules/record.go
+++ b/rules/record.go
@@ -24,9 +24,9 @@
 	Document []byte    `json:"document"`
 }
 
-// Publish asks for a document to be put in force. It is accepted if Base is the
+// Publication asks for a document to be put in force. It is accepted if Base is the
 // version in force at its place in the log; its place is then the new version.
-type Publish struct {
+type Publication struct {
 	// ID is unique to the publication. Sent twice it counts once.
 	ID       string
 	Base     Version
@@ -87,7 +87,7 @@
 	return body
 }
 
-func encodePublish(p Publish) []byte {
+func encodePublish(p Publication) []byte {
 	return encodeBody(record{
 		Kind: recordPublish, Base: position(p.Base), Force: p.Force, Through: position{Offset: p.Through},
 		Author: p.Author, Note: p.Note, Document: compress(p.Document),
@@ -124,8 +124,8 @@
 	}
 }
 
-func (r *record) publish(id string) Publish {
-	return Publish{
+func (r *record) publish(id string) Publication {
+	return Publication{
 		ID: id, Base: Version(r.Base), Document: r.Document,
 		Author: r.Author, Note: r.Note, Force: r.Force, Through: r.Through.Offset,
 	}
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -155,8 +155,8 @@
 	Then:  Then{Refuse: &Refusal{Status: NoMatchStatus, Reason: NoMatchReason}},
 }
 
-// Known lists the names that a set may use. A nil list isn't checked.
-type Known struct {
+// KnownNames lists the names that a set may use. A nil list isn't checked.
+type KnownNames struct {
 	Pools       []string
 	Models      []string
 	DataCentres []string
--- a/rules/set.go
+++ b/rules/set.go
@@ -26,7 +26,7 @@
 
 // Parse checks a document and compiles it. An error is an *InvalidError that
 // lists all problems.
-func Parse(src []byte, known Known) (*Set, error) {
+func Parse(src []byte, known KnownNames) (*Set, error) {
 	c := &collector{src: src}
 	sources := decode(c)
 	s := &Set{document: src}
@@ -47,7 +47,7 @@
 	return s, nil
 }
 
-func compileRule(c *collector, config *conf.Config, s *source, known Known) (compiledRule, form) {
+func compileRule(c *collector, config *conf.Config, s *source, known KnownNames) (compiledRule, form) {
 	if s.whole {
 		checkThen(c, s, known)
 	}
--- a/rules/set_test.go
+++ b/rules/set_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-var testKnown = Known{
+var testKnown = KnownNames{
 	Pools:       []string{"agronomy", "booking"},
 	Models:      []string{"soil", "slips"},
 	DataCentres: []string{"cesis-a", "valmiera-b"},
@@ -111,7 +111,7 @@
 		{`model == "soil" && stream`, `model == "soil"`, true},
 	}
 	for _, c := range cases {
-		_, err := Parse(document(rule("1", c.first, toAgronomy), rule("2", c.second, toAgronomy)), Known{})
+		_, err := Parse(document(rule("1", c.first, toAgronomy), rule("2", c.second, toAgronomy)), KnownNames{})
 		if c.reached {
 			require.NoError(t, err, "%s, then %s", c.first, c.second)
 		} else {
