--- a/claim/bench_test.go
+++ b/claim/bench_test.go
@@ -143,7 +143,7 @@
 		core.Apply(journal.Placed{Position: journal.Position{Offset: 1}, At: env.Now, Entry: entry})
 		core.Claimed(env, id, claim.Appended)
 		core.Confirm(env, id, false)
-		core.Dispatched(env, id, claim.Recorded{Status: 201, Body: []byte(`{"booking":"1234567"}`)}, claim.DispatchAnswered)
+		core.Dispatched(env, id, claim.Response{Status: 201, Body: []byte(`{"booking":"1234567"}`)}, claim.DispatchCompleted)
 		entries = append(entries, entry, core.Outbox()[0].Entry)
 	}
 	return entries
--- a/claim/call.go
+++ b/claim/call.go
@@ -43,12 +43,12 @@
 type WaitStep struct{ Until time.Time }
 
 // AnswerStep ends the call.
-type AnswerStep struct{ Result Result }
+type ResultStep struct{ Result Result }
 
 func (ClaimStep) isStep()    {}
 func (DispatchStep) isStep() {}
 func (WaitStep) isStep()     {}
-func (AnswerStep) isStep()   {}
+func (ResultStep) isStep()   {}
 
 // AppendResult says what became of a claim's append.
 type AppendResult uint8
@@ -108,9 +108,9 @@
 
 func replay(v view) Done {
 	if v.answer == nil {
-		return Done{Recorded: Recorded{Status: int(v.status)}, Replayed: true}
+		return Done{Response: Response{Status: int(v.status)}, Replayed: true}
 	}
-	return Done{Recorded: v.answer.recorded(), Replayed: true, AnswerKept: v.answer.Kept}
+	return Done{Response: v.answer.recorded(), Replayed: true, ResponseComplete: v.answer.Kept}
 }
 
 // await deals with a claim that stands. If it is this process's own, given up
@@ -134,9 +134,9 @@
 // claim asks for the right to run a free key.
 func (c *Core) claim(env Env, k *call, v view) Step {
 	switch {
-	case k.key.Timed() && c.ledger.tooOld(k.key.Made):
+	case k.key.Timed() && c.ledger.tooOld(k.key.CreatedAt):
 		return c.answer(k, KeyTooOld{})
-	case k.claims > 0 && k.key.Made.After(c.ledger.now.Add(c.cfg.KeySkew)):
+	case k.claims > 0 && k.key.CreatedAt.After(c.ledger.now.Add(c.cfg.KeySkew)):
 		return c.notRun(k, ReasonKeyFromFuture, ScopeRequest)
 	case !v.exact:
 		return c.notRun(k, ReasonHistoryUnknown, ScopeRequest)
@@ -155,7 +155,7 @@
 	k.claimSent = env.Now
 	m := claimed{Key: k.key.ID, Attempt: k.attempt, Digest: k.digest}
 	if k.key.Timed() {
-		m.MadeMillis = k.key.Made.UnixMilli()
+		m.MadeMillis = k.key.CreatedAt.UnixMilli()
 	}
 	return ClaimStep{Entry: m.entry()}
 }
@@ -205,15 +205,15 @@
 }
 
 // Dispatched ends a call whose dispatch has returned.
-func (c *Core) Dispatched(env Env, id CallID, r Recorded, e DispatchError) Step {
+func (c *Core) Dispatched(env Env, id CallID, r Response, e DispatchResult) Step {
 	k := c.calls[id]
 	switch e {
 	case DispatchNotRun:
 		return c.withdrawn(env, k, ReasonUpstream)
-	case DispatchAnswered:
+	case DispatchCompleted:
 		m := newOutcome(k.key.ID, k.attempt, k.digest, r, c.cfg.MaxRecordedBytes)
 		c.record(k, m.entry(), row{digest: k.digest, status: m.Status, phase: phaseDone}, &m)
-		return c.answer(k, Done{Recorded: r, AnswerKept: true})
+		return c.answer(k, Done{Response: r, ResponseComplete: true})
 	default:
 		m := brokenOff{Key: k.key.ID, Attempt: k.attempt, Digest: k.digest}
 		c.record(k, m.entry(), row{digest: k.digest, phase: phaseBrokenOff}, nil)
@@ -226,7 +226,7 @@
 // key; then no more is said than what is known.
 func (c *Core) withdrawn(env Env, k *call, reason NotRunReason) Step {
 	c.latch(env, k.key.ID, k.attempt)
-	if env.Now.Sub(k.claimSent) < c.cfg.Remember/2 {
+	if env.Now.Sub(k.claimSent) < c.cfg.KeyTTL/2 {
 		return c.notRun(k, reason, ScopeKey)
 	}
 	v := c.view(k.key)
@@ -259,5 +259,5 @@
 func (c *Core) answer(k *call, r Result) Step {
 	delete(c.calls, k.id)
 	delete(c.changed, k.id)
-	return AnswerStep{Result: r}
+	return ResultStep{Result: r}
 }
--- a/claim/config.go
+++ b/claim/config.go
@@ -45,7 +45,7 @@
 	// and MaxClaimAge is taken as broken off. 30 s by default.
 	MaxDispatch time.Duration
 	// Remember is how long a key is known. 24 h by default.
-	Remember time.Duration
+	KeyTTL time.Duration
 	// Retention is how long the log keeps a record. One hour by default.
 	Retention time.Duration
 	// KeySkew is the most by which the clock that made a timed key may differ
@@ -58,13 +58,13 @@
 	// not run. 500,000 by default.
 	MaxKeys int
 	// MaxAnswerBytes bounds the recorded answers in memory. 16 MiB by default.
-	MaxAnswerBytes int
+	ResponseCacheBytes int
 	// MaxOutbox bounds the outcomes and withdrawals that wait for the log.
 	// 4096 by default.
 	MaxOutbox int
 	// RecordFor is how long the append of an outcome is tried again. Two
 	// minutes by default.
-	RecordFor time.Duration
+	RecordTimeout time.Duration
 	// RetryAfter is what a refused caller is told to wait. One second by
 	// default.
 	RetryAfter time.Duration
@@ -77,13 +77,13 @@
 	setDefault(&c.ClaimTimeout, defaultClaimTimeout)
 	setDefault(&c.MaxClaimAge, c.ClaimTimeout+5*time.Second)
 	setDefault(&c.MaxDispatch, defaultMaxDispatch)
-	setDefault(&c.Remember, defaultRemember)
+	setDefault(&c.KeyTTL, defaultRemember)
 	setDefault(&c.Retention, defaultRetention)
-	setDefault(&c.KeySkew, min(defaultKeySkew, c.Remember/8))
+	setDefault(&c.KeySkew, min(defaultKeySkew, c.KeyTTL/8))
 	setDefault(&c.MaxKeys, defaultMaxKeys)
-	setDefault(&c.MaxAnswerBytes, defaultMaxAnswerBytes)
+	setDefault(&c.ResponseCacheBytes, defaultMaxAnswerBytes)
 	setDefault(&c.MaxOutbox, defaultMaxOutbox)
-	setDefault(&c.RecordFor, defaultRecordFor)
+	setDefault(&c.RecordTimeout, defaultRecordFor)
 	setDefault(&c.RetryAfter, defaultRetryAfter)
 	setDefault(&c.DrainTimeout, defaultDrainTimeout)
 	if c.MaxRecordedBytes == 0 {
@@ -101,13 +101,13 @@
 // Validate returns an error if the times don't fit together.
 func (c Config) Validate() error {
 	c = c.withDefaults()
-	if c.Remember < rememberFactor*c.staleAfter() {
+	if c.KeyTTL < rememberFactor*c.staleAfter() {
 		return eris.Errorf("claim: keys are remembered for %v, which is less than %d times the %v that a call may take",
-			c.Remember, rememberFactor, c.staleAfter())
+			c.KeyTTL, rememberFactor, c.staleAfter())
 	}
-	if c.KeySkew > c.Remember/rememberFactor {
+	if c.KeySkew > c.KeyTTL/rememberFactor {
 		return eris.Errorf("claim: the clocks of keys may differ by %v, more than a quarter of the %v that a key is known",
-			c.KeySkew, c.Remember)
+			c.KeySkew, c.KeyTTL)
 	}
 	return nil
 }
--- a/claim/example_test.go
+++ b/claim/example_test.go
@@ -24,15 +24,15 @@
 	go func() { _ = guard.Serve(ctx) }()
 	<-j.CaughtUp()
 
-	book := func(context.Context) (claim.Recorded, claim.DispatchError) {
+	book := func(context.Context) (claim.Response, claim.DispatchResult) {
 		fmt.Println("the booking runs")
-		return claim.Recorded{Status: 201, Body: []byte("spreader 4, 6:30")}, claim.DispatchAnswered
+		return claim.Response{Status: 201, Body: []byte("spreader 4, 6:30")}, claim.DispatchCompleted
 	}
 	const digest = 0x5eed // of the request's method, path and body
 	for range 2 {
 		switch r := guard.Do(ctx, "5f3c", digest, book).(type) {
 		case claim.Done:
-			fmt.Printf("%d %s, replayed %v\n", r.Recorded.Status, r.Recorded.Body, r.Replayed)
+			fmt.Printf("%d %s, replayed %v\n", r.Response.Status, r.Response.Body, r.Replayed)
 		case claim.NotRun:
 			fmt.Println("not run:", r.Reason, "ask again in", r.RetryAfter)
 		case claim.MayHaveRun:
--- a/claim/guard.go
+++ b/claim/guard.go
@@ -27,7 +27,7 @@
 // must send nothing once ctx has ended, and then say DispatchNotRun if it had
 // sent nothing. It may go on running after Do has returned, so it must not hold memory that the
 // caller's HTTP library uses again.
-type Dispatch func(ctx context.Context) (Recorded, DispatchError)
+type Dispatch func(ctx context.Context) (Response, DispatchResult)
 
 // Guard runs protected calls at most once. It is registered with the journal
 // as the folder of journal.KindClaim, and its Serve runs below a supervisor
@@ -109,7 +109,7 @@
 	defer g.forget(id)
 	for {
 		switch s := step.(type) {
-		case AnswerStep:
+		case ResultStep:
 			return s.Result
 		case ClaimStep:
 			r := g.claim(ctx, s.Entry)
@@ -167,7 +167,7 @@
 	g.appends.Go(func() {
 		defer g.leave()
 		// A dispatch that panics may have run.
-		r, e := Recorded{}, DispatchMayHaveRun
+		r, e := Response{}, DispatchMayHaveRun
 		caught.Try(func() { r, e = bounded(ctx, deadline, dispatch) })
 		ended <- g.step(func(env Env) Step { return g.core.Dispatched(env, id, r, e) })
 		if p := caught.Recovered(); p != nil {
@@ -179,18 +179,18 @@
 		caught.Repanic()
 		return s
 	case <-ctx.Done():
-		return AnswerStep{Result: MayHaveRun{ReasonRunning}}
+		return ResultStep{Result: MayHaveRun{ReasonRunning}}
 	}
 }
 
 // bounded runs the dispatch, which the caller's leaving doesn't break off. The
 // deadline was set before the last look at the clock: after a pause behind
 // that look nothing is sent any more.
-func bounded(ctx context.Context, deadline time.Time, dispatch Dispatch) (Recorded, DispatchError) {
+func bounded(ctx context.Context, deadline time.Time, dispatch Dispatch) (Response, DispatchResult) {
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), deadline)
 	defer cancel()
 	if ctx.Err() != nil {
-		return Recorded{}, DispatchNotRun
+		return Response{}, DispatchNotRun
 	}
 	return dispatch(ctx)
 }
--- a/claim/guard_test.go
+++ b/claim/guard_test.go
@@ -55,13 +55,13 @@
 // service counts the runs of a booking and answers each with its number.
 type service struct{ runs atomic.Int64 }
 
-func (s *service) book(context.Context) (claim.Recorded, claim.DispatchError) {
+func (s *service) book(context.Context) (claim.Response, claim.DispatchResult) {
 	s.runs.Add(1)
-	return claim.Recorded{
+	return claim.Response{
 		Status:  201,
 		Headers: []upstream.Header{{Name: "Location", Value: "/bookings/1"}},
 		Body:    []byte("booked"),
-	}, claim.DispatchAnswered
+	}, claim.DispatchCompleted
 }
 
 // do makes a call with a deadline of ten seconds.
@@ -81,8 +81,8 @@
 		synctest.Wait()
 		second := b.do("k", s.book).(claim.Done)
 		require.True(t, second.Replayed)
-		require.True(t, second.AnswerKept)
-		require.Equal(t, first.(claim.Done).Recorded, second.Recorded)
+		require.True(t, second.ResponseComplete)
+		require.Equal(t, first.(claim.Done).Response, second.Response)
 		require.EqualValues(t, 1, s.runs.Load())
 		require.Equal(t, claim.KeyReused{}, b.Do(t.Context(), "k", 2, s.book))
 	})
@@ -106,19 +106,19 @@
 		wg.Wait()
 		require.EqualValues(t, 1, s.runs.Load())
 		for _, r := range results {
-			require.Equal(t, "booked", string(r.(claim.Done).Recorded.Body))
+			require.Equal(t, "booked", string(r.(claim.Done).Response.Body))
 		}
 	})
 }
 
 // call is a dispatch with a given end; it counts as a run unless refused.
-func (s *service) call(after time.Duration, body string, end claim.DispatchError) claim.Dispatch {
-	return func(ctx context.Context) (claim.Recorded, claim.DispatchError) {
+func (s *service) call(after time.Duration, body string, end claim.DispatchResult) claim.Dispatch {
+	return func(ctx context.Context) (claim.Response, claim.DispatchResult) {
 		if end != claim.DispatchNotRun {
 			s.runs.Add(1)
 		}
 		time.Sleep(after)
-		return claim.Recorded{Status: 201, Body: []byte(body)}, end
+		return claim.Response{Status: 201, Body: []byte(body)}, end
 	}
 }
 
@@ -126,7 +126,7 @@
 // what a resend at another instance is told a minute after it went well again.
 func TestFailuresGetHonestAnswers(t *testing.T) {
 	const big = 1 << 12
-	done := claim.Done{Recorded: claim.Recorded{Status: 201, Body: []byte("booked")}, AnswerKept: true}
+	done := claim.Done{Response: claim.Response{Status: 201, Body: []byte("booked")}, ResponseComplete: true}
 	replayed := done
 	replayed.Replayed = true
 	refused := func(r claim.NotRunReason, s claim.Scope) claim.NotRun {
@@ -138,7 +138,7 @@
 		outage        bool
 		after         time.Duration
 		body          string
-		end           claim.DispatchError
+		end           claim.DispatchResult
 		first, resend claim.Result
 		runs          int
 	}{
@@ -159,8 +159,8 @@
 			resend: claim.MayHaveRun{Reason: claim.ReasonBrokenOff}, runs: 1},
 		{name: "caller's time is up first", after: 20 * time.Second, first: claim.MayHaveRun{Reason: claim.ReasonRunning}, resend: replayed, runs: 1},
 		{name: "large answer", body: string(make([]byte, big)),
-			first:  claim.Done{Recorded: claim.Recorded{Status: 201, Body: make([]byte, big)}, AnswerKept: true},
-			resend: claim.Done{Recorded: claim.Recorded{Status: 201}, Replayed: true}, runs: 1},
+			first:  claim.Done{Response: claim.Response{Status: 201, Body: make([]byte, big)}, ResponseComplete: true},
+			resend: claim.Done{Response: claim.Response{Status: 201}, Replayed: true}, runs: 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -178,7 +178,7 @@
 				require.Equal(t, c.first, a.do("k", s.call(c.after, body, c.end)))
 				log.Outage(false)
 				time.Sleep(time.Minute)
-				require.Equal(t, c.resend, b.do("k", s.call(0, body, claim.DispatchAnswered)))
+				require.Equal(t, c.resend, b.do("k", s.call(0, body, claim.DispatchCompleted)))
 				require.EqualValues(t, c.runs, s.runs.Load())
 			})
 		})
@@ -193,7 +193,7 @@
 		log, s := journaltest.NewLog(), &service{}
 		a, b := start(t, log, "a", claim.Config{DrainTimeout: time.Second}), start(t, log, "b", claim.Config{})
 		var wg conc.WaitGroup
-		wg.Go(func() { a.do("k", s.call(20*time.Second, "never recorded", claim.DispatchAnswered)) })
+		wg.Go(func() { a.do("k", s.call(20*time.Second, "never recorded", claim.DispatchCompleted)) })
 		time.Sleep(time.Second)
 		a.stop()
 		require.Equal(t, claim.MayHaveRun{Reason: claim.ReasonRunning}, b.do("k", s.book))
@@ -221,7 +221,7 @@
 		letTimePass(log, 6*time.Hour)
 		b := start(t, log, "b", claim.Config{})
 		for _, key := range []string{"plain", old.String()} {
-			require.Equal(t, claim.Done{Recorded: claim.Recorded{Status: 201}, Replayed: true}, b.do(key, s.book))
+			require.Equal(t, claim.Done{Response: claim.Response{Status: 201}, Replayed: true}, b.do(key, s.book))
 		}
 		letTimePass(log, 24*time.Hour)
 		require.Equal(t, claim.KeyTooOld{}, b.do(old.String(), s.book))
--- a/claim/key.go
+++ b/claim/key.go
@@ -19,7 +19,7 @@
 	ID KeyID
 	// Made is when the key was made, by its maker's clock. It is known for
 	// keys that are UUIDs of version 7, else zero.
-	Made time.Time
+	CreatedAt time.Time
 }
 
 // uuidVersionWithTime is the UUID version that begins with the time.
@@ -31,12 +31,12 @@
 	k := Key{ID: KeyID(sum[:len(KeyID{})])}
 	if u, err := uuid.Parse(s); err == nil && u.Version() == uuidVersionWithTime {
 		sec, nsec := u.Time().UnixTime()
-		k.Made = time.Unix(sec, nsec)
+		k.CreatedAt = time.Unix(sec, nsec)
 	}
 	return k
 }
 
 // Timed reports whether the key carries its time.
-func (k Key) Timed() bool { return !k.Made.IsZero() }
+func (k Key) Timed() bool { return !k.CreatedAt.IsZero() }
 
 func newAttempt() AttemptID { return AttemptID(uuid.New()) }
--- a/claim/ledger.go
+++ b/claim/ledger.go
@@ -57,9 +57,9 @@
 }
 
 func (l *Ledger) clear() {
-	l.keys = newBuckets(l.cfg.Remember)
+	l.keys = newBuckets(l.cfg.KeyTTL)
 	l.live = map[KeyID]holder{}
-	l.answers = newAnswers(l.cfg.MaxAnswerBytes)
+	l.answers = newAnswers(l.cfg.ResponseCacheBytes)
 	l.now = time.Time{}
 }
 
@@ -162,7 +162,7 @@
 // first claim was taken no earlier than KeySkew before it was made, so up to
 // here it is still known.
 func (l *Ledger) tooOld(made time.Time) bool {
-	return l.now.After(made.Add(l.cfg.Remember - l.cfg.KeySkew))
+	return l.now.After(made.Add(l.cfg.KeyTTL - l.cfg.KeySkew))
 }
 
 func (l *Ledger) holds(e event, key KeyID, attempt AttemptID) bool {
@@ -259,7 +259,7 @@
 	if l.gap == nil {
 		return true
 	}
-	return key.Timed() && l.gap.begun() && !key.Made.Before(l.gap.since.Add(l.cfg.KeySkew))
+	return key.Timed() && l.gap.begun() && !key.CreatedAt.Before(l.gap.since.Add(l.cfg.KeySkew))
 }
 
 // Len returns the number of keys and decided attempts that are known.
--- a/claim/ledger_test.go
+++ b/claim/ledger_test.go
@@ -12,7 +12,7 @@
 	"tamarackchute/journal"
 )
 
-var testConfig = Config{Remember: 10 * time.Minute, Retention: time.Minute, KeySkew: 20 * time.Second}
+var testConfig = Config{KeyTTL: 10 * time.Minute, Retention: time.Minute, KeySkew: 20 * time.Second}
 
 var testStart = time.Unix(1_700_000_000, 0)
 
@@ -99,17 +99,17 @@
 func TestTimeClosesNoGap(t *testing.T) {
 	var h history
 	h.add(testStart, claimed{Key: KeyID{1}, Attempt: attempt(1)}.entry(), "a")
-	h.add(testStart.Add(3*testConfig.Remember), claimed{Key: KeyID{2}, Attempt: attempt(2)}.entry(), "a")
+	h.add(testStart.Add(3*testConfig.KeyTTL), claimed{Key: KeyID{2}, Attempt: attempt(2)}.entry(), "a")
 	l := NewLedger(testConfig)
 	l.Trimmed(1)
 	h.fold(l)
 	require.False(t, l.Complete())
 	require.False(t, l.exact(Key{ID: KeyID{3}}))
 	made := testStart.Add(testConfig.KeySkew)
-	require.True(t, l.exact(Key{ID: KeyID{3}, Made: made}), "a timed key from behind the gap is known in full")
+	require.True(t, l.exact(Key{ID: KeyID{3}, CreatedAt: made}), "a timed key from behind the gap is known in full")
 
 	for _, e := range l.acceptGap() {
-		h.add(testStart.Add(3*testConfig.Remember), e, "a")
+		h.add(testStart.Add(3*testConfig.KeyTTL), e, "a")
 	}
 	h[2:].fold(l)
 	require.True(t, l.Complete(), "the operator has accepted the gap")
@@ -124,7 +124,7 @@
 		scope Scope
 	}{
 		{time.Minute, ScopeKey},
-		{testConfig.Remember, ScopeRequest},
+		{testConfig.KeyTTL, ScopeRequest},
 	} {
 		core := NewCore(testConfig, testStart)
 		env := Env{Now: testStart, LogUp: true}
@@ -132,7 +132,7 @@
 		core.Apply(journal.Placed{Position: journal.Position{Offset: 1}, At: testStart, Entry: step.(ClaimStep).Entry})
 		require.Equal(t, DispatchStep{}, core.Claimed(env, id, Appended))
 		env.Now = testStart.Add(c.pause)
-		answer := core.Confirm(env, id, false).(AnswerStep).Result.(NotRun)
+		answer := core.Confirm(env, id, false).(ResultStep).Result.(NotRun)
 		require.Equal(t, ReasonPaused, answer.Reason)
 		require.Equal(t, c.scope, answer.Scope)
 		require.Len(t, core.Outbox(), 1, "the claim is withdrawn")
--- a/claim/messages.go
+++ b/claim/messages.go
@@ -162,8 +162,8 @@
 }
 
 // recorded is the answer that the outcome holds.
-func (m *outcome) recorded() Recorded {
-	r := Recorded{Status: int(m.Status), Body: m.Body}
+func (m *outcome) recorded() Response {
+	r := Response{Status: int(m.Status), Body: m.Body}
 	for i := 0; i+1 < len(m.Headers); i += 2 {
 		r.Headers = append(r.Headers, upstream.Header{Name: m.Headers[i], Value: m.Headers[i+1]})
 	}
@@ -172,7 +172,7 @@
 
 // newOutcome records an answer, without headers and body if it is larger than
 // maxBytes.
-func newOutcome(key KeyID, attempt AttemptID, digest uint64, r Recorded, maxBytes int) outcome {
+func newOutcome(key KeyID, attempt AttemptID, digest uint64, r Response, maxBytes int) outcome {
 	m := outcome{Key: key, Attempt: attempt, Digest: digest, Status: uint16(r.Status)}
 	if r.size() > maxBytes {
 		return m
--- a/claim/outbox.go
+++ b/claim/outbox.go
@@ -37,7 +37,7 @@
 
 // keepAppending appends an entry, again and again for RecordFor.
 func (g *Guard) keepAppending(e journal.Entry) bool {
-	ctx, cancel := context.WithTimeout(g.background, g.cfg.RecordFor)
+	ctx, cancel := context.WithTimeout(g.background, g.cfg.RecordTimeout)
 	defer cancel()
 	for {
 		if g.appendOnce(ctx, e) {
--- a/claim/result.go
+++ b/claim/result.go
@@ -7,14 +7,14 @@
 )
 
 // Recorded is the answer of a protected call's run.
-type Recorded struct {
+type Response struct {
 	Status  int
 	Headers []upstream.Header
 	Body    []byte
 }
 
 // size is what the answer takes up.
-func (r Recorded) size() int {
+func (r Response) size() int {
 	n := len(r.Body)
 	for _, h := range r.Headers {
 		n += len(h.Name) + len(h.Value)
@@ -23,12 +23,12 @@
 }
 
 // DispatchError says what is known of a dispatch.
-type DispatchError uint8
+type DispatchResult uint8
 
 // The outcomes of a dispatch.
 const (
 	// DispatchAnswered: the call ran, and here is its answer.
-	DispatchAnswered DispatchError = iota
+	DispatchCompleted DispatchResult = iota
 	// DispatchNotRun: the call certainly did not run and never will: it was not
 	// sent, or the upstream refused it before running.
 	DispatchNotRun
@@ -43,12 +43,12 @@
 
 // Done says that the call ran, once.
 type Done struct {
-	Recorded Recorded
+	Response Response
 	// Replayed is set if an earlier request with the key ran it.
 	Replayed bool
 	// AnswerKept is whether Recorded is the whole answer. If not, it was too
 	// large or too long ago, and only Recorded.Status is known.
-	AnswerKept bool
+	ResponseComplete bool
 }
 
 // NotRun says that this request did not run and never will.
--- a/cmd/chute-controller/handover_bench_test.go
+++ b/cmd/chute-controller/handover_bench_test.go
@@ -107,9 +107,9 @@
 	if again {
 		c.launch(before.Holder)
 	}
-	after := c.leader(before.Scope, before.Fence)
+	after := c.leader(before.Scope, before.FencingToken)
 	took := time.Since(begun)
-	if after.ByProof {
+	if after.Unfenced {
 		took += time.Duration(c.d.Lease.SettleSeconds * float64(time.Second))
 	}
 	c.restore(before.Holder)
--- a/cmd/chute-controller/harness_test.go
+++ b/cmd/chute-controller/harness_test.go
@@ -261,7 +261,7 @@
 	c.t.Helper()
 	c.until("a leader", func() bool {
 		s := c.leases.Scope(scope)
-		return s.Held && s.Fence > after
+		return s.Held && s.FencingToken > after
 	})
 	return c.leases.Scope(scope)
 }
--- a/cmd/chute-controller/process_test.go
+++ b/cmd/chute-controller/process_test.go
@@ -69,10 +69,10 @@
 			ch := c.changed(func(ch orders.Change) bool { return ch.Phase == orders.PhaseOrdered })
 			c.kill(first.Holder)
 			c.launch(first.Holder)
-			second := c.leader(scopeOf(f), first.Fence)
+			second := c.leader(scopeOf(f), first.FencingToken)
 			c.changed(func(now orders.Change) bool { return now.ID == ch.ID && now.Phase == orders.PhaseConfirmed })
 			assert.Equal(t, ch.Target.Role, c.engines[ch.Engine].State().Role)
-			assert.GreaterOrEqual(t, second.Fence, first.Fence)
+			assert.GreaterOrEqual(t, second.FencingToken, first.FencingToken)
 			c.soundEngines()
 		})
 	}
@@ -91,7 +91,7 @@
 			return ch.Phase == orders.PhaseDraining || ch.Phase == orders.PhaseOrdered
 		})
 		c.signal(first.Holder, syscall.SIGSTOP)
-		second := c.leader(scopeOf(settings.FencingChecked), first.Fence)
+		second := c.leader(scopeOf(settings.FencingChecked), first.FencingToken)
 		require.NotEqual(t, first.Holder, second.Holder)
 		c.settled()
 		c.signal(first.Holder, syscall.SIGCONT)
@@ -110,7 +110,7 @@
 			term := time.Duration(c.d.Lease.TermSeconds * float64(time.Second))
 			return now.Holder != first.Holder && now.LastAt.Sub(now.Since) > 2*term
 		})
-		require.Equal(t, first.Fence, c.leases.Scope(first.Scope).Fence)
+		require.Equal(t, first.FencingToken, c.leases.Scope(first.Scope).FencingToken)
 		c.signal(first.Holder, syscall.SIGCONT)
 		c.until("the woken one goes on", func() bool {
 			now := c.leases.Scope(first.Scope)
@@ -130,8 +130,8 @@
 	c.signal(first.Holder, syscall.SIGTERM)
 	require.NoError(t, c.running[first.Holder].Wait())
 	delete(c.running, first.Holder)
-	second := c.leader(first.Scope, first.Fence)
-	assert.Equal(t, "released", second.Ground.String())
+	second := c.leader(first.Scope, first.FencingToken)
+	assert.Equal(t, "released", second.Basis.String())
 }
 
 // An engine has been replaced by one that holds another model. Requests for the
--- a/infra/infra.go
+++ b/infra/infra.go
@@ -22,7 +22,7 @@
 const eraShift = 40
 
 // OffsetIn returns the place with an index in an era.
-func OffsetIn(era, index uint64) Offset { return Offset(era<<eraShift | index) }
+func NewOffset(era, index uint64) Offset { return Offset(era<<eraShift | index) }
 
 // Era returns the era of the place; 0 of a log that never came back.
 func (o Offset) Era() uint64 { return uint64(o) >> eraShift }
@@ -82,7 +82,7 @@
 	Kind       InstanceKind `json:"kind"`
 	DataCentre string       `json:"data_centre"`
 	// Leaving is set once the platform has begun to take the instance away.
-	Leaving bool `json:"leaving"`
+	Terminating bool `json:"leaving"`
 }
 
 // InstanceList is the platform's list of instances. It lags behind the truth
--- a/internal/adapters/listclient/listclient_test.go
+++ b/internal/adapters/listclient/listclient_test.go
@@ -18,7 +18,7 @@
 	e1 := infra.Instance{Name: "e1", Kind: infra.KindEntry, DataCentre: "a"}
 	s1 := infra.Instance{Name: "s1", Kind: infra.KindService, DataCentre: "a"}
 	leaving := s1
-	leaving.Leaving = true
+	leaving.Terminating = true
 	cases := []struct {
 		name   string
 		faults string
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -182,7 +182,7 @@
 		Config: lease.Config{
 			Scope: scope, Instance: c.cfg.Instance, Incarnation: c.incarnation,
 			Term: seconds(l.TermSeconds), Renew: seconds(l.RenewSeconds),
-			Drift: l.DriftFraction, ByProof: u.Fencing != settings.FencingChecked,
+			Drift: l.DriftFraction, Unfenced: u.Fencing != settings.FencingChecked,
 			Settle: seconds(l.SettleSeconds), ClaimDelay: c.stagger(),
 			Retention: seconds(c.cfg.Deployment.Platform.RetentionSeconds),
 		},
--- a/internal/controller/executor.go
+++ b/internal/controller/executor.go
@@ -150,7 +150,7 @@
 	err := x.control.Order(callCtx, action.Order)
 	x.contact.RaiseDone(err, time.Now(), x.limits.Retry)
 	if err != nil {
-		x.log.Warn("fencing number not raised", "fence", a.Fence, "error", err)
+		x.log.Warn("fencing number not raised", "fence", a.FencingToken, "error", err)
 	}
 	return err == nil
 }
--- a/internal/controller/interleave/keeper.go
+++ b/internal/controller/interleave/keeper.go
@@ -21,12 +21,12 @@
 func (p *process) newKeeper(scope string, byProof bool) *keeper {
 	cfg := lease.Config{
 		Scope: scope, Instance: p.on.name, Incarnation: p.incarnation,
-		Term: term, Renew: renew, Drift: drift, ByProof: byProof, Settle: settle,
+		Term: term, Renew: renew, Drift: drift, Unfenced: byProof, Settle: settle,
 		ClaimDelay: time.Duration(p.on.name[1]-'1') * 50 * time.Millisecond,
 	}
 	switch p.w.mutant {
 	case mutantUnfencedByTime:
-		cfg.ByProof = false
+		cfg.Unfenced = false
 	case mutantNoDrift:
 		cfg.Drift = 0
 	case mutantNoSettle:
@@ -49,8 +49,8 @@
 	}
 }
 
-func (k *keeper) sight(s lease.ScopeState) lease.Sight {
-	see := lease.Sight{AddressBound: true, SelfListed: k.p.on.listed}
+func (k *keeper) sight(s lease.ScopeState) lease.Observation {
+	see := lease.Observation{AddressBound: true, SelfListed: k.p.on.listed}
 	for _, m := range k.p.w.machines {
 		if m.name != s.Holder {
 			continue
@@ -74,15 +74,15 @@
 	}
 	fromReply := k.p.w.mutant == mutantFromReply
 	if !fromReply {
-		k.machine.Sending(id, r, k.p.clock())
+		k.machine.BeginSend(id, r, k.p.clock())
 	}
 	k.p.append(journal.KindLease, id, r.Encode(), func(_ journal.Position, err error) {
 		if fromReply {
-			k.machine.Sending(id, r, k.p.clock())
+			k.machine.BeginSend(id, r, k.p.clock())
 		}
 		k.machine.Observe(k.p.fold.leases.Scope(k.scope), k.p.clock())
 		if err == nil || err == errNotWritten {
-			k.machine.Settled(id)
+			k.machine.Resolved(id)
 		}
 		k.busy = false
 	})
--- a/internal/controller/interleave/scenario.go
+++ b/internal/controller/interleave/scenario.go
@@ -103,7 +103,7 @@
 	p.catchUp()
 	for _, scope := range scopes {
 		a, b := p.fold.leases.Scope(scope), w.truth.leases.Scope(scope)
-		same := a.Fence == b.Fence && a.Last == b.Last && a.Holder == b.Holder && a.Held == b.Held
+		same := a.FencingToken == b.FencingToken && a.Last == b.Last && a.Holder == b.Holder && a.Held == b.Held
 		w.report.Check(invariantAlike, same, func() string { return fmt.Sprintf("%s: %+v and %+v", m.name, a, b) })
 	}
 	for _, name := range w.order {
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -57,5 +57,5 @@
 	if after.Holder != l.instance || after.Incarnation != l.incarnation {
 		return false
 	}
-	return after.Fence != before.Fence || after.Held != before.Held
+	return after.FencingToken != before.FencingToken || after.Held != before.Held
 }
--- a/internal/controller/presence.go
+++ b/internal/controller/presence.go
@@ -127,7 +127,7 @@
 		return false
 	}
 	row, ok := p.current[instance]
-	return !ok || row.Leaving
+	return !ok || row.Terminating
 }
 
 // Entries returns the names of the listed entry instances, and false if the
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -52,7 +52,7 @@
 }
 
 func (c *Controller) scopeStatus(s lease.ScopeState) ScopeStatus {
-	out := ScopeStatus{Scope: s.Scope, Fence: s.Fence, Since: s.Since, Ground: s.Ground.String()}
+	out := ScopeStatus{Scope: s.Scope, Fence: s.FencingToken, Since: s.Since, Ground: s.Basis.String()}
 	if s.Held {
 		out.Holder = s.Holder
 	}
--- a/internal/controller/trail.go
+++ b/internal/controller/trail.go
@@ -161,10 +161,10 @@
 func (t *auditTrail) Leads(s lease.ScopeState) {
 	r := audit.Record{What: audit.LeadershipEnded, Target: s.Scope, Reason: "released", From: s.Holder}
 	if s.Held {
-		t.scope.Tagged(map[string]string{"ground": s.Ground.String()}).Counter("terms").Inc(1)
+		t.scope.Tagged(map[string]string{"ground": s.Basis.String()}).Counter("terms").Inc(1)
 		r = audit.Record{
 			What: audit.LeadershipTaken, Target: s.Scope, To: s.Holder,
-			Reason: fmt.Sprintf("%s, fencing number %d", s.Ground, s.Fence),
+			Reason: fmt.Sprintf("%s, fencing number %d", s.Basis, s.FencingToken),
 		}
 	}
 	t.add(r)
--- a/internal/entry/answer/leave_test.go
+++ b/internal/entry/answer/leave_test.go
@@ -48,7 +48,7 @@
 }
 
 func (e departureEngine) Prefill(context.Context, upstream.GenerateRequest) (upstream.KVHandle, error) {
-	e.fleet.tracker.SetList([]infra.Instance{{Name: "e0", Leaving: true}, {Name: "e1"}})
+	e.fleet.tracker.SetList([]infra.Instance{{Name: "e0", Terminating: true}, {Name: "e1"}})
 	return upstream.KVHandle{Engine: "e1"}, nil
 }
 
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -161,7 +161,7 @@
 	c := claim.Config{
 		Writer:           e.writer(),
 		ClaimTimeout:     time.Duration(d.Protected.ClaimTimeoutMillis * float64(time.Millisecond)),
-		Remember:         seconds(d.Protected.RememberSeconds),
+		KeyTTL:           seconds(d.Protected.RememberSeconds),
 		Retention:        seconds(d.Platform.RetentionSeconds),
 		MaxRecordedBytes: d.Protected.MaxRecordedBytes,
 	}
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -71,7 +71,7 @@
 	for name, scope := range e.leases.Snapshot().Scopes {
 		if scope.Held {
 			s.Leaders = append(s.Leaders, api.LeaderStatus{
-				Scope: name, Holder: scope.Holder, Fence: uint64(scope.Fence), Since: scope.Since,
+				Scope: name, Holder: scope.Holder, Fence: uint64(scope.FencingToken), Since: scope.Since,
 			})
 		}
 	}
--- a/internal/entry/protect/protect.go
+++ b/internal/entry/protect/protect.go
@@ -35,15 +35,15 @@
 
 // Do implements gateway.Protected.
 func (c *Calls) Do(ctx context.Context, p gateway.ProtectedCall, run gateway.RunCall) (upstream.ServiceResponse, *outcome.Failure) {
-	result := c.guard.Do(ctx, KeyOf(p.Organisation, p.Key), digest(p), func(ctx context.Context) (claim.Recorded, claim.DispatchError) {
+	result := c.guard.Do(ctx, KeyOf(p.Organisation, p.Key), digest(p), func(ctx context.Context) (claim.Response, claim.DispatchResult) {
 		response, f := run(ctx)
 		switch {
 		case f == nil:
-			return claim.Recorded(response), claim.DispatchAnswered
+			return claim.Response(response), claim.DispatchCompleted
 		case f.Ran == outcome.NotRun:
-			return claim.Recorded{}, claim.DispatchNotRun
+			return claim.Response{}, claim.DispatchNotRun
 		default:
-			return claim.Recorded{}, claim.DispatchMayHaveRun
+			return claim.Response{}, claim.DispatchMayHaveRun
 		}
 	})
 	return answer(ctx, result)
@@ -97,12 +97,12 @@
 const replayedHeader = "Chute-Replayed"
 
 func done(r claim.Done) (upstream.ServiceResponse, *outcome.Failure) {
-	if !r.AnswerKept {
+	if !r.ResponseComplete {
 		f := failure(http.StatusConflict, outcome.CodeKeyNotRecorded, outcome.RanWhole,
 			"the call ran; its answer is no longer kept, or was too large to be")
 		return upstream.ServiceResponse{}, f
 	}
-	response := upstream.ServiceResponse(r.Recorded)
+	response := upstream.ServiceResponse(r.Response)
 	if r.Replayed {
 		replayed := upstream.Header{Name: replayedHeader, Value: "true"}
 		response.Headers = append(append([]upstream.Header(nil), response.Headers...), replayed)
--- a/internal/entry/protect/protect_test.go
+++ b/internal/entry/protect/protect_test.go
@@ -18,7 +18,7 @@
 // fixed is a guard with one answer; it runs the dispatch first.
 type fixed struct {
 	result   claim.Result
-	dispatch claim.DispatchError
+	dispatch claim.DispatchResult
 }
 
 func (f *fixed) Do(ctx context.Context, _ string, _ uint64, d claim.Dispatch) claim.Result {
@@ -74,12 +74,12 @@
 // A service refuses a booking before running it, and the claim must learn
 // that; one whose connection broke must never be told as not run.
 func TestDispatchTellsWhatRan(t *testing.T) {
-	for f, want := range map[*outcome.Failure]claim.DispatchError{
-		nil:                       claim.DispatchAnswered,
+	for f, want := range map[*outcome.Failure]claim.DispatchResult{
+		nil:                       claim.DispatchCompleted,
 		{Ran: outcome.NotRun}:     claim.DispatchNotRun,
 		{Ran: outcome.MayHaveRun}: claim.DispatchMayHaveRun,
 	} {
-		g := &fixed{result: claim.Done{AnswerKept: true, Replayed: true}}
+		g := &fixed{result: claim.Done{ResponseComplete: true, Replayed: true}}
 		response, failed := New(g).Do(t.Context(), gateway.ProtectedCall{Digest: "12345678"},
 			func(context.Context) (upstream.ServiceResponse, *outcome.Failure) {
 				return upstream.ServiceResponse{}, f
@@ -100,6 +100,6 @@
 	require.NoError(t, err)
 	a, b := KeyOf("a", u.String()), KeyOf("b", u.String())
 	require.NotEqual(t, a, b)
-	require.Equal(t, claim.ParseKey(u.String()).Made.UnixMilli(), claim.ParseKey(a).Made.UnixMilli())
+	require.Equal(t, claim.ParseKey(u.String()).CreatedAt.UnixMilli(), claim.ParseKey(a).CreatedAt.UnixMilli())
 	require.Equal(t, a, KeyOf("a", u.String()))
 }
--- a/internal/member/director.go
+++ b/internal/member/director.go
@@ -98,7 +98,7 @@
 	l := daemonstatus.Lease{Candidate: d.keeper != nil}
 	if d.keeper != nil {
 		authority, held := d.keeper.Authority()
-		l.Held, l.Fence = held, authority.Fence
+		l.Held, l.Fence = held, authority.FencingToken
 	}
 	d.member.lease.Store(&l)
 }
--- a/internal/member/restore_test.go
+++ b/internal/member/restore_test.go
@@ -61,7 +61,7 @@
 
 // Newest implements Store.
 func (s *eraStore) Newest(context.Context, Topic) ([]Entry, Position, error) {
-	return []Entry{entry("a", "p 1:1")}, infra.OffsetIn(s.eras.Current(), 1), nil
+	return []Entry{entry("a", "p 1:1")}, infra.NewOffset(s.eras.Current(), 1), nil
 }
 
 // Changes implements Store.
@@ -108,11 +108,11 @@
 // Guards against a position of an earlier era that is taken for a later one.
 func TestPositionsOfALaterEraComeAfterAllBefore(t *testing.T) {
 	r := &topicReader{log: quiet}
-	r.heard(infra.OffsetIn(0, 1000), time.Second)
-	r.heard(infra.OffsetIn(1, 10), time.Second)
-	require.Equal(t, infra.OffsetIn(1, 10), r.position())
-	r.heard(infra.OffsetIn(0, 2000), time.Second)
-	require.Equal(t, infra.OffsetIn(1, 10), r.position())
+	r.heard(infra.NewOffset(0, 1000), time.Second)
+	r.heard(infra.NewOffset(1, 10), time.Second)
+	require.Equal(t, infra.NewOffset(1, 10), r.position())
+	r.heard(infra.NewOffset(0, 2000), time.Second)
+	require.Equal(t, infra.NewOffset(1, 10), r.position())
 	require.Equal(t, "1/10", r.position().String())
 }
 
--- a/internal/member/roleorders.go
+++ b/internal/member/roleorders.go
@@ -46,9 +46,9 @@
 		return
 	}
 	outcome, err := d.engines.SetRole(ctx, u, RoleOrder{
-		Role: c.To, Holder: d.member.self.Instance, Fence: authority.Fence, After: state.Orders,
+		Role: c.To, Holder: d.member.self.Instance, Fence: authority.FencingToken, After: state.Orders,
 	})
-	d.logger.Info("role ordered", "engine", u.ID, "from", u.Role, "to", c.To, "fence", authority.Fence,
+	d.logger.Info("role ordered", "engine", u.ID, "from", u.Role, "to", c.To, "fence", authority.FencingToken,
 		"after", state.Orders, "outcome", outcome.String(), "reason", c.Reason, "err", err)
 	switch outcome {
 	case OrderTaken:
--- a/internal/prove/claims/call.go
+++ b/internal/prove/claims/call.go
@@ -61,7 +61,7 @@
 		c.stage = stageWon
 	case claim.WaitStep:
 		c.stage, c.until = stageWaiting, s.Until
-	case claim.AnswerStep:
+	case claim.ResultStep:
 		c.inCore = false
 		c.stage = stageEnded
 		c.answer(s.Result)
@@ -81,7 +81,7 @@
 	step := p.core.Claimed(p.env(), c.id, r)
 	_, won := step.(claim.DispatchStep)
 	if p.world.mutant == secondClaimRuns && r == claim.Appended && !won {
-		_, ended := step.(claim.AnswerStep)
+		_, ended := step.(claim.ResultStep)
 		c.inCore = !ended
 		c.mayDispatch()
 		return
@@ -153,8 +153,8 @@
 	}
 	if !c.inCore {
 		c.stage = stageEnded
-		if r.failure == claim.DispatchAnswered {
-			c.answer(claim.Done{Recorded: r.recorded, AnswerKept: true})
+		if r.failure == claim.DispatchCompleted {
+			c.answer(claim.Done{Response: r.recorded, ResponseComplete: true})
 		}
 		c.remove()
 		return
--- a/internal/prove/claims/checks.go
+++ b/internal/prove/claims/checks.go
@@ -40,7 +40,7 @@
 		return true
 	}
 	last := k.runs[len(k.runs)-1]
-	return !k.key.Timed() && r.at.Sub(last.at) > config.Remember*8/10
+	return !k.key.Timed() && r.at.Sub(last.at) > config.KeyTTL*8/10
 }
 
 func saysNotRun(r claim.Result) bool {
@@ -90,22 +90,22 @@
 
 func (w *world) ranLately(k *key) bool {
 	n := len(k.runs)
-	return n > 0 && (k.key.Timed() || w.now.Sub(k.runs[n-1].at) < config.Remember*8/10)
+	return n > 0 && (k.key.Timed() || w.now.Sub(k.runs[n-1].at) < config.KeyTTL*8/10)
 }
 
 func (w *world) checkDone(s *send, r claim.Done) {
 	w.check(doneIsTheRuns, matchesRun(s, r), func() string {
 		return fmt.Sprintf("key %d: %#v, runs %v", s.key.serial, r, s.key.runs)
 	})
-	if !r.AnswerKept {
+	if !r.ResponseComplete {
 		w.report.Event("answer not kept")
 	}
 }
 
 func matchesRun(s *send, d claim.Done) bool {
 	for _, r := range s.key.runs {
-		same := r.recorded.Status == d.Recorded.Status && r.digest == s.digest
-		if same && (!d.AnswerKept || bytes.Equal(r.recorded.Body, d.Recorded.Body)) {
+		same := r.recorded.Status == d.Response.Status && r.digest == s.digest
+		if same && (!d.ResponseComplete || bytes.Equal(r.recorded.Body, d.Response.Body)) {
 			return true
 		}
 	}
--- a/internal/prove/claims/outside.go
+++ b/internal/prove/claims/outside.go
@@ -30,7 +30,7 @@
 type run struct {
 	at       time.Time
 	digest   uint64
-	recorded claim.Recorded
+	recorded claim.Response
 }
 
 // request is on its way to the upstream.
@@ -45,8 +45,8 @@
 const maxUnderWay = 5 * time.Minute
 
 type reply struct {
-	recorded claim.Recorded
-	failure  claim.DispatchError
+	recorded claim.Response
+	failure  claim.DispatchResult
 }
 
 // Digests of requests: now and then a key is used for a second one.
@@ -82,7 +82,7 @@
 	k := &key{first: w.now, serial: len(w.keys) + 1}
 	binary.BigEndian.PutUint64(k.key.ID[:], uint64(k.serial))
 	if timed {
-		k.key.Made = w.now.Add(w.between(-2*config.KeySkew, 2*config.KeySkew)).Truncate(time.Millisecond)
+		k.key.CreatedAt = w.now.Add(w.between(-2*config.KeySkew, 2*config.KeySkew)).Truncate(time.Millisecond)
 	}
 	w.keys = append(w.keys, k)
 	return k
@@ -101,7 +101,7 @@
 // about to be forgotten. Long after that it counts as new.
 func (w *world) mayResend(k *key) bool {
 	age := w.now.Sub(k.first)
-	return k.key.Timed() || age < config.Remember*9/10 || age > config.Remember*12/10
+	return k.key.Timed() || age < config.KeyTTL*9/10 || age > config.KeyTTL*12/10
 }
 
 // lostOnItsWay is the highest number of arrive's draw for a lost request.
@@ -141,13 +141,13 @@
 }
 
 // run carries a request out and makes its answer, like no other's.
-func (w *world) run(s *send) claim.Recorded {
+func (w *world) run(s *send) claim.Response {
 	w.runs++
 	body := fmt.Sprintf("run %d", w.runs)
 	if w.chance(20) {
 		body += " with an answer that is too long to be kept"
 	}
-	r := run{at: w.now, digest: s.digest, recorded: claim.Recorded{Status: 200 + w.runs%50, Body: []byte(body)}}
+	r := run{at: w.now, digest: s.digest, recorded: claim.Response{Status: 200 + w.runs%50, Body: []byte(body)}}
 	w.checkRun(s, r)
 	s.ran = true
 	s.key.runs = append(s.key.runs, r)
--- a/internal/prove/claims/scenario.go
+++ b/internal/prove/claims/scenario.go
@@ -63,7 +63,7 @@
 	ClaimTimeout: 2 * time.Second,
 	MaxClaimAge:  4 * time.Second,
 	MaxDispatch:  6 * time.Second,
-	Remember:     10 * time.Minute,
+	KeyTTL:       10 * time.Minute,
 	Retention:    time.Minute,
 	KeySkew:      20 * time.Second,
 	// Some answers are too large to be kept.
@@ -193,7 +193,7 @@
 	case n < 23:
 		w.now = w.now.Add(w.between(10*time.Second, config.Retention))
 	case n < 25:
-		w.now = w.now.Add(w.between(config.Remember/2, 2*config.Remember))
+		w.now = w.now.Add(w.between(config.KeyTTL/2, 2*config.KeyTTL))
 	case n < 45:
 		w.log.trim(w)
 	case n < 60:
@@ -203,7 +203,7 @@
 		p.pausedUntil = w.now.Add(w.between(time.Second, 10*time.Second))
 		w.report.Event("process paused for longer than a claim may take")
 	case n < 68:
-		p.pausedUntil = w.now.Add(w.between(config.Retention, 2*config.Remember))
+		p.pausedUntil = w.now.Add(w.between(config.Retention, 2*config.KeyTTL))
 		w.report.Event("process paused for longer than the log keeps records")
 	case n < 75 && !p.dead:
 		p.dead = true
--- a/internal/standin/list.go
+++ b/internal/standin/list.go
@@ -187,7 +187,7 @@
 		if removed[r.Name] || added[r.Name] {
 			continue
 		}
-		r.Leaving = r.Leaving || leaving[r.Name]
+		r.Terminating = r.Terminating || leaving[r.Name]
 		out = append(out, r)
 	}
 	return append(out, f.Add...)
@@ -204,7 +204,7 @@
 func leavingNames(rows []infra.Instance) []string {
 	var names []string
 	for _, r := range rows {
-		if r.Leaving {
+		if r.Terminating {
 			names = append(names, r.Name)
 		}
 	}
--- a/journal/restore_test.go
+++ b/journal/restore_test.go
@@ -24,18 +24,18 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.records = append(l.records, data)
-	return infra.OffsetIn(l.era, uint64(len(l.records))), nil
+	return infra.NewOffset(l.era, uint64(len(l.records))), nil
 }
 
 func (l *copyLog) Read(ctx context.Context, from infra.Offset, _ int, wait time.Duration) (infra.ReadResult, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if from > 1 && from.Era() != l.era {
-		return infra.ReadResult{}, &infra.RestoredError{Oldest: infra.OffsetIn(l.era, 1)}
+		return infra.ReadResult{}, &infra.RestoredError{Oldest: infra.NewOffset(l.era, 1)}
 	}
-	result := infra.ReadResult{Oldest: infra.OffsetIn(l.era, 1), Next: infra.OffsetIn(l.era, uint64(len(l.records)+1))}
+	result := infra.ReadResult{Oldest: infra.NewOffset(l.era, 1), Next: infra.NewOffset(l.era, uint64(len(l.records)+1))}
 	for i := from.Index() - 1; i < uint64(len(l.records)); i++ {
-		result.Records = append(result.Records, infra.Record{Offset: infra.OffsetIn(l.era, i+1), At: time.Now(), Data: l.records[i]})
+		result.Records = append(result.Records, infra.Record{Offset: infra.NewOffset(l.era, i+1), At: time.Now(), Data: l.records[i]})
 	}
 	if len(result.Records) == 0 {
 		l.mu.Unlock()
--- a/lease/chain.go
+++ b/lease/chain.go
@@ -8,7 +8,7 @@
 // The verdicts.
 const (
 	// LinkLoses: the record names an outdated predecessor.
-	LinkLoses Link = iota
+	LinkStale Link = iota
 	// LinkFollows: the record names the last accepted one.
 	LinkFollows
 	// LinkStarts: the reader knows no earlier record; knowledge starts here.
@@ -37,10 +37,10 @@
 }
 
 // Judge returns the verdict on a record at a position; it changes nothing.
-func (c Chain) Judge(after, at journal.Position) Link {
+func (c Chain) Classify(after, at journal.Position) Link {
 	switch {
 	case !after.Less(at):
-		return LinkLoses
+		return LinkStale
 	case !c.begun:
 		return LinkStarts
 	case after == c.last:
@@ -48,7 +48,7 @@
 	case c.base.Less(after) && after.Less(c.first):
 		return LinkRestarts
 	default:
-		return LinkLoses
+		return LinkStale
 	}
 }
 
@@ -66,11 +66,11 @@
 
 // Forget makes the next record start the chain anew, for a reader that has
 // missed records which expired before it read them.
-func (c *Chain) Forget() { c.begun = false }
+func (c *Chain) Reset() { c.begun = false }
 
 // Alone reports whether the last accepted record is the one that the reader's
 // knowledge started from, so that it may still prove to have lost.
-func (c Chain) Alone() bool { return c.begun && c.last == c.first }
+func (c Chain) Provisional() bool { return c.begun && c.last == c.first }
 
 // Last returns the position of the last accepted record.
 func (c Chain) Last() journal.Position { return c.last }
--- a/lease/chain_test.go
+++ b/lease/chain_test.go
@@ -40,14 +40,14 @@
 	who := rapid.SampledFrom([]string{"i1", "i2", "i3"}).Draw(t, "who")
 	r := Record{Scope: "s", Holder: who, Incarnation: "1", Term: time.Second, After: s.Last}
 	if !s.HeldBy(who, "1") {
-		r.Op, r.Ground = OpClaim, GroundExpired
+		r.Op, r.Basis = OpClaim, BasisExpired
 		if !s.Known {
-			r.Ground = GroundFirst
+			r.Basis = BasisFirst
 		}
 		return r
 	}
 	r.Op = rapid.SampledFrom([]Op{OpRenewal, OpRenewal, OpRelease, OpCheckpoint}).Draw(t, "op")
-	r.Fence = s.Fence
+	r.FencingToken = s.FencingToken
 	return r
 }
 
@@ -70,7 +70,7 @@
 		late := ScopeState{}
 		if start > 0 && rapid.Bool().Draw(t, "read some before") {
 			late = h.states[rapid.IntRange(0, start-1).Draw(t, "read up to")]
-			late.chain.Forget()
+			late.chain.Reset()
 		}
 		seen := false
 		for i := start; i < len(h.records); i++ {
@@ -83,7 +83,7 @@
 			}
 			full := h.states[i]
 			require.Equal(t, full.Last, late.Last, "at %d of a log read from %d", i+1, start+1)
-			require.Equal(t, full.Fence, late.Fence)
+			require.Equal(t, full.FencingToken, late.FencingToken)
 			require.Equal(t, full.Holder, late.Holder)
 			require.Equal(t, full.Held, late.Held)
 		}
--- a/lease/example_test.go
+++ b/lease/example_test.go
@@ -40,7 +40,7 @@
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		fmt.Println("order within", authority.Scope, "with number", authority.Fence)
+		fmt.Println("order within", authority.Scope, "with number", authority.FencingToken)
 		done()
 		break
 	}
@@ -54,7 +54,7 @@
 // for every reader.
 func ExampleState() {
 	var state lease.State
-	claim := lease.Record{Op: lease.OpClaim, Scope: "s", Ground: lease.GroundFirst, Term: time.Second}
+	claim := lease.Record{Op: lease.OpClaim, Scope: "s", Basis: lease.BasisFirst, Term: time.Second}
 	for offset, holder := range []string{"i1", "i2"} {
 		claim.Holder = holder
 		p := journal.Placed{Position: journal.Position{}, Entry: journal.Entry{Kind: journal.KindLease, Body: claim.Encode()}}
@@ -63,7 +63,7 @@
 		_, accepted := state.Apply(p)
 		fmt.Println(holder, accepted)
 	}
-	fmt.Println("leader:", state.Scope("s").Holder, "number:", state.Scope("s").Fence)
+	fmt.Println("leader:", state.Scope("s").Holder, "number:", state.Scope("s").FencingToken)
 	// Output:
 	// i1 true
 	// i2 false
@@ -81,7 +81,7 @@
 		Scope: "s", Known: true, Held: true, Holder: "i1", Term: 3 * time.Second, LastReadAt: start,
 	}
 	for _, after := range []time.Duration{2 * time.Second, 3 * time.Second} {
-		step := m.Step(s, lease.Sight{}, start.Add(after))
+		step := m.Step(s, lease.Observation{}, start.Add(after))
 		fmt.Println(after, "claims:", step.Record != nil)
 	}
 	// Output:
--- a/lease/keeper.go
+++ b/lease/keeper.go
@@ -93,8 +93,8 @@
 	return k.machine.Step(s, see, now)
 }
 
-func (k *Keeper) sight(s ScopeState) Sight {
-	see := Sight{AddressBound: k.cfg.AddressBound, SelfListed: k.presence.Listed(k.cfg.Instance)}
+func (k *Keeper) sight(s ScopeState) Observation {
+	see := Observation{AddressBound: k.cfg.AddressBound, SelfListed: k.presence.Listed(k.cfg.Instance)}
 	if s.Held && s.Holder != k.cfg.Instance {
 		see.HolderGone = k.presence.Gone(s.Holder, s.LastReadAt)
 	}
@@ -131,7 +131,7 @@
 	if id == "" {
 		id = uuid.NewString()
 	}
-	k.machine.Sending(id, r, time.Now())
+	k.machine.BeginSend(id, r, time.Now())
 	return id
 }
 
@@ -143,7 +143,7 @@
 	defer k.mu.Unlock()
 	k.machine.Observe(s, time.Now())
 	if err == nil || errors.Is(err, infra.ErrNotWritten) {
-		k.machine.Settled(id)
+		k.machine.Resolved(id)
 	}
 	return s.LastID == id
 }
--- a/lease/keeper_test.go
+++ b/lease/keeper_test.go
@@ -160,7 +160,7 @@
 		time.Sleep(2 * time.Second)
 		after, ok := m.Authority()
 		require.True(t, ok)
-		assert.Greater(t, after.Fence, before.Fence)
+		assert.Greater(t, after.FencingToken, before.FencingToken)
 		m.leave()
 	})
 }
--- a/lease/machine.go
+++ b/lease/machine.go
@@ -17,7 +17,7 @@
 	Drift float64
 	// ByProof is set for a scope whose upstreams don't check fencing numbers.
 	// It never passes on by time alone.
-	ByProof bool
+	Unfenced bool
 	// Settle is waited between a claim of a ByProof scope and the first order,
 	// for bytes that a dead process left in the network.
 	Settle time.Duration
@@ -38,8 +38,8 @@
 // Authority is the right to give orders within a scope.
 type Authority struct {
 	Scope string
-	// Fence is the fencing number that each order carries.
-	Fence uint64
+	// FencingToken is the fencing token that each order carries.
+	FencingToken uint64 `json:"Fence" msgpack:"Fence"`
 	// From is the earliest time for an order, Until the time at which the
 	// right ends, both by this process's clock with its monotonic part.
 	From  time.Time
@@ -54,7 +54,7 @@
 }
 
 // Sight is what a process sees of other instances beside the journal.
-type Sight struct {
+type Observation struct {
 	// HolderGone says that the platform's list names the scope's holder no
 	// more, by answers asked for after its last record was read.
 	HolderGone bool
@@ -100,7 +100,7 @@
 }
 
 // Step returns the next thing to do in a state of the scope.
-func (m *Machine) Step(s ScopeState, see Sight, now time.Time) Step {
+func (m *Machine) Step(s ScopeState, see Observation, now time.Time) Step {
 	m.Observe(s, now)
 	if m.sent != nil {
 		return m.resend(s, now)
@@ -135,13 +135,13 @@
 	return Step{Record: &r, WakeAt: now.Add(m.cfg.Renew)}
 }
 
-func (m *Machine) keep(s ScopeState, see Sight, now time.Time) Step {
-	if m.cfg.ByProof && !see.SelfListed {
+func (m *Machine) keep(s ScopeState, see Observation, now time.Time) Step {
+	if m.cfg.Unfenced && !see.SelfListed {
 		r := m.repeat(s, OpRelease)
 		return Step{Record: &r, WakeAt: now.Add(m.cfg.Renew)}
 	}
 	if m.renumber || s.formerFence() {
-		r := m.claim(s, GroundRenumber)
+		r := m.claim(s, BasisRenumber)
 		return Step{Record: &r, WakeAt: now.Add(m.cfg.Renew)}
 	}
 	due := m.heldFrom.Add(m.cfg.Renew)
@@ -154,35 +154,35 @@
 
 // claimable returns the ground on which this process may claim, and from when;
 // a zero ground if it may not.
-func (m *Machine) claimable(s ScopeState, see Sight) (Ground, time.Time) {
-	if m.cfg.ByProof && !(see.SelfListed && see.AddressBound) {
+func (m *Machine) claimable(s ScopeState, see Observation) (Basis, time.Time) {
+	if m.cfg.Unfenced && !(see.SelfListed && see.AddressBound) {
 		return 0, time.Time{}
 	}
 	switch {
 	case !s.Known:
-		return GroundFirst, later(m.startedAt, s.LastReadAt).Add(m.wait(m.cfg.Term) + m.cfg.ClaimDelay)
+		return BasisFirst, later(m.startedAt, s.LastReadAt).Add(m.wait(m.cfg.Term) + m.cfg.ClaimDelay)
 	case !s.Held:
-		return GroundReleased, s.LastReadAt.Add(m.cfg.ClaimDelay)
+		return BasisReleased, s.LastReadAt.Add(m.cfg.ClaimDelay)
 	case s.Holder == m.cfg.Instance:
 		return m.succeed(see)
-	case s.ByProof || m.cfg.ByProof:
+	case s.Unfenced || m.cfg.Unfenced:
 		if !see.HolderGone {
 			return 0, time.Time{}
 		}
-		return GroundGone, s.LastReadAt.Add(m.cfg.ClaimDelay)
+		return BasisGone, s.LastReadAt.Add(m.cfg.ClaimDelay)
 	default:
-		return GroundExpired, s.LastReadAt.Add(m.wait(s.Term) + m.cfg.ClaimDelay)
+		return BasisExpired, s.LastReadAt.Add(m.wait(s.Term) + m.cfg.ClaimDelay)
 	}
 }
 
 // succeed claims after a former process of the same instance. Having bound
 // the instance's address, which the kernel gives to one living process, is
 // the proof that the former one is dead.
-func (m *Machine) succeed(see Sight) (Ground, time.Time) {
+func (m *Machine) succeed(see Observation) (Basis, time.Time) {
 	if !see.AddressBound {
 		return 0, time.Time{}
 	}
-	return GroundSuccessor, m.startedAt
+	return BasisSuccessor, m.startedAt
 }
 
 // wait is how long this clock must run until the holder's has run a term.
@@ -197,10 +197,10 @@
 	return now.Sub(s.LastReadAt) > m.cfg.Retention/checkpointFraction+m.cfg.ClaimDelay
 }
 
-func (m *Machine) claim(s ScopeState, g Ground) Record {
+func (m *Machine) claim(s ScopeState, g Basis) Record {
 	return Record{
 		Op: OpClaim, Scope: m.cfg.Scope, Holder: m.cfg.Instance, Incarnation: m.cfg.Incarnation,
-		Term: m.cfg.Term, After: s.Last, ByProof: m.cfg.ByProof, Ground: g, Era: s.Era,
+		Term: m.cfg.Term, After: s.Last, Unfenced: m.cfg.Unfenced, Basis: g, Era: s.Era,
 	}
 }
 
@@ -208,8 +208,8 @@
 func (m *Machine) repeat(s ScopeState, op Op) Record {
 	return Record{
 		Op: op, Scope: s.Scope, Holder: s.Holder, Incarnation: s.Incarnation,
-		Term: s.Term, After: s.Last, ByProof: s.ByProof,
-		Fence: s.Fence, Since: s.Since, Released: !s.Held, Era: s.Era,
+		Term: s.Term, After: s.Last, Unfenced: s.Unfenced,
+		FencingToken: s.FencingToken, Since: s.Since, Released: !s.Held, Era: s.Era,
 	}
 }
 
@@ -229,7 +229,7 @@
 
 // Sending notes, before the append begins, that a record goes out. A repeated
 // ID keeps the time of its first send.
-func (m *Machine) Sending(id string, r Record, now time.Time) {
+func (m *Machine) BeginSend(id string, r Record, now time.Time) {
 	if m.sent != nil && m.sent.id == id {
 		return
 	}
@@ -247,7 +247,7 @@
 
 // Settled notes that the fate of a record is known: it has been folded, or it
 // is not in the log and never will be.
-func (m *Machine) Settled(id string) {
+func (m *Machine) Resolved(id string) {
 	if m.sent != nil && m.sent.id == id {
 		m.sent = nil
 	}
@@ -259,10 +259,10 @@
 		return
 	}
 	r := m.sent.record
-	if r.Op == OpClaim && r.Ground == GroundRenumber {
+	if r.Op == OpClaim && r.Basis == BasisRenumber {
 		m.renumber = false
 	}
-	if r.Op == OpClaim && r.Ground != GroundRenumber {
+	if r.Op == OpClaim && r.Basis != BasisRenumber {
 		m.settled = now.Add(m.settle(s))
 	}
 	if r.Op == OpClaim || r.Op == OpRenewal {
@@ -278,10 +278,10 @@
 // within a term.
 func (m *Machine) settle(s ScopeState) time.Duration {
 	var wait time.Duration
-	if m.cfg.ByProof {
+	if m.cfg.Unfenced {
 		wait = m.cfg.Settle
 	}
-	if s.Uncertain {
+	if s.Provisional {
 		wait = max(wait, m.wait(s.Term))
 	}
 	return wait
@@ -323,7 +323,7 @@
 	if m.releasing() || !s.HeldBy(m.cfg.Instance, m.cfg.Incarnation) || s.LastID != m.heldID || s.formerFence() {
 		return Authority{}, false
 	}
-	a := Authority{Scope: s.Scope, Fence: s.Fence, From: later(m.settled, m.quietUntil(s)), Until: m.heldFrom.Add(s.Term)}
+	a := Authority{Scope: s.Scope, FencingToken: s.FencingToken, From: later(m.settled, m.quietUntil(s)), Until: m.heldFrom.Add(s.Term)}
 	return a, a.Valid(now)
 }
 
--- a/lease/record.go
+++ b/lease/record.go
@@ -24,29 +24,29 @@
 )
 
 // Ground says why a claimant may take a scope.
-type Ground uint8
+type Basis uint8
 
 // The grounds. Their numbers stand in the log: never reuse one.
 const (
 	// GroundFirst: no record of the scope is known.
-	GroundFirst Ground = 1
+	BasisFirst Basis = 1
 	// GroundReleased: the holder gave the scope up.
-	GroundReleased Ground = 2
+	BasisReleased Basis = 2
 	// GroundExpired: the holder's term, drift added, has passed since its
 	// last record was read. No ground for a scope that passes by proof.
-	GroundExpired Ground = 3
+	BasisExpired Basis = 3
 	// GroundSuccessor: the claimant runs on the holder's instance and has
 	// bound the instance's exclusive address, so the former process is dead.
-	GroundSuccessor Ground = 4
+	BasisSuccessor Basis = 4
 	// GroundGone: the platform's list no longer names the holder's instance.
-	GroundGone Ground = 5
+	BasisGone Basis = 5
 	// GroundRenumber: the holder itself begins a new term, to get a higher
 	// fencing number than any of its orders still under way.
-	GroundRenumber Ground = 6
+	BasisRenumber Basis = 6
 )
 
 // String names the ground for logs and the audit trail.
-func (g Ground) String() string {
+func (g Basis) String() string {
 	names := [...]string{"none", "first", "released", "expired", "successor", "gone", "renumber"}
 	if int(g) < len(names) {
 		return names[g]
@@ -68,13 +68,13 @@
 	// After is the scope's last accepted record as the writer knew it.
 	After journal.Position `msgpack:"a"`
 	// ByProof marks a scope that never passes on by time alone.
-	ByProof bool `msgpack:"p,omitempty"`
+	Unfenced bool `msgpack:"p,omitempty"`
 	// Ground is set on claims.
-	Ground Ground `msgpack:"g,omitempty"`
+	Basis Basis `msgpack:"g,omitempty"`
 	// Fence, Since and Released repeat the state; unset on claims.
-	Fence    uint64    `msgpack:"f,omitempty"`
-	Since    time.Time `msgpack:"b"`
-	Released bool      `msgpack:"r,omitempty"`
+	FencingToken uint64    `msgpack:"f,omitempty"`
+	Since        time.Time `msgpack:"b"`
+	Released     bool      `msgpack:"r,omitempty"`
 	// Era is the log's, as the writer knew it.
 	Era uint64 `msgpack:"e,omitempty"`
 }
--- a/lease/restore_test.go
+++ b/lease/restore_test.go
@@ -20,7 +20,7 @@
 }
 
 func (l *restoredLog) append(id string, r Record) {
-	at := journal.Position{Offset: infra.OffsetIn(l.era, uint64(len(l.records)+1))}
+	at := journal.Position{Offset: infra.NewOffset(l.era, uint64(len(l.records)+1))}
 	l.records = append(l.records, journal.Placed{Position: at, Entry: journal.Entry{Kind: journal.KindLease, ID: id, Body: r.Encode()}})
 }
 
@@ -29,7 +29,7 @@
 	l.era++
 	l.records = l.records[:max(0, len(l.records)-lost)]
 	for i := range l.records {
-		l.records[i].Position.Offset = infra.OffsetIn(l.era, uint64(i+1))
+		l.records[i].Position.Offset = infra.NewOffset(l.era, uint64(i+1))
 	}
 }
 
@@ -51,10 +51,10 @@
 // read folds up to a number of records, after a restore from the oldest on.
 func (c *claimant) read(l *restoredLog, most int, now time.Time) {
 	if c.next == 0 {
-		c.next = infra.OffsetIn(l.era, 1)
+		c.next = infra.NewOffset(l.era, 1)
 	}
 	if c.next.Era() != l.era {
-		c.next = infra.OffsetIn(l.era, 1)
+		c.next = infra.NewOffset(l.era, 1)
 		c.seen = make(map[string]bool)
 		c.state.Restored(now, c.next)
 	}
@@ -72,7 +72,7 @@
 		p.At, p.ReadAt = now, now
 		c.state.Apply(p)
 		c.machine.Observe(c.state.Scope("s"), now)
-		c.machine.Settled(p.Entry.ID)
+		c.machine.Resolved(p.Entry.ID)
 	}
 }
 
@@ -87,7 +87,7 @@
 		c.sent++
 		id = fmt.Sprint(c.name, c.sent)
 	}
-	c.machine.Sending(id, *step.Record, now)
+	c.machine.BeginSend(id, *step.Record, now)
 	return id, *step.Record, true
 }
 
@@ -126,15 +126,15 @@
 				now = now.Add(time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond)
 			case 7, 8, 9, 10, 11, 12:
 				c.read(log, rapid.IntRange(1, 8).Draw(t, "most"), now)
-				tell("%s has read up to %v: %s %s by %v", c.name, c.next, c.state.Scope("s").Holder, c.state.Scope("s").LastID, infra.Offset(c.state.Scope("s").Fence))
+				tell("%s has read up to %v: %s %s by %v", c.name, c.next, c.state.Scope("s").Holder, c.state.Scope("s").LastID, infra.Offset(c.state.Scope("s").FencingToken))
 			default:
 				id, r, ok := c.write(now)
 				if ok && rapid.IntRange(0, 5).Draw(t, "delayed") == 0 {
 					underWay = append(underWay, late{id, r})
-					tell("%s sends %s late: op %d ground %v after %v era %d", c.name, id, r.Op, r.Ground, r.After.Offset, r.Era)
+					tell("%s sends %s late: op %d ground %v after %v era %d", c.name, id, r.Op, r.Basis, r.After.Offset, r.Era)
 				} else if ok {
 					log.append(id, r)
-					tell("%s appends %s: op %d ground %v after %v era %d", c.name, id, r.Op, r.Ground, r.After.Offset, r.Era)
+					tell("%s appends %s: op %d ground %v after %v era %d", c.name, id, r.Op, r.Basis, r.After.Offset, r.Era)
 				}
 			}
 			var holders []string
@@ -144,10 +144,10 @@
 					continue
 				}
 				holders = append(holders, c.name)
-				if a.Fence < newest || a.Fence == newest && newestOf != c.name {
-					t.Fatalf("%s holds by %v after %s did by %v:\n%s", c.name, infra.Offset(a.Fence), newestOf, infra.Offset(newest), strings.Join(story, "\n"))
+				if a.FencingToken < newest || a.FencingToken == newest && newestOf != c.name {
+					t.Fatalf("%s holds by %v after %s did by %v:\n%s", c.name, infra.Offset(a.FencingToken), newestOf, infra.Offset(newest), strings.Join(story, "\n"))
 				}
-				newest, newestOf = a.Fence, c.name
+				newest, newestOf = a.FencingToken, c.name
 			}
 			require.LessOrEqual(t, len(holders), 1, "%v:\n%s", holders, strings.Join(story, "\n"))
 		}
@@ -161,19 +161,19 @@
 	apply := func(index uint64, id string, r Record) bool {
 		r.Scope, r.Incarnation, r.Term = "s", "1", time.Second
 		_, accepted := s.Apply(journal.Placed{
-			Position: journal.Position{Offset: infra.OffsetIn(1, index)}, ReadAt: testStart,
+			Position: journal.Position{Offset: infra.NewOffset(1, index)}, ReadAt: testStart,
 			Entry: journal.Entry{Kind: journal.KindLease, ID: id, Body: r.Encode()},
 		})
 		return accepted
 	}
 	lost := journal.Position{Offset: 100}
-	renewal := Record{Op: OpRenewal, Holder: "former", Fence: 90, After: lost}
+	renewal := Record{Op: OpRenewal, Holder: "former", FencingToken: 90, After: lost}
 
-	s.Restored(testStart, infra.OffsetIn(1, 1))
+	s.Restored(testStart, infra.NewOffset(1, 1))
 	require.True(t, apply(1, "a", renewal), "nobody has claimed: its holder goes on")
 
-	s.Restored(testStart, infra.OffsetIn(1, 1))
-	require.True(t, apply(1, "b", Record{Op: OpClaim, Holder: "new", Ground: GroundFirst, Era: 1}))
+	s.Restored(testStart, infra.NewOffset(1, 1))
+	require.True(t, apply(1, "b", Record{Op: OpClaim, Holder: "new", Basis: BasisFirst, Era: 1}))
 	require.False(t, apply(2, "c", renewal))
 	require.Equal(t, "new", s.Scope("s").Holder)
 }
--- a/lease/state.go
+++ b/lease/state.go
@@ -18,14 +18,14 @@
 	Holder      string
 	Incarnation string
 	Term        time.Duration
-	ByProof     bool
+	Unfenced    bool
 	// Fence is the fencing number: the offset of the claim of this term.
-	Fence uint64
+	FencingToken uint64
 	// Since is the log's wall clock when it took that claim.
 	Since time.Time
 	// Ground is why the claim was allowed; zero if the claim had expired from
 	// the log before this process started.
-	Ground Ground
+	Basis Basis
 	// Last and LastID name the last accepted record.
 	Last   journal.Position
 	LastID string
@@ -44,7 +44,7 @@
 	// Uncertain is true if the last accepted record is all that this process
 	// knows of the scope, and earlier ones have expired: it may yet prove to
 	// have lost.
-	Uncertain bool
+	Provisional bool
 
 	chain Chain
 	// own says that a record was accepted whose writer knew of the log's present era.
@@ -60,7 +60,7 @@
 
 // formerFence reports whether the fencing number is of an earlier era than the log's. A
 // higher one may have been given out since, by a record that is lost.
-func (s ScopeState) formerFence() bool { return infra.Offset(s.Fence).Era() < s.Era }
+func (s ScopeState) formerFence() bool { return infra.Offset(s.FencingToken).Era() < s.Era }
 
 // Apply returns the state after a record, and whether it was accepted.
 func (s ScopeState) Apply(p journal.Placed, r Record) (ScopeState, bool) {
@@ -68,8 +68,8 @@
 	if s.own && r.Era < era {
 		return s, false
 	}
-	link := s.chain.Judge(r.After, p.Position)
-	if link == LinkLoses {
+	link := s.chain.Classify(r.After, p.Position)
+	if link == LinkStale {
 		return s, false
 	}
 	if link == LinkFollows && !s.allows(r) {
@@ -91,7 +91,7 @@
 	if r.Op == OpClaim {
 		return s.allowsClaim(r)
 	}
-	same := r.Holder == s.Holder && r.Incarnation == s.Incarnation && r.Fence == s.Fence
+	same := r.Holder == s.Holder && r.Incarnation == s.Incarnation && r.FencingToken == s.FencingToken
 	if r.Op == OpCheckpoint {
 		return same && r.Released != s.Held
 	}
@@ -102,16 +102,16 @@
 // term has run out on the claimant's clock, or that the list no longer names
 // an instance, the claimant alone knows.
 func (s ScopeState) allowsClaim(r Record) bool {
-	switch r.Ground {
-	case GroundReleased:
+	switch r.Basis {
+	case BasisReleased:
 		return !s.Held
-	case GroundExpired:
-		return !s.Held || !s.ByProof
-	case GroundSuccessor:
+	case BasisExpired:
+		return !s.Held || !s.Unfenced
+	case BasisSuccessor:
 		return r.Holder == s.Holder && r.Incarnation != s.Incarnation
-	case GroundGone:
+	case BasisGone:
 		return r.Holder != s.Holder
-	case GroundRenumber:
+	case BasisRenumber:
 		return s.HeldBy(r.Holder, r.Incarnation)
 	default:
 		return false
@@ -125,17 +125,17 @@
 	s.Holder = r.Holder
 	s.Incarnation = r.Incarnation
 	s.Term = r.Term
-	s.ByProof = r.ByProof
+	s.Unfenced = r.Unfenced
 	if r.Op == OpClaim {
-		s.Fence = uint64(p.Position.Offset)
+		s.FencingToken = uint64(p.Position.Offset)
 		s.Since = p.At
-		s.Ground = r.Ground
+		s.Basis = r.Basis
 		return s
 	}
-	if s.Fence != r.Fence {
-		s.Ground = 0
+	if s.FencingToken != r.FencingToken {
+		s.Basis = 0
 	}
-	s.Fence = r.Fence
+	s.FencingToken = r.FencingToken
 	s.Since = r.Since
 	return s
 }
@@ -166,7 +166,7 @@
 	if !ok {
 		return ScopeState{}, false
 	}
-	next.Uncertain = !s.gapAt.IsZero() && next.chain.Alone()
+	next.Provisional = !s.gapAt.IsZero() && next.chain.Provisional()
 	next.RestoredAt = s.restoredAt
 	if s.scopes == nil {
 		s.scopes = make(map[string]ScopeState)
@@ -186,10 +186,10 @@
 // Gap takes note that records have expired before they were read. What was
 // known is kept, but the next record of a scope may follow one that was
 // missed, and nobody may conclude from silence before a whole term from now.
-func (s *State) Gap(now time.Time) {
+func (s *State) Trimmed(now time.Time) {
 	s.gapAt = now
 	for name, scope := range s.scopes {
-		scope.chain.Forget()
+		scope.chain.Reset()
 		scope.LastReadAt = now
 		s.scopes[name] = scope
 	}
--- a/lease/view.go
+++ b/lease/view.go
@@ -59,7 +59,7 @@
 
 // Trimmed implements journal.Trimmer.
 func (v *View) Trimmed(infra.Offset) {
-	v.state.Gap(time.Now())
+	v.state.Trimmed(time.Now())
 	v.show(v.current.Load().Position)
 }
 
--- a/membership/machine.go
+++ b/membership/machine.go
@@ -163,7 +163,7 @@
 	}
 	for _, mem := range m.members {
 		row, listed := byName[mem.Name]
-		mem.list(listed, row.Leaving, now)
+		mem.list(listed, row.Terminating, now)
 	}
 	m.refresh(now)
 }
--- a/membership/sim_test.go
+++ b/membership/sim_test.go
@@ -148,7 +148,7 @@
 func (s *sim) recordList() {
 	var rows []infra.Instance
 	for _, name := range s.names() {
-		rows = append(rows, infra.Instance{Name: name, Kind: infra.KindEntry, Leaving: s.leaving[name]})
+		rows = append(rows, infra.Instance{Name: name, Kind: infra.KindEntry, Terminating: s.leaving[name]})
 	}
 	s.lists = append(s.lists, listed{s.now, rows})
 	for len(s.lists) > 1 && !s.lists[1].at.After(s.now.Add(-listLag)) {
--- a/orders/example_test.go
+++ b/orders/example_test.go
@@ -13,7 +13,7 @@
 func ExampleView() {
 	leases := lease.NewView()
 	view := orders.NewView(leases)
-	claim := lease.Record{Op: lease.OpClaim, Scope: "a/fenced", Holder: "i1", Ground: lease.GroundFirst}
+	claim := lease.Record{Op: lease.OpClaim, Scope: "a/fenced", Holder: "i1", Basis: lease.BasisFirst}
 	leases.Apply(journal.Placed{
 		Position: journal.Position{Offset: 1},
 		Entry:    journal.Entry{Kind: journal.KindLease, Body: claim.Encode()},
--- a/orders/next.go
+++ b/orders/next.go
@@ -93,7 +93,7 @@
 // Next decides the next step about one engine. It must only be called with an
 // authority that is valid now, and its action be finished before the next call.
 func Next(s Situation, c *Contact) Action {
-	c.under(s.Authority.Fence)
+	c.under(s.Authority.FencingToken)
 	if s.Now.Before(c.retryAt) {
 		return wait("after a failure")
 	}
@@ -120,8 +120,8 @@
 func read(reason string) Action { return Action{Kind: ActionRead, Reason: reason} }
 
 func raise(s Situation) Action {
-	id := fmt.Sprintf("fence-%s-%d", s.Engine.Name, s.Authority.Fence)
-	o := upstream.Order{ID: id, Kind: upstream.OrderFence, Fence: s.Authority.Fence}
+	id := fmt.Sprintf("fence-%s-%d", s.Engine.Name, s.Authority.FencingToken)
+	o := upstream.Order{ID: id, Kind: upstream.OrderFence, Fence: s.Authority.FencingToken}
 	return Action{Kind: ActionRaise, Order: o, Reason: "new leader"}
 }
 
@@ -157,11 +157,11 @@
 func appendRecord(s Situation, ch *Change, seen Settings, reason string) Action {
 	r := Record{
 		Engine: s.Engine.Name, After: s.Engine.Last,
-		Scope: s.Authority.Scope, Fence: s.Authority.Fence, Believed: seen,
+		Scope: s.Authority.Scope, Fence: s.Authority.FencingToken, Believed: seen,
 	}
 	if ch != nil {
 		ch.Scope = s.Authority.Scope
-		ch.Fence = s.Authority.Fence
+		ch.Fence = s.Authority.FencingToken
 		r.Change = ch
 	}
 	return Action{Kind: ActionAppend, Record: &r, Reason: reason}
@@ -249,7 +249,7 @@
 // settle sends the order whose intent is recorded, or finds out what became
 // of it.
 func settle(s Situation, c *Contact, open Change, inHand time.Duration) Action {
-	own := open.Fence == s.Authority.Fence
+	own := open.Fence == s.Authority.FencingToken
 	unsent := own && !mayBeTaken(c, open)
 	if unsent && inHand > s.Limits.whole() {
 		return end(s, open, PhaseUndone, s.Engine.Believed, "order could not be sent in time")
--- a/orders/state.go
+++ b/orders/state.go
@@ -73,8 +73,8 @@
 
 func (s *State) applyRecord(p journal.Placed, r Record) (Engine, bool) {
 	prev := s.engines[r.Engine]
-	link := prev.chain.Judge(r.After, p.Position)
-	if link == lease.LinkLoses || !s.authorized(r) {
+	link := prev.chain.Classify(r.After, p.Position)
+	if link == lease.LinkStale || !s.authorized(r) {
 		return Engine{}, false
 	}
 	if link == lease.LinkFollows && r.Checkpoint && !prev.repeatedBy(r) {
@@ -101,7 +101,7 @@
 		return true
 	}
 	l := s.leases.Scope(r.Scope)
-	return l.Held && l.Fence == r.Fence
+	return l.Held && l.FencingToken == r.Fence
 }
 
 // repeatedBy reports whether a checkpoint tells this very state.
@@ -199,7 +199,7 @@
 // missed.
 func (s *State) Gap() {
 	for name, e := range s.engines {
-		e.chain.Forget()
+		e.chain.Reset()
 		s.engines[name] = e
 	}
 }
--- a/orders/state_test.go
+++ b/orders/state_test.go
@@ -19,7 +19,7 @@
 // Scope implements Leases.
 func (l leaders) Scope(name string) lease.ScopeState {
 	fence, ok := l[name]
-	return lease.ScopeState{Known: ok, Held: ok, Fence: fence}
+	return lease.ScopeState{Known: ok, Held: ok, FencingToken: fence}
 }
 
 // book folds records one after the other.
@@ -114,7 +114,7 @@
 func situation(c *Change, now time.Time) Situation {
 	return Situation{
 		Now: now, Checked: true, Drained: true,
-		Authority: lease.Authority{Scope: "a", Fence: 5},
+		Authority: lease.Authority{Scope: "a", FencingToken: 5},
 		Engine:    Engine{Name: "e", Known: true, Change: c},
 		Limits: Limits{
 			Drain: time.Minute, Order: time.Minute, Settle: time.Second,
--- a/router/tracker.go
+++ b/router/tracker.go
@@ -127,7 +127,7 @@
 	defer t.mu.Unlock()
 	listed := make(map[string]bool, len(list))
 	for _, i := range list {
-		listed[i.Name] = i.Leaving
+		listed[i.Name] = i.Terminating
 		t.seen[i.Name] = true
 	}
 	for name, b := range t.books {
--- a/router/tracker_test.go
+++ b/router/tracker_test.go
@@ -207,7 +207,7 @@
 		}
 		return plan.Engine
 	}
-	tr.SetList([]infra.Instance{{Name: "a", Leaving: true}, {Name: "b"}})
+	tr.SetList([]infra.Instance{{Name: "a", Terminating: true}, {Name: "b"}})
 	require.Equal(t, "b", pick())
 	tr.SetDraining("b", true)
 	require.Equal(t, "", pick())
