--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -5,38 +5,38 @@
 
 import "tamarackchute/rules"
 
-// Repeat says after which failures a request may be sent again.
-type Repeat uint8
+// RetryMode says after which failures a request may be sent again.
+type RetryMode uint8
 
 // The kinds of repeat.
 const (
-	// Never: not even if nothing has run.
-	Never Repeat = iota
-	// Unsent: only while it certainly hasn't run.
-	Unsent
-	// Repeatable: also if it may have run.
-	Repeatable
+	// RetryNever: not even if nothing has run.
+	RetryNever RetryMode = iota
+	// RetryIfNotRun: only while it certainly hasn't run.
+	RetryIfNotRun
+	// RetryAlways: also if it may have run.
+	RetryAlways
 )
 
-// RepeatOf returns what a rule's retry class allows.
-func RepeatOf(c rules.RetryClass) Repeat {
+// RetryModeOf returns what a rule's retry class allows.
+func RetryModeOf(c rules.RetryClass) RetryMode {
 	switch c {
 	case rules.RetryUnsent:
-		return Unsent
+		return RetryIfNotRun
 	case rules.RetryRepeatable:
-		return Repeatable
+		return RetryAlways
 	default:
-		return Never
+		return RetryNever
 	}
 }
 
-// Fate says what is known of the request's running after an attempt.
-type Fate uint8
+// Execution says what is known of the request's running after an attempt.
+type Execution uint8
 
 // The fates of an attempt.
 const (
 	// NotSent: nothing reached an upstream.
-	NotSent Fate = iota
+	NotSent Execution = iota
 	// NotRun: the upstream says that it did not run the request.
 	NotRun
 	// MayHaveRun: it was sent, and no answer tells.
@@ -44,86 +44,86 @@
 )
 
 // String names the fate in logs.
-func (f Fate) String() string {
+func (f Execution) String() string {
 	return [...]string{"not sent", "not run", "may have run"}[f]
 }
 
-// Verdict says whether a request may be sent again.
-type Verdict uint8
+// Decision says whether a request may be sent again.
+type Decision uint8
 
 // The verdicts.
 const (
-	// Again: it may.
-	Again Verdict = iota
-	// NoRepeat: it may have run and must not run twice, or its rule forbids any
+	// Retry: it may.
+	Retry Decision = iota
+	// NotRetryable: it may have run and must not run twice, or its rule forbids any
 	// repeat.
-	NoRepeat
-	// NoAttempts: its attempts are used up.
-	NoAttempts
-	// NoBudget: too many requests are being repeated.
-	NoBudget
+	NotRetryable
+	// AttemptsExhausted: its attempts are used up.
+	AttemptsExhausted
+	// BudgetExhausted: too many requests are being repeated.
+	BudgetExhausted
 )
 
 // Policy bounds the attempts of a request.
 type Policy struct {
-	Repeat Repeat
+	Mode RetryMode
 	// MaxAttempts bounds the attempts that count.
 	MaxAttempts int
-	// CountUnrun says that attempts that certainly did not run count too.
-	CountUnrun bool
-	// Allow counts one more repeat against the budget that all requests share,
+	// CountNotRun says that attempts that certainly did not run count too.
+	CountNotRun bool
+	// AllowRetry counts one more repeat against the budget that all requests share,
 	// and reports whether it may be made.
-	Allow func() bool
+	AllowRetry func() bool
 }
 
-// Tries is what is known of one request's attempts. It isn't safe for concurrent
+// State is what is known of one request's attempts. It isn't safe for concurrent
 // use.
-type Tries struct {
+type State struct {
 	policy   Policy
 	attempts int
 	ran      bool
 }
 
 // New returns the state of a request that hasn't been sent.
-func New(p Policy) Tries { return Tries{policy: p} }
+func New(p Policy) State { return State{policy: p} }
 
-// Ran reports whether the request may have run.
-func (t *Tries) Ran() bool { return t.ran }
+// MayHaveRun reports whether the request may have run.
+func (t *State) MayHaveRun() bool { return t.ran }
 
 // Attempts returns the number of attempts that count.
-func (t *Tries) Attempts() int { return t.attempts }
+func (t *State) Attempts() int { return t.attempts }
 
-// Count counts one more attempt.
-func (t *Tries) Count() { t.attempts++ }
+// RecordAttempt counts one more attempt.
+func (t *State) RecordAttempt() { t.attempts++ }
 
-// Uncount takes an attempt back that turned out to be none.
-func (t *Tries) Uncount() { t.attempts-- }
+// RemoveAttempt takes an attempt back that turned out to be none.
+func (t *State) RemoveAttempt() { t.attempts-- }
 
-// NoteRun notes that the request may have run.
-func (t *Tries) NoteRun() { t.ran = true }
+// RecordRun notes that the request may have run.
+func (t *State) RecordRun() { t.ran = true }
 
 // Exhausted reports whether all attempts are used up.
-func (t *Tries) Exhausted() bool { return t.attempts >= t.policy.MaxAttempts }
+func (t *State) Exhausted() bool { return t.attempts >= t.policy.MaxAttempts }
 
-// MayRepeat reports whether the request could be sent again though it may have run,
+// MayRetry reports whether the request could be sent again though it may have run,
 // the budget aside. uncounted is the number of attempts under way that aren't
 // counted yet.
-func (t *Tries) MayRepeat(uncounted int) bool {
-	return t.policy.Repeat == Repeatable && t.attempts+uncounted < t.policy.MaxAttempts
+func (t *State) MayRetry(uncounted int) bool {
+	return t.policy.Mode == RetryAlways && t.attempts+uncounted < t.policy.MaxAttempts
 }
 
 // Next decides after an attempt. costly says that the repeat adds to the load of
 // upstreams and so draws on the budget.
-func (t *Tries) Next(f Fate, costly bool) Verdict {
+func (t *State) Next(f Execution, costly bool) Decision {
 	mayHaveRun := f == MayHaveRun
 	switch {
-	case t.policy.Repeat == Never, mayHaveRun && t.policy.Repeat == Unsent:
-		return NoRepeat
-	case (mayHaveRun || t.policy.CountUnrun) && t.Exhausted():
-		return NoAttempts
-	case costly && !t.policy.Allow():
-		return NoBudget
+	case t.policy.Mode == RetryNever, mayHaveRun && t.policy.Mode == RetryIfNotRun:
+		return NotRetryable
+	case (mayHaveRun || t.policy.CountNotRun) && t.Exhausted():
+		return AttemptsExhausted
+	case costly && !t.policy.AllowRetry():
+		return BudgetExhausted
 	default:
-		return Again
+		return Retry
 	}
 }
--- a/internal/entry/answer/answer.go
+++ b/internal/entry/answer/answer.go
@@ -19,7 +19,7 @@
 	attempt *attempt
 	// tried names the engines that the next attempt keeps away from.
 	tried []string
-	tries dispatch.Tries
+	tries dispatch.State
 	// waited is how long it has looked for an engine since it lost one.
 	waited time.Duration
 	// noSplit keeps prefill and decode together after a handoff has failed.
--- a/internal/entry/answer/fail.go
+++ b/internal/entry/answer/fail.go
@@ -25,7 +25,7 @@
 
 // fail returns a failure that says what is known of the request's running.
 func (a *Answer) fail(status int, code outcome.Code, cause error, message string) *outcome.Failure {
-	return &outcome.Failure{Status: status, Code: code, Message: message, Ran: outcome.RanOf(a.tries.Ran()), Cause: cause}
+	return &outcome.Failure{Status: status, Code: code, Message: message, Ran: outcome.RanOf(a.tries.MayHaveRun()), Cause: cause}
 }
 
 func (a *Answer) quarantined(cause error) *outcome.Failure {
--- a/internal/entry/answer/open.go
+++ b/internal/entry/answer/open.go
@@ -62,7 +62,7 @@
 // planAnew gives a plan up whose engine leaves. No attempt was made, so it
 // counts as none, whatever the rule's retry class.
 func (a *Answer) planAnew() {
-	a.tries.Uncount()
+	a.tries.RemoveAttempt()
 	a.tried = append(a.tried, a.attempt.engine)
 	a.endAttempt(context.Canceled, true)
 }
@@ -75,7 +75,7 @@
 // answer, whereas a new one is better told at once to come back. After a crash
 // all that were in flight are suspects, who take turns on the other engines.
 func (a *Answer) waitForEngine(ctx context.Context) bool {
-	if !a.tries.Ran() || a.waited >= a.runner.EngineWait {
+	if !a.tries.MayHaveRun() || a.waited >= a.runner.EngineWait {
 		return false
 	}
 	a.waited += engineLook
@@ -143,7 +143,7 @@
 // dispatch sends the request to the plan's engines. The attempt is booked
 // before a byte goes out and stays booked if this succeeds.
 func (a *Answer) dispatch(ctx context.Context, plan router.Plan, route router.Request, suspected bool) error {
-	a.tries.Count()
+	a.tries.RecordAttempt()
 	t := &attempt{
 		id:     a.runner.NewID(),
 		engine: plan.Engine,
@@ -177,7 +177,7 @@
 	}
 	t.stream, err = engine.Generate(ctx, request)
 	if err == nil {
-		a.tries.NoteRun()
+		a.tries.RecordRun()
 		return nil
 	}
 	a.cancelUnanswered(ctx, engine, t.id, err)
@@ -236,18 +236,18 @@
 	fate := dispatch.NotRun
 	if !unsent {
 		fate = dispatch.MayHaveRun
-		a.tries.NoteRun()
-	} else if a.tries.Ran() {
+		a.tries.RecordRun()
+	} else if a.tries.MayHaveRun() {
 		// The answer goes on as soon as an engine takes it; EngineWait bounds
 		// the looking, not the number of engines that refuse meanwhile.
-		a.tries.Uncount()
+		a.tries.RemoveAttempt()
 	}
 	if cancelled(ctx) {
 		return a.ContextFailure(ctx)
 	}
 	// An attempt that certainly did not run adds nothing to the load, so only
 	// others draw on the retry budget.
-	if a.tries.Next(fate, !unsent) == dispatch.Again {
+	if a.tries.Next(fate, !unsent) == dispatch.Retry {
 		return nil
 	}
 	return a.upstreamFailure(err, unsent)
@@ -260,7 +260,7 @@
 // so they go without the retry budget.
 func (a *Answer) mayContinue() bool {
 	if !a.work.Request.Stream {
-		return a.tries.Next(dispatch.MayHaveRun, true) == dispatch.Again
+		return a.tries.Next(dispatch.MayHaveRun, true) == dispatch.Retry
 	}
 	return !a.tries.Exhausted() && a.work.Retry != rules.RetryNever
 }
--- a/internal/entry/answer/resume.go
+++ b/internal/entry/answer/resume.go
@@ -24,7 +24,7 @@
 // elsewhere if this engine dies.
 func (r *Runner) Resume(ctx context.Context, w Work, from Place) (*Answer, *outcome.Failure) {
 	a := r.Start(w)
-	a.tries.NoteRun()
+	a.tries.RecordRun()
 	a.deliverFrom = from.Last + 1
 	a.prior.Skip(from.First)
 	engine := r.Engines.Engine(from.Engine)
@@ -52,7 +52,7 @@
 		ticket: r.Books.Begin(plan, route),
 	}
 	a.attempt = t
-	a.tries.Count()
+	a.tries.RecordAttempt()
 	t.stream, err = engine.Resume(ctx, from.Attempt, from.First)
 	if err == nil {
 		return a, nil
--- a/internal/entry/answer/runner.go
+++ b/internal/entry/answer/runner.go
@@ -88,7 +88,7 @@
 		runner: r,
 		work:   w,
 		tries: dispatch.New(dispatch.Policy{
-			Repeat: dispatch.RepeatOf(w.Retry), MaxAttempts: r.MaxAttempts, CountUnrun: true, Allow: r.Retries.Allow,
+			Mode: dispatch.RetryModeOf(w.Retry), MaxAttempts: r.MaxAttempts, CountNotRun: true, AllowRetry: r.Retries.Allow,
 		}),
 		prior: stream.NewPrior(r.Budget, r.PriorLimit),
 	}
--- a/internal/entry/forward/forward.go
+++ b/internal/entry/forward/forward.go
@@ -54,7 +54,7 @@
 // Call sends the request and returns the service's answer, whatever its status.
 func (r *Runner) Call(ctx context.Context, w Work) (upstream.ServiceResponse, *outcome.Failure) {
 	c := call{runner: r, work: w, tries: dispatch.New(dispatch.Policy{
-		Repeat: dispatch.RepeatOf(w.Retry), MaxAttempts: r.MaxAttempts, CountUnrun: true, Allow: r.Retries.Allow,
+		Mode: dispatch.RetryModeOf(w.Retry), MaxAttempts: r.MaxAttempts, CountNotRun: true, AllowRetry: r.Retries.Allow,
 	})}
 	for {
 		if ctx.Err() != nil {
@@ -74,7 +74,7 @@
 type call struct {
 	runner *Runner
 	work   Work
-	tries  dispatch.Tries
+	tries  dispatch.State
 	tried  []string
 }
 
@@ -87,7 +87,7 @@
 	if err != nil {
 		return upstream.ServiceResponse{}, err
 	}
-	c.tries.Count()
+	c.tries.RecordAttempt()
 	c.tried = append(c.tried, plan.Engine)
 	ticket := c.runner.Books.Begin(plan, route)
 	response, err := c.send(ctx, plan.Engine)
@@ -117,14 +117,14 @@
 	fate := dispatch.NotRun
 	if !unsent {
 		fate = dispatch.MayHaveRun
-		c.tries.NoteRun()
+		c.tries.RecordRun()
 	}
 	if ctx.Err() != nil {
 		return c.contextFailure(ctx)
 	}
 	// An attempt that certainly did not run adds nothing to the load, so only
 	// others draw on the retry budget.
-	if c.tries.Next(fate, !unsent) == dispatch.Again {
+	if c.tries.Next(fate, !unsent) == dispatch.Retry {
 		return nil
 	}
 	if unsent {
@@ -135,7 +135,7 @@
 }
 
 func (c *call) fail(status int, code outcome.Code, cause error, message string) *outcome.Failure {
-	return &outcome.Failure{Status: status, Code: code, Message: message, Ran: outcome.RanOf(c.tries.Ran()), Cause: cause}
+	return &outcome.Failure{Status: status, Code: code, Message: message, Ran: outcome.RanOf(c.tries.MayHaveRun()), Cause: cause}
 }
 
 func (c *call) contextFailure(ctx context.Context) *outcome.Failure {
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -37,7 +37,7 @@
 // connection, which upstreams take as a cancel. Errors are a *NotSentError or a
 // *LostError.
 func (p *Pool) Do(ctx context.Context, r *Request) (*Response, error) {
-	c := p.take(r.Once, time.Now())
+	c := p.take(r.NonIdempotent, time.Now())
 	if c == nil {
 		var err error
 		if c, err = p.dial(ctx); err != nil {
@@ -58,7 +58,7 @@
 		if ctx.Err() != nil {
 			err = errors.Join(err, ctx.Err())
 		}
-		return nil, &LostError{Cause: err, Kept: kept}
+		return nil, &NoResponseError{Cause: err, ReusedConn: kept}
 	}
 	return resp, nil
 }
@@ -82,13 +82,13 @@
 			return resp.adopt(answer)
 		}
 		if !kept {
-			return ErrForeign
+			return ErrMismatchedResponse
 		}
 		if err := skip(answer); err != nil {
 			return err
 		}
 	}
-	return ErrForeign
+	return ErrMismatchedResponse
 }
 
 // readHead reads the head of the next final answer.
@@ -107,11 +107,11 @@
 // skip reads past an answer that came late to an earlier request.
 func skip(answer *http.Response) error {
 	if answer.ContentLength < 0 && len(answer.TransferEncoding) == 0 {
-		return ErrForeign // it lasts until the connection ends
+		return ErrMismatchedResponse // it lasts until the connection ends
 	}
 	n, err := io.Copy(io.Discard, io.LimitReader(answer.Body, maxForeignBytes))
 	if err == nil && n == maxForeignBytes {
-		return ErrForeign
+		return ErrMismatchedResponse
 	}
 	return err
 }
@@ -145,7 +145,7 @@
 func (resp *Response) ReadAll(limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(resp, limit+1))
 	if err == nil && int64(len(body)) > limit {
-		return nil, ErrTooLong
+		return nil, ErrResponseTooLarge
 	}
 	return body, err
 }
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -92,7 +92,7 @@
 
 func requireLost(t *testing.T, err error) {
 	t.Helper()
-	var lost *LostError
+	var lost *NoResponseError
 	require.ErrorAs(t, err, &lost)
 }
 
@@ -162,11 +162,11 @@
 			reply(c, target, "ok")
 		}
 	})
-	p := NewPool(s.listener.Addr().String(), Options{IdleOnce: time.Nanosecond})
+	p := NewPool(s.listener.Addr().String(), Options{MaxIdleNonIdempotent: time.Nanosecond})
 	_, err := do(t, p, request("/a"))
 	require.NoError(t, err)
 	r := request("/b")
-	r.Once = true
+	r.NonIdempotent = true
 	_, err = do(t, p, r)
 	require.NoError(t, err)
 	require.Equal(t, 2, s.connections())
@@ -202,7 +202,7 @@
 	})
 	_, err := do(t, s.pool(), request("/a"))
 	requireLost(t, err)
-	require.ErrorIs(t, err, ErrForeign)
+	require.ErrorIs(t, err, ErrMismatchedResponse)
 }
 
 // Bytes behind a whole answer belong to no request: the connection must not
@@ -302,7 +302,7 @@
 		body, err := resp.ReadAll(limit)
 		resp.Close()
 		if !whole {
-			require.ErrorIs(t, err, ErrTooLong)
+			require.ErrorIs(t, err, ErrResponseTooLarge)
 			continue
 		}
 		require.NoError(t, err)
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -13,13 +13,13 @@
 type Options struct {
 	// DialTimeout bounds the making of a connection.
 	DialTimeout time.Duration
-	// IdleOnce is the longest idle time after which a kept connection still
-	// carries a request that may run once only, IdleLimit that for others
+	// MaxIdleNonIdempotent is the longest idle time after which a kept connection still
+	// carries a request that may run once only, MaxIdle that for others
 	// where the upstream names no limit of its own.
-	IdleOnce, IdleLimit time.Duration
-	// SilenceTimeout is how long sent bytes may stay unacknowledged before the
+	MaxIdleNonIdempotent, MaxIdle time.Duration
+	// UnackedTimeout is how long sent bytes may stay unacknowledged before the
 	// connection counts as broken; a peer behind a partition shows no other sign.
-	SilenceTimeout time.Duration
+	UnackedTimeout time.Duration
 }
 
 // The defaults of Options.
@@ -49,9 +49,9 @@
 // NewPool returns a pool for an address, IP:PORT.
 func NewPool(address string, o Options) *Pool {
 	orElse(&o.DialTimeout, defaultDial)
-	orElse(&o.IdleOnce, defaultIdleOnce)
-	orElse(&o.IdleLimit, defaultIdleLimit)
-	orElse(&o.SilenceTimeout, defaultSilence)
+	orElse(&o.MaxIdleNonIdempotent, defaultIdleOnce)
+	orElse(&o.MaxIdle, defaultIdleLimit)
+	orElse(&o.UnackedTimeout, defaultSilence)
 	return &Pool{address: address, options: o}
 }
 
@@ -81,7 +81,7 @@
 			return nil
 		}
 		idle := now.Sub(c.idleSince)
-		usable := idle < c.idleLimit && (!once || idle < p.options.IdleOnce)
+		usable := idle < c.idleLimit && (!once || idle < p.options.MaxIdleNonIdempotent)
 		if usable && c.quiet() {
 			return c
 		}
@@ -118,8 +118,8 @@
 	if err != nil {
 		return nil, &NotSentError{Cause: err}
 	}
-	setSilenceTimeout(raw, p.options.SilenceTimeout)
-	return newConn(raw, p.options.IdleLimit), nil
+	setSilenceTimeout(raw, p.options.UnackedTimeout)
+	return newConn(raw, p.options.MaxIdle), nil
 }
 
 // setSilenceTimeout makes the kernel give a connection up whose sent bytes stay
--- a/internal/exchange/request.go
+++ b/internal/exchange/request.go
@@ -18,9 +18,9 @@
 	// ID is expected back in the answer's header IDHeader; both empty turn the
 	// check off.
 	IDHeader, ID string
-	// Once keeps the request off connections that the upstream may just have
+	// NonIdempotent keeps the request off connections that the upstream may just have
 	// closed: a reset there leaves open whether the request ran.
-	Once bool
+	NonIdempotent bool
 }
 
 // write writes the head and, if it is short, the body in one piece.
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -26,31 +26,31 @@
 	Slots int
 	// Role is empty for a plain service.
 	Role upstream.Role
-	// Leaving says that it is about to stop and takes no new work.
-	Leaving bool
+	// Draining says that it is about to stop and takes no new work.
+	Draining bool
 	// Revision never falls from one entry to the next of the same start.
 	Revision uint64
 }
 
-// SaysSame reports whether two entries say the same of a server, whichever is newer.
-func (u *Upstream) SaysSame(o *Upstream) bool {
+// EqualExceptRevision reports whether two entries say the same of a server, whichever is newer.
+func (u *Upstream) EqualExceptRevision(o *Upstream) bool {
 	a, b := *u, *o
 	a.Revision, b.Revision = 0, 0
 	return a == b
 }
 
-// Engine is what a pool's model engines have in common.
-type Engine struct {
+// EngineSpec is what a pool's model engines have in common.
+type EngineSpec struct {
 	Slots int
 	// KVTokens is the size of an engine's KV memory in tokens, KVTokenBytes
 	// what a token takes when it is moved.
 	KVTokens, KVTokenBytes int
 	// LinkBytesPerSecond is the rate of KV transfers.
 	LinkBytesPerSecond float64
-	// HandoffKept is how long an engine keeps a KV cache for another to fetch.
-	HandoffKept time.Duration
-	// SwitchTime is how long an engine is out of service when its role changes.
-	SwitchTime time.Duration
+	// HandoffRetention is how long an engine keeps a KV cache for another to fetch.
+	HandoffRetention time.Duration
+	// RoleSwitchTime is how long an engine is out of service when its role changes.
+	RoleSwitchTime time.Duration
 }
 
 // Pool is a named group of upstreams that serve the same requests.
@@ -59,7 +59,7 @@
 	HealthPath string
 	MaxConns   int
 	// Engine is nil for plain services.
-	Engine *Engine
+	Engine *EngineSpec
 }
 
 // Limits bound what a caller may send.
@@ -90,8 +90,8 @@
 	Pools map[string][]*Upstream
 }
 
-// SameStart reports whether two descriptions are of one start of a server.
-func (u *Upstream) SameStart(o *Upstream) bool {
+// SameIncarnation reports whether two descriptions are of one start of a server.
+func (u *Upstream) SameIncarnation(o *Upstream) bool {
 	return u.ID == o.ID && u.Started.Equal(o.Started)
 }
 
--- a/internal/member/feeds_test.go
+++ b/internal/member/feeds_test.go
@@ -66,7 +66,7 @@
 			u.Revision = n
 			continue
 		}
-		u.Leaving = true
+		u.Draining = true
 	}
 	return u, nil
 }
@@ -96,7 +96,7 @@
 	for _, pool := range []string{"p", "q"} {
 		for _, u := range r.state.Snapshot().Pools[pool] {
 			id := u.ID
-			if u.Leaving {
+			if u.Draining {
 				id += " leaving"
 			}
 			all = append(all, id)
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -73,7 +73,7 @@
 	peers          *Peers
 	upstreams      *upstreamFeed
 	readers        []*topicReader
-	budget         *relay.Budget
+	budget         *relay.RetryBudget
 	self           wire.MemberAddress
 	leaving        atomic.Bool
 	// settings are those in force, lease is this daemon's part in it.
@@ -90,24 +90,24 @@
 	m.self = wire.MemberAddress{Instance: s.Instance, DataCentre: s.DataCentre, Callers: s.Callers, Peers: s.PeerAddress, Capacity: s.Capacity}
 	cfg.Store.Eras().LogTo(m.log)
 	m.settings.Store(&s)
-	m.budget = relay.NewBudget(s.RetryRatio, m.retrySlack, s.RetryWindow, nil)
+	m.budget = relay.NewRetryBudget(s.RetryRatio, m.retrySlack, s.RetryWindow, nil)
 	m.relay = relay.New(relay.Config{
 		DataCentre:    s.DataCentre,
 		Dialect:       cfg.Dialect,
 		State:         m.state,
-		Books:         m.books,
-		Budget:        m.budget,
+		Tracker:       m.books,
+		RetryBudget:   m.budget,
 		Logger:        m.log,
 		Metrics:       cfg.Metrics.Scope,
 		Refresh:       func(ctx context.Context) { m.peers.Refresh(ctx) },
-		Replaced:      func(id string) { m.peers.SendAway(id, "", replacedFor) },
+		OnReplaced:    func(id string) { m.peers.SendAway(id, "", replacedFor) },
 		MinRetryAfter: minRetryAfter,
 	})
 	m.peers = newPeers(m.self, m.wireConfig(), m.books, m.log)
 	m.peers.demand = m.demand
-	m.peers.waiting = m.relay.Waiting
+	m.peers.waiting = m.relay.HasWaiting
 	m.peers.sameList = m.readSame
-	m.peers.about, m.peers.view, m.peers.change = m.about, m.view, m.relay.Changed
+	m.peers.about, m.peers.view, m.peers.change = m.about, m.view, m.relay.WakeWaiting
 	m.buildFeeds()
 	return m
 }
@@ -115,7 +115,7 @@
 func (m *Member) demand() map[string]wire.MemberDemand {
 	all := make(map[string]wire.MemberDemand)
 	for pool, d := range m.relay.Demand() {
-		all[pool] = wire.MemberDemand{Readers: d.Readers}
+		all[pool] = wire.MemberDemand{Readers: d.PrefillEngines}
 	}
 	return all
 }
@@ -317,7 +317,7 @@
 		CloseIdle: m.callers.CloseIdle,
 	}
 	known := time.Now().Add(stop.Keep)
-	m.relay.Leave(known, known.Add(stop.Grace), func() bool { return len(m.peers.Up()) > 0 })
+	m.relay.BeginShutdown(known, known.Add(stop.Grace), func() bool { return len(m.peers.Up()) > 0 })
 	stop.Drain(nil, m.callers.Active, m.log)
 	m.pages.CloseIdle()
 	m.callers.Wait()
--- a/internal/member/roleorders.go
+++ b/internal/member/roleorders.go
@@ -71,7 +71,7 @@
 		took := time.Since(c.since)
 		u := s.Upstreams[id]
 		switch {
-		case u == nil || u.Leaving || !u.SameStart(c.of):
+		case u == nil || u.Draining || !u.SameIncarnation(c.of):
 			delete(d.changes, id)
 		case u.Role == c.to:
 			delete(d.changes, id)
--- a/internal/member/rolepicture.go
+++ b/internal/member/rolepicture.go
@@ -17,11 +17,11 @@
 func (d *director) picture(s *fleet.Snapshot, name string, pool *fleet.Pool) (rolepolicy.Pool, []placement.Engine) {
 	books := d.member.books
 	demand := d.member.peers.Demand(name)
-	p := rolepolicy.Pool{ReadDemand: demand.Readers, Switch: pool.Engine.SwitchTime}
+	p := rolepolicy.Pool{ReadDemand: demand.Readers, Switch: pool.Engine.RoleSwitchTime}
 	var ids []string
 	for _, u := range s.Pools[name] {
 		switch {
-		case u.Leaving:
+		case u.Draining:
 		case books.Away(u.ID):
 			// It is on its way to the role that it hasn't.
 			p.Changing++
--- a/internal/member/status.go
+++ b/internal/member/status.go
@@ -25,7 +25,7 @@
 		d.Lease = *l
 	}
 	for _, b := range m.budget.State() {
-		d.Budgets = append(d.Budgets, daemonstatus.Budget{Pool: b.Pool, Requests: b.Requests, Repeats: b.Repeats, Allowed: b.Allowed})
+		d.Budgets = append(d.Budgets, daemonstatus.Budget{Pool: b.Pool, Requests: b.Requests, Repeats: b.Retries, Allowed: b.Allowed})
 	}
 	return d
 }
@@ -35,10 +35,10 @@
 	for _, u := range s.Upstreams {
 		r := daemonstatus.Upstream{
 			ID: u.ID, Pool: u.Pool, Address: u.Address, DataCentre: u.DataCentre, Role: string(u.Role),
-			Leaving: u.Leaving, Slots: u.Slots,
+			Leaving: u.Draining, Slots: u.Slots,
 		}
 		if engines := m.books.Engines([]string{u.ID}); len(engines) > 0 {
-			r.Usable, r.Running = !u.Leaving, engines[0].Running
+			r.Usable, r.Running = !u.Draining, engines[0].Running
 		}
 		all = append(all, r)
 	}
--- a/internal/member/upstreams.go
+++ b/internal/member/upstreams.go
@@ -102,12 +102,12 @@
 	delete(f.doubted, e.Key)
 	f.revisions[e.Key] = u.Revision
 	old := f.list[e.Key]
-	if old != nil && old.SaysSame(u) {
+	if old != nil && old.EqualExceptRevision(u) {
 		return false
 	}
 	f.list[e.Key] = u
 	f.log.Info("upstream", "upstream", u.ID, "started", u.Started, "pool", u.Pool, "address", u.Address, "data_centre", u.DataCentre,
-		"role", u.Role, "slots", u.Slots, "leaving", u.Leaving, "new", old == nil)
+		"role", u.Role, "slots", u.Slots, "leaving", u.Draining, "new", old == nil)
 	return true
 }
 
@@ -232,7 +232,7 @@
 	h := xxhash.New()
 	for _, id := range slices.Sorted(maps.Keys(list)) {
 		u := list[id]
-		_, _ = fmt.Fprintf(h, "%s %d %s %s %s %t\n", u.ID, u.Started.UnixMilli(), u.Pool, u.Address, u.Role, u.Leaving) // a hash never fails
+		_, _ = fmt.Fprintf(h, "%s %d %s %s %s %t\n", u.ID, u.Started.UnixMilli(), u.Pool, u.Address, u.Role, u.Draining) // a hash never fails
 	}
 	return h.Sum64()
 }
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -22,7 +22,7 @@
 type result struct {
 	// done says that the caller has its answer.
 	done bool
-	fate dispatch.Fate
+	fate dispatch.Execution
 	// arrived says that an upstream got the request.
 	arrived bool
 	outcome placement.Outcome
@@ -48,7 +48,7 @@
 	res := c.send(ctx, p, c.kept)
 	p.ticket.End(res.outcome)
 	c.noteKept(res)
-	c.relay.Changed()
+	c.relay.WakeWaiting()
 	return res
 }
 
@@ -56,7 +56,7 @@
 func (c *call) sending(p *place, handoff Handoff) Attempt {
 	a := Attempt{Handoff: handoff}
 	if p.prefill == nil {
-		a.FetchFrom = p.sourceAddress()
+		a.KVSource = p.sourceAddress()
 	}
 	return a
 }
@@ -71,26 +71,26 @@
 
 func (c *call) request(u *fleet.Upstream, p *place, a Attempt) *exchange.Request {
 	d := c.relay.cfg.Dialect
-	h := d.Forwarded(c.in.Header)
+	h := d.RequestHeaders(c.in.Header)
 	a.Upstream = u.ID
-	if c.Patience > 0 || c.rule.Timeout > 0 {
-		a.Left = max(time.Millisecond, time.Until(c.deadline))
+	if c.Timeout > 0 || c.rule.Timeout > 0 {
+		a.Timeout = max(time.Millisecond, time.Until(c.deadline))
 	}
 	a.Urgency = -1
 	if c.Generation != nil {
 		a.Urgency = c.urgency(p)
 	}
 	a.ResumeAfter = c.resumeAfter()
-	d.Apply(h, a)
+	d.SetAttemptHeaders(h, a)
 	return &exchange.Request{
-		Method:   c.in.Method,
-		Target:   c.in.RequestURI,
-		Host:     c.in.Host,
-		Header:   h,
-		Body:     c.body,
-		IDHeader: d.RequestIDHeader(),
-		ID:       c.ID,
-		Once:     c.rule.Repeat == pathset.Once,
+		Method:        c.in.Method,
+		Target:        c.in.RequestURI,
+		Host:          c.in.Host,
+		Header:        h,
+		Body:          c.body,
+		IDHeader:      d.RequestIDHeader(),
+		ID:            c.ID,
+		NonIdempotent: c.rule.Repeat == pathset.Once,
 	}
 }
 
@@ -125,7 +125,7 @@
 }
 
 func sent(err error) bool {
-	var lost *exchange.LostError
+	var lost *exchange.NoResponseError
 	return errors.As(err, &lost)
 }
 
@@ -165,15 +165,15 @@
 		return c.sendFailed(ctx, p, err)
 	}
 	defer resp.Close()
-	switch verdict := c.relay.cfg.Dialect.Judge(resp.Status, resp.Header); verdict {
+	switch verdict := c.relay.cfg.Dialect.Classify(resp.Status, resp.Header); verdict {
 	case NotRun, WrongUpstream:
 		c.exclude = append(c.exclude, p.target.ID)
 		_, _ = io.Copy(io.Discard, io.LimitReader(resp, maxAnswer)) // frees the connection
 		res := result{fate: dispatch.NotRun, arrived: true, outcome: refusalOutcome(resp.Status), status: resp.Status, err: errNotRun}
 		if verdict == NotRun {
 			res.outcome = placement.Refused
-		} else if c.relay.cfg.Replaced != nil {
-			c.relay.cfg.Replaced(p.target.ID)
+		} else if c.relay.cfg.OnReplaced != nil {
+			c.relay.cfg.OnReplaced(p.target.ID)
 		}
 		return res
 	case Unsigned:
@@ -207,8 +207,8 @@
 
 // noteRun counts an attempt that may have run.
 func (c *call) noteRun() {
-	c.tries.Count()
-	c.tries.NoteRun()
+	c.tries.RecordAttempt()
+	c.tries.RecordRun()
 }
 
 // lost is the result of an attempt that may have run without a usable answer.
@@ -236,7 +236,7 @@
 		// caller that nobody has.
 		return c.lost(p, placement.Failed, errStatus)
 	}
-	c.relay.cfg.Dialect.Returned(c.out.Header(), resp.Header)
+	c.relay.cfg.Dialect.CopyResponseHeaders(c.out.Header(), resp.Header)
 	c.out.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	c.out.WriteHeader(resp.Status)
 	_, _ = c.out.Write(body) // a caller that has gone needs no answer
@@ -251,7 +251,7 @@
 // another upstream.
 func (c *call) worthAnother(status int) bool {
 	return status >= http.StatusInternalServerError &&
-		c.tries.MayRepeat(0) &&
+		c.tries.MayRetry(0) &&
 		time.Until(c.deadline) > leastLeft
 }
 
--- a/internal/relay/budget_test.go
+++ b/internal/relay/budget_test.go
@@ -18,14 +18,14 @@
 		now := time.Unix(1000, 0)
 		slack := rapid.Float64Range(0, 20).Draw(t, "slack")
 		ratio := rapid.Float64Range(0, 0.5).Draw(t, "ratio")
-		b := NewBudget(ratio, func() float64 { return slack }, window, func() time.Time { return now })
+		b := NewRetryBudget(ratio, func() float64 { return slack }, window, func() time.Time { return now })
 		var requests, repeats []time.Time
 		for range rapid.IntRange(1, 300).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 700).Draw(t, "ms")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "request") {
-				b.Request("p")
+				b.RecordRequest("p")
 				requests = append(requests, now)
-			} else if b.Allow("p") {
+			} else if b.AllowRetry("p") {
 				repeats = append(repeats, now)
 			}
 		}
@@ -47,10 +47,10 @@
 }
 
 func TestBudgetsOfPoolsAreApart(t *testing.T) {
-	b := NewBudget(0, func() float64 { return 1 }, time.Second, nil)
-	require.True(t, b.Allow("a"))
-	require.False(t, b.Allow("a"))
-	require.True(t, b.Allow("b"))
+	b := NewRetryBudget(0, func() float64 { return 1 }, time.Second, nil)
+	require.True(t, b.AllowRetry("a"))
+	require.False(t, b.AllowRetry("a"))
+	require.True(t, b.AllowRetry("b"))
 }
 
 // turns is a try that succeeds as often as there are places.
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -45,7 +45,7 @@
 	// prepaid says that the next repeat has been counted against the budget.
 	prepaid atomic.Bool
 	// tries counts the sendings that may have run.
-	tries dispatch.Tries
+	tries dispatch.State
 	// exclude names upstreams that won't be tried again.
 	exclude []string
 	// stream is set once the head of a streamed answer has gone out.
@@ -100,8 +100,8 @@
 	}
 	ctx, cancel := context.WithDeadline(c.in.Context(), c.deadline.Add(answerSlack))
 	defer cancel()
-	c.comeback = c.relay.patience.comeback(c.rule.Name, c.Patience)
-	c.relay.cfg.Budget.Request(c.pool)
+	c.comeback = c.relay.patience.comeback(c.rule.Name, c.Timeout)
+	c.relay.cfg.RetryBudget.RecordRequest(c.pool)
 	c.tries = dispatch.New(c.policy())
 	f := c.run(ctx)
 	c.releaseKept()
@@ -121,17 +121,17 @@
 // that the rule counts; one that reached an upstream draws on the budget.
 func (c *call) policy() dispatch.Policy {
 	p := dispatch.Policy{
-		Repeat: dispatch.Repeatable, MaxAttempts: c.rule.MaxAttempts,
-		Allow: func() bool { return c.prepaid.Swap(false) || c.relay.cfg.Budget.Allow(c.pool) },
+		Mode: dispatch.RetryAlways, MaxAttempts: c.rule.MaxAttempts,
+		AllowRetry: func() bool { return c.prepaid.Swap(false) || c.relay.cfg.RetryBudget.AllowRetry(c.pool) },
 	}
 	if c.rule.Repeat == pathset.Once {
-		p.Repeat = dispatch.Unsent
+		p.Mode = dispatch.RetryIfNotRun
 	}
 	return p
 }
 
 func (c *call) patience() time.Duration {
-	p := c.Patience
+	p := c.Timeout
 	if p == 0 {
 		p = defaultPatience
 	}
@@ -167,9 +167,9 @@
 		return f
 	}
 	if errors.Is(res.err, errNoBudget) {
-		return c.failAs(dispatch.NoBudget)
+		return c.failAs(dispatch.BudgetExhausted)
 	}
-	if verdict := c.tries.Next(res.fate, res.arrived); verdict != dispatch.Again {
+	if verdict := c.tries.Next(res.fate, res.arrived); verdict != dispatch.Retry {
 		return c.failAs(verdict)
 	}
 	if time.Until(c.deadline) < leastLeft {
@@ -179,11 +179,11 @@
 }
 
 // failAs returns the failure of a request that may not be sent again.
-func (c *call) failAs(v dispatch.Verdict) *failure {
+func (c *call) failAs(v dispatch.Decision) *failure {
 	switch v {
-	case dispatch.NoRepeat:
+	case dispatch.NotRetryable:
 		return c.fail(reasonLost, "the upstream's answer was lost; the request may have run")
-	case dispatch.NoAttempts:
+	case dispatch.AttemptsExhausted:
 		return c.fail(reasonAttempts, "all attempts have failed")
 	default:
 		return c.fail(reasonNoBudget, "too many requests are being repeated")
@@ -205,7 +205,7 @@
 // promise that nothing has, 502 and 504 promise nothing.
 func (c *call) fail(why reason, message string) *failure {
 	switch {
-	case !c.tries.Ran():
+	case !c.tries.MayHaveRun():
 		return refused(http.StatusServiceUnavailable, why, message).after(c.retryAfter())
 	case why == reasonDeadline:
 		return refused(http.StatusGatewayTimeout, why, message)
--- a/internal/relay/demand.go
+++ b/internal/relay/demand.go
@@ -14,9 +14,9 @@
 
 // Demand is what callers ask of a pool of engines, refused requests included.
 type Demand struct {
-	// Readers are the engines that the prompts keep busy: the time that an engine
+	// PrefillEngines are the engines that the prompts keep busy: the time that an engine
 	// which only reads takes for them, in seconds a second.
-	Readers float64
+	PrefillEngines float64
 }
 
 // demandMeter smooths the demand on each pool.
@@ -42,12 +42,12 @@
 		m.pools[pool] = p
 	}
 	p.decay(now)
-	p.Readers += millis / telemetry.Millis(demandSpan)
+	p.PrefillEngines += millis / telemetry.Millis(demandSpan)
 }
 
 func (p *measured) decay(now time.Time) {
 	keep := math.Exp(-float64(now.Sub(p.at)) / float64(demandSpan))
-	p.Readers *= keep
+	p.PrefillEngines *= keep
 	p.at = now
 }
 
--- a/internal/relay/failure.go
+++ b/internal/relay/failure.go
@@ -48,5 +48,5 @@
 	if in.Context().Err() != nil {
 		return // nobody reads the answer
 	}
-	r.cfg.Dialect.Refuse(w, f.status, f.retryAfter, f.message)
+	r.cfg.Dialect.WriteError(w, f.status, f.retryAfter, f.message)
 }
--- a/internal/relay/leave.go
+++ b/internal/relay/leave.go
@@ -14,13 +14,13 @@
 	others func() bool
 }
 
-// Leave tells when the process ends. From now on each answer is the last of its connection,
+// BeginShutdown tells when the process ends. From now on each answer is the last of its connection,
 // and no request is taken that would be cut off by the exit.
 //
 // Callers that can't know yet that the process ends are served until then. Those that come
 // after known are turned away unless their deadline comes before the exit: elsewhere they have
 // all of their time. They may go there at once if others serve.
-func (r *Relay) Leave(known, exit time.Time, others func() bool) {
+func (r *Relay) BeginShutdown(known, exit time.Time, others func() bool) {
 	r.leave.Store(&leave{known: known, exit: exit, others: others})
 }
 
--- a/internal/relay/log.go
+++ b/internal/relay/log.go
@@ -69,7 +69,7 @@
 	if f.reason == reasonNoRule {
 		attrs = append(attrs, "host", c.in.Host, "path", pathOf(c.in.RequestURI))
 	}
-	attrs = append(attrs, "status", f.status, "reason", string(f.reason), "ran", c.tries.Ran(), "retry_after_ms", telemetry.Millis(f.retryAfter))
+	attrs = append(attrs, "status", f.status, "reason", string(f.reason), "ran", c.tries.MayHaveRun(), "retry_after_ms", telemetry.Millis(f.retryAfter))
 	c.log.Warn("failed", attrs...)
 }
 
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -33,7 +33,7 @@
 	}
 	s := m.ofRule(rule)
 	if f != nil {
-		s.Tagged(map[string]string{"reason": string(f.reason), "ran": strconv.FormatBool(c.tries.Ran())}).Counter("requests_failed").Inc(1)
+		s.Tagged(map[string]string{"reason": string(f.reason), "ran": strconv.FormatBool(c.tries.MayHaveRun())}).Counter("requests_failed").Inc(1)
 		return
 	}
 	s.Counter("requests_answered").Inc(1)
--- a/internal/relay/place.go
+++ b/internal/relay/place.go
@@ -92,11 +92,11 @@
 // tooLate reports whether an answer that hasn't begun can end in time nowhere: sent all the
 // same, it would be cut at its caller's deadline, and have slowed the streams beside it.
 func (c *call) tooLate() bool {
-	if c.Generation == nil || c.stream != nil || c.tries.Ran() {
+	if c.Generation == nil || c.stream != nil || c.tries.MayHaveRun() {
 		return false
 	}
 	r := c.placementRequest()
-	return c.relay.cfg.Books.Shortest(c.pool, r) > max(0, r.Left)
+	return c.relay.cfg.Tracker.Shortest(c.pool, r) > max(0, r.Left)
 }
 
 // late reports whether the request can't be in time any more: it has failed at
@@ -112,7 +112,7 @@
 // looks on for as long as its caller does.
 func (c *call) longestWait(late bool) time.Duration {
 	switch {
-	case c.stream != nil, c.tries.Ran():
+	case c.stream != nil, c.tries.MayHaveRun():
 		return time.Until(c.deadline)
 	case late || c.rule.Objective == 0:
 		return time.Duration(lateWaitShare * float64(time.Until(c.deadline)))
@@ -143,7 +143,7 @@
 // choose picks a plan: one for a late answer if the request is late already, or if no
 // engine could answer it in time.
 func (c *call) choose(req *placement.Request, late bool) (plan placement.Plan, behind, ok bool) {
-	books := c.relay.cfg.Books
+	books := c.relay.cfg.Tracker
 	req.Behind = late
 	if !late {
 		c.inTime(req)
@@ -164,7 +164,7 @@
 // book enters a plan in the books.
 func (c *call) book(s *fleet.Snapshot, plan placement.Plan, req placement.Request) *place {
 	p := &place{target: s.Upstreams[plan.Engine], source: s.Upstreams[plan.Source], plan: plan}
-	books := c.relay.cfg.Books
+	books := c.relay.cfg.Tracker
 	work := generating(plan, req)
 	if plan.Prefill == "" {
 		work.Read, work.Fetched = plan.PromptAt(req), plan.Fetched
@@ -190,13 +190,13 @@
 // tryGenerator looks for an engine to take over the prompt's KV cache, which is
 // there already: it needn't be read again because one engine turned it away.
 func (c *call) tryGenerator(s *fleet.Snapshot, req placement.Request) *place {
-	plan, ok := c.relay.cfg.Books.PickGenerator(c.pool, c.keptBy.DataCentre, req)
+	plan, ok := c.relay.cfg.Tracker.PickGenerator(c.pool, c.keptBy.DataCentre, req)
 	if !ok || s.Upstreams[plan.Engine] == nil {
 		return nil
 	}
 	work := generating(plan, req)
 	work.Fetched = req.PromptTokens
-	ticket := c.relay.cfg.Books.Begin(plan.Engine, work)
+	ticket := c.relay.cfg.Tracker.Begin(plan.Engine, work)
 	return &place{target: s.Upstreams[plan.Engine], plan: plan, ticket: ticket}
 }
 
@@ -210,7 +210,7 @@
 	if ok {
 		prompt = plan.PromptAt(req)
 	}
-	work := c.relay.cfg.Books.Reading(c.pool, upstream.RolePrefill, prompt)
+	work := c.relay.cfg.Tracker.Reading(c.pool, upstream.RolePrefill, prompt)
 	c.relay.demand.add(c.pool, work, time.Now())
 }
 
@@ -245,11 +245,11 @@
 }
 
 func (c *call) tryService(s *fleet.Snapshot) *place {
-	id, full, ok := c.relay.cfg.Books.PickService(c.pool, c.placementRequest())
+	id, full, ok := c.relay.cfg.Tracker.PickService(c.pool, c.placementRequest())
 	if !ok || full || s.Upstreams[id] == nil {
 		return nil
 	}
-	return &place{target: s.Upstreams[id], ticket: c.relay.cfg.Books.Begin(id, placement.Work{})}
+	return &place{target: s.Upstreams[id], ticket: c.relay.cfg.Tracker.Begin(id, placement.Work{})}
 }
 
 func (c *call) placementRequest() placement.Request {
@@ -272,10 +272,10 @@
 
 func expectedOutput(g *Generation) int {
 	switch {
-	case g.Expected > 0 && g.MaxOutput > 0:
-		return min(g.Expected, g.MaxOutput)
-	case g.Expected > 0:
-		return g.Expected
+	case g.ExpectedOutput > 0 && g.MaxOutput > 0:
+		return min(g.ExpectedOutput, g.MaxOutput)
+	case g.ExpectedOutput > 0:
+		return g.ExpectedOutput
 	case g.MaxOutput > 0:
 		return g.MaxOutput
 	default:
--- a/internal/relay/place_test.go
+++ b/internal/relay/place_test.go
@@ -16,6 +16,6 @@
 		{expected: 4200, most: 700, want: 700},
 		{expected: 300, most: 0, want: 300},
 	} {
-		require.Equal(t, c.want, expectedOutput(&Generation{Expected: c.expected, MaxOutput: c.most}))
+		require.Equal(t, c.want, expectedOutput(&Generation{ExpectedOutput: c.expected, MaxOutput: c.most}))
 	}
 }
--- a/internal/relay/prefill.go
+++ b/internal/relay/prefill.go
@@ -52,13 +52,13 @@
 // its KV cache. Nothing runs by that.
 func (c *call) prefill(ctx context.Context, p *place) (string, result) {
 	// The first reading of the prompt is no repeat, any further one is.
-	if c.prefills > 0 && !c.relay.cfg.Budget.Allow(c.pool) {
+	if c.prefills > 0 && !c.relay.cfg.RetryBudget.AllowRetry(c.pool) {
 		p.reader.End(placement.Cancelled)
 		return "", result{fate: dispatch.NotSent, outcome: placement.Cancelled, err: errNoBudget}
 	}
 	ctx, cancel := context.WithTimeout(ctx, prefillFactor*p.plan.FirstToken+prefillSlack)
 	defer cancel()
-	r := c.request(p.prefill, p, Attempt{PrefillOnly: true, FetchFrom: p.sourceAddress()})
+	r := c.request(p.prefill, p, Attempt{PrefillOnly: true, KVSource: p.sourceAddress()})
 	r.IDHeader = ""
 	handle, res := c.readPrefill(ctx, p, r)
 	if res.err == nil {
@@ -66,7 +66,7 @@
 		p.read = time.Since(p.sentAt)
 		p.reader.PromptRead()
 		p.reader.End(placement.Done)
-		c.relay.Changed()
+		c.relay.WakeWaiting()
 		return handle, res
 	}
 	if ctx.Err() != nil && c.in.Context().Err() != nil {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -20,18 +20,18 @@
 
 // Config sets a Relay.
 type Config struct {
-	DataCentre string
-	Dialect    Dialect
-	State      *fleet.State
-	Books      *placement.Books
-	Budget     *Budget
-	Logger     *slog.Logger
+	DataCentre  string
+	Dialect     Dialect
+	State       *fleet.State
+	Tracker     *placement.Books
+	RetryBudget *RetryBudget
+	Logger      *slog.Logger
 	// Refresh brings the books up to date with other daemons' work before a request is
 	// placed; it takes some milliseconds at most. Nil does nothing.
 	Refresh func(context.Context)
-	// Replaced is told of an upstream whose address belongs to another one; nil
+	// OnReplaced is told of an upstream whose address belongs to another one; nil
 	// tells nobody.
-	Replaced func(id string)
+	OnReplaced func(id string)
 	// Metrics takes counters and histograms; nil drops them.
 	Metrics tally.Scope
 	// MinRetryAfter is the least time to come back that a refusal names.
@@ -66,8 +66,8 @@
 // Active returns the number of requests in progress.
 func (r *Relay) Active() int64 { return r.active.Load() }
 
-// Waiting reports whether requests wait for a place.
-func (r *Relay) Waiting() bool {
+// HasWaiting reports whether requests wait for a place.
+func (r *Relay) HasWaiting() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, q := range r.queues {
@@ -78,8 +78,8 @@
 	return false
 }
 
-// Changed wakes the requests that wait: a place may have come free elsewhere.
-func (r *Relay) Changed() {
+// WakeWaiting wakes the requests that wait: a place may have come free elsewhere.
+func (r *Relay) WakeWaiting() {
 	r.mu.Lock()
 	queues := make([]*queue, 0, len(r.queues))
 	for _, q := range r.queues {
@@ -109,7 +109,7 @@
 	for _, u := range s.Upstreams {
 		members = append(members, member(s, u))
 	}
-	r.cfg.Books.Sync(members)
+	r.cfg.Tracker.Sync(members)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if s.Config != r.followed {
@@ -117,7 +117,7 @@
 		r.forgetRules(s.Config)
 	}
 	for id, c := range r.conns {
-		if u := s.Upstreams[id]; u == nil || !u.SameStart(c.to) {
+		if u := s.Upstreams[id]; u == nil || !u.SameIncarnation(c.to) {
 			c.pool.Close()
 			delete(r.conns, id)
 		}
@@ -140,7 +140,7 @@
 }
 
 func member(s *fleet.Snapshot, u *fleet.Upstream) placement.Member {
-	m := placement.Member{ID: u.ID, DataCentre: u.DataCentre, Started: u.Started, Pool: u.Pool, Role: u.Role, Slots: u.Slots, Leaving: u.Leaving}
+	m := placement.Member{ID: u.ID, DataCentre: u.DataCentre, Started: u.Started, Pool: u.Pool, Role: u.Role, Slots: u.Slots, Leaving: u.Draining}
 	if s.Config == nil {
 		return m
 	}
@@ -157,7 +157,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c, known := r.conns[u.ID]
-	if !known || !u.SameStart(c.to) {
+	if !known || !u.SameIncarnation(c.to) {
 		if known {
 			c.pool.Close()
 		}
--- a/internal/relay/silence.go
+++ b/internal/relay/silence.go
@@ -47,7 +47,7 @@
 // firstSilence returns how long the upstream may be silent at first; 0 is for as
 // long as it likes.
 func (c *call) firstSilence(p *place) time.Duration {
-	if c.rule.Objective == 0 || !c.tries.MayRepeat(1) {
+	if c.rule.Objective == 0 || !c.tries.MayRetry(1) {
 		return 0
 	}
 	expected := prefillFactor*p.plan.FirstToken + prefillSlack
@@ -56,7 +56,7 @@
 
 // pauseSilence returns how long a stream may be silent between two events.
 func (c *call) pauseSilence() time.Duration {
-	if c.rule.PauseObjective == 0 || !c.tries.MayRepeat(0) {
+	if c.rule.PauseObjective == 0 || !c.tries.MayRetry(0) {
 		return 0
 	}
 	return max(leastSilence, pauseSilenceFactor*c.rule.PauseObjective)
@@ -86,7 +86,7 @@
 // still better than none.
 func (w *silenceWatch) giveUp() {
 	c := w.call
-	if !c.relay.cfg.Budget.Allow(c.pool) {
+	if !c.relay.cfg.RetryBudget.AllowRetry(c.pool) {
 		return
 	}
 	c.prepaid.Store(true)
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -47,7 +47,7 @@
 				p.ticket.TakenOver()
 			}
 			p.ticket.PromptRead()
-			c.relay.Changed()
+			c.relay.WakeWaiting()
 		}
 		if s := c.stream; s != nil {
 			p.ticket.Paused(time.Since(s.lastAt))
@@ -87,7 +87,7 @@
 func (c *call) beginStream(resp *exchange.Response) {
 	now := time.Now()
 	c.stream = &streamState{last: c.ResumeAfter, flusher: http.NewResponseController(c.out), lastAt: now, started: now}
-	c.relay.cfg.Dialect.Returned(c.out.Header(), resp.Header)
+	c.relay.cfg.Dialect.CopyResponseHeaders(c.out.Header(), resp.Header)
 	c.out.WriteHeader(resp.Status)
 }
 
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -17,8 +17,8 @@
 type Call struct {
 	// ID is the caller's id of this attempt.
 	ID string
-	// Patience is how long the caller waits from now; 0 if it doesn't say.
-	Patience time.Duration
+	// Timeout is how long the caller waits from now; 0 if it doesn't say.
+	Timeout time.Duration
 	// Generation is nil unless the request asks a model.
 	Generation *Generation
 	// ResumeAfter is the id of the last event that the caller has of a stream;
@@ -30,10 +30,10 @@
 type Generation struct {
 	Model        string
 	PromptTokens int
-	// MaxOutput bounds the tokens generated; Expected is the caller's guess, 0
+	// MaxOutput bounds the tokens generated; ExpectedOutput is the caller's guess, 0
 	// if it has none.
-	MaxOutput, Expected int
-	Parts               []placement.Part
+	MaxOutput, ExpectedOutput int
+	Parts                     []placement.Part
 }
 
 // Attempt is what one sending of a request adds to its head.
@@ -41,15 +41,15 @@
 	// Upstream is the incarnation that the request is meant for; any other
 	// must turn it away.
 	Upstream string
-	// Left is the time that the upstream may take.
-	Left time.Duration
+	// Timeout is the time that the upstream may take.
+	Timeout time.Duration
 	// PrefillOnly asks for the prompt to be read and kept for another engine.
 	PrefillOnly bool
 	// Handoff names a KV cache to be fetched; the zero value is none.
 	Handoff Handoff
-	// FetchFrom is the address of an engine that keeps parts of the prompt which the
+	// KVSource is the address of an engine that keeps parts of the prompt which the
 	// upstream is to fetch rather than read; empty if there is none.
-	FetchFrom string
+	KVSource string
 	// ResumeAfter is the last event that the caller has; 0 is none.
 	ResumeAfter int
 	// Urgency from 0, the most urgent, to 9; -1 leaves the header out.
@@ -61,13 +61,13 @@
 	Address, Handle string
 }
 
-// Verdict is what an upstream's answer says about the running of the request.
-type Verdict uint8
+// ResponseClass is what an upstream's answer says about the running of the request.
+type ResponseClass uint8
 
 // The verdicts.
 const (
-	// Genuine answers are an upstream's own, whatever their status.
-	Genuine Verdict = iota
+	// Authentic answers are an upstream's own, whatever their status.
+	Authentic ResponseClass = iota
 	// NotRun says that the upstream did not and will not run the request.
 	NotRun
 	// WrongUpstream says that another incarnation has the address; nothing ran.
@@ -80,20 +80,20 @@
 type Dialect interface {
 	// ParseCall reads a caller's head.
 	ParseCall(r *http.Request) (Call, error)
-	// Forwarded returns a copy of the headers that go on to an upstream.
-	Forwarded(h http.Header) http.Header
-	// Apply adds an attempt's headers to forwarded ones.
-	Apply(h http.Header, a Attempt)
+	// RequestHeaders returns a copy of the headers that go on to an upstream.
+	RequestHeaders(h http.Header) http.Header
+	// SetAttemptHeaders adds an attempt's headers to forwarded ones.
+	SetAttemptHeaders(h http.Header, a Attempt)
 	// RequestIDHeader is the header in which upstreams echo a request's id.
 	RequestIDHeader() string
-	// Judge reads an upstream's answer.
-	Judge(status int, h http.Header) Verdict
-	// Returned copies the headers of an upstream's answer that go to the caller.
-	Returned(dst, src http.Header)
+	// Classify reads an upstream's answer.
+	Classify(status int, h http.Header) ResponseClass
+	// CopyResponseHeaders copies the headers of an upstream's answer that go to the caller.
+	CopyResponseHeaders(dst, src http.Header)
 	// ParsePrefill reads the answer to a prefill and returns the handle.
 	ParsePrefill(body []byte) (string, error)
 	// ReleaseHandoff returns the call that frees a KV cache that nobody fetches.
 	ReleaseHandoff(handle string) (method, target string)
-	// Refuse writes an answer of the system's own.
-	Refuse(w http.ResponseWriter, status int, retryAfter time.Duration, message string)
+	// WriteError writes an answer of the system's own.
+	WriteError(w http.ResponseWriter, status int, retryAfter time.Duration, message string)
 }
