--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -124,7 +124,7 @@
 // The queue is long and drains at a known rate. A request that would wait past
 // its deadline is told at once, and when to come back; one with more time in
 // hand is taken.
-func TestEarlyRefusalAndWhenToComeBack(t *testing.T) {
+func TestEarlyRefusalAndRetryAfter(t *testing.T) {
 	c, clock := newTest(nil)
 	c.SetCapacity("p", "m", oneEngine)
 	var waiting []*Pending
@@ -154,7 +154,7 @@
 
 // The engine stalls after requests were taken in. Those that can't make their
 // deadlines any more are refused as soon as that is clear, not at the deadline.
-func TestWaitingIsRefusedOnceHopeless(t *testing.T) {
+func TestWaitingIsRefusedOnceDeadlineIsUnmeetable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New(DefaultConfig(), nil)
 		c.SetCapacity("p", "m", oneEngine)
@@ -181,7 +181,7 @@
 // An engine turns slow after requests were taken in: one goes each ten seconds,
 // not each second. The last in the queue have half a minute left, yet it is
 // clear that they won't make it. Told now, their callers can go elsewhere.
-func TestHopelessIsToldBeforeTheLastMoment(t *testing.T) {
+func TestUnmeetableDeadlineIsRefusedEarly(t *testing.T) {
 	c, clock := newTest(nil)
 	c.SetCapacity("p", "m", oneEngine)
 	var waiting []*Pending
@@ -251,7 +251,7 @@
 
 // An organisation sends its next request only once the last one has gone, so
 // that it never has two waiting. It must not pass a queue at every turn.
-func TestOneAtATimeIsNoWayAround(t *testing.T) {
+func TestSingleWaitingRequestGetsFairShare(t *testing.T) {
 	q := newFairQueue(100)
 	for range 40 {
 		q.push(&item{org: "queue", cost: 1})
@@ -269,7 +269,7 @@
 
 // Whatever is pushed, popped and removed, in any order: nothing is lost or
 // served twice, higher priority goes first, and the sums come out.
-func TestFairQueueHoldsTogether(t *testing.T) {
+func TestFairQueueInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := newFairQueue(3)
 		var in []*item
@@ -345,8 +345,8 @@
 	}
 	p := c.pool("p", "m")
 	require.Zero(t, c.Counts().Waiting)
-	require.Zero(t, p.lanes[1].window.requests)
-	require.Zero(t, p.lanes[1].window.sent)
+	require.Zero(t, p.classes[1].window.requests)
+	require.Zero(t, p.classes[1].window.outstanding)
 	require.Empty(t, c.limits.running)
 }
 
--- a/admission/budget.go
+++ b/admission/budget.go
@@ -6,15 +6,15 @@
 // up, and how many a second are given whatever the traffic, so that a quiet
 // entry can retry at all.
 const (
-	budgetMost      = 20.0
-	budgetPerSecond = 0.5
+	maxBudgetTokens       = 20.0
+	budgetRefillPerSecond = 0.5
 )
 
 // budget is a token bucket filled by requests. A fault that makes each attempt
 // fail would otherwise double the load on what is left, just when that is
 // least able to bear it; with the budget the load grows by the share at most.
 type budget struct {
-	share  float64
+	ratio  float64
 	tokens float64
 	last   time.Time
 }
@@ -22,7 +22,7 @@
 // earn counts a first attempt.
 func (b *budget) earn(now time.Time) {
 	b.refill(now)
-	b.tokens = min(budgetMost, b.tokens+b.share)
+	b.tokens = min(maxBudgetTokens, b.tokens+b.ratio)
 }
 
 // spend reports whether a retry may be made, and counts it.
@@ -37,9 +37,9 @@
 
 func (b *budget) refill(now time.Time) {
 	if b.last.IsZero() {
-		b.tokens = budgetMost / 2
+		b.tokens = maxBudgetTokens / 2
 	} else {
-		b.tokens = min(budgetMost, b.tokens+budgetPerSecond*now.Sub(b.last).Seconds())
+		b.tokens = min(maxBudgetTokens, b.tokens+budgetRefillPerSecond*now.Sub(b.last).Seconds())
 	}
 	b.last = now
 }
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -41,7 +41,7 @@
 		now:    now,
 		pools:  map[poolKey]*pool{},
 		limits: newLimits(cfg.MaxOrganisations),
-		budget: budget{share: cfg.RetryBudgetRatio},
+		budget: budget{ratio: cfg.RetryBudgetRatio},
 		counts: Counts{Refused: map[Reason]uint64{}},
 	}
 }
@@ -65,7 +65,7 @@
 	defer c.mu.Unlock()
 	p := c.pool(name, model)
 	p.setCapacity(capacity)
-	c.pump(p)
+	c.startWaiting(p)
 }
 
 // Acquire waits until a request may be sent. Its error is always a *Refusal,
@@ -92,8 +92,8 @@
 // *Refusal. Something must call Sweep, or run Serve, for the waiting to be
 // refused in time.
 func (c *Controller) Submit(r Request) (*Pending, error) {
-	w := &waiter{req: r, class: c.classOf(&r), verdict: make(chan *Refusal, 1)}
-	if ref := c.arrive(w); ref != nil {
+	w := &waiter{req: r, class: c.classOf(&r), decision: make(chan *Refusal, 1)}
+	if ref := c.enqueueOrRefuse(w); ref != nil {
 		return nil, ref
 	}
 	return &Pending{c, w}, nil
@@ -103,7 +103,7 @@
 // there is. It is there once.
 func (p *Pending) Poll() (g *Grant, ok bool, err error) {
 	select {
-	case ref := <-p.w.verdict:
+	case ref := <-p.w.decision:
 		if ref != nil {
 			return nil, true, ref
 		}
@@ -125,16 +125,16 @@
 
 // arrive decides on a new request: refused, started (the verdict is there at
 // once) or waiting.
-func (c *Controller) arrive(w *waiter) *Refusal {
+func (c *Controller) enqueueOrRefuse(w *waiter) *Refusal {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
 	w.arrived = now
 	p := c.pool(w.req.Pool, w.req.Model)
 	p.tick(now)
-	ref := c.check(p, w, now)
+	ref := c.checkCapacity(p, w, now)
 	if ref == nil {
-		ref = c.limits.take(&w.req, now)
+		ref = c.limits.acquire(&w.req, now)
 	}
 	if ref != nil {
 		c.counts.Refused[ref.Reason]++
@@ -143,24 +143,24 @@
 	c.budget.earn(now)
 	p.enqueue(w)
 	c.queued++
-	c.pump(p)
-	if !w.onWay {
+	c.startWaiting(p)
+	if !w.outstanding {
 		c.counts.Queued++
 	}
 	return nil
 }
 
 // check refuses what can't be answered in time and what finds no room.
-func (c *Controller) check(p *pool, w *waiter, now time.Time) *Refusal {
+func (c *Controller) checkCapacity(p *pool, w *waiter, now time.Time) *Refusal {
 	if c.stopping {
 		return &Refusal{Reason: ReasonStopping, RetryAfter: time.Second}
 	}
-	if p.known && p.capacity.Engines == 0 {
+	if p.capacityKnown && p.capacity.Engines == 0 {
 		return &Refusal{Reason: ReasonNoCapacity, RetryAfter: 2 * time.Second}
 	}
 	wait := p.expectedWait(w)
-	if ref := p.tooLate(w, wait, now); ref != nil {
-		p.lane(w.class).pressure.add(refusedSample)
+	if ref := p.checkDeadline(w, wait, now); ref != nil {
+		p.forClass(w.class).pressure.add(refusalPressure)
 		return ref
 	}
 	if c.queued >= c.cfg.MaxQueued {
@@ -170,12 +170,12 @@
 }
 
 // pump starts what may start.
-func (c *Controller) pump(p *pool) {
+func (c *Controller) startWaiting(p *pool) {
 	now := c.now()
 	for w := p.next(now); w != nil; w = p.next(now) {
 		c.queued--
 		c.counts.Admitted++
-		w.verdict <- nil
+		w.decision <- nil
 	}
 }
 
@@ -183,33 +183,33 @@
 // which the request can start.
 func (c *Controller) await(ctx context.Context, w *waiter) *Refusal {
 	select {
-	case ref := <-w.verdict:
+	case ref := <-w.decision:
 		return ref
 	default:
 	}
 	var last <-chan time.Time
-	if latest := w.latest(); !latest.IsZero() {
+	if latest := w.latestStart(); !latest.IsZero() {
 		t := time.NewTimer(latest.Sub(c.now()))
 		defer t.Stop()
 		last = t.C
 	}
 	select {
-	case ref := <-w.verdict:
+	case ref := <-w.decision:
 		return ref
 	case <-ctx.Done():
-		return c.giveUp(w, ReasonCancelled)
+		return c.abandon(w, ReasonCancelled)
 	case <-last:
-		return c.giveUp(w, ReasonDeadline)
+		return c.abandon(w, ReasonDeadline)
 	}
 }
 
 // giveUp takes a waiting request out, unless its verdict came meanwhile. A
 // grant that came together with the caller's going away is given back.
-func (c *Controller) giveUp(w *waiter, why Reason) *Refusal {
+func (c *Controller) abandon(w *waiter, why Reason) *Refusal {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	select {
-	case ref := <-w.verdict:
+	case ref := <-w.decision:
 		if ref != nil || why != ReasonCancelled {
 			return ref
 		}
@@ -224,16 +224,16 @@
 	if why == ReasonDeadline {
 		ref.RequiredTime = w.req.Estimate.Complete
 		ref.TimeLeft = w.req.Deadline.Sub(now)
-		ref.ExpectedWait = p.lane(w.class).meter.wait(p.lane(w.class).queue.ahead(w.req.Organisation, w.req.Priority))
-		ref.RetryAfter = p.whenToComeBack(w, ref.ExpectedWait, now)
+		ref.ExpectedWait = p.forClass(w.class).meter.wait(p.forClass(w.class).queue.ahead(w.req.Organisation, w.req.Priority))
+		ref.RetryAfter = p.retryDelay(w, ref.ExpectedWait, now)
 	}
-	c.remove(p, w, ref)
+	c.refuseWaiting(p, w, ref)
 	return ref
 }
 
 // remove takes a waiting request out with a refusal.
-func (c *Controller) remove(p *pool, w *waiter, ref *Refusal) {
-	p.drop(w)
+func (c *Controller) refuseWaiting(p *pool, w *waiter, ref *Refusal) {
+	p.removeWaiting(w)
 	c.queued--
 	c.limits.release(&w.req)
 	c.counts.Refused[ref.Reason]++
@@ -243,9 +243,9 @@
 func (c *Controller) release(w *waiter) {
 	p := c.pool(w.req.Pool, w.req.Model)
 	p.tick(c.now())
-	p.leave(w)
+	p.leaveWindow(w)
 	c.limits.release(&w.req)
-	c.pump(p)
+	c.startWaiting(p)
 }
 
 // sweepPeriod is how often waiting requests are judged anew.
@@ -274,12 +274,12 @@
 	now := c.now()
 	for _, p := range c.pools {
 		p.tick(now)
-		p.steer(now)
-		for _, e := range p.late(now) {
-			c.remove(p, e.w, e.refusal)
-			e.w.verdict <- e.refusal
+		p.adjustWindows(now)
+		for _, e := range p.findLate(now) {
+			c.refuseWaiting(p, e.w, e.refusal)
+			e.w.decision <- e.refusal
 		}
-		c.pump(p)
+		c.startWaiting(p)
 	}
 }
 
@@ -289,11 +289,11 @@
 	defer c.mu.Unlock()
 	c.stopping = true
 	for _, p := range c.pools {
-		for i := range p.lanes {
-			for it := p.lanes[i].queue.peek(); it != nil; it = p.lanes[i].queue.peek() {
+		for i := range p.classes {
+			for it := p.classes[i].queue.peek(); it != nil; it = p.classes[i].queue.peek() {
 				ref := &Refusal{Reason: ReasonStopping, RetryAfter: time.Second}
-				c.remove(p, it.waiter, ref)
-				it.waiter.verdict <- ref
+				c.refuseWaiting(p, it.waiter, ref)
+				it.waiter.decision <- ref
 			}
 		}
 	}
--- a/admission/fair.go
+++ b/admission/fair.go
@@ -38,25 +38,25 @@
 // time lies ahead of the virtual time. Those are kept in a bounded LRU; one
 // that falls out of it may get one request's cost too much, once.
 type fairQueue struct {
-	levels []*level // highest priority first
-	idle   int      // bound of remembered idle flows for each level
-	len    int
-	cost   float64
-	seq    uint64
+	levels  []*level // highest priority first
+	maxIdle int      // bound of remembered idle flows for each level
+	len     int
+	cost    float64
+	seq     uint64
 }
 
 // level is the waiting requests of one priority.
 type level struct {
-	priority int
-	virtual  float64
-	flows    map[string]*flow
-	ready    flowHeap
-	recent   *simplelru.LRU[string, float64] // finish times of idle flows
-	cost     float64
-	live     int
+	priority   int
+	virtual    float64
+	flows      map[string]*flow
+	ready      flowHeap
+	idleFinish *simplelru.LRU[string, float64] // finish times of idle flows
+	cost       float64
+	live       int
 }
 
-func newFairQueue(idle int) *fairQueue { return &fairQueue{idle: max(1, idle)} }
+func newFairQueue(idle int) *fairQueue { return &fairQueue{maxIdle: max(1, idle)} }
 
 // level returns the level of a priority, made if needed.
 func (q *fairQueue) level(priority int) *level {
@@ -65,8 +65,8 @@
 		return q.levels[i]
 	}
 	// The size is at least 1, so that NewLRU can't fail.
-	recent, _ := simplelru.NewLRU[string, float64](q.idle, nil)
-	l := &level{priority: priority, flows: map[string]*flow{}, recent: recent}
+	recent, _ := simplelru.NewLRU[string, float64](q.maxIdle, nil)
+	l := &level{priority: priority, flows: map[string]*flow{}, idleFinish: recent}
 	q.levels = slices.Insert(q.levels, i, l)
 	return l
 }
@@ -76,7 +76,7 @@
 	l := q.level(it.priority)
 	f := l.flows[it.org]
 	if f == nil {
-		f = l.revive(it.org)
+		f = l.reactivate(it.org)
 	}
 	it.flow = f
 	f.items = append(f.items, it)
@@ -95,11 +95,11 @@
 }
 
 // revive takes an organisation back from the idle ones.
-func (l *level) revive(org string) *flow {
+func (l *level) reactivate(org string) *flow {
 	f := &flow{org: org}
-	if finish, ok := l.recent.Peek(org); ok {
+	if finish, ok := l.idleFinish.Peek(org); ok {
 		f.finish = finish
-		l.recent.Remove(org)
+		l.idleFinish.Remove(org)
 	}
 	l.flows[org] = f
 	return f
@@ -158,7 +158,7 @@
 	q.len--
 	if f.live == 0 {
 		heap.Remove(&l.ready, f.heapPos)
-		l.retire(f)
+		l.deactivate(f)
 		return
 	}
 	f.first()
@@ -168,14 +168,14 @@
 
 // retire drops a flow with nothing waiting, and remembers its finish time if
 // that still lies ahead.
-func (l *level) retire(f *flow) {
+func (l *level) deactivate(f *flow) {
 	delete(l.flows, f.org)
 	if f.finish > l.virtual {
-		l.recent.Add(f.org, f.finish)
+		l.idleFinish.Add(f.org, f.finish)
 	}
 	if len(l.ready) == 0 {
 		// Nobody waits: the next to come competes with nobody's past.
-		l.recent.Purge()
+		l.idleFinish.Purge()
 		l.cost = 0
 	}
 }
@@ -188,8 +188,8 @@
 		f.finish += difference
 		return
 	}
-	if finish, ok := l.recent.Peek(org); ok {
-		l.recent.Add(org, finish+difference)
+	if finish, ok := l.idleFinish.Peek(org); ok {
+		l.idleFinish.Add(org, finish+difference)
 	}
 }
 
@@ -220,14 +220,14 @@
 			sum += l.cost
 			continue
 		}
-		sum += min(l.cost, own+l.fairPart(own))
+		sum += min(l.cost, own+l.fairShare(own))
 	}
 	return sum
 }
 
 // fairPart is what the other organisations of a level are served while one is
 // served a cost; at least one request each.
-func (l *level) fairPart(own float64) float64 {
+func (l *level) fairShare(own float64) float64 {
 	if len(l.ready) == 0 {
 		return 0
 	}
--- a/admission/grant.go
+++ b/admission/grant.go
@@ -21,8 +21,8 @@
 	now := g.c.now()
 	p := g.c.pool(g.w.req.Pool, g.w.req.Model)
 	p.tick(now)
-	p.started(g.w, now)
-	g.c.pump(p)
+	p.firstToken(g.w, now)
+	g.c.startWaiting(p)
 }
 
 // Release ends the grant, with the output tokens that the answer had. Calling
@@ -36,7 +36,7 @@
 	g.released = true
 	if res == ResultCompleted {
 		p := g.c.pool(g.w.req.Pool, g.w.req.Model)
-		p.settle(g.w, output)
+		p.adjustCharge(g.w, output)
 		p.completed(g.w, g.c.now())
 	}
 	g.c.release(g.w)
--- a/admission/limits.go
+++ b/admission/limits.go
@@ -34,7 +34,7 @@
 
 // take books a request under all its limits, or returns the refusal. One that a
 // later limit refuses has still used up its token of an earlier rate.
-func (l *limits) take(r *Request, now time.Time) *Refusal {
+func (l *limits) acquire(r *Request, now time.Time) *Refusal {
 	for i := range r.Limits {
 		lim := &r.Limits[i]
 		if lim.Concurrent > 0 && l.running[keyOf(lim, r.Organisation)] >= lim.Concurrent {
@@ -42,7 +42,7 @@
 		}
 	}
 	for i := range r.Limits {
-		if ref := l.takeRate(&r.Limits[i], r.Organisation, now); ref != nil {
+		if ref := l.acquireRate(&r.Limits[i], r.Organisation, now); ref != nil {
 			return ref
 		}
 	}
@@ -54,7 +54,7 @@
 	return nil
 }
 
-func (l *limits) takeRate(lim *Limit, organisation string, now time.Time) *Refusal {
+func (l *limits) acquireRate(lim *Limit, organisation string, now time.Time) *Refusal {
 	if lim.RequestsPerSecond <= 0 {
 		return nil
 	}
--- a/admission/meter.go
+++ b/admission/meter.go
@@ -6,10 +6,10 @@
 )
 
 // meterSpan is the time over which a meter forgets.
-const meterSpan = 4 * time.Second
+const meterTimeConstant = 4 * time.Second
 
 // meterKeep is what a serve leaves of those before it at most.
-const meterKeep = 0.98
+const maxMeterRetention = 0.98
 
 // meter measures how fast a queue drains: the cost served over the time in
 // which something waited, both forgotten alike. Time without a queue says
@@ -18,15 +18,15 @@
 // doesn't seem to have stopped between two of them, and one that has stopped
 // does.
 type meter struct {
-	served float64
-	busy   float64 // seconds, up to the last serve
-	serves float64
-	open   float64 // seconds since the last serve
-	last   time.Time
+	served     float64
+	busy       float64 // seconds, up to the last serve
+	serves     float64
+	sinceServe float64 // seconds since the last serve
+	last       time.Time
 }
 
 // prime gives a rate to start from, as if seen for a second.
-func (m *meter) prime(rate float64) {
+func (m *meter) seed(rate float64) {
 	if m.busy > 0 || rate <= 0 {
 		return
 	}
@@ -39,18 +39,18 @@
 // last tick.
 func (m *meter) tick(now time.Time, waiting bool) {
 	if waiting && !m.last.IsZero() {
-		m.open += max(0, now.Sub(m.last).Seconds())
+		m.sinceServe += max(0, now.Sub(m.last).Seconds())
 	}
 	m.last = now
 }
 
 // serve counts something taken from the queue.
 func (m *meter) serve(cost float64) {
-	keep := min(meterKeep, math.Exp(-m.open/meterSpan.Seconds()))
+	keep := min(maxMeterRetention, math.Exp(-m.sinceServe/meterTimeConstant.Seconds()))
 	m.served = m.served*keep + cost
-	m.busy = m.busy*keep + m.open
+	m.busy = m.busy*keep + m.sinceServe
 	m.serves = m.serves*keep + 1
-	m.open = 0
+	m.sinceServe = 0
 }
 
 // rate is the cost served a second; 0 if nothing is known.
@@ -59,7 +59,7 @@
 		return 0
 	}
 	usual := m.busy / m.serves
-	return m.served / (m.busy + max(0, m.open-usual))
+	return m.served / (m.busy + max(0, m.sinceServe-usual))
 }
 
 // wait is the time to serve a cost.
--- a/admission/types.go
+++ b/admission/types.go
@@ -38,7 +38,7 @@
 }
 
 // own is the time to the first token without a wait at the upstream.
-func (e Estimate) own() time.Duration { return max(0, e.FirstToken-e.Queue) }
+func (e Estimate) prefillTime() time.Duration { return max(0, e.FirstToken-e.Queue) }
 
 // Limit is a rule's limit on the requests that it matches.
 type Limit struct {
--- a/admission/window.go
+++ b/admission/window.go
@@ -5,17 +5,17 @@
 // The bounds and steps of the windows.
 const (
 	// A period ends after some samples, or after windowPeriod without.
-	windowPeriod  = 250 * time.Millisecond
-	windowSamples = 3
-	windowGrow    = 1.08
-	windowShrink  = 0.85
+	windowPeriod    = 250 * time.Millisecond
+	windowSamples   = 3
+	windowGrowth    = 1.08
+	windowShrinkage = 0.85
 	// windowLeast lets an entry always have something on its way.
-	windowLeast = 10 * time.Millisecond
+	minWindow = 10 * time.Millisecond
 	// windowMost is the work on its way for each engine that an entry never
 	// goes beyond.
-	windowMost = 20 * time.Second
+	maxWindowPerEngine = 20 * time.Second
 	// sendCost is charged for each request beside its prefill.
-	sendCost = 5 * time.Millisecond
+	workPerRequest = 5 * time.Millisecond
 )
 
 // window bounds the work of a class that has been sent to the engines and not
@@ -27,21 +27,21 @@
 // back without pressure it grows. An engine whose batch is full doesn't start
 // what it is sent, so a full batch closes the window too.
 type window struct {
-	limit    time.Duration
-	most     time.Duration
-	part     float64       // engines for each entry
-	sent     time.Duration // work on its way
-	requests int           // requests on their way
-	full     bool          // a request was held back in this period
+	limit           time.Duration
+	ceiling         time.Duration
+	enginesPerEntry float64       // engines for each entry
+	outstanding     time.Duration // work on its way
+	requests        int           // requests on their way
+	limited         bool          // a request was held back in this period
 }
 
 // resize sets the bounds by the number of engines, and this entry's part of
 // them, with which the window begins.
 func (w *window) resize(c Capacity) {
 	engines := max(1, c.Engines)
-	w.most = windowMost * time.Duration(engines)
-	w.part = float64(engines) / float64(max(1, c.Entries))
-	w.limit = min(w.limit, w.most)
+	w.ceiling = maxWindowPerEngine * time.Duration(engines)
+	w.enginesPerEntry = float64(engines) / float64(max(1, c.Entries))
+	w.limit = min(w.limit, w.ceiling)
 }
 
 // fits reports whether work may be sent. A window that is empty takes any, or
@@ -49,23 +49,23 @@
 func (w *window) fits(work time.Duration) bool {
 	if w.limit == 0 {
 		// Two requests like the first for each engine.
-		w.limit = max(windowLeast, time.Duration(2*w.part*float64(work)))
+		w.limit = max(minWindow, time.Duration(2*w.enginesPerEntry*float64(work)))
 	}
-	if w.requests == 0 || w.sent+work <= w.limit {
+	if w.requests == 0 || w.outstanding+work <= w.limit {
 		return true
 	}
-	w.full = true
+	w.limited = true
 	return false
 }
 
 // send and start book work on its way.
-func (w *window) send(work time.Duration) {
-	w.sent += work
+func (w *window) add(work time.Duration) {
+	w.outstanding += work
 	w.requests++
 }
 
-func (w *window) start(work time.Duration) {
-	w.sent -= work
+func (w *window) remove(work time.Duration) {
+	w.outstanding -= work
 	w.requests--
 }
 
@@ -73,15 +73,15 @@
 func (w *window) adjust(pressed bool) {
 	switch {
 	case pressed:
-		w.limit = max(windowLeast, time.Duration(windowShrink*float64(w.limit)))
-	case w.full:
-		w.limit = min(w.most, time.Duration(windowGrow*float64(w.limit)))
+		w.limit = max(minWindow, time.Duration(windowShrinkage*float64(w.limit)))
+	case w.limited:
+		w.limit = min(w.ceiling, time.Duration(windowGrowth*float64(w.limit)))
 	}
-	w.full = false
+	w.limited = false
 }
 
 // atLeast reports whether the window can't shrink further.
-func (w *window) atLeast() bool { return w.limit <= windowLeast }
+func (w *window) atMinimum() bool { return w.limit <= minWindow }
 
 // pressure is how much of their slack the requests of a class lose to waiting
 // at the upstreams: 0 for none, 1 for all of it. The slack is the time until
@@ -97,13 +97,13 @@
 
 // Bounds of one sample: a single stall shouldn't close a window.
 const (
-	mostPressure   = 2.0
-	refusedSample  = 1.0
-	unboundedSlack = 10 * time.Second
+	maxPressureSample = 2.0
+	refusalPressure   = 1.0
+	defaultSlack      = 10 * time.Second
 )
 
 func (p *pressure) add(v float64) {
-	p.sum += min(mostPressure, max(0, v))
+	p.sum += min(maxPressureSample, max(0, v))
 	p.samples++
 }
 
@@ -116,8 +116,8 @@
 }
 
 // lost is the part of a request's slack that a delay took.
-func (w *waiter) lost(delay time.Duration) float64 {
-	slack := unboundedSlack
+func (w *waiter) slackLost(delay time.Duration) float64 {
+	slack := defaultSlack
 	if !w.req.Deadline.IsZero() {
 		slack = w.req.Deadline.Sub(w.granted) - w.req.Estimate.Unloaded
 	}
--- a/router/affinity.go
+++ b/router/affinity.go
@@ -4,17 +4,17 @@
 const BlockTokens = 16
 
 // lookUpCache asks the prefix index once for the decision.
-func (d *decision) lookUpCache() {
+func (d *decision) lookupCache() {
 	d.sc.matches = d.sc.matches[:0]
 	if d.s.cache == nil || len(d.r.PrefixBlocks) == 0 {
 		return
 	}
-	d.sc.matches = d.s.cache.lookUp(d.sc.matches, d.r.PrefixBlocks, d.now)
+	d.sc.matches = d.s.cache.lookup(d.sc.matches, d.r.PrefixBlocks, d.now)
 }
 
 // cachedOn returns the prompt tokens that a node's cache is expected to save:
 // what it should hold, times the belief in that.
-func (d *decision) cachedOn(n *node) int {
+func (d *decision) expectedCachedTokens(n *node) int {
 	for _, m := range d.sc.matches {
 		if m.Engine == n.id {
 			held := min(m.Blocks*BlockTokens, d.r.PromptTokens)
--- a/router/baselines.go
+++ b/router/baselines.go
@@ -11,7 +11,7 @@
 
 // Pick implements Picker.
 func (LeastCost) Pick(cands []Candidate, _ *Request, _ *rand.Rand) (int, PlanReason) {
-	return cheapest(cands), ReasonLeastCost
+	return lowestCost(cands), ReasonLeastCost
 }
 
 // LeastOutstanding takes the candidate with the fewest own requests in flight,
@@ -48,10 +48,10 @@
 	return func(cfg Config) *Scheduler {
 		s := NewScheduler(cfg)
 		s.Picker = p
-		s.cfg.MinSplitTokens = noSplit
+		s.cfg.MinSplitTokens = neverSplitTokens
 		return s
 	}
 }
 
 // noSplit is a prompt length that no request has.
-const noSplit = 1 << 40
+const neverSplitTokens = 1 << 40
--- a/router/candidate.go
+++ b/router/candidate.go
@@ -28,20 +28,20 @@
 	// Cost is the sum of the scorers' costs.
 	Cost time.Duration
 
-	node       *node
-	model      engineModel
-	needTokens int           // KV tokens that the request takes
-	slack      time.Duration // until the deadline, or noSlack
+	node     *node
+	model    engineModel
+	kvTokens int           // KV tokens that the request takes
+	slack    time.Duration // until the deadline, or noSlack
 }
 
 // load reads a node for a decision.
-func (c *Candidate) load(s *Snapshot, n *node, r *Request, dc int32, now time.Time) {
+func (c *Candidate) fill(s *Snapshot, n *node, r *Request, dc int32, now time.Time) {
 	u := n.state.Load()
 	*c = Candidate{Upstream: u, node: n, SameDataCentre: n.dc == dc, Link: s.latency[dc][n.dc], slack: noSlack}
 	if !r.Deadline.IsZero() {
 		c.slack = r.Deadline.Sub(now)
 	}
-	h := n.standing(now)
+	h := n.healthAt(now)
 	c.Ejected = h == ejected
 	c.Trial = h == trial
 	c.Trials = int(n.live.trials.Load())
@@ -49,10 +49,10 @@
 	if !u.ReportAt.IsZero() {
 		c.ReportAge = max(0, now.Sub(u.ReportAt))
 	}
-	c.Work = n.workNow(&s.cfg, u, c.ReportAge)
+	c.Work = n.currentWork(&s.cfg, u, c.ReportAge)
 	if u.Kind == infra.KindEngine {
 		c.model = modelOf(&s.cfg, u, &n.live)
-		c.needTokens = r.PromptTokens + r.OutputTokens
+		c.kvTokens = r.PromptTokens + r.OutputTokens
 	}
 }
 
--- a/router/filter.go
+++ b/router/filter.go
@@ -11,7 +11,7 @@
 }
 
 type (
-	leavingFilter  struct{}
+	drainingFilter struct{}
 	serviceFilter  struct{}
 	ejectedFilter  struct{}
 	trialFilter    struct{}
@@ -22,10 +22,10 @@
 
 // leavingFilter holds new work back from upstreams that leave or are about to
 // be changed.
-func (leavingFilter) Keep(c *Candidate, _ *Request) bool {
+func (drainingFilter) Keep(c *Candidate, _ *Request) bool {
 	return !c.Upstream.ShuttingDown && !c.Upstream.Draining
 }
-func (leavingFilter) Reason() NoUpstreamReason { return NoUpstreamDraining }
+func (drainingFilter) Reason() NoUpstreamReason { return NoUpstreamDraining }
 
 // serviceFilter holds work back from an engine whose report has it out of
 // service, as during a role change.
@@ -59,6 +59,6 @@
 // it were alone there.
 func (memoryFilter) Keep(c *Candidate, _ *Request) bool {
 	total := c.Upstream.Report.KVTotalTokens
-	return total <= 0 || c.needTokens <= total
+	return total <= 0 || c.kvTokens <= total
 }
 func (memoryFilter) Reason() NoUpstreamReason { return NoUpstreamKVMemory }
--- a/router/fleet_test.go
+++ b/router/fleet_test.go
@@ -19,19 +19,19 @@
 
 // job is one request on its way through the fakes.
 type job struct {
-	class              string
-	prompt, out        int
-	todo, left         int
-	arrived, deadline  time.Time
-	entry              *fakeEntry
-	pending            *admission.Pending
-	grant              *admission.Grant
-	ticket             *router.Ticket
-	engine, decode     *fakeEngine
-	prefillOnly, ended bool
-	inTime             bool
-	first              time.Time
-	refused            bool
+	class                  string
+	prompt, out            int
+	promptLeft, outputLeft int
+	arrived, deadline      time.Time
+	entry                  *fakeEntry
+	pending                *admission.Pending
+	grant                  *admission.Grant
+	ticket                 *router.Ticket
+	engine, decode         *fakeEngine
+	prefillOnly, ended     bool
+	withinDeadline         bool
+	first                  time.Time
+	refused                bool
 }
 
 // fakeEngine works as the stand-in does: chunks of prompts in order of
@@ -51,9 +51,9 @@
 }
 
 const (
-	fakeBatch = 32
-	fakeChunk = 256
-	fakeAlone = 1024
+	fakeBatch               = 32
+	fakeChunk               = 256
+	fakeChunkWithoutStreams = 1024
 )
 
 func newFakeEngine(name string, role upstream.Role) *fakeEngine {
@@ -73,7 +73,7 @@
 func (e *fakeEngine) report(now time.Time) {
 	queued := 0
 	for _, j := range append(append([]*job(nil), e.waiting...), e.running...) {
-		queued += j.todo
+		queued += j.promptLeft
 	}
 	e.reports = append(e.reports, upstream.LoadReport{
 		Role: e.role, InService: true, Running: len(e.running), Waiting: len(e.waiting), QueuedPrompt: queued,
@@ -87,7 +87,7 @@
 	if e.dead || now.Before(e.busyUntil) {
 		return
 	}
-	e.complete(now)
+	e.finishStep(now)
 	for len(e.running) < fakeBatch && len(e.waiting) > 0 && e.kvUsed+e.waiting[0].prompt+e.waiting[0].out <= e.kvTotal {
 		j := e.waiting[0]
 		e.waiting = e.waiting[1:]
@@ -96,18 +96,18 @@
 	}
 	decoding := 0
 	for _, j := range e.running {
-		if j.todo == 0 {
+		if j.promptLeft == 0 {
 			decoding++
 		}
 	}
-	budget := fakeAlone
+	budget := fakeChunkWithoutStreams
 	if decoding > 0 {
 		budget = fakeChunk
 	}
 	e.chunks = map[*job]int{}
 	took := 0.0
 	for _, j := range e.running {
-		n := min(j.todo, budget)
+		n := min(j.promptLeft, budget)
 		if n > 0 {
 			e.chunks[j] = n
 			budget -= n
@@ -123,21 +123,21 @@
 	}
 }
 
-func (e *fakeEngine) complete(now time.Time) {
+func (e *fakeEngine) finishStep(now time.Time) {
 	if e.chunks == nil {
 		return
 	}
 	for _, j := range append([]*job(nil), e.running...) {
-		j.todo -= e.chunks[j]
-		if j.todo > 0 {
+		j.promptLeft -= e.chunks[j]
+		if j.promptLeft > 0 {
 			continue
 		}
 		if j.prefillOnly {
 			e.drop(j)
-			j.handOver(now)
+			j.startDecode(now)
 			continue
 		}
-		j.left--
+		j.outputLeft--
 		if j.first.IsZero() {
 			j.first = now
 			j.ticket.FirstToken()
@@ -146,9 +146,9 @@
 			}
 		}
 		j.ticket.Tokens(1)
-		if j.left == 0 {
+		if j.outputLeft == 0 {
 			e.drop(j)
-			j.inTime = !now.After(j.deadline)
+			j.withinDeadline = !now.After(j.deadline)
 			j.end(router.OutcomeOK, admission.ResultCompleted)
 		}
 	}
@@ -171,11 +171,11 @@
 	}
 }
 
-func (j *job) handOver(now time.Time) {
+func (j *job) startDecode(now time.Time) {
 	j.ticket.PrefillDone()
 	j.prefillOnly = false
 	j.engine = j.decode
-	j.todo = 1
+	j.promptLeft = 1
 	j.decode.waiting = append(j.decode.waiting, j)
 }
 
@@ -187,7 +187,7 @@
 
 func (j *job) release(r admission.Result) {
 	if j.grant != nil {
-		j.grant.Release(r, j.out-j.left)
+		j.grant.Release(r, j.out-j.outputLeft)
 	}
 }
 
@@ -238,7 +238,7 @@
 
 // arrive sends a request to a random entry.
 func (f *fleet) arrive(class string, prompt, out int, limit time.Duration) {
-	j := &job{class: class, prompt: prompt, out: out, todo: prompt, left: out, arrived: f.now,
+	j := &job{class: class, prompt: prompt, out: out, promptLeft: prompt, outputLeft: out, arrived: f.now,
 		deadline: f.now.Add(limit), entry: f.entries[f.rnd.IntN(len(f.entries))]}
 	f.jobs = append(f.jobs, j)
 	if f.direct {
@@ -372,19 +372,19 @@
 }
 
 // mix is a stream of requests: short ones and long ones a second.
-type mix struct{ short, long float64 }
+type arrivalRates struct{ short, long float64 }
 
 // run drives arrivals for a time and lets what is left end. It returns the
 // tally of those that arrived after the warm-up.
-func (f *fleet) run(m mix, warm, length time.Duration) tally {
+func (f *fleet) run(m arrivalRates, warm, length time.Duration) tally {
 	start := f.now
 	f.drive(m, length)
-	f.drive(mix{}, 40*time.Second)
+	f.drive(arrivalRates{}, 40*time.Second)
 	return f.tallyOf(start.Add(warm), start.Add(length))
 }
 
 // drive sends requests at the rates of a mix for a time.
-func (f *fleet) drive(m mix, length time.Duration) {
+func (f *fleet) drive(m arrivalRates, length time.Duration) {
 	start := f.now
 	next := [2]time.Duration{}
 	rates := [2]float64{m.short, m.long}
@@ -427,8 +427,8 @@
 
 // tally counts what became of requests.
 type tally struct {
-	offered, inTime, refused, late int
-	shortOffered, shortInTime      int
+	offered, withinDeadline, refused, late int
+	shortOffered, shortWithinDeadline      int
 }
 
 func (f *fleet) tallyOf(from, to time.Time) tally {
@@ -444,12 +444,12 @@
 		switch {
 		case j.refused:
 			t.refused++
-		case !j.inTime:
+		case !j.withinDeadline:
 			t.late++
 		default:
-			t.inTime++
+			t.withinDeadline++
 			if j.class == "short" {
-				t.shortInTime++
+				t.shortWithinDeadline++
 			}
 		}
 	}
--- a/router/node.go
+++ b/router/node.go
@@ -19,29 +19,29 @@
 // is replaced whole, and live is changed in place, so that two picks in the
 // same millisecond see each other without a new snapshot.
 type node struct {
-	id    int32
-	dc    int32
-	peers atomic.Pointer[peers] // nil in snapshots that don't change
-	state atomic.Pointer[Upstream]
-	live  live
+	id       int32
+	dc       int32
+	averages atomic.Pointer[poolAverages] // nil in snapshots that don't change
+	state    atomic.Pointer[Upstream]
+	live     liveState
 }
 
 // live is the part of an upstream's books that each request changes.
-type live struct {
+type liveState struct {
 	// The corrections of the report.
-	requests, prompt, kv atomic.Int64
+	deltaRequests, deltaPrompt, deltaKV atomic.Int64
 	// The own work in flight, whatever the report says.
-	inFlight, ownPrompt, ownKV, output atomic.Int64
-	health                             atomic.Uint32
-	heldUntil                          atomic.Int64 // Unix nanoseconds
-	dead                               atomic.Bool  // ejected for being out of reach
-	trials                             atomic.Int64 // requests in flight that are trials
-	prefillFactor                      atomicFloat
-	gapFactor                          atomicFloat
-	slowness                           atomicFloat // times seen over times predicted, queues and all
-	failureRate                        atomicFloat
-	meanOutput                         atomicFloat  // tokens of an answer
-	serviceTime                        atomic.Int64 // nanoseconds
+	inFlight, localPrompt, localKV, localOutput atomic.Int64
+	health                                      atomic.Uint32
+	ejectedUntil                                atomic.Int64 // Unix nanoseconds
+	unreachable                                 atomic.Bool  // ejected for being out of reach
+	trials                                      atomic.Int64 // requests in flight that are trials
+	prefillFactor                               atomicFloat
+	gapFactor                                   atomicFloat
+	latencyFactor                               atomicFloat // times seen over times predicted, queues and all
+	failureRate                                 atomicFloat
+	meanOutput                                  atomicFloat  // tokens of an answer
+	serviceTime                                 atomic.Int64 // nanoseconds
 }
 
 // atomicFloat is a float64 that is read and written whole.
@@ -53,23 +53,23 @@
 // newNode makes a node whose live part starts from the values in u.
 func newNode(id, dc int32, u Upstream) *node {
 	n := &node{id: id, dc: dc}
-	n.live.requests.Store(int64(u.LocalDelta.Requests))
-	n.live.prompt.Store(int64(u.LocalDelta.PromptTokens))
-	n.live.output.Store(int64(u.LocalDelta.OutputTokens))
-	n.live.kv.Store(int64(u.LocalDelta.KVTokens))
+	n.live.deltaRequests.Store(int64(u.LocalDelta.Requests))
+	n.live.deltaPrompt.Store(int64(u.LocalDelta.PromptTokens))
+	n.live.localOutput.Store(int64(u.LocalDelta.OutputTokens))
+	n.live.deltaKV.Store(int64(u.LocalDelta.KVTokens))
 	n.live.inFlight.Store(int64(u.InFlight))
-	n.live.ownPrompt.Store(int64(u.LocalDelta.PromptTokens))
-	n.live.ownKV.Store(int64(u.LocalDelta.KVTokens))
+	n.live.localPrompt.Store(int64(u.LocalDelta.PromptTokens))
+	n.live.localKV.Store(int64(u.LocalDelta.KVTokens))
 	n.live.prefillFactor.store(factorOrOne(u.PrefillFactor))
 	n.live.gapFactor.store(factorOrOne(u.GapFactor))
 	n.live.failureRate.store(u.FailureRate)
-	n.live.slowness.store(1)
-	n.live.meanOutput.store(unknownOutputTokens)
+	n.live.latencyFactor.store(1)
+	n.live.meanOutput.store(defaultOutputTokens)
 	n.live.serviceTime.Store(int64(u.ServiceTime))
 	switch {
 	case u.Ejected:
 		n.live.health.Store(uint32(ejected))
-		n.live.heldUntil.Store(math.MaxInt64)
+		n.live.ejectedUntil.Store(math.MaxInt64)
 	case u.Trial:
 		n.live.health.Store(uint32(trial))
 	}
@@ -86,9 +86,9 @@
 
 // standing returns the health at a time: an ejection that has run out is a
 // trial.
-func (n *node) standing(now time.Time) health {
+func (n *node) healthAt(now time.Time) health {
 	h := health(n.live.health.Load())
-	if h == ejected && now.UnixNano() >= n.live.heldUntil.Load() {
+	if h == ejected && now.UnixNano() >= n.live.ejectedUntil.Load() {
 		return trial
 	}
 	return h
@@ -98,17 +98,17 @@
 func (n *node) view(now time.Time) Upstream {
 	u := *n.state.Load()
 	u.LocalDelta = Work{
-		Requests:     int(n.live.requests.Load()),
-		PromptTokens: int(n.live.prompt.Load()),
-		KVTokens:     int(n.live.kv.Load()),
-		OutputTokens: int(n.live.output.Load()),
+		Requests:     int(n.live.deltaRequests.Load()),
+		PromptTokens: int(n.live.deltaPrompt.Load()),
+		KVTokens:     int(n.live.deltaKV.Load()),
+		OutputTokens: int(n.live.localOutput.Load()),
 	}
 	u.InFlight = int(n.live.inFlight.Load())
 	u.PrefillFactor = n.live.prefillFactor.load()
 	u.GapFactor = n.live.gapFactor.load()
 	u.FailureRate = n.live.failureRate.load()
 	u.ServiceTime = time.Duration(n.live.serviceTime.Load())
-	h := n.standing(now)
+	h := n.healthAt(now)
 	u.Ejected = h == ejected
 	u.Trial = h == trial
 	return u
--- a/router/pick.go
+++ b/router/pick.go
@@ -23,16 +23,16 @@
 type spreadPicker struct {
 	// base is the band's least width, share its width by the least cost, and
 	// ageShare its width by the age of the reports.
-	base     time.Duration
-	share    float64
-	ageShare float64
+	minWidth  time.Duration
+	costShare float64
+	ageShare  float64
 }
 
 // leastSpread is the band's least width.
-const leastSpread = 5 * time.Millisecond
+const minSpread = 5 * time.Millisecond
 
 func (p spreadPicker) Pick(cands []Candidate, _ *Request, rnd *rand.Rand) (int, PlanReason) {
-	best := cheapest(cands)
+	best := lowestCost(cands)
 	if len(cands) == 1 {
 		return 0, ReasonOnlyUpstream
 	}
@@ -47,7 +47,7 @@
 		}
 	}
 	if near == 1 {
-		return best, reasonOf(&cands[best], ReasonLeastCost)
+		return best, reasonFor(&cands[best], ReasonLeastCost)
 	}
 	return p.draw(cands, limit, width, rnd.Float64()*total, best)
 }
@@ -59,16 +59,16 @@
 			continue
 		}
 		if at -= w; at <= 0 {
-			return i, reasonOf(&cands[i], ReasonSpread)
+			return i, reasonFor(&cands[i], ReasonSpread)
 		}
 	}
-	return best, reasonOf(&cands[best], ReasonSpread)
+	return best, reasonFor(&cands[best], ReasonSpread)
 }
 
 func (p spreadPicker) width(best *Candidate) time.Duration {
-	byCost := time.Duration(p.share * float64(best.Cost))
+	byCost := time.Duration(p.costShare * float64(best.Cost))
 	byAge := time.Duration(p.ageShare * float64(best.ReportAge))
-	return max(p.base, byCost, byAge)
+	return max(p.minWidth, byCost, byAge)
 }
 
 // weight falls from 1 at limit-width to 0 at limit.
@@ -79,7 +79,7 @@
 	return min(1, float64(limit-c.Cost)/float64(width))
 }
 
-func reasonOf(c *Candidate, otherwise PlanReason) PlanReason {
+func reasonFor(c *Candidate, otherwise PlanReason) PlanReason {
 	if c.Trial {
 		return ReasonTrial
 	}
@@ -89,7 +89,7 @@
 	return otherwise
 }
 
-func cheapest(cands []Candidate) int {
+func lowestCost(cands []Candidate) int {
 	best := 0
 	for i := range cands {
 		if cands[i].Cost < cands[best].Cost {
--- a/router/pick_test.go
+++ b/router/pick_test.go
@@ -100,7 +100,7 @@
 		want   string
 	}{{1500, "a"}, {15000, "b"}} {
 		cache := NewPrefixIndex(1000, time.Minute)
-		cache.predict(0, blocks, testNow)
+		cache.addPredicted(0, blocks, testNow)
 		s := NewSnapshot(cfg, []Upstream{engine("a", func(u *Upstream) { u.Report.QueuedPrompt = c.queued }), engine("b", nil)}, cache)
 		plan, err := Pick(s, Request{Pool: "p", Model: "m", PromptTokens: 4000, OutputTokens: 20, PrefixBlocks: blocks}, testNow, testRand())
 		require.NoError(t, err)
@@ -179,7 +179,7 @@
 		tr := benchmarkFleet(n)
 		r := Request{Pool: "p", Model: "m", PromptTokens: 2000, OutputTokens: 100, PrefixBlocks: blocks, Deadline: time.Now().Add(time.Hour)}
 		for i := range min(n, 8) {
-			tr.cache.predict(int32(i), blocks[:10*(i+1)], time.Now())
+			tr.cache.addPredicted(int32(i), blocks[:10*(i+1)], time.Now())
 		}
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
@@ -192,7 +192,7 @@
 	}
 }
 
-func BenchmarkPickAndBooks(b *testing.B) {
+func BenchmarkPickAndTrack(b *testing.B) {
 	tr := benchmarkFleet(200)
 	r := Request{Pool: "p", Model: "m", PromptTokens: 2000, OutputTokens: 100}
 	b.ReportAllocs()
--- a/router/policy_test.go
+++ b/router/policy_test.go
@@ -28,9 +28,9 @@
 func share(part, of int) float64 { return float64(part) / float64(max(1, of)) }
 
 // fullLoad is the requests a second that the fakes just about serve.
-var fullLoad = mix{short: 30, long: 8}
+var fullLoad = arrivalRates{short: 30, long: 8}
 
-func (m mix) times(f float64) mix { return mix{m.short * f, m.long * f} }
+func (m arrivalRates) times(f float64) arrivalRates { return arrivalRates{m.short * f, m.long * f} }
 
 // Seven entries have the same reports, seconds old, and no word of each other.
 // If each takes the engine with the least reported queue, all take the same
@@ -40,7 +40,7 @@
 	imbalance := func(cfg router.Config, lag time.Duration) float64 {
 		f := newFleet(7, rolesOf(11, 0, 0), 7, cfg, lag)
 		f.direct = true
-		f.run(mix{short: 80}, 0, 40*time.Second)
+		f.run(arrivalRates{short: 80}, 0, 40*time.Second)
 		return f.imbalance / f.mean
 	}
 	minimum := router.DefaultConfig("dc")
@@ -69,13 +69,13 @@
 			}
 			peak := 0
 			for _, load := range []float64{0.75, 1} {
-				peak = max(peak, at(load).inTime)
+				peak = max(peak, at(load).withinDeadline)
 			}
 			over := at(2)
 			t.Logf("%s, seed %d: %d answers in time at the peak, %d at twice the load; short in time %.3f; late %d, refused %d of %d",
-				c.name, seed+1, peak, over.inTime, share(over.shortInTime, over.shortOffered), over.late, over.refused, over.offered)
-			require.GreaterOrEqual(t, float64(over.inTime), 0.9*float64(peak))
-			require.GreaterOrEqual(t, share(over.shortInTime, over.shortOffered), 0.95)
+				c.name, seed+1, peak, over.withinDeadline, share(over.shortWithinDeadline, over.shortOffered), over.late, over.refused, over.offered)
+			require.GreaterOrEqual(t, float64(over.withinDeadline), 0.9*float64(peak))
+			require.GreaterOrEqual(t, share(over.shortWithinDeadline, over.shortOffered), 0.95)
 		}
 	}
 }
@@ -100,10 +100,10 @@
 		f.revive()
 		f.drive(m, 10*time.Second)
 		after := span(20 * time.Second)
-		f.drive(mix{}, 40*time.Second)
+		f.drive(arrivalRates{}, 40*time.Second)
 		rate := func(s [2]time.Time) float64 {
 			r := f.tallyOf(s[0], s[1])
-			return share(r.inTime, r.offered)
+			return share(r.withinDeadline, r.offered)
 		}
 		b, d, a := rate(before), rate(during), rate(after)
 		t.Logf("seed %d: in time before %.3f, during %.3f, from 10 s after on %.3f", seed+1, b, d, a)
@@ -148,10 +148,10 @@
 		for seed := range uint64(benchmarkSeeds) {
 			f := newFleet(seed+1, roles, 7, cfg, lag)
 			r := f.run(fullLoad.times(load), 20*time.Second, 60*time.Second)
-			s := share(r.shortInTime, r.shortOffered)
-			all += float64(r.inTime) / 40 / benchmarkSeeds
+			s := share(r.shortWithinDeadline, r.shortOffered)
+			all += float64(r.withinDeadline) / 40 / benchmarkSeeds
 			short += s / benchmarkSeeds
-			long += share(r.inTime-r.shortInTime, r.offered-r.shortOffered) / benchmarkSeeds
+			long += share(r.withinDeadline-r.shortWithinDeadline, r.offered-r.shortOffered) / benchmarkSeeds
 			least = min(least, s)
 		}
 		b.ReportMetric(all, "answers/s")
--- a/router/prefix.go
+++ b/router/prefix.go
@@ -14,12 +14,12 @@
 const (
 	// holdersPerBlock bounds the engines remembered for a block. A beginning
 	// that more engines share draws requests nowhere in particular.
-	holdersPerBlock = 6
+	maxHoldersPerBlock = 6
 	// predictedDoubt is the doubt in a block that was sent there but not yet
 	// reported: it may not fit, or the attempt may fail.
-	predictedDoubt = 0.25
+	predictedUncertainty = 0.25
 	// forgotten is the doubt added when an engine has lost its cache.
-	forgotten = 20.0
+	lostCacheUncertainty = 20.0
 	// prefixShards is the number of parts with a lock each.
 	prefixShards = 16
 )
@@ -48,14 +48,14 @@
 	shards [prefixShards]prefixShard
 
 	mu      sync.RWMutex
-	engines []engineDoubt
+	engines []engineEvents
 }
 
 // engineDoubt is the state of one engine's events.
-type engineDoubt struct {
-	lastSeq uint64
-	doubt   float64 // beside that of time
-	blocks  int     // beliefs held, roughly
+type engineEvents struct {
+	lastSeq     uint64
+	uncertainty float64 // beside that of time
+	blocks      int     // beliefs held, roughly
 }
 
 type prefixShard struct {
@@ -65,14 +65,14 @@
 
 // holders are the engines that should hold a block, the newest last.
 type holders struct {
-	n  int
-	at [holdersPerBlock]holder
+	n       int
+	entries [maxHoldersPerBlock]holder
 }
 
 // holder is one belief: an engine, and its doubt when the belief was formed.
 type holder struct {
-	engine int32
-	doubt  float32
+	engine      int32
+	uncertainty float32
 }
 
 // NewPrefixIndex makes an index of at most a number of blocks, in which a
@@ -101,33 +101,33 @@
 func (x *PrefixIndex) shard(block uint64) *prefixShard { return &x.shards[block%prefixShards] }
 
 // engine returns an engine's state, made if needed. x.mu is held.
-func (x *PrefixIndex) engine(id int32, now time.Time) *engineDoubt {
+func (x *PrefixIndex) engine(id int32, now time.Time) *engineEvents {
 	if x.epoch.IsZero() {
 		x.epoch = now
 	}
 	for int(id) >= len(x.engines) {
-		x.engines = append(x.engines, engineDoubt{})
+		x.engines = append(x.engines, engineEvents{})
 	}
 	return &x.engines[id]
 }
 
 // doubtNow is an engine's sum of doubt. x.mu is held at least for reading.
-func (x *PrefixIndex) doubtNow(id int32, now time.Time) float64 {
+func (x *PrefixIndex) uncertaintyAt(id int32, now time.Time) float64 {
 	if int(id) >= len(x.engines) {
-		return forgotten
+		return lostCacheUncertainty
 	}
-	return x.engines[id].doubt + x.rate*now.Sub(x.epoch).Seconds()
+	return x.engines[id].uncertainty + x.rate*now.Sub(x.epoch).Seconds()
 }
 
 // apply takes an engine's cache events in order of their numbers.
 func (x *PrefixIndex) apply(id int32, events []upstream.CacheEvent, now time.Time) {
 	for _, ev := range events {
-		doubt, ok := x.follow(id, ev.Seq, now)
+		doubt, ok := x.advanceSeq(id, ev.Seq, now)
 		if !ok {
 			continue
 		}
-		added := x.set(id, ev.Block, ev.Stored, float32(doubt))
-		x.count(id, added, now)
+		added := x.setHolder(id, ev.Block, ev.Stored, float32(doubt))
+		x.addBlockCount(id, added, now)
 	}
 }
 
@@ -135,7 +135,7 @@
 // dropped unseen: missed events out of b known blocks make each belief worth
 // b/(b+missed). A number that goes back means that the engine has started
 // anew, with an empty cache. It returns false for an event already seen.
-func (x *PrefixIndex) follow(id int32, seq uint64, now time.Time) (float64, bool) {
+func (x *PrefixIndex) advanceSeq(id int32, seq uint64, now time.Time) (float64, bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	e := x.engine(id, now)
@@ -143,18 +143,18 @@
 	case seq == e.lastSeq:
 		return 0, false
 	case seq < e.lastSeq:
-		e.doubt += forgotten
+		e.uncertainty += lostCacheUncertainty
 		e.blocks = 0
 	case e.lastSeq > 0 && seq > e.lastSeq+1 && e.blocks > 0:
 		missed := float64(seq - e.lastSeq - 1)
 		known := float64(e.blocks)
-		e.doubt += math.Log((known + missed) / known)
+		e.uncertainty += math.Log((known + missed) / known)
 	}
 	e.lastSeq = seq
-	return x.doubtNow(id, now), true
+	return x.uncertaintyAt(id, now), true
 }
 
-func (x *PrefixIndex) count(id int32, added int, now time.Time) {
+func (x *PrefixIndex) addBlockCount(id int32, added int, now time.Time) {
 	if added == 0 {
 		return
 	}
@@ -165,33 +165,33 @@
 }
 
 // predict notes that a prompt was sent to an engine, which will then hold it.
-func (x *PrefixIndex) predict(id int32, blocks []uint64, now time.Time) {
+func (x *PrefixIndex) addPredicted(id int32, blocks []uint64, now time.Time) {
 	if len(blocks) == 0 {
 		return
 	}
 	x.mu.Lock()
 	x.engine(id, now)
-	doubt := x.doubtNow(id, now) - predictedDoubt
+	doubt := x.uncertaintyAt(id, now) - predictedUncertainty
 	x.mu.Unlock()
 	added := 0
 	for _, b := range blocks {
-		added += x.set(id, b, true, float32(doubt))
+		added += x.setHolder(id, b, true, float32(doubt))
 	}
-	x.count(id, added, now)
+	x.addBlockCount(id, added, now)
 }
 
 // forget says that an engine has lost its cache.
-func (x *PrefixIndex) forget(id int32, now time.Time) {
+func (x *PrefixIndex) invalidate(id int32, now time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	e := x.engine(id, now)
-	e.doubt += forgotten
+	e.uncertainty += lostCacheUncertainty
 	e.blocks = 0
 	e.lastSeq = 0
 }
 
 // set adds or removes a belief and returns the change in their number.
-func (x *PrefixIndex) set(id int32, block uint64, stored bool, doubt float32) int {
+func (x *PrefixIndex) setHolder(id int32, block uint64, stored bool, doubt float32) int {
 	s := x.shard(block)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -203,7 +203,7 @@
 	replaced := h.remove(id)
 	if stored {
 		if replaced != nil {
-			doubt = max(doubt, replaced.doubt)
+			doubt = max(doubt, replaced.uncertainty)
 		}
 		h.add(holder{id, doubt})
 	}
@@ -218,11 +218,11 @@
 // remove takes an engine out and returns its former belief, nil if none.
 func (h *holders) remove(id int32) *holder {
 	for i := range h.n {
-		if h.at[i].engine != id {
+		if h.entries[i].engine != id {
 			continue
 		}
-		old := h.at[i]
-		copy(h.at[i:], h.at[i+1:h.n])
+		old := h.entries[i]
+		copy(h.entries[i:], h.entries[i+1:h.n])
 		h.n--
 		return &old
 	}
@@ -231,11 +231,11 @@
 
 // add appends a belief; the oldest gives way.
 func (h *holders) add(n holder) {
-	if h.n == holdersPerBlock {
-		copy(h.at[:], h.at[1:])
+	if h.n == maxHoldersPerBlock {
+		copy(h.entries[:], h.entries[1:])
 		h.n--
 	}
-	h.at[h.n] = n
+	h.entries[h.n] = n
 	h.n++
 }
 
@@ -251,8 +251,8 @@
 // blocks are chained, so a cache that holds one held all before it; the deepest
 // known block is found by bisection, and then some shallower ones are looked
 // at for engines that hold less.
-func (x *PrefixIndex) lookUp(dst []Match, blocks []uint64, now time.Time) []Match {
-	depth := x.depth(blocks)
+func (x *PrefixIndex) lookup(dst []Match, blocks []uint64, now time.Time) []Match {
+	depth := x.knownDepth(blocks)
 	if depth == 0 {
 		return dst
 	}
@@ -263,15 +263,15 @@
 			break
 		}
 		h, _ := x.get(blocks[at-1])
-		for i := h.n - 1; i >= 0 && len(dst) < maxCached; i-- {
-			dst = x.addMatch(dst, h.at[i], at, now)
+		for i := h.n - 1; i >= 0 && len(dst) < maxMatches; i-- {
+			dst = x.appendMatch(dst, h.entries[i], at, now)
 		}
 	}
 	return dst
 }
 
 // depth is the number of blocks from the beginning that some engine holds.
-func (x *PrefixIndex) depth(blocks []uint64) int {
+func (x *PrefixIndex) knownDepth(blocks []uint64) int {
 	low, high := 0, len(blocks)
 	for low < high {
 		mid := (low + high + 1) / 2
@@ -285,17 +285,17 @@
 }
 
 // leastConfidence is the belief below which a match isn't worth following.
-const leastConfidence = 0.05
+const minConfidence = 0.05
 
-func (x *PrefixIndex) addMatch(dst []Match, h holder, blocks int, now time.Time) []Match {
+func (x *PrefixIndex) appendMatch(dst []Match, h holder, blocks int, now time.Time) []Match {
 	for _, m := range dst {
 		if m.Engine == h.engine {
 			return dst
 		}
 	}
-	doubt := x.doubtNow(h.engine, now) - float64(h.doubt)
+	doubt := x.uncertaintyAt(h.engine, now) - float64(h.uncertainty)
 	confidence := math.Exp(-max(0, doubt))
-	if confidence < leastConfidence {
+	if confidence < minConfidence {
 		return dst
 	}
 	return append(dst, Match{h.engine, blocks, confidence})
--- a/router/schedule.go
+++ b/router/schedule.go
@@ -10,11 +10,11 @@
 // whole; of a larger one, random samples of the own data centre and of the
 // others, with the engines that the prefix index names.
 const (
-	scanAll      = 48
-	sampleLocal  = 18
-	sampleOthers = 8
-	maxCached    = 8
-	scratchSize  = scanAll + maxCached
+	scanAll       = 48
+	sampleLocal   = 18
+	sampleOthers  = 8
+	maxMatches    = 8
+	maxCandidates = scanAll + maxMatches
 )
 
 // Scheduler is a pipeline of filters, scorers and a picker.
@@ -33,19 +33,19 @@
 func NewScheduler(cfg Config) *Scheduler {
 	s := &Scheduler{
 		Filters: []Filter{
-			leavingFilter{}, serviceFilter{}, memoryFilter{}, ejectedFilter{},
+			drainingFilter{}, serviceFilter{}, memoryFilter{}, ejectedFilter{},
 			trialFilter{}, excludedFilter{}, isolatedFilter{},
 		},
 		Fallback: []Filter{
-			leavingFilter{}, serviceFilter{}, memoryFilter{}, ejectedFilter{},
+			drainingFilter{}, serviceFilter{}, memoryFilter{}, ejectedFilter{},
 			excludedFilter{}, isolatedFilter{},
 		},
-		Picker: spreadPicker{base: leastSpread, share: cfg.SpreadByCost, ageShare: cfg.SpreadByAge},
+		Picker: spreadPicker{minWidth: minSpread, costShare: cfg.SpreadByCost, ageShare: cfg.SpreadByAge},
 		cfg:    cfg,
 	}
 	s.Scorers = []Scorer{
 		timeScorer{}, occupancyScorer{cfg.OccupancyWeight},
-		crossScorer{&s.cfg}, failureScorer{},
+		crossDCScorer{&s.cfg}, failureScorer{},
 	}
 	return s
 }
@@ -53,8 +53,8 @@
 // scratch is the memory of one decision, kept for the next.
 type scratch struct {
 	cands   []Candidate
-	pre     []Candidate // engines for prefill
-	dec     []Candidate // engines to take over from one of them
+	prefill []Candidate // engines for prefill
+	decode  []Candidate // engines to take over from one of them
 	nodes   []*node
 	matches []Match
 	dropped []int
@@ -62,15 +62,15 @@
 }
 
 // put gives the scratch back, without what its request points to.
-func (sc *scratch) put() {
+func (sc *scratch) release() {
 	sc.request = Request{}
 	scratches.Put(sc)
 }
 
 var scratches = sync.Pool{New: func() any {
 	return &scratch{
-		cands: make([]Candidate, 0, scratchSize),
-		nodes: make([]*node, 0, scratchSize),
+		cands: make([]Candidate, 0, maxCandidates),
+		nodes: make([]*node, 0, maxCandidates),
 	}
 }}
 
@@ -84,16 +84,16 @@
 func (p *Scheduler) Pick(s *Snapshot, r Request, now time.Time, rnd *rand.Rand) (Plan, error) {
 	g := s.groups[groupKey{r.Pool, r.Model}]
 	if g == nil {
-		return Plan{}, lackOf(s, r.Pool, r.Model)
+		return Plan{}, unknownGroupError(s, r.Pool, r.Model)
 	}
 	sc := scratches.Get().(*scratch)
-	defer sc.put()
+	defer sc.release()
 	sc.request = r
-	d := decision{s: s, g: g, r: &sc.request, now: now, rnd: rnd, sc: sc, dc: s.ownDC(r.DataCentre)}
+	d := decision{s: s, g: g, r: &sc.request, now: now, rnd: rnd, sc: sc, dc: s.dataCentreIndex(r.DataCentre)}
 	return p.run(&d)
 }
 
-func lackOf(s *Snapshot, pool, model string) error {
+func unknownGroupError(s *Snapshot, pool, model string) error {
 	e := &NoUpstreamError{Pool: pool, Model: model, Reason: NoUpstreamUnknownPool}
 	if s.pools[pool] > 0 {
 		e.Reason = NoUpstreamUnknownModel
@@ -103,7 +103,7 @@
 
 // ownDC returns the index of the request's data centre; an unknown one counts
 // as the process's own, which has index 0.
-func (s *Snapshot) ownDC(name string) int32 {
+func (s *Snapshot) dataCentreIndex(name string) int32 {
 	if name == "" {
 		return 0
 	}
@@ -122,15 +122,15 @@
 }
 
 func (p *Scheduler) run(d *decision) (Plan, error) {
-	d.lookUpCache()
+	d.lookupCache()
 	why := PlanReason("")
-	d.gather(p.Filters)
+	d.collectCandidates(p.Filters)
 	if len(d.sc.cands) == 0 {
 		why = ReasonFallback
-		d.gather(p.Fallback)
+		d.collectCandidates(p.Fallback)
 	}
 	if len(d.sc.cands) == 0 {
-		return Plan{}, d.lack(p.Filters)
+		return Plan{}, d.noUpstreamError(p.Filters)
 	}
 	p.score(d)
 	i, reason := p.Picker.Pick(d.sc.cands, d.r, d.rnd)
@@ -151,7 +151,7 @@
 func (p *Scheduler) score(d *decision) {
 	for i := range d.sc.cands {
 		c := &d.sc.cands[i]
-		c.CachedTokens = d.cachedOn(c.node)
+		c.CachedTokens = d.expectedCachedTokens(c.node)
 		for _, s := range p.Scorers {
 			c.Cost += s.Cost(c, d.r)
 		}
@@ -160,32 +160,32 @@
 
 // gather fills the candidates with upstreams that the filters keep. If a
 // sample holds none, it goes on through the whole group.
-func (d *decision) gather(filters []Filter) {
+func (d *decision) collectCandidates(filters []Filter) {
 	d.sc.cands = d.sc.cands[:0]
 	d.sc.dropped = append(d.sc.dropped[:0], make([]int, len(filters))...)
 	if len(d.g.nodes) <= scanAll {
-		d.keep(d.g.nodes, filters)
+		d.appendKept(d.g.nodes, filters)
 		return
 	}
-	d.keep(d.sample(), filters)
+	d.appendKept(d.sample(), filters)
 	if len(d.sc.cands) > 0 {
 		return
 	}
 	clear(d.sc.dropped)
 	start := d.rnd.IntN(len(d.g.nodes))
-	d.keep(d.g.nodes[start:], filters)
-	d.keep(d.g.nodes[:start], filters)
+	d.appendKept(d.g.nodes[start:], filters)
+	d.appendKept(d.g.nodes[:start], filters)
 }
 
 // keep appends those of the nodes that pass, up to the scratch's size.
-func (d *decision) keep(nodes []*node, filters []Filter) {
+func (d *decision) appendKept(nodes []*node, filters []Filter) {
 	for _, n := range nodes {
-		if len(d.sc.cands) == scratchSize {
+		if len(d.sc.cands) == maxCandidates {
 			return
 		}
 		d.sc.cands = d.sc.cands[:len(d.sc.cands)+1]
 		c := &d.sc.cands[len(d.sc.cands)-1]
-		c.load(d.s, n, d.r, d.dc, d.now)
+		c.fill(d.s, n, d.r, d.dc, d.now)
 		if i := firstDrop(filters, c, d.r); i >= 0 {
 			d.sc.dropped[i]++
 			d.sc.cands = d.sc.cands[:len(d.sc.cands)-1]
@@ -213,8 +213,8 @@
 			d.sc.nodes = append(d.sc.nodes, n)
 		}
 	}
-	d.draw(d.g.byDC[d.dc], sampleLocal)
-	d.draw(d.g.nodes, sampleOthers)
+	d.drawSample(d.g.byDC[d.dc], sampleLocal)
+	d.drawSample(d.g.nodes, sampleOthers)
 	return d.sc.nodes
 }
 
@@ -224,11 +224,11 @@
 		return from
 	}
 	d.sc.nodes = d.sc.nodes[:0]
-	d.draw(from, sampleLocal)
+	d.drawSample(from, sampleLocal)
 	return d.sc.nodes
 }
 
-func (d *decision) draw(from []*node, count int) {
+func (d *decision) drawSample(from []*node, count int) {
 	if len(from) == 0 {
 		return
 	}
@@ -267,9 +267,9 @@
 
 // lack names the filter that dropped the most; ties go to the later one, which
 // is the more particular.
-func (d *decision) lack(filters []Filter) error {
+func (d *decision) noUpstreamError(filters []Filter) error {
 	e := &NoUpstreamError{Pool: d.r.Pool, Model: d.r.Model, Members: len(d.g.nodes)}
-	d.gather(filters)
+	d.collectCandidates(filters)
 	most := 0
 	for i, f := range filters {
 		e.Dropped = append(e.Dropped, FilterCount{f.Reason(), d.sc.dropped[i]})
--- a/router/score.go
+++ b/router/score.go
@@ -21,15 +21,15 @@
 		c.Estimate = estimateService(c)
 		return c.Estimate.Complete
 	}
-	c.Estimate = estimateWhole(c, r)
-	return urgent(c.Estimate.Complete, c.slack)
+	c.Estimate = estimateSingleEngine(c, r)
+	return weightByUrgency(c.Estimate.Complete, c.slack)
 }
 
 // maxUrgency bounds the weight of a request that is late already.
 const maxUrgency = 3.0
 
 // urgent weights a time by the share of the slack that it takes up.
-func urgent(t, slack time.Duration) time.Duration {
+func weightByUrgency(t, slack time.Duration) time.Duration {
 	if slack == noSlack {
 		return t
 	}
@@ -56,11 +56,11 @@
 
 // crossScorer costs leaving the data centre beyond the latency, which
 // timeScorer counts: links between data centres are shared and may part.
-type crossScorer struct{ cfg *Config }
+type crossDCScorer struct{ cfg *Config }
 
-func (s crossScorer) Cost(c *Candidate, _ *Request) time.Duration { return s.cfg.crossCost(c) }
+func (s crossDCScorer) Cost(c *Candidate, _ *Request) time.Duration { return s.cfg.crossDCCost(c) }
 
-func (cfg *Config) crossCost(c *Candidate) time.Duration {
+func (cfg *Config) crossDCCost(c *Candidate) time.Duration {
 	if c.SameDataCentre {
 		return 0
 	}
@@ -83,13 +83,13 @@
 const maxFailureRate = 0.9
 
 // unknownOutputTokens is the length of an answer until some have been seen.
-const unknownOutputTokens = 128
+const defaultOutputTokens = 128
 
 // defaultServiceTime stands in until a plain service has been called.
 const defaultServiceTime = 20 * time.Millisecond
 
 // serviceParallel is how many calls a plain service is taken to run at a time.
-const serviceParallel = 4
+const assumedServiceConcurrency = 4
 
 // estimateService says how long a plain service's call takes: its usual time,
 // longer by the calls of ours that it has in hand.
@@ -98,7 +98,7 @@
 	if usual <= 0 {
 		usual = defaultServiceTime
 	}
-	queue := usual * time.Duration(c.InFlight) / serviceParallel
+	queue := usual * time.Duration(c.InFlight) / assumedServiceConcurrency
 	complete := queue + usual + 2*c.Link
 	return Estimate{queue, complete, complete, usual + 2*c.Link}
 }
--- a/router/snapshot.go
+++ b/router/snapshot.go
@@ -24,24 +24,24 @@
 // Its membership never changes; Tracker swaps in a new one when it does. The
 // state of each upstream in it is read live.
 type Snapshot struct {
-	cfg       Config
-	scheduler *Scheduler
-	cache     *PrefixIndex
-	handoff   *handoff
-	nodes     []*node
-	byName    map[string]*node
-	pools     map[string]int
-	groups    map[groupKey]*group
-	dcs       map[string]int32
-	dcNames   []string
-	latency   [][]time.Duration
+	cfg        Config
+	scheduler  *Scheduler
+	cache      *PrefixIndex
+	kvTransfer *kvTransferFactors
+	nodes      []*node
+	byName     map[string]*node
+	pools      map[string]int
+	groups     map[groupKey]*group
+	dcs        map[string]int32
+	dcNames    []string
+	latency    [][]time.Duration
 }
 
 // NewSnapshot makes a snapshot of upstreams whose state doesn't change. The
 // prefix index may be nil. Tests and embedders without a Tracker use it.
 func NewSnapshot(cfg Config, ups []Upstream, cache *PrefixIndex) *Snapshot {
 	nodes := make([]*node, len(ups))
-	s := newSnapshot(cfg, cache, newHandoff())
+	s := newSnapshot(cfg, cache, newKVTransferFactors())
 	for i, u := range ups {
 		nodes[i] = newNode(int32(i), s.dataCentre(u.DataCentre), u)
 	}
@@ -49,16 +49,16 @@
 	return s
 }
 
-func newSnapshot(cfg Config, cache *PrefixIndex, h *handoff) *Snapshot {
+func newSnapshot(cfg Config, cache *PrefixIndex, h *kvTransferFactors) *Snapshot {
 	s := &Snapshot{
-		cfg:       cfg,
-		scheduler: cfg.pipeline(),
-		cache:     cache,
-		handoff:   h,
-		byName:    map[string]*node{},
-		pools:     map[string]int{},
-		groups:    map[groupKey]*group{},
-		dcs:       map[string]int32{},
+		cfg:        cfg,
+		scheduler:  cfg.pipeline(),
+		cache:      cache,
+		kvTransfer: h,
+		byName:     map[string]*node{},
+		pools:      map[string]int{},
+		groups:     map[groupKey]*group{},
+		dcs:        map[string]int32{},
 	}
 	s.dataCentre(cfg.DataCentre)
 	for _, l := range cfg.Links {
--- a/router/split.go
+++ b/router/split.go
@@ -8,25 +8,25 @@
 
 // handoff is what has been learnt of KV handoffs: their time over that which
 // the settings give, within a data centre and between two.
-type handoff struct{ local, cross atomicFloat }
+type kvTransferFactors struct{ sameDC, crossDC atomicFloat }
 
-func newHandoff() *handoff {
-	h := &handoff{}
-	h.local.store(1)
-	h.cross.store(1)
+func newKVTransferFactors() *kvTransferFactors {
+	h := &kvTransferFactors{}
+	h.sameDC.store(1)
+	h.crossDC.store(1)
 	return h
 }
 
-func (h *handoff) factor(same bool) *atomicFloat {
+func (h *kvTransferFactors) factor(same bool) *atomicFloat {
 	if same {
-		return &h.local
+		return &h.sameDC
 	}
-	return &h.cross
+	return &h.crossDC
 }
 
 // handoffSeconds is the time that a prompt's KV cache takes between two
 // engines, as the settings have it.
-func (c *Config) handoffSeconds(tokens int, same bool, oneWay time.Duration) float64 {
+func (c *Config) kvTransferSeconds(tokens int, same bool, oneWay time.Duration) float64 {
 	rate := c.CrossDCKVTransferBytesPerSecond
 	if same {
 		rate = c.KVTransferBytesPerSecond
@@ -68,35 +68,35 @@
 // prefillCandidates scores engines set up for prefill by the time until the
 // prompt is worked through.
 func (d *decision) prefillCandidates(p *Scheduler) []Candidate {
-	out := d.sc.pre[:0]
+	out := d.sc.prefill[:0]
 	for _, n := range d.sampleOf(d.g.prefill) {
 		var c Candidate
-		c.load(d.s, n, d.r, d.dc, d.now)
-		c.needTokens = d.r.PromptTokens
+		c.fill(d.s, n, d.r, d.dc, d.now)
+		c.kvTokens = d.r.PromptTokens
 		if c.Trial || firstDrop(p.Filters, &c, d.r) >= 0 {
 			continue
 		}
-		c.CachedTokens = d.cachedOn(n)
+		c.CachedTokens = d.expectedCachedTokens(n)
 		c.estimatePrefill(p, d.r)
 		out = append(out, c)
 	}
-	d.sc.pre = out
+	d.sc.prefill = out
 	return out
 }
 
 func (c *Candidate) estimatePrefill(p *Scheduler, r *Request) {
 	prompt := max(1, r.PromptTokens-c.CachedTokens)
-	queue := c.queueSeconds()
+	queue := c.queueWaitSeconds()
 	done := queue + c.model.prefillSeconds(float64(prompt), min(c.Work.Requests, c.model.batch)) + 2*c.Link.Seconds()
-	c.Estimate = Estimate{seconds(queue), seconds(done), seconds(done), c.model.alone(float64(prompt), 0)}
-	c.Cost = urgent(c.Estimate.Complete, c.slack) + seconds(p.cfg.OccupancyWeight*c.occupancy(prompt, 0))
-	c.Cost += p.cfg.crossCost(c)
+	c.Estimate = Estimate{seconds(queue), seconds(done), seconds(done), c.model.unloadedTime(float64(prompt), 0)}
+	c.Cost = weightByUrgency(c.Estimate.Complete, c.slack) + seconds(p.cfg.OccupancyWeight*c.occupancy(prompt, 0))
+	c.Cost += p.cfg.crossDCCost(c)
 }
 
 // decodeCandidates scores the engines that may take over from an engine for
 // prefill; their estimates and costs are the whole split's.
 func (d *decision) decodeCandidates(p *Scheduler, pre *Candidate) []Candidate {
-	out := d.sc.dec[:0]
+	out := d.sc.decode[:0]
 	for i := range d.sc.cands {
 		c := d.sc.cands[i]
 		if c.role() == upstream.RolePrefill || c.Trial || c.node == pre.node {
@@ -104,23 +104,23 @@
 		}
 		same := c.node.dc == pre.node.dc
 		oneWay := d.s.latency[pre.node.dc][c.node.dc]
-		move := p.cfg.handoffSeconds(d.r.PromptTokens, same, oneWay) * d.s.handoff.factor(same).load()
+		move := p.cfg.kvTransferSeconds(d.r.PromptTokens, same, oneWay) * d.s.kvTransfer.factor(same).load()
 		c.estimateDecode(p, d.r, pre, move)
 		out = append(out, c)
 	}
-	d.sc.dec = out
+	d.sc.decode = out
 	return out
 }
 
 func (c *Candidate) estimateDecode(p *Scheduler, r *Request, pre *Candidate, move float64) {
 	m := &c.model
-	wait := c.placeSeconds()
+	wait := c.slotWaitSeconds()
 	first := pre.Estimate.Complete.Seconds() + move + wait + m.step(c.Work.Requests+1) + 2*c.Link.Seconds()
-	output := c.node.outputOf(r)
+	output := c.node.expectedOutput(r)
 	complete := first + output*m.step(c.Work.Requests+1)
-	alone := pre.Estimate.Unloaded + seconds(move) + m.alone(0, output)
+	alone := pre.Estimate.Unloaded + seconds(move) + m.unloadedTime(0, output)
 	c.Estimate = Estimate{pre.Estimate.Queue, seconds(first), seconds(complete), alone}
-	c.Cost = pre.Cost - urgent(pre.Estimate.Complete, c.slack) + urgent(c.Estimate.Complete, c.slack)
+	c.Cost = pre.Cost - weightByUrgency(pre.Estimate.Complete, c.slack) + weightByUrgency(c.Estimate.Complete, c.slack)
 	c.Cost += seconds(p.cfg.OccupancyWeight * c.occupancy(0, r.OutputTokens))
-	c.Cost += p.cfg.crossCost(c)
+	c.Cost += p.cfg.crossDCCost(c)
 }
--- a/router/ticket.go
+++ b/router/ticket.go
@@ -10,28 +10,28 @@
 type Ticket struct {
 	t       *Tracker
 	plan    Plan
-	engine  *book
-	prefill *book // nil unless prefill runs on an engine of its own
+	engine  *upstreamTracker
+	prefill *upstreamTracker // nil unless prefill runs on an engine of its own
 	// movedFrom is that engine once it is done.
-	movedFrom *book
-	tokens    int // of the prompt
-	began     time.Time
-	trial     bool
-	quiet     bool // no prompts were ahead at the start
+	transferredFrom *upstreamTracker
+	tokens          int // of the prompt
+	began           time.Time
+	trial           bool
+	noQueue         bool // no prompts were ahead at the start
 	// ownAhead is the own prompt tokens ahead at the start, pace the seconds
 	// that the engine was taken to need for one.
-	ownAhead, pace float64
+	localAhead, secondsPerPromptToken float64
 
-	mu       sync.Mutex
-	prompt   int // prompt tokens still booked
-	output   int // output tokens still booked
-	kv       int // KV tokens booked
-	asked    int
-	produced int
-	firstAt  time.Time
-	movedAt  time.Time // prefill on an engine of its own was done
-	gap      float64   // seconds between tokens that were predicted at firstAt
-	ended    bool
+	mu              sync.Mutex
+	prompt          int // prompt tokens still booked
+	output          int // output tokens still booked
+	kv              int // KV tokens booked
+	requestedOutput int
+	produced        int
+	firstAt         time.Time
+	transferStart   time.Time // prefill on an engine of its own was done
+	predictedGap    float64   // seconds between tokens that were predicted at firstAt
+	ended           bool
 }
 
 func (k *Ticket) begin(now time.Time, blocks []uint64) {
@@ -40,31 +40,31 @@
 		return
 	}
 	l := &k.engine.node.live
-	l.output.Add(int64(k.output))
-	k.look(now)
-	if k.engine.node.standing(now) == trial {
+	l.localOutput.Add(int64(k.output))
+	k.observeEngine(now)
+	if k.engine.node.healthAt(now) == trial {
 		k.trial = true
 		l.trials.Add(1)
 	}
 	if k.prefill == nil {
-		k.engine.add(now, 1, k.prompt, k.kv)
-		k.t.cache.predict(k.engine.node.id, blocks, now)
+		k.engine.record(now, 1, k.prompt, k.kv)
+		k.t.cache.addPredicted(k.engine.node.id, blocks, now)
 		return
 	}
-	k.engine.add(now, 1, 0, k.kv)
-	k.prefill.add(now, 1, k.prompt, k.prompt)
-	k.t.cache.predict(k.prefill.node.id, blocks, now)
+	k.engine.record(now, 1, 0, k.kv)
+	k.prefill.record(now, 1, k.prompt, k.prompt)
+	k.t.cache.addPredicted(k.prefill.node.id, blocks, now)
 }
 
 // look notes how things stand at the engine as the attempt begins.
-func (k *Ticket) look(now time.Time) {
+func (k *Ticket) observeEngine(now time.Time) {
 	b := k.engine
 	u := b.node.state.Load()
-	work := b.node.workNow(&b.t.cfg, u, now.Sub(u.ReportAt))
+	work := b.node.currentWork(&b.t.cfg, u, now.Sub(u.ReportAt))
 	m := modelOf(&b.t.cfg, u, &b.node.live)
-	k.pace = m.prefillSeconds(1, min(work.Requests, m.batch))
-	k.ownAhead = float64(b.node.live.ownPrompt.Load())
-	k.quiet = !u.ReportAt.IsZero() && now.Sub(u.ReportAt) < b.t.cfg.StaleAfter && work.PromptTokens == 0
+	k.secondsPerPromptToken = m.prefillSeconds(1, min(work.Requests, m.batch))
+	k.localAhead = float64(b.node.live.localPrompt.Load())
+	k.noQueue = !u.ReportAt.IsZero() && now.Sub(u.ReportAt) < b.t.cfg.StaleAfter && work.PromptTokens == 0
 }
 
 // Prefilled says that the engine for prefill is done and has handed over. It
@@ -76,11 +76,11 @@
 		return
 	}
 	now := k.t.now()
-	k.prefill.add(now, -1, -k.prompt, -k.prompt)
-	k.prefill.succeeded(now)
+	k.prefill.record(now, -1, -k.prompt, -k.prompt)
+	k.prefill.recordPrefillSuccess(now)
 	k.prompt = 0
-	k.movedFrom = k.prefill
-	k.movedAt = now
+	k.transferredFrom = k.prefill
+	k.transferStart = now
 	k.prefill = nil
 }
 
@@ -98,16 +98,16 @@
 		return
 	}
 	k.firstAt = k.t.now()
-	k.gap = k.engine.rawGap()
+	k.predictedGap = k.engine.reportedGap()
 	if k.prompt > 0 && k.prefill == nil {
-		k.engine.add(k.firstAt, 0, -k.prompt, 0)
+		k.engine.record(k.firstAt, 0, -k.prompt, 0)
 		k.prompt = 0
 	}
 	switch {
-	case k.movedFrom != nil:
-		k.learnHandoff()
+	case k.transferredFrom != nil:
+		k.learnKVTransfer()
 	case k.plan.Prefill == "":
-		k.engine.learnFirst(k)
+		k.engine.learnFirstToken(k)
 	}
 }
 
@@ -121,7 +121,7 @@
 	k.produced += n
 	n = min(n, k.output)
 	k.output -= n
-	k.engine.node.live.output.Add(int64(-n))
+	k.engine.node.live.localOutput.Add(int64(-n))
 }
 
 // End closes the ticket with the attempt's outcome. If prefill on an engine of
@@ -135,20 +135,20 @@
 	k.ended = true
 	now := k.t.now()
 	l := &k.engine.node.live
-	l.output.Add(int64(-k.output))
+	l.localOutput.Add(int64(-k.output))
 	if k.trial {
 		l.trials.Add(-1)
 	}
 	blamed := k.engine
 	if k.prefill != nil {
-		k.prefill.add(now, -1, -k.prompt, -k.prompt)
-		k.engine.add(now, -1, 0, -k.kv)
+		k.prefill.record(now, -1, -k.prompt, -k.prompt)
+		k.engine.record(now, -1, 0, -k.kv)
 		blamed = k.prefill
 	} else {
-		k.engine.add(now, -1, -k.prompt, -k.kv)
+		k.engine.record(now, -1, -k.prompt, -k.kv)
 	}
-	blamed.outcome(o, k.began, now)
+	blamed.recordOutcome(o, k.began, now)
 	if o == OutcomeOK {
-		k.engine.learnEnd(k, now)
+		k.engine.learnCompletion(k, now)
 	}
 }
--- a/router/tracker.go
+++ b/router/tracker.go
@@ -15,18 +15,18 @@
 // use by many goroutines; Pick and Begin take no lock that another upstream's
 // requests hold.
 type Tracker struct {
-	cfg     Config
-	now     func() time.Time
-	cache   *PrefixIndex
-	handoff *handoff
-	snap    atomic.Pointer[Snapshot]
-	rnds    sync.Pool
-
-	mu    sync.Mutex // guards changes of membership, role and leaving
-	peers map[peersKey]*peers
-	books map[string]*book
-	order []*book
-	seen  map[string]bool // upstreams that the platform's list has named
+	cfg        Config
+	now        func() time.Time
+	cache      *PrefixIndex
+	kvTransfer *kvTransferFactors
+	snap       atomic.Pointer[Snapshot]
+	rands      sync.Pool
+
+	mu       sync.Mutex // guards changes of membership, role and leaving
+	averages map[averagesKey]*poolAverages
+	byName   map[string]*upstreamTracker
+	all      []*upstreamTracker
+	listed   map[string]bool // upstreams that the platform's list has named
 }
 
 // NewTracker makes a tracker for the upstreams of a deployment. Of each, the
@@ -37,20 +37,20 @@
 		now = time.Now
 	}
 	t := &Tracker{
-		cfg:     cfg,
-		now:     now,
-		cache:   NewPrefixIndex(cfg.CacheBlocks, cfg.CacheHalfLife),
-		handoff: newHandoff(),
-		peers:   map[peersKey]*peers{},
-		books:   map[string]*book{},
-		seen:    map[string]bool{},
-	}
-	t.rnds.New = func() any { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
-	s := newSnapshot(cfg, t.cache, t.handoff)
+		cfg:        cfg,
+		now:        now,
+		cache:      NewPrefixIndex(cfg.CacheBlocks, cfg.CacheHalfLife),
+		kvTransfer: newKVTransferFactors(),
+		averages:   map[averagesKey]*poolAverages{},
+		byName:     map[string]*upstreamTracker{},
+		listed:     map[string]bool{},
+	}
+	t.rands.New = func() any { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
+	s := newSnapshot(cfg, t.cache, t.kvTransfer)
 	for i, u := range ups {
-		b := newBook(t, newNode(int32(i), s.dataCentre(u.DataCentre), u))
-		t.books[u.Name] = b
-		t.order = append(t.order, b)
+		b := newUpstreamTracker(t, newNode(int32(i), s.dataCentre(u.DataCentre), u))
+		t.byName[u.Name] = b
+		t.all = append(t.all, b)
 	}
 	t.publish(s)
 	return t
@@ -58,11 +58,11 @@
 
 // publish indexes the nodes into a new snapshot and swaps it in.
 func (t *Tracker) publish(s *Snapshot) {
-	nodes := make([]*node, len(t.order))
-	for i, b := range t.order {
+	nodes := make([]*node, len(t.all))
+	for i, b := range t.all {
 		nodes[i] = b.node
 		u := b.node.state.Load()
-		b.node.peers.Store(t.peersOf(peersKey{u.Pool, u.Role}))
+		b.node.averages.Store(t.averagesFor(averagesKey{u.Pool, u.Role}))
 	}
 	s.index(nodes)
 	t.snap.Store(s)
@@ -70,19 +70,19 @@
 
 // peersOf returns the averages of engines that are alike. t.mu is held, or the
 // tracker is being made.
-func (t *Tracker) peersOf(k peersKey) *peers {
-	p := t.peers[k]
+func (t *Tracker) averagesFor(k averagesKey) *poolAverages {
+	p := t.averages[k]
 	if p == nil {
-		p = &peers{}
-		t.peers[k] = p
+		p = &poolAverages{}
+		t.averages[k] = p
 	}
 	return p
 }
 
 // rebuild makes a new snapshot after a change of role or models.
 func (t *Tracker) rebuild() {
-	s := newSnapshot(t.cfg, t.cache, t.handoff)
-	for _, b := range t.order {
+	s := newSnapshot(t.cfg, t.cache, t.kvTransfer)
+	for _, b := range t.all {
 		s.dataCentre(b.node.state.Load().DataCentre)
 	}
 	t.publish(s)
@@ -93,8 +93,8 @@
 
 // Pick decides where a request runs, now. The error is a *NoUpstreamError.
 func (t *Tracker) Pick(r Request) (Plan, error) {
-	rnd := t.rnds.Get().(*rand.Rand)
-	defer t.rnds.Put(rnd)
+	rnd := t.rands.Get().(*rand.Rand)
+	defer t.rands.Put(rnd)
 	return Pick(t.snap.Load(), r, t.now(), rnd)
 }
 
@@ -102,7 +102,7 @@
 // that were measured before the one held are dropped. An unknown name is
 // ignored, here and below.
 func (t *Tracker) SetLoadReport(name string, r upstream.LoadReport, received time.Time) {
-	b := t.books[name]
+	b := t.byName[name]
 	if b == nil {
 		return
 	}
@@ -115,7 +115,7 @@
 
 // SetCacheEvents takes an engine's cache events, in order of their numbers.
 func (t *Tracker) ApplyCacheEvents(name string, events []upstream.CacheEvent) {
-	if b := t.books[name]; b != nil {
+	if b := t.byName[name]; b != nil {
 		t.cache.apply(b.node.id, events, t.now())
 	}
 }
@@ -128,25 +128,25 @@
 	listed := make(map[string]bool, len(list))
 	for _, i := range list {
 		listed[i.Name] = i.Leaving
-		t.seen[i.Name] = true
+		t.listed[i.Name] = true
 	}
-	for name, b := range t.books {
+	for name, b := range t.byName {
 		leaving, ok := listed[name]
-		gone := !ok && t.seen[name]
-		b.change(func(u *Upstream) { u.ShuttingDown = leaving || gone })
+		gone := !ok && t.listed[name]
+		b.updateState(func(u *Upstream) { u.ShuttingDown = leaving || gone })
 	}
 }
 
 // SetDraining says whether an order is about to change an upstream.
 func (t *Tracker) SetDraining(name string, draining bool) {
-	if b := t.books[name]; b != nil {
-		b.change(func(u *Upstream) { u.Draining = draining })
+	if b := t.byName[name]; b != nil {
+		b.updateState(func(u *Upstream) { u.Draining = draining })
 	}
 }
 
 // SetRole says which role an engine has by the orders in the journal.
 func (t *Tracker) SetRole(name string, role upstream.Role) {
-	b := t.books[name]
+	b := t.byName[name]
 	if b == nil || !b.setRole(role) {
 		return
 	}
@@ -158,14 +158,14 @@
 // Begin books an attempt. Every ticket must be ended.
 func (t *Tracker) Begin(p Plan, r Request) *Ticket {
 	now := t.now()
-	k := &Ticket{t: t, engine: t.books[p.Engine], began: now, plan: p}
+	k := &Ticket{t: t, engine: t.byName[p.Engine], began: now, plan: p}
 	k.prompt = max(0, r.PromptTokens-p.CachedTokens)
 	k.output = r.OutputTokens
-	k.asked = r.OutputTokens
+	k.requestedOutput = r.OutputTokens
 	k.tokens = r.PromptTokens
 	k.kv = r.PromptTokens + r.OutputTokens
 	if p.Prefill != "" {
-		k.prefill = t.books[p.Prefill]
+		k.prefill = t.byName[p.Prefill]
 	}
 	k.begin(now, r.PrefixBlocks)
 	return k
@@ -193,7 +193,7 @@
 	now := t.now()
 	for _, n := range g.nodes {
 		u := n.state.Load()
-		if u.ShuttingDown || u.Draining || n.standing(now) == ejected {
+		if u.ShuttingDown || u.Draining || n.healthAt(now) == ejected {
 			continue
 		}
 		m := modelOf(&s.cfg, u, &n.live)
--- a/router/tracker_test.go
+++ b/router/tracker_test.go
@@ -38,7 +38,7 @@
 // begun 4 s ago, which ended 1 s ago, and lacks the one begun 2 s ago. Taken
 // at its word, the engine would look idle though a prompt waits there, and
 // the ended request would be counted for another 3 s.
-func TestOwnWorkCorrectsALateReport(t *testing.T) {
+func TestLocalWorkCorrectsALateReport(t *testing.T) {
 	tr, clock := newTestTracker("a")
 	plan := Plan{Engine: "a"}
 	old := tr.Begin(plan, testRequest)
@@ -52,7 +52,7 @@
 	work := func() Work {
 		n := tr.Snapshot().byName["a"]
 		u := n.state.Load()
-		return n.workNow(&tr.cfg, u, 0)
+		return n.currentWork(&tr.cfg, u, 0)
 	}
 	require.Equal(t, Work{Requests: 1, PromptTokens: 1000, KVTokens: 1050, OutputTokens: 50}, work())
 	u, _ := tr.Snapshot().Upstream("a", clock.now())
@@ -69,7 +69,7 @@
 
 // Callers ask for many tokens and get a third. Taken at the bound, a request
 // would be refused for a deadline that it makes with ease.
-func TestAnswersAreShorterThanAskedFor(t *testing.T) {
+func TestOutputEstimateLearnsActualLength(t *testing.T) {
 	tr, clock := newTestTracker("a")
 	r := testRequest
 	r.OutputTokens = 300
@@ -91,7 +91,7 @@
 
 // The books hold whatever the order of begin, first token, end and reports,
 // and many goroutines at once.
-func TestBooksEndAtNothing(t *testing.T) {
+func TestCountersReturnToZero(t *testing.T) {
 	tr, _ := newTestTracker("a", "b", "c")
 	tr.now = time.Now
 	var wg sync.WaitGroup
@@ -119,12 +119,12 @@
 		})
 	}
 	wg.Wait()
-	for _, b := range tr.order {
+	for _, b := range tr.all {
 		l := &b.node.live
 		require.Zero(t, l.inFlight.Load())
-		require.Zero(t, l.ownPrompt.Load())
-		require.Zero(t, l.ownKV.Load())
-		require.Zero(t, l.output.Load())
+		require.Zero(t, l.localPrompt.Load())
+		require.Zero(t, l.localKV.Load())
+		require.Zero(t, l.localOutput.Load())
 		require.Zero(t, l.trials.Load())
 	}
 }
@@ -132,7 +132,7 @@
 // An engine dies. Requests fail, it looks idle and would draw more of them.
 // It must be passed over at once, tried by single requests, and be back soon
 // after it answers.
-func TestDeadUpstreamComesBackByTrial(t *testing.T) {
+func TestUnreachableUpstreamRecoversByTrial(t *testing.T) {
 	tr, clock := newTestTracker("a", "b")
 	tr.Begin(Plan{Engine: "a"}, testRequest).End(OutcomeBroken)
 	for range 20 {
@@ -164,7 +164,7 @@
 
 // All upstreams fail alike, say because of what the callers ask for. Ejecting
 // all of them would turn that into an outage.
-func TestEjectionStopsAtAShareOfThePool(t *testing.T) {
+func TestEjectionStopsAtMaxFraction(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e", "f"}
 	tr, clock := newTestTracker(names...)
 	for range 10 {
@@ -183,14 +183,14 @@
 
 // Holds double while trials fail, and stay short enough for a return within
 // 10 s of the fault's end.
-func TestHoldsGrow(t *testing.T) {
+func TestEjectionTimesGrow(t *testing.T) {
 	tr, clock := newTestTracker("a", "b")
 	var holds []time.Duration
 	for range 5 {
 		for range 3 {
 			tr.Begin(Plan{Engine: "a"}, testRequest).End(OutcomeTimeout)
 		}
-		until := tr.books["a"].node.live.heldUntil.Load()
+		until := tr.byName["a"].node.live.ejectedUntil.Load()
 		holds = append(holds, time.Unix(0, until).Sub(clock.now()))
 		clock.at = time.Unix(0, until)
 	}
@@ -198,7 +198,7 @@
 	require.Equal(t, []time.Duration{2 * s, 4 * s, 8 * s, 8 * s, 8 * s}, holds)
 }
 
-func TestListAndDrains(t *testing.T) {
+func TestInstanceListAndDraining(t *testing.T) {
 	tr, _ := newTestTracker("a", "b")
 	pick := func() string {
 		plan, err := tr.Pick(testRequest)
@@ -221,7 +221,7 @@
 // Events come late and with gaps, and an engine starts anew with an empty
 // cache: what was believed must lose its weight, and none of it may stay for
 // good.
-func TestPrefixIndexDoubts(t *testing.T) {
+func TestPrefixIndexConfidence(t *testing.T) {
 	blocks := []uint64{1, 2, 3, 4}
 	stored := func(from uint64, ids ...uint64) []upstream.CacheEvent {
 		var out []upstream.CacheEvent
@@ -231,7 +231,7 @@
 		return out
 	}
 	confidence := func(x *PrefixIndex, now time.Time) float64 {
-		for _, m := range x.lookUp(nil, blocks, now) {
+		for _, m := range x.lookup(nil, blocks, now) {
 			if m.Engine == 0 {
 				return m.Confidence * float64(m.Blocks) / 4
 			}
@@ -263,7 +263,7 @@
 	}
 	x := NewPrefixIndex(160, time.Minute)
 	for i := range uint64(10000) {
-		x.predict(int32(i%9), []uint64{i}, testNow)
+		x.addPredicted(int32(i%9), []uint64{i}, testNow)
 	}
 	require.LessOrEqual(t, x.Len(), 160)
 }
