--- a/router/affinity.go
+++ b/router/affinity.go
@@ -3,7 +3,7 @@
 // BlockTokens is the length of a prefix block in tokens.
 const BlockTokens = 16
 
-// lookUpCache asks the prefix index once for the decision.
+// lookupCache queries the prefix index once for the decision.
 func (d *decision) lookupCache() {
 	d.sc.matches = d.sc.matches[:0]
 	if d.s.cache == nil || len(d.r.PrefixBlocks) == 0 {
@@ -12,8 +12,8 @@
 	d.sc.matches = d.s.cache.lookup(d.sc.matches, d.r.PrefixBlocks, d.now)
 }
 
-// cachedOn returns the prompt tokens that a node's cache is expected to save:
-// what it should hold, times the belief in that.
+// expectedCachedTokens returns the prompt tokens that a node's prefix cache is
+// expected to save: the matched tokens times the confidence of the match.
 func (d *decision) expectedCachedTokens(n *node) int {
 	for _, m := range d.sc.matches {
 		if m.Engine == n.id {
@@ -24,7 +24,7 @@
 	return 0
 }
 
-// nodeByID returns the node of an index number, nil if it has gone.
+// nodeByID returns the node with an index number, or nil if there is none.
 func (s *Snapshot) nodeByID(id int32) *node {
 	if id < 0 || int(id) >= len(s.nodes) {
 		return nil
--- a/router/peers.go
+++ b/router/averages.go
@@ -6,31 +6,26 @@
 	"tamarackchute/upstream"
 )
 
-// peers is what other processes have in flight on average at the engines of
-// one pool and role.
-//
-// A report tells what an engine had in hand seconds ago. This process's own
-// part of that is known better; the others' part has moved on, and the older it
-// is, the less it says about that engine and the more about its kind: a queue
-// that was long is shorter by now, one that was empty has been found by others.
-// So others' work is taken for a mean of the report and of the peers' average.
-// Without that, engines with a lucky report draw everybody.
+// poolAverages holds the average work of other processes at the engines of one
+// pool and role. The older a report, the less it says about that work, so the
+// estimate is a mean of the report and the pool's average. By the report alone,
+// all processes would choose the engines that it shows idle.
 type poolAverages struct {
 	requests, prompt, kv atomicFloat
-	// answer is the mean time in seconds from an attempt's begin to its end.
+	// responseTime is the mean duration of a successful attempt, in seconds.
 	responseTime atomicFloat
-	// output is the mean length of answers as a share of what was asked for.
+	// outputFraction is the mean output length as a fraction of the requested one.
 	outputFraction atomicFloat
 }
 
-// peersKey names engines that are alike.
+// averagesKey identifies engines that are averaged together.
 type averagesKey struct {
 	pool string
 	role upstream.Role
 }
 
-// observe takes one engine's report into the average of n engines, over about
-// two reports of each; an old report counts for less.
+// observe updates the average over n engines with one engine's report, over about
+// two reports of each; an older report has less weight.
 func (p *poolAverages) observe(w remoteWork, n int, trust float64) {
 	step := trust / float64(2*max(1, n))
 	updateEWMA(&p.requests, w.requests, step)
@@ -38,15 +33,15 @@
 	updateEWMA(&p.kv, w.kv, step)
 }
 
-// met takes the prompts of others that one of our own requests found ahead of
-// it. That is as fresh as a first token, where a report may be seconds old:
-// processes that steer by late reports alone all hold back at once, and then
-// all come at once.
+// observeQueueAhead updates the average with the remote prompt tokens that a local
+// request found ahead of it. A first token is fresher than a report: processes
+// that rely on delayed reports alone stop sending, and resume, all at once.
 func (p *poolAverages) observeQueueAhead(prompt float64) {
 	updateEWMA(&p.prompt, prompt, observationWeight)
 }
 
-// ended takes the time of a whole answer.
+// observeCompletion records the duration and output fraction of a complete
+// response.
 func (p *poolAverages) observeCompletion(took, output float64) {
 	if p.responseTime.load() == 0 {
 		p.responseTime.store(took)
@@ -56,8 +51,9 @@
 	updateEWMA(&p.responseTime, took, observationWeight)
 }
 
-// outputOf is the expected length of an answer. What is asked for is a bound,
-// and taken as the length it would have requests refused that end in time.
+// expectedOutput is the expected number of output tokens. The requested length is
+// only an upper bound; used as the estimate, it would refuse requests that would
+// have met their deadlines.
 func (n *node) expectedOutput(r *Request) float64 {
 	asked := float64(max(0, r.OutputTokens-1))
 	p := n.averages.Load()
@@ -67,19 +63,19 @@
 	return asked * p.outputFraction.load()
 }
 
-// lengthStep is the weight of one answer's length.
+// outputWeight is the weight of one response's length.
 const outputWeight = 0.02
 
-// metStep is the weight of one such request.
+// observationWeight is the weight of one queue or response time observation.
 const observationWeight = 0.1
 
 func updateEWMA(f *atomicFloat, v, step float64) { f.store(f.load() + step*(v-f.load())) }
 
-// others is work of other processes at an engine.
+// remoteWork is the work of other processes at an engine.
 type remoteWork struct{ requests, prompt, kv float64 }
 
-// staleAfter is the age at which a report counts for a quarter: a share of the
-// time of an answer, in which the prompts that it saw have been worked through.
+// staleAfter is the report age at which a report has a weight of a quarter: a
+// fraction of the response time, in which the prompts that it saw are prefilled.
 func (p *poolAverages) staleAfter(cfg *Config) time.Duration {
 	share := seconds(cfg.StaleFraction * p.responseTime.load())
 	if share <= 0 {
@@ -88,8 +84,8 @@
 	return min(share, cfg.StaleAfter)
 }
 
-// othersAt is what the report says of other processes: all less the own work
-// that was there at its time.
+// remoteWorkAt is the report's work of other processes: the total less the local
+// work at the time of measurement.
 func remoteWorkAt(u *Upstream, l *liveState) remoteWork {
 	then := func(reported int, own, since int64) float64 {
 		return max(0, float64(int64(reported)-(own-since)))
@@ -101,8 +97,8 @@
 	}
 }
 
-// workNow is the best guess at what is in flight at an engine: the own work,
-// which is known, and the others' by report and average.
+// currentWork estimates the work in flight at an engine: the local work, which is
+// known, and the remote work by report and average.
 func (n *node) currentWork(cfg *Config, u *Upstream, age time.Duration) Work {
 	l := &n.live
 	own := Work{
@@ -127,7 +123,7 @@
 	return own
 }
 
-// trustIn falls from 1 at age 0 to a quarter at staleAfter.
+// reportWeight falls from 1 at age 0 to a quarter at staleAfter.
 func reportWeight(age, staleAfter time.Duration) float64 {
 	t := float64(staleAfter) / float64(staleAfter+age)
 	return t * t
--- a/router/baselines.go
+++ b/router/baselines.go
@@ -5,8 +5,8 @@
 	"sync/atomic"
 )
 
-// LeastCost always takes the cheapest candidate. It is here to be measured
-// against: with late reports several processes pick the same one.
+// LeastCost always takes the candidate with the lowest cost. It is a baseline for
+// measurements: with delayed reports several processes pick the same one.
 type LeastCost struct{}
 
 // Pick implements Picker.
@@ -14,8 +14,8 @@
 	return lowestCost(cands), ReasonLeastCost
 }
 
-// LeastOutstanding takes the candidate with the fewest own requests in flight,
-// at random among equals.
+// LeastOutstanding takes the candidate with the fewest requests of this process
+// in flight, at random among equals.
 type LeastOutstanding struct{}
 
 // Pick implements Picker.
@@ -42,8 +42,8 @@
 	return int((p.next.Add(1) - 1) % uint64(len(cands))), ReasonLeastCost
 }
 
-// Baseline returns a pipeline that filters as usual, costs as usual and picks
-// by another picker, without splits of prefill and decode.
+// Baseline returns a constructor of pipelines with the default filters and
+// scorers, the given picker, and no split of prefill and decode.
 func Baseline(p Picker) func(Config) *Scheduler {
 	return func(cfg Config) *Scheduler {
 		s := NewScheduler(cfg)
@@ -53,5 +53,5 @@
 	}
 }
 
-// noSplit is a prompt length that no request has.
+// neverSplitTokens is a prompt length that no request reaches.
 const neverSplitTokens = 1 << 40
--- a/router/blocks.go
+++ b/router/blocks.go
@@ -4,15 +4,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// PrefixBlocks returns the chained hashes of a prompt's whole blocks: each
-// covers the prompt from its beginning to the block's end, so equal hashes mean
-// an equal beginning. Tokens are taken to be words; an engine with another
-// tokenizer gets no hits, which costs affinity and nothing else.
+// PrefixBlocks returns the chained hashes of a prompt's complete blocks. Each
+// covers the prompt from its start to the block's end, so equal hashes mean equal
+// prefixes. A word counts as a token; an engine whose tokenizer differs gets no
+// cache hits, which loses affinity only.
 func PrefixBlocks(prompt string) []uint64 {
 	return AppendPrefixBlocks(nil, prompt)
 }
 
-// AppendPrefixBlocks is PrefixBlocks without an allocation where dst has room.
+// AppendPrefixBlocks is like PrefixBlocks but appends to dst.
 func AppendPrefixBlocks(dst []uint64, prompt string) []uint64 {
 	var d xxhash.Digest
 	d.Reset()
--- a/router/candidate.go
+++ b/router/candidate.go
@@ -10,19 +10,19 @@
 // Candidate is an upstream under consideration for one request.
 type Candidate struct {
 	Upstream *Upstream
-	// Work is what is in flight there, the report corrected by own work.
+	// Work is the work in flight there: the report corrected by local work.
 	Work     Work
 	InFlight int
-	// Ejected and Trial are its standing at the time of the decision.
+	// Ejected and Trial are its health at the time of the decision.
 	Ejected, Trial bool
-	// Trials counts the requests in flight that are to show whether it is well.
+	// Trials counts this process's trial requests in flight there.
 	Trials int
 	// Link is the one-way latency from the request's data centre.
 	Link           time.Duration
 	SameDataCentre bool
-	// CachedTokens is how much of the prompt its cache should hold.
+	// CachedTokens is the part of the prompt expected in its prefix cache.
 	CachedTokens int
-	// ReportAge is how old the load report's figures are.
+	// ReportAge is the time since the load report was measured.
 	ReportAge time.Duration
 	Estimate  Estimate
 	// Cost is the sum of the scorers' costs.
@@ -34,7 +34,7 @@
 	slack    time.Duration // until the deadline, or noSlack
 }
 
-// load reads a node for a decision.
+// fill sets the candidate from the current state of a node.
 func (c *Candidate) fill(s *Snapshot, n *node, r *Request, dc int32, now time.Time) {
 	u := n.state.Load()
 	*c = Candidate{Upstream: u, node: n, SameDataCentre: n.dc == dc, Link: s.latency[dc][n.dc], slack: noSlack}
@@ -56,7 +56,7 @@
 	}
 }
 
-// outOfService says that the engine's own report has it out of service.
+// outOfService reports whether the engine's own report has it out of service.
 func (c *Candidate) outOfService() bool {
 	return c.Upstream.Kind == infra.KindEngine && !c.Upstream.ReportAt.IsZero() && !c.Upstream.Report.InService
 }
--- a/router/config.go
+++ b/router/config.go
@@ -2,57 +2,58 @@
 
 import "time"
 
-// Config sets a Tracker and the decisions made over its snapshots.
+// Config configures a Tracker and the decisions over its snapshots.
 type Config struct {
-	// DataCentre is the process's own.
+	// DataCentre is this process's data centre.
 	DataCentre string
-	// Links gives the one-way latency between data centres, both ways alike.
+	// Links lists the one-way latencies between data centres, equal in both
+	// directions.
 	Links []Link
-	// StaleAfter bounds the age at which a report's word on other processes' work
-	// counts for a quarter.
+	// StaleAfter is the greatest report age at which a report's statement about
+	// other processes' work is weighted by a quarter.
 	StaleAfter time.Duration
-	// StaleShare sets that age as a share of the time of an answer; 0 leaves
-	// the bound alone.
+	// StaleFraction sets that age as a fraction of the mean response time, up to
+	// StaleAfter; 0 means StaleAfter.
 	StaleFraction float64
-	// Spread widens the band of nearly equal upstreams, as a share of the least
-	// cost and of the reports' age.
+	// SpreadByCost and SpreadByAge set the width of the band of nearly equal
+	// upstreams, as a fraction of the lowest cost and of the reports' age.
 	SpreadByCost, SpreadByAge float64
-	// CrossCost is what leaving the own data centre costs beside the latency:
-	// an upstream elsewhere must be better by at least this much.
+	// CrossDCPenalty is the cost of leaving the data centre in addition to the
+	// latency: an upstream elsewhere must be better by at least this much.
 	CrossDCPenalty time.Duration
-	// CrossShare is added to it, as a share of the request's expected time.
+	// CrossDCPenaltyFraction adds a fraction of the expected time to it.
 	CrossDCPenaltyFraction float64
-	// HandoffBytesPerSecond is the rate of KV handoff within a data centre,
-	// CrossHandoffBytesPerSecond the rate between two.
+	// KVTransferBytesPerSecond is the rate of KV transfers within a data centre,
+	// CrossDCKVTransferBytesPerSecond the rate between two.
 	KVTransferBytesPerSecond        float64
 	CrossDCKVTransferBytesPerSecond float64
-	// KVBytesPerToken is used until handoffs have been observed.
+	// KVBytesPerToken is the size of the KV cache of one token.
 	KVBytesPerToken float64
-	// SplitMinTokens is the shortest prompt whose prefill and decode may be
-	// split, SplitGain the share of the expected time that it must save.
+	// MinSplitTokens is the shortest prompt whose prefill and decode may run on
+	// two engines, MinSplitGain the fraction of the cost that this must save.
 	MinSplitTokens int
 	MinSplitGain   float64
-	// OccupancyWeight is what a second of engine time taken from others costs
-	// beside a second of the request's own time.
+	// OccupancyWeight is the cost of a second of engine time taken from other
+	// requests, relative to a second of the request's own time.
 	OccupancyWeight float64
-	// ChunkTokens is how many prompt tokens an engine works through between
-	// two tokens of its streams, FirstStepShare the time of a step with one
-	// stream as a share of one with a full batch.
+	// ChunkTokens is the number of prompt tokens that an engine prefills between
+	// two decode steps, SingleStreamStepFraction the time of a step with one
+	// stream as a fraction of one with a full batch.
 	ChunkTokens              float64
 	SingleStreamStepFraction float64
-	// PrefillPerSecond and DecodePerSecond stand in for an engine's rates until
-	// its first report, MaxBatch for its batch.
+	// PrefillPerSecond, DecodePerSecond and MaxBatch are assumed of an engine
+	// until its first report.
 	PrefillPerSecond float64
 	DecodePerSecond  float64
 	MaxBatch         int
-	// CacheBlocks bounds the prefix index.
+	// CacheBlocks bounds the number of blocks in the prefix index.
 	CacheBlocks int
-	// CacheHalfLife is the time after which a belief that an engine holds a
-	// block counts half.
+	// CacheHalfLife is the time in which the confidence that an engine holds a
+	// block halves.
 	CacheHalfLife time.Duration
-	// Outlier sets when an upstream is ejected.
+	// Outlier configures the ejection of failing upstreams.
 	Outlier OutlierConfig
-	// Pipeline makes the pipeline; nil means NewScheduler.
+	// Pipeline constructs the pipeline; nil means NewScheduler.
 	Pipeline func(Config) *Scheduler
 }
 
@@ -69,27 +70,28 @@
 	OneWay   time.Duration
 }
 
-// OutlierConfig sets when an upstream is ejected and how it comes back.
+// OutlierConfig sets when an upstream is ejected and how it recovers.
 type OutlierConfig struct {
-	// Consecutive failures eject, as does a failure rate above MaxFailureRate
-	// once MinAttempts have been seen.
+	// An upstream is ejected after ConsecutiveFailures, or at a failure rate above
+	// MaxFailureRate once MinAttempts attempts have ended.
 	ConsecutiveFailures int
 	MaxFailureRate      float64
 	MinAttempts         int
-	// SlowFactor ejects an upstream whose times exceed the prediction by this
-	// factor more than its pool's do.
+	// SlowFactor ejects an upstream whose ratio of observed to predicted time is
+	// at least this factor, and this many times its pool's median.
 	SlowFactor float64
-	// Hold is the first ejection's length; it doubles up to MaxHold, or up to
-	// MaxHoldDead for an upstream out of reach, which a trial costs little.
+	// BaseEjectionTime is the first ejection's length. It doubles up to
+	// MaxEjectionTime, or up to MaxEjectionTimeUnreachable for an upstream that
+	// can't be reached, because a trial of that one costs little.
 	BaseEjectionTime, MaxEjectionTime, MaxEjectionTimeUnreachable time.Duration
-	// Trials is how many requests in a row must succeed on return.
+	// SuccessfulTrials is the number of trials that must succeed in a row.
 	SuccessfulTrials int
-	// MaxFraction is the greatest share of a pool that may be ejected at once;
-	// upstreams that can't be connected to don't count.
+	// MaxEjectedFraction is the greatest fraction of a pool that may be ejected at
+	// once; unreachable upstreams don't count.
 	MaxEjectedFraction float64
 }
 
-// DefaultConfig returns the settings used where nothing else is said.
+// DefaultConfig returns the default configuration for a data centre.
 func DefaultConfig(dataCentre string) Config {
 	return Config{
 		DataCentre:                      dataCentre,
--- a/router/doc.go
+++ b/router/doc.go
@@ -1,10 +1,10 @@
 // Package router decides which upstream runs a request.
 //
-// A decision is filter, score, pick over a Snapshot: filters drop upstreams
-// that may not run the request, scorers say in time what each of the rest
-// would cost, and the picker chooses among those that cost nearly the least.
-// Decisions are pure: snapshot, request, time and random source in, plan out.
+// A decision filters, scores and picks over a Snapshot: filters reject upstreams
+// that may not run the request, scorers express the cost of each remaining one
+// as a time, and the picker draws among those with a cost close to the lowest.
+// Decisions are pure functions of snapshot, request, time and random source.
 //
-// Tracker is the runtime beside it. It keeps the books of this process's own
-// work in flight and corrects the engines' late load reports by them.
+// Tracker holds the runtime state around them. It records this process's work in
+// flight and corrects the engines' delayed load reports by it.
 package router
--- a/router/engine.go
+++ b/router/engine.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// engineModel is what the router takes an engine to be: it works in steps, each
-// of which makes one token for every stream in the batch and, between, works
-// through a chunk of prompts in order of arrival. Its parts come from the load
-// report, corrected by what was learnt.
+// engineModel models an engine with chunked prefill. It works in steps; each
+// decodes one token for every stream in the batch and prefills one chunk of
+// prompts in order of arrival. The parameters come from the load report,
+// corrected by the learned factors.
 type engineModel struct {
-	prefill            float64 // prompt tokens a second without streams
+	prefill            float64 // prompt tokens a second without concurrent streams
 	stepSingle         float64 // seconds of a step with one stream
 	stepFull           float64 // seconds of a step with a full batch
 	batch              int
-	stepSingleReported float64 // stepFirst by the report alone
-	chunk              float64 // prompt tokens in a step that also makes tokens
+	stepSingleReported float64 // stepSingle by the report alone
+	chunk              float64 // prompt tokens in a step that also decodes
 }
 
-// modelOf takes the report's rates, or the settings' where there is none, and
-// corrects them by what was learnt.
+// modelOf uses the report's rates, or the configured ones where there is none,
+// corrected by the learned factors.
 func modelOf(cfg *Config, u *Upstream, l *liveState) engineModel {
 	m := engineModel{prefill: u.Report.PrefillPerSec, batch: u.Report.MaxBatch, chunk: cfg.ChunkTokens}
 	decode := u.Report.DecodePerSec
@@ -39,7 +39,7 @@
 	return m
 }
 
-// step is the time of one step with a number of streams, in seconds.
+// step returns the time of one step with a number of streams, in seconds.
 func (m *engineModel) step(streams int) float64 {
 	if streams <= 0 {
 		return 0
@@ -51,7 +51,7 @@
 	return m.stepSingle + m.slope()*float64(streams-1)
 }
 
-// slope is what one more stream adds to a step.
+// slope is the time that each further stream adds to a step.
 func (m *engineModel) slope() float64 {
 	if m.batch <= 1 {
 		return 0
@@ -59,19 +59,19 @@
 	return (m.stepFull - m.stepSingle) / float64(m.batch-1)
 }
 
-// prefillSeconds is the time for prompt tokens beside a number of streams.
+// prefillSeconds is the prefill time of prompt tokens with concurrent streams.
 func (m *engineModel) prefillSeconds(tokens float64, streams int) float64 {
 	return tokens/m.prefill + tokens/m.chunk*m.step(streams)
 }
 
-// queueSeconds is the wait of a new request for the prompts ahead of it, for a
-// place in the batch and for KV memory.
+// queueWaitSeconds is the wait of a new request for the prompts ahead of it, for
+// a batch slot and for KV memory.
 func (c *Candidate) queueWaitSeconds() float64 {
 	streams := min(c.Work.Requests, c.model.batch)
 	return c.model.prefillSeconds(float64(c.Work.PromptTokens), streams) + c.slotWaitSeconds()
 }
 
-// placeSeconds is the wait for a place in the batch and for KV memory.
+// slotWaitSeconds is the wait for a batch slot and for KV memory.
 func (c *Candidate) slotWaitSeconds() float64 {
 	m := &c.model
 	var wait float64
@@ -82,8 +82,8 @@
 	return wait + c.kvWaitSeconds(answer)
 }
 
-// memorySeconds is the wait for KV memory: what is in use comes free as the
-// answers end, all of it within about the time of an answer.
+// kvWaitSeconds is the wait for KV memory. What is in use is freed as responses
+// end, all of it within about the time of one response.
 func (c *Candidate) kvWaitSeconds(answer float64) float64 {
 	total := c.Upstream.Report.KVTotalTokens
 	if total <= 0 || c.kvTokens == 0 {
@@ -96,7 +96,7 @@
 	return answer * float64(over) / float64(max(over, c.Work.KVTokens))
 }
 
-// estimateWhole says how long a request takes that one engine runs whole.
+// estimateSingleEngine estimates a request with prefill and decode on one engine.
 func estimateSingleEngine(c *Candidate, r *Request) Estimate {
 	m := &c.model
 	streams := min(c.Work.Requests, m.batch)
@@ -108,24 +108,24 @@
 	return Estimate{seconds(queue), seconds(first), seconds(complete), m.unloadedTime(float64(prompt), output)}
 }
 
-// alone is the time of an answer at an idle engine.
+// unloadedTime is the time of a response at an idle engine.
 func (m *engineModel) unloadedTime(prompt, output float64) time.Duration {
 	return seconds(prompt/m.prefill + output*m.stepSingleReported)
 }
 
-// occupancy is the time in seconds that a request takes from others: each of
-// the streams waits while its prompt is worked through, and for what its own
-// tokens add to the steps. An idle engine has nobody to take time from.
+// occupancy is the time in seconds that a request takes from others: each stream
+// waits during its prefill and for what its tokens add to the steps. It is 0 at
+// an idle engine.
 func (c *Candidate) occupancy(prompt, output int) float64 {
 	m := &c.model
 	streams := float64(min(c.Work.Requests, m.batch))
 	return streams * (float64(prompt)/m.prefill + float64(output)*m.slope())
 }
 
-// longestEstimate bounds times, so that sums of costs can't overflow.
+// maxEstimate bounds estimates so that sums of costs can't overflow.
 const maxEstimate = time.Hour
 
-// seconds converts, with the bound.
+// seconds converts to a duration of at most maxEstimate.
 func seconds(s float64) time.Duration {
 	if math.IsNaN(s) || s >= maxEstimate.Seconds() {
 		return maxEstimate
--- a/router/errors.go
+++ b/router/errors.go
@@ -2,14 +2,14 @@
 
 import "fmt"
 
-// Lack says why no upstream may run a request.
+// NoUpstreamReason says why no upstream may run a request.
 type NoUpstreamReason string
 
-// The reasons for having no upstream, by the filter that dropped the last.
+// The reasons of a NoUpstreamError, by the filter that rejected the most upstreams.
 const (
 	NoUpstreamUnknownPool  NoUpstreamReason = "the pool is unknown or empty"
 	NoUpstreamUnknownModel NoUpstreamReason = "no engine of the pool serves the model"
-	NoUpstreamDraining     NoUpstreamReason = "all upstreams are leaving or being changed"
+	NoUpstreamDraining     NoUpstreamReason = "all upstreams are shutting down or being changed"
 	NoUpstreamOutOfService NoUpstreamReason = "all engines are out of service"
 	NoUpstreamKVMemory     NoUpstreamReason = "the request exceeds every engine's KV memory"
 	NoUpstreamEjected      NoUpstreamReason = "all upstreams failed lately"
@@ -17,18 +17,17 @@
 	NoUpstreamIsolation    NoUpstreamReason = "a suspected request must run apart from others"
 )
 
-// NoUpstreamError says that a request can't run anywhere now. Nothing was
-// sent, so it was not run.
+// NoUpstreamError says that no upstream can run a request now. Nothing was sent.
 type NoUpstreamError struct {
 	Pool, Model string
 	Reason      NoUpstreamReason
-	// Members counts the upstreams of the pool and model, Dropped how many of
-	// those looked at each filter dropped, in the filters' order.
+	// Members counts the upstreams of the pool and model. Dropped counts how many
+	// of the examined ones each filter rejected, in the filters' order.
 	Members int
 	Dropped []FilterCount
 }
 
-// Dropped is one filter's toll in a decision that found no upstream.
+// FilterCount is the number of upstreams that one filter rejected.
 type FilterCount struct {
 	Reason NoUpstreamReason
 	Count  int
--- a/router/filter.go
+++ b/router/filter.go
@@ -2,11 +2,12 @@
 
 import "slices"
 
-// Filter drops upstreams that may not run a request.
+// Filter rejects upstreams that may not run a request.
 type Filter interface {
 	// Keep reports whether the candidate may run the request.
 	Keep(c *Candidate, r *Request) bool
-	// Lack is the reason given if this filter dropped the last candidate.
+	// Reason is the reason given if no upstream passes and this filter rejected
+	// the most.
 	Reason() NoUpstreamReason
 }
 
@@ -20,30 +21,29 @@
 	memoryFilter   struct{}
 )
 
-// leavingFilter holds new work back from upstreams that leave or are about to
-// be changed.
+// drainingFilter rejects upstreams that are shutting down or about to be changed.
 func (drainingFilter) Keep(c *Candidate, _ *Request) bool {
 	return !c.Upstream.ShuttingDown && !c.Upstream.Draining
 }
 func (drainingFilter) Reason() NoUpstreamReason { return NoUpstreamDraining }
 
-// serviceFilter holds work back from an engine whose report has it out of
-// service, as during a role change.
+// serviceFilter rejects an engine whose report has it out of service, as during a
+// role change.
 func (serviceFilter) Keep(c *Candidate, _ *Request) bool { return !c.outOfService() }
 func (serviceFilter) Reason() NoUpstreamReason           { return NoUpstreamOutOfService }
 
-// ejectedFilter holds work back from an upstream that failed lately.
+// ejectedFilter rejects ejected upstreams.
 func (ejectedFilter) Keep(c *Candidate, _ *Request) bool { return !c.Ejected }
 func (ejectedFilter) Reason() NoUpstreamReason           { return NoUpstreamEjected }
 
-// trialFilter lets an upstream on probation have one request at a time, and
-// none that must not fail.
+// trialFilter allows an upstream on trial one request at a time, and none with
+// NoTrial set.
 func (trialFilter) Keep(c *Candidate, r *Request) bool {
 	return !c.Trial || (c.Trials == 0 && !r.NoTrial)
 }
 func (trialFilter) Reason() NoUpstreamReason { return NoUpstreamEjected }
 
-// excludedFilter keeps a retry away from upstreams already tried.
+// excludedFilter rejects upstreams that an earlier attempt of the request used.
 func (excludedFilter) Keep(c *Candidate, r *Request) bool {
 	return len(r.Exclude) == 0 || !slices.Contains(r.Exclude, c.Upstream.Name)
 }
@@ -55,8 +55,7 @@
 }
 func (isolatedFilter) Reason() NoUpstreamReason { return NoUpstreamIsolation }
 
-// memoryFilter drops engines whose KV memory couldn't hold the request even if
-// it were alone there.
+// memoryFilter rejects engines whose total KV memory can't hold the request.
 func (memoryFilter) Keep(c *Candidate, _ *Request) bool {
 	total := c.Upstream.Report.KVTotalTokens
 	return total <= 0 || c.kvTokens <= total
--- a/router/learn.go
+++ b/router/learn.go
@@ -7,44 +7,45 @@
 	"tamarackchute/infra"
 )
 
-// The steps of what is learnt from own attempts.
+// Parameters of learning from this process's attempts.
 const (
 	// learnStep is the weight of one observation.
 	learnStep = 0.08
-	// factorBound bounds the learnt factors both ways.
+	// maxFactor and its inverse bound the learned factors.
 	maxFactor = 6.0
-	// ratioBound bounds one observation, so that a single stall says little.
+	// maxRatio and its inverse bound one observation, so that a single stall has
+	// little effect.
 	maxRatio = 3.0
-	// overhead is added to both sides of a comparison of times, so that a few
-	// milliseconds on a short prompt don't count as a slow engine.
+	// timingSlack is added to both sides of a comparison of times, so that a few
+	// milliseconds on a short prompt don't make an engine look slow.
 	timingSlack = 0.005
-	// leastGaps is the number of gaps from which an answer's pace is learnt.
+	// minGaps is the least number of token gaps from which a response's rate is
+	// learned.
 	minGaps = 8
 )
 
-// learnFirst compares a first token's time with the predicted one. Only where
-// no queue was expected, and the report was young enough to know, does the
-// difference say something about the engine's rate; everywhere else it is the
-// queue that was guessed wrong.
-func (b *upstreamTracker) learnFirstToken(k *Ticket) {
+// learnFirstToken compares the observed time to first token with the prediction.
+// The difference reflects the engine's rate only if a fresh report showed no
+// queue; otherwise it reflects a wrong estimate of the queue.
+func (ut *upstreamTracker) learnFirstToken(k *Ticket) {
 	took := k.firstAt.Sub(k.began).Seconds() + timingSlack
 	predicted := k.plan.Estimate.FirstToken.Seconds() + timingSlack
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	l := &b.node.live
+	ut.mu.Lock()
+	defer ut.mu.Unlock()
+	l := &ut.node.live
 	adjust(&l.latencyFactor, took/predicted/l.latencyFactor.load())
 	if k.noQueue {
 		adjust(&l.prefillFactor, took/predicted)
 	}
-	own := k.plan.Estimate.FirstToken - k.plan.Estimate.Queue
-	wait := took - timingSlack - own.Seconds()
-	if p := b.node.averages.Load(); p != nil {
+	prefill := k.plan.Estimate.FirstToken - k.plan.Estimate.Queue
+	wait := took - timingSlack - prefill.Seconds()
+	if p := ut.node.averages.Load(); p != nil {
 		p.observeQueueAhead(max(0, wait/k.secondsPerPromptToken-k.localAhead))
 	}
 }
 
-// learnHandoff compares a KV handoff's time with what the settings give. The
-// step that makes the first token is taken off.
+// learnKVTransfer compares a KV transfer's time with the configured one. The
+// decode step of the first token is subtracted.
 func (k *Ticket) learnKVTransfer() {
 	from, to := k.transferredFrom.node, k.engine.node
 	same := from.dc == to.dc
@@ -55,12 +56,12 @@
 	adjust(f, (took+timingSlack)/(expected*f.load()+timingSlack))
 }
 
-// learnEnd takes a whole answer's pace and length.
-func (b *upstreamTracker) learnCompletion(k *Ticket, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	l := &b.node.live
-	if b.node.state.Load().Kind == infra.KindService {
+// learnCompletion learns from a complete response's rate and length.
+func (ut *upstreamTracker) learnCompletion(k *Ticket, now time.Time) {
+	ut.mu.Lock()
+	defer ut.mu.Unlock()
+	l := &ut.node.live
+	if ut.node.state.Load().Kind == infra.KindService {
 		took := now.Sub(k.began)
 		usual := l.serviceTime.Load()
 		if usual == 0 {
@@ -69,7 +70,7 @@
 		l.serviceTime.Store(usual + int64(learnStep*float64(int64(took)-usual)))
 		return
 	}
-	if p := b.node.averages.Load(); p != nil {
+	if p := ut.node.averages.Load(); p != nil {
 		p.observeCompletion(now.Sub(k.began).Seconds(), float64(k.produced)/float64(max(1, k.requestedOutput)))
 	}
 	l.meanOutput.store(l.meanOutput.load() + learnStep*(float64(k.produced)-l.meanOutput.load()))
@@ -77,20 +78,21 @@
 		return
 	}
 	seen := now.Sub(k.firstAt).Seconds() / float64(k.produced-1)
-	expected := (k.predictedGap + b.reportedGap()) / 2 * l.gapFactor.load()
+	expected := (k.predictedGap + ut.reportedGap()) / 2 * l.gapFactor.load()
 	adjust(&l.gapFactor, seen/expected)
 }
 
-// rawGap is the time between tokens by the report alone, in seconds.
-func (b *upstreamTracker) reportedGap() float64 {
-	u := b.node.state.Load()
-	l := &b.node.live
-	m := modelOf(&b.t.cfg, u, l)
+// reportedGap is the time between tokens by the report alone, in seconds.
+func (ut *upstreamTracker) reportedGap() float64 {
+	u := ut.node.state.Load()
+	l := &ut.node.live
+	m := modelOf(&ut.t.cfg, u, l)
 	streams := u.Report.Running + u.Report.Waiting + int(l.deltaRequests.Load())
 	return m.step(max(1, streams)) / l.gapFactor.load()
 }
 
-// adjust moves a factor by a part of an observed ratio of seen to predicted.
+// adjust moves a learned factor by learnStep towards an observed ratio of measured
+// to predicted time.
 func adjust(f *atomicFloat, ratio float64) {
 	ratio = min(maxRatio, max(1/maxRatio, ratio))
 	v := f.load() * math.Pow(ratio, learnStep)
--- a/router/node.go
+++ b/router/node.go
@@ -6,51 +6,51 @@
 	"time"
 )
 
-// health is an upstream's standing by its own record.
+// health is an upstream's state of outlier ejection.
 type health uint32
 
 const (
 	healthy health = iota
-	ejected        // out until heldUntil, then on trial
-	trial          // takes one request at a time
+	ejected        // rejected until ejectedUntil, then on trial
+	trial          // takes one request at a time until enough succeed
 )
 
-// node is one upstream in a snapshot. What identifies it never changes; state
-// is replaced whole, and live is changed in place, so that two picks in the
-// same millisecond see each other without a new snapshot.
+// node is one upstream in a snapshot. Its identity never changes; state is
+// replaced as a whole, and live is updated in place, so that two picks in the same
+// millisecond see each other's work without a new snapshot.
 type node struct {
 	id       int32
 	dc       int32
-	averages atomic.Pointer[poolAverages] // nil in snapshots that don't change
+	averages atomic.Pointer[poolAverages] // nil in snapshots made without a Tracker
 	state    atomic.Pointer[Upstream]
 	live     liveState
 }
 
-// live is the part of an upstream's books that each request changes.
+// liveState is the part of an upstream's state that each request changes.
 type liveState struct {
-	// The corrections of the report.
+	// Corrections of the report: the sums of the deltas since its measurement.
 	deltaRequests, deltaPrompt, deltaKV atomic.Int64
-	// The own work in flight, whatever the report says.
+	// This process's work in flight, independent of the report.
 	inFlight, localPrompt, localKV, localOutput atomic.Int64
 	health                                      atomic.Uint32
 	ejectedUntil                                atomic.Int64 // Unix nanoseconds
-	unreachable                                 atomic.Bool  // ejected for being out of reach
+	unreachable                                 atomic.Bool  // ejected because it can't be reached
 	trials                                      atomic.Int64 // requests in flight that are trials
 	prefillFactor                               atomicFloat
 	gapFactor                                   atomicFloat
-	latencyFactor                               atomicFloat // times seen over times predicted, queues and all
+	latencyFactor                               atomicFloat // observed over predicted time, queueing included
 	failureRate                                 atomicFloat
-	meanOutput                                  atomicFloat  // tokens of an answer
+	meanOutput                                  atomicFloat  // tokens of a response
 	serviceTime                                 atomic.Int64 // nanoseconds
 }
 
-// atomicFloat is a float64 that is read and written whole.
+// atomicFloat is a float64 with atomic load and store.
 type atomicFloat struct{ bits atomic.Uint64 }
 
 func (f *atomicFloat) load() float64   { return math.Float64frombits(f.bits.Load()) }
 func (f *atomicFloat) store(v float64) { f.bits.Store(math.Float64bits(v)) }
 
-// newNode makes a node whose live part starts from the values in u.
+// newNode returns a node whose live state starts from the values in u.
 func newNode(id, dc int32, u Upstream) *node {
 	n := &node{id: id, dc: dc}
 	n.live.deltaRequests.Store(int64(u.LocalDelta.Requests))
@@ -84,7 +84,7 @@
 	return f
 }
 
-// standing returns the health at a time: an ejection that has run out is a
+// healthAt returns the health at a time: an ejection that has expired counts as
 // trial.
 func (n *node) healthAt(now time.Time) health {
 	h := health(n.live.health.Load())
@@ -94,7 +94,7 @@
 	return h
 }
 
-// view returns the upstream as it is now, live parts filled in.
+// view returns the upstream's current state with the live values filled in.
 func (n *node) view(now time.Time) Upstream {
 	u := *n.state.Load()
 	u.LocalDelta = Work{
--- a/router/outcome.go
+++ b/router/outcome.go
@@ -5,18 +5,19 @@
 
 // The outcomes of an attempt.
 const (
-	// OutcomeOK is a whole answer.
+	// OutcomeOK is a complete response.
 	OutcomeOK Outcome = iota
-	// OutcomeCancelled is an attempt that the caller gave up; it says nothing
+	// OutcomeCancelled is an attempt that the caller abandoned; it says nothing
 	// about the upstream.
 	OutcomeCancelled
-	// OutcomeRefused is an upstream's answer that it takes no work now.
+	// OutcomeRefused is an upstream that accepts no work now.
 	OutcomeRefused
-	// OutcomeTimeout is an attempt that ran out of time at the upstream.
+	// OutcomeTimeout is an attempt that exceeded its time limit at the upstream.
 	OutcomeTimeout
-	// OutcomeNotSent is a connection that couldn't be made.
+	// OutcomeNotSent is a connection that couldn't be established.
 	OutcomeNotSent
-	// OutcomeBroken is an upstream that died or broke off during the attempt.
+	// OutcomeBroken is an upstream that failed or closed the connection during
+	// the attempt.
 	OutcomeBroken
 )
 
--- a/router/pick.go
+++ b/router/pick.go
@@ -7,28 +7,24 @@
 
 // Picker chooses among scored candidates.
 type Picker interface {
-	// Pick returns the index of the candidate chosen, and why. There is at
-	// least one.
+	// Pick returns the index of the chosen candidate and the reason. There is at
+	// least one candidate.
 	Pick(cands []Candidate, r *Request, rnd *rand.Rand) (int, PlanReason)
 }
 
-// spreadPicker draws among the candidates whose cost is near the least, each
-// with a chance that falls with its cost.
-//
-// It guards against herding: seven processes with the same late reports all
-// see the same engine as the best and send it everything until the next
-// report, so that its queue grows while others idle. The draw spreads them,
-// and the band widens with the age of the reports, since a difference between
-// two engines means less the older it is.
+// spreadPicker draws among the candidates with a cost close to the lowest, cheaper
+// ones more often. Otherwise all processes with the same delayed reports would
+// send to one engine until the next report. The band widens with the age of the
+// reports, since an older difference between two engines means less.
 type spreadPicker struct {
-	// base is the band's least width, share its width by the least cost, and
-	// ageShare its width by the age of the reports.
+	// minWidth is the band's least width, costShare its width relative to the
+	// lowest cost, ageShare its width relative to the age of the reports.
 	minWidth  time.Duration
 	costShare float64
 	ageShare  float64
 }
 
-// leastSpread is the band's least width.
+// minSpread is the default of the band's least width.
 const minSpread = 5 * time.Millisecond
 
 func (p spreadPicker) Pick(cands []Candidate, _ *Request, rnd *rand.Rand) (int, PlanReason) {
--- a/router/prefix.go
+++ b/router/prefix.go
@@ -10,52 +10,50 @@
 	"tamarackchute/upstream"
 )
 
-// The parts of a belief that an engine holds a block.
+// Parameters of the index's confidence that an engine holds a block.
 const (
-	// holdersPerBlock bounds the engines remembered for a block. A beginning
-	// that more engines share draws requests nowhere in particular.
+	// maxHoldersPerBlock bounds the engines kept for a block. A prefix that more
+	// engines hold favours none of them.
 	maxHoldersPerBlock = 6
-	// predictedDoubt is the doubt in a block that was sent there but not yet
-	// reported: it may not fit, or the attempt may fail.
+	// predictedUncertainty applies to a block that was sent to an engine but not
+	// yet reported: it may not fit, or the attempt may fail.
 	predictedUncertainty = 0.25
-	// forgotten is the doubt added when an engine has lost its cache.
+	// lostCacheUncertainty is added when an engine has lost its cache.
 	lostCacheUncertainty = 20.0
-	// prefixShards is the number of parts with a lock each.
+	// prefixShards is the number of shards, each with its own lock.
 	prefixShards = 16
 )
 
-// Match is an engine whose cache should hold a prompt's beginning.
+// Match is an engine whose cache is expected to hold a prefix of the prompt.
 type Match struct {
 	// Engine is the engine's number in the index.
 	Engine int32
-	// Blocks is how many blocks from the beginning it should hold.
+	// Blocks is the number of blocks that it is expected to hold.
 	Blocks int
-	// Confidence is how far that is to be believed, 0 to 1.
+	// Confidence is the confidence in that, from 0 to 1.
 	Confidence float64
 }
 
-// PrefixIndex knows which engine's cache should hold which prefix block, from
-// the engines' cache events and from what was sent to them. Memory is bounded:
-// the blocks that were mentioned least recently are forgotten.
-//
-// Each engine has a sum of doubt that grows with time and with each gap in its
-// events; a belief keeps the sum as it stood when it was formed. What has been
-// added since is its own doubt d, and its confidence exp(-d). So a gap makes all
-// older beliefs about an engine doubtful at once, without a walk over them.
+// PrefixIndex records which engines' caches hold which prefix blocks, from their
+// cache events and from prompts sent to them. The least recently updated blocks
+// are evicted.
 type PrefixIndex struct {
 	epoch  time.Time
-	rate   float64 // doubt added a second
+	rate   float64 // uncertainty added a second
 	shards [prefixShards]prefixShard
 
 	mu      sync.RWMutex
 	engines []engineEvents
 }
 
-// engineDoubt is the state of one engine's events.
+// engineEvents is the state of one engine's events. Uncertainty is the negative
+// logarithm of confidence and accumulates over time and with gaps in the events. An
+// entry holds the sum at its creation; its confidence is exp(-d) for the growth d
+// since then. So a gap lowers the confidence of all entries without visiting them.
 type engineEvents struct {
 	lastSeq     uint64
-	uncertainty float64 // beside that of time
-	blocks      int     // beliefs held, roughly
+	uncertainty float64 // in addition to that of time
+	blocks      int     // approximate number of entries
 }
 
 type prefixShard struct {
@@ -63,20 +61,20 @@
 	blocks *simplelru.LRU[uint64, holders]
 }
 
-// holders are the engines that should hold a block, the newest last.
+// holders lists the engines that are expected to hold a block, the newest last.
 type holders struct {
 	n       int
 	entries [maxHoldersPerBlock]holder
 }
 
-// holder is one belief: an engine, and its doubt when the belief was formed.
+// holder is an engine with its accumulated uncertainty at the time of the entry.
 type holder struct {
 	engine      int32
 	uncertainty float32
 }
 
-// NewPrefixIndex makes an index of at most a number of blocks, in which a
-// belief counts half after a time.
+// NewPrefixIndex returns an index of at most the given number of blocks, with
+// entries whose confidence halves in halfLife.
 func NewPrefixIndex(blocks int, halfLife time.Duration) *PrefixIndex {
 	x := &PrefixIndex{rate: math.Ln2 / max(1, halfLife.Seconds())}
 	size := max(1, blocks/prefixShards)
@@ -87,7 +85,7 @@
 	return x
 }
 
-// Len returns the number of blocks known.
+// Len returns the number of blocks in the index.
 func (x *PrefixIndex) Len() int {
 	n := 0
 	for i := range x.shards {
@@ -100,7 +98,7 @@
 
 func (x *PrefixIndex) shard(block uint64) *prefixShard { return &x.shards[block%prefixShards] }
 
-// engine returns an engine's state, made if needed. x.mu is held.
+// engine returns an engine's state, and creates it if needed. x.mu is held.
 func (x *PrefixIndex) engine(id int32, now time.Time) *engineEvents {
 	if x.epoch.IsZero() {
 		x.epoch = now
@@ -111,7 +109,8 @@
 	return &x.engines[id]
 }
 
-// doubtNow is an engine's sum of doubt. x.mu is held at least for reading.
+// uncertaintyAt is an engine's accumulated uncertainty. x.mu is held at least for
+// reading.
 func (x *PrefixIndex) uncertaintyAt(id int32, now time.Time) float64 {
 	if int(id) >= len(x.engines) {
 		return lostCacheUncertainty
@@ -119,7 +118,7 @@
 	return x.engines[id].uncertainty + x.rate*now.Sub(x.epoch).Seconds()
 }
 
-// apply takes an engine's cache events in order of their numbers.
+// apply processes an engine's cache events in sequence order.
 func (x *PrefixIndex) apply(id int32, events []upstream.CacheEvent, now time.Time) {
 	for _, ev := range events {
 		doubt, ok := x.advanceSeq(id, ev.Seq, now)
@@ -131,10 +130,10 @@
 	}
 }
 
-// follow moves an engine's sequence on. A gap means that blocks may have been
-// dropped unseen: missed events out of b known blocks make each belief worth
-// b/(b+missed). A number that goes back means that the engine has started
-// anew, with an empty cache. It returns false for an event already seen.
+// advanceSeq records an event's sequence number and returns false for a duplicate.
+// After a gap, blocks may have been evicted unseen: missed events out of b known
+// blocks scale confidence by b/(b+missed). A lower number means that the engine
+// restarted with an empty cache.
 func (x *PrefixIndex) advanceSeq(id int32, seq uint64, now time.Time) (float64, bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -164,7 +163,8 @@
 	e.blocks = max(0, e.blocks+added)
 }
 
-// predict notes that a prompt was sent to an engine, which will then hold it.
+// addPredicted records that a prompt was sent to an engine, which will then hold
+// its blocks.
 func (x *PrefixIndex) addPredicted(id int32, blocks []uint64, now time.Time) {
 	if len(blocks) == 0 {
 		return
@@ -180,7 +180,7 @@
 	x.addBlockCount(id, added, now)
 }
 
-// forget says that an engine has lost its cache.
+// invalidate records that an engine has lost its cache.
 func (x *PrefixIndex) invalidate(id int32, now time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -190,7 +190,7 @@
 	e.lastSeq = 0
 }
 
-// set adds or removes a belief and returns the change in their number.
+// setHolder adds or removes an entry and returns the change in their number.
 func (x *PrefixIndex) setHolder(id int32, block uint64, stored bool, doubt float32) int {
 	s := x.shard(block)
 	s.mu.Lock()
@@ -215,7 +215,7 @@
 	return h.n - before
 }
 
-// remove takes an engine out and returns its former belief, nil if none.
+// remove removes an engine and returns its former entry, or nil if it had none.
 func (h *holders) remove(id int32) *holder {
 	for i := range h.n {
 		if h.entries[i].engine != id {
@@ -229,7 +229,7 @@
 	return nil
 }
 
-// add appends a belief; the oldest gives way.
+// add appends an entry and evicts the oldest if there is no room.
 func (h *holders) add(n holder) {
 	if h.n == maxHoldersPerBlock {
 		copy(h.entries[:], h.entries[1:])
@@ -247,10 +247,10 @@
 	return s.blocks.Peek(block)
 }
 
-// lookUp appends the engines that should hold the longest beginnings. The
-// blocks are chained, so a cache that holds one held all before it; the deepest
-// known block is found by bisection, and then some shallower ones are looked
-// at for engines that hold less.
+// lookup appends the engines that are expected to hold the longest prefixes.
+// Blocks are chained, so an engine that holds one has held all before it: bisection
+// finds the deepest known block, and a few shallower ones are looked up for engines
+// that hold less.
 func (x *PrefixIndex) lookup(dst []Match, blocks []uint64, now time.Time) []Match {
 	depth := x.knownDepth(blocks)
 	if depth == 0 {
@@ -270,7 +270,7 @@
 	return dst
 }
 
-// depth is the number of blocks from the beginning that some engine holds.
+// knownDepth is the number of leading blocks that some engine holds.
 func (x *PrefixIndex) knownDepth(blocks []uint64) int {
 	low, high := 0, len(blocks)
 	for low < high {
@@ -284,7 +284,7 @@
 	return low
 }
 
-// leastConfidence is the belief below which a match isn't worth following.
+// minConfidence is the confidence below which a match is ignored.
 const minConfidence = 0.05
 
 func (x *PrefixIndex) appendMatch(dst []Match, h holder, blocks int, now time.Time) []Match {
--- a/router/schedule.go
+++ b/router/schedule.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// The bounds of what one decision looks at. A group up to scanAll is scored
-// whole; of a larger one, random samples of the own data centre and of the
-// others, with the engines that the prefix index names.
+// Bounds on one decision. A group of up to scanAll upstreams is scored in full; of
+// a larger one, random samples of the request's data centre and of the whole group
+// are scored, with the engines that the prefix index matched.
 const (
 	scanAll       = 48
 	sampleLocal   = 18
@@ -19,17 +19,17 @@
 
 // Scheduler is a pipeline of filters, scorers and a picker.
 type Scheduler struct {
-	// Filters for whole requests, cheapest first.
+	// Filters apply to requests on one engine, cheapest first.
 	Filters []Filter
-	// Fallback replaces Filters if those leave nothing: it lets upstreams on
-	// probation run more than trials.
+	// Fallback replaces Filters if those leave no candidate: it lets upstreams on
+	// trial run more than one request.
 	Fallback []Filter
 	Scorers  []Scorer
 	Picker   Picker
 	cfg      Config
 }
 
-// NewScheduler returns the usual pipeline.
+// NewScheduler returns the default pipeline.
 func NewScheduler(cfg Config) *Scheduler {
 	s := &Scheduler{
 		Filters: []Filter{
@@ -50,18 +50,18 @@
 	return s
 }
 
-// scratch is the memory of one decision, kept for the next.
+// scratch holds the buffers of one decision, for reuse.
 type scratch struct {
 	cands   []Candidate
 	prefill []Candidate // engines for prefill
-	decode  []Candidate // engines to take over from one of them
+	decode  []Candidate // engines for decode after one of them
 	nodes   []*node
 	matches []Match
 	dropped []int
 	request Request
 }
 
-// put gives the scratch back, without what its request points to.
+// release returns the scratch to the pool, without references to the request.
 func (sc *scratch) release() {
 	sc.request = Request{}
 	scratches.Put(sc)
@@ -75,7 +75,7 @@
 }}
 
 // Pick decides where a request runs, with the snapshot's pipeline. The error
-// is a *NoUpstreamError; nothing else fails.
+// is always a *NoUpstreamError.
 func Pick(s *Snapshot, r Request, now time.Time, rnd *rand.Rand) (Plan, error) {
 	return s.scheduler.Pick(s, r, now, rnd)
 }
@@ -101,8 +101,8 @@
 	return e
 }
 
-// ownDC returns the index of the request's data centre; an unknown one counts
-// as the process's own, which has index 0.
+// dataCentreIndex returns the index of the request's data centre; an unknown one
+// counts as the process's own, which has index 0.
 func (s *Snapshot) dataCentreIndex(name string) int32 {
 	if name == "" {
 		return 0
@@ -123,25 +123,25 @@
 
 func (p *Scheduler) run(d *decision) (Plan, error) {
 	d.lookupCache()
-	why := PlanReason("")
+	reason := PlanReason("")
 	d.collectCandidates(p.Filters)
 	if len(d.sc.cands) == 0 {
-		why = ReasonFallback
+		reason = ReasonFallback
 		d.collectCandidates(p.Fallback)
 	}
 	if len(d.sc.cands) == 0 {
 		return Plan{}, d.noUpstreamError(p.Filters)
 	}
 	p.score(d)
-	i, reason := p.Picker.Pick(d.sc.cands, d.r, d.rnd)
-	if why == "" {
-		why = reason
+	i, picked := p.Picker.Pick(d.sc.cands, d.r, d.rnd)
+	if reason == "" {
+		reason = picked
 	}
 	c := &d.sc.cands[i]
 	plan := Plan{
 		Engine:       c.Upstream.Name,
 		Estimate:     c.Estimate,
-		Reason:       why,
+		Reason:       reason,
 		CachedTokens: c.CachedTokens,
 		Considered:   len(d.sc.cands),
 	}
@@ -158,8 +158,8 @@
 	}
 }
 
-// gather fills the candidates with upstreams that the filters keep. If a
-// sample holds none, it goes on through the whole group.
+// collectCandidates fills the candidates with upstreams that pass the filters. If
+// no sampled one does, it tries the whole group.
 func (d *decision) collectCandidates(filters []Filter) {
 	d.sc.cands = d.sc.cands[:0]
 	d.sc.dropped = append(d.sc.dropped[:0], make([]int, len(filters))...)
@@ -177,7 +177,7 @@
 	d.appendKept(d.g.nodes[:start], filters)
 }
 
-// keep appends those of the nodes that pass, up to the scratch's size.
+// appendKept appends the nodes that pass the filters, up to maxCandidates.
 func (d *decision) appendKept(nodes []*node, filters []Filter) {
 	for _, n := range nodes {
 		if len(d.sc.cands) == maxCandidates {
@@ -193,7 +193,7 @@
 	}
 }
 
-// firstDrop returns the index of the first filter that drops c, or -1.
+// firstDrop returns the index of the first filter that rejects c, or -1.
 func firstDrop(filters []Filter, c *Candidate, r *Request) int {
 	for i, f := range filters {
 		if !f.Keep(c, r) {
@@ -203,8 +203,8 @@
 	return -1
 }
 
-// sample draws nodes of a large group: of the own data centre, of the others,
-// and those whose prefix cache should hold most of the prompt.
+// sample draws nodes of a large group: those whose prefix cache matches the
+// prompt, some of the request's data centre, and some of the whole group.
 func (d *decision) sample() []*node {
 	d.sc.nodes = d.sc.nodes[:0]
 	for _, m := range d.sc.matches {
@@ -218,7 +218,7 @@
 	return d.sc.nodes
 }
 
-// sampleOf returns the nodes, or a sample if they are many.
+// sampleOf returns the nodes, or a sample if there are more than scanAll.
 func (d *decision) sampleOf(from []*node) []*node {
 	if len(from) <= scanAll {
 		return from
@@ -232,8 +232,8 @@
 	if len(from) == 0 {
 		return
 	}
-	// A run from a random start would tie neighbours together, so each is
-	// drawn by itself; a node that comes up twice is dropped.
+	// Drawing a run from a random start would always group the same neighbours,
+	// so each node is drawn on its own; a duplicate is skipped.
 	for range min(count, len(from)) {
 		n := from[d.rnd.IntN(len(from))]
 		if !contains(d.sc.nodes, n) {
@@ -265,8 +265,8 @@
 	return false
 }
 
-// lack names the filter that dropped the most; ties go to the later one, which
-// is the more particular.
+// noUpstreamError names the filter that rejected the most upstreams; ties go to
+// the later one, which is more specific.
 func (d *decision) noUpstreamError(filters []Filter) error {
 	e := &NoUpstreamError{Pool: d.r.Pool, Model: d.r.Model, Members: len(d.g.nodes)}
 	d.collectCandidates(filters)
--- a/router/score.go
+++ b/router/score.go
@@ -6,14 +6,14 @@
 	"tamarackchute/infra"
 )
 
-// Scorer says what an upstream would cost a request, in time. Costs add up.
+// Scorer returns what an upstream would cost a request, as a time. Costs add up.
 type Scorer interface {
 	Cost(c *Candidate, r *Request) time.Duration
 }
 
-// timeScorer costs the expected time until the answer is whole, weighted by
-// how much of the time until the deadline that is: a request with time in hand
-// can afford a queue, and leaves the idle engine to one that can't.
+// timeScorer scores the expected time to the complete response, weighted by the
+// fraction of the time until the deadline that it takes: a request with slack can
+// queue, and leaves an idle engine to a more urgent one.
 type timeScorer struct{}
 
 func (timeScorer) Cost(c *Candidate, r *Request) time.Duration {
@@ -25,10 +25,10 @@
 	return weightByUrgency(c.Estimate.Complete, c.slack)
 }
 
-// maxUrgency bounds the weight of a request that is late already.
+// maxUrgency bounds the weight of a request that will miss its deadline.
 const maxUrgency = 3.0
 
-// urgent weights a time by the share of the slack that it takes up.
+// weightByUrgency weights a time by the fraction of the slack that it takes.
 func weightByUrgency(t, slack time.Duration) time.Duration {
 	if slack == noSlack {
 		return t
@@ -40,10 +40,10 @@
 	return time.Duration(float64(t) * share)
 }
 
-// noSlack stands for a request without a deadline.
+// noSlack marks a request without a deadline.
 const noSlack = time.Duration(-1 << 63)
 
-// occupancyScorer costs the time that the request takes from others.
+// occupancyScorer scores the time that the request takes from others.
 type occupancyScorer struct{ weight float64 }
 
 func (s occupancyScorer) Cost(c *Candidate, r *Request) time.Duration {
@@ -54,8 +54,8 @@
 	return seconds(s.weight * c.occupancy(prompt, r.OutputTokens))
 }
 
-// crossScorer costs leaving the data centre beyond the latency, which
-// timeScorer counts: links between data centres are shared and may part.
+// crossDCScorer scores leaving the data centre beyond the latency, which
+// timeScorer counts: links between data centres are shared and may fail.
 type crossDCScorer struct{ cfg *Config }
 
 func (s crossDCScorer) Cost(c *Candidate, _ *Request) time.Duration { return s.cfg.crossDCCost(c) }
@@ -67,13 +67,13 @@
 	return cfg.CrossDCPenalty + time.Duration(cfg.CrossDCPenaltyFraction*float64(c.Estimate.Complete))
 }
 
-// failureScorer costs the attempts that an upstream's failures would waste: at
-// failure rate f the request is expected to be run f/(1-f) times in vain.
+// failureScorer scores attempts expected to fail: at failure rate f, a request is
+// expected to fail f/(1-f) times before it succeeds.
 type failureScorer struct{}
 
 func (failureScorer) Cost(c *Candidate, _ *Request) time.Duration {
 	if c.Trial {
-		return 0 // it has been kept out for that already
+		return 0 // the ejection has accounted for its failures
 	}
 	f := min(c.node.live.failureRate.load(), maxFailureRate)
 	return time.Duration(float64(c.Estimate.Complete) * f / (1 - f))
@@ -82,17 +82,18 @@
 // maxFailureRate bounds the cost of failures.
 const maxFailureRate = 0.9
 
-// unknownOutputTokens is the length of an answer until some have been seen.
+// defaultOutputTokens is the assumed output length until some has been observed.
 const defaultOutputTokens = 128
 
-// defaultServiceTime stands in until a plain service has been called.
+// defaultServiceTime is assumed until a plain service has been called.
 const defaultServiceTime = 20 * time.Millisecond
 
-// serviceParallel is how many calls a plain service is taken to run at a time.
+// assumedServiceConcurrency is the number of calls that a plain service is assumed
+// to run concurrently.
 const assumedServiceConcurrency = 4
 
-// estimateService says how long a plain service's call takes: its usual time,
-// longer by the calls of ours that it has in hand.
+// estimateService estimates a plain service's call: its usual time plus the wait
+// for this process's calls in flight.
 func estimateService(c *Candidate) Estimate {
 	usual := time.Duration(c.node.live.serviceTime.Load())
 	if usual <= 0 {
--- a/router/snapshot.go
+++ b/router/snapshot.go
@@ -7,10 +7,10 @@
 	"tamarackchute/upstream"
 )
 
-// groupKey names the upstreams that can serve alike.
+// groupKey identifies the upstreams that can run the same requests.
 type groupKey struct{ pool, model string }
 
-// group is the members of a pool that serve a model.
+// group is the upstreams of a pool that serve a model.
 type group struct {
 	nodes []*node
 	// byDC holds the members of each data centre, by its index.
@@ -20,9 +20,9 @@
 	prefill []*node
 }
 
-// Snapshot is the fleet as one process sees it, indexed by pool and model.
-// Its membership never changes; Tracker swaps in a new one when it does. The
-// state of each upstream in it is read live.
+// Snapshot is one process's view of the fleet, indexed by pool and model. Its
+// membership never changes; Tracker replaces it when the fleet's does. The state
+// of each upstream in it is read live.
 type Snapshot struct {
 	cfg        Config
 	scheduler  *Scheduler
@@ -37,8 +37,8 @@
 	latency    [][]time.Duration
 }
 
-// NewSnapshot makes a snapshot of upstreams whose state doesn't change. The
-// prefix index may be nil. Tests and embedders without a Tracker use it.
+// NewSnapshot returns a snapshot of upstreams whose state doesn't change. The
+// prefix index may be nil. It serves tests and embedders without a Tracker.
 func NewSnapshot(cfg Config, ups []Upstream, cache *PrefixIndex) *Snapshot {
 	nodes := make([]*node, len(ups))
 	s := newSnapshot(cfg, cache, newKVTransferFactors())
@@ -79,7 +79,7 @@
 	return i
 }
 
-// index fills the lookups from the nodes.
+// index builds the lookup tables from the nodes.
 func (s *Snapshot) index(nodes []*node) {
 	s.nodes = nodes
 	s.latency = latencies(s.cfg.Links, s.dcs)
@@ -109,8 +109,8 @@
 	}
 }
 
-// latencies builds the table of one-way latencies. Pairs without a link get
-// the slowest link's, so that a forgotten one isn't taken for free.
+// latencies builds the table of one-way latencies. Pairs without a configured link
+// get the slowest link's, so that they don't count as free.
 func latencies(links []Link, dcs map[string]int32) [][]time.Duration {
 	var slowest time.Duration
 	for _, l := range links {
@@ -132,7 +132,7 @@
 // Len returns the number of upstreams.
 func (s *Snapshot) Len() int { return len(s.nodes) }
 
-// Upstreams returns the upstreams as they are now.
+// Upstreams returns the current state of all upstreams.
 func (s *Snapshot) Upstreams(now time.Time) []Upstream {
 	out := make([]Upstream, len(s.nodes))
 	for i, n := range s.nodes {
@@ -141,7 +141,7 @@
 	return out
 }
 
-// Upstream returns one upstream as it is now.
+// Upstream returns the current state of one upstream.
 func (s *Snapshot) Upstream(name string, now time.Time) (Upstream, bool) {
 	n, ok := s.byName[name]
 	if !ok {
--- a/router/split.go
+++ b/router/split.go
@@ -6,8 +6,8 @@
 	"tamarackchute/upstream"
 )
 
-// handoff is what has been learnt of KV handoffs: their time over that which
-// the settings give, within a data centre and between two.
+// kvTransferFactors are the learned ratios of observed to configured KV transfer
+// time, within a data centre and between two.
 type kvTransferFactors struct{ sameDC, crossDC atomicFloat }
 
 func newKVTransferFactors() *kvTransferFactors {
@@ -24,8 +24,8 @@
 	return &h.crossDC
 }
 
-// handoffSeconds is the time that a prompt's KV cache takes between two
-// engines, as the settings have it.
+// kvTransferSeconds is the time to transfer a prompt's KV cache between two
+// engines by the configured rates.
 func (c *Config) kvTransferSeconds(tokens int, same bool, oneWay time.Duration) float64 {
 	rate := c.CrossDCKVTransferBytesPerSecond
 	if same {
@@ -34,10 +34,10 @@
 	return c.KVBytesPerToken*float64(tokens)/rate + 2*oneWay.Seconds()
 }
 
-// trySplit returns the plan, or a split of prefill and decode if that costs
-// less by a margin. A split pays for a long prompt with many tokens to come,
-// when the decode engines' streams would otherwise be held up by its prefill;
-// it costs the handoff, and a queue at each of two engines.
+// trySplit returns the plan, or a split of prefill and decode if that costs less by
+// MinSplitGain. A split pays for a long prompt with many output tokens, whose
+// prefill would delay the decode engines' streams; it costs the KV transfer and a
+// queue at each of two engines.
 func (p *Scheduler) trySplit(d *decision, whole Plan, cost time.Duration) Plan {
 	if d.r.NoSplit || d.r.PromptTokens-whole.CachedTokens < p.cfg.MinSplitTokens || len(d.g.prefill) == 0 {
 		return whole
@@ -65,8 +65,8 @@
 	}
 }
 
-// prefillCandidates scores engines set up for prefill by the time until the
-// prompt is worked through.
+// prefillCandidates scores the prefill engines by the time until the prompt's
+// prefill is done.
 func (d *decision) prefillCandidates(p *Scheduler) []Candidate {
 	out := d.sc.prefill[:0]
 	for _, n := range d.sampleOf(d.g.prefill) {
@@ -93,8 +93,8 @@
 	c.Cost += p.cfg.crossDCCost(c)
 }
 
-// decodeCandidates scores the engines that may take over from an engine for
-// prefill; their estimates and costs are the whole split's.
+// decodeCandidates scores the engines that can decode after a prefill engine;
+// their estimates and costs are those of the whole split.
 func (d *decision) decodeCandidates(p *Scheduler, pre *Candidate) []Candidate {
 	out := d.sc.decode[:0]
 	for i := range d.sc.cands {
@@ -104,21 +104,21 @@
 		}
 		same := c.node.dc == pre.node.dc
 		oneWay := d.s.latency[pre.node.dc][c.node.dc]
-		move := p.cfg.kvTransferSeconds(d.r.PromptTokens, same, oneWay) * d.s.kvTransfer.factor(same).load()
-		c.estimateDecode(p, d.r, pre, move)
+		transfer := p.cfg.kvTransferSeconds(d.r.PromptTokens, same, oneWay) * d.s.kvTransfer.factor(same).load()
+		c.estimateDecode(p, d.r, pre, transfer)
 		out = append(out, c)
 	}
 	d.sc.decode = out
 	return out
 }
 
-func (c *Candidate) estimateDecode(p *Scheduler, r *Request, pre *Candidate, move float64) {
+func (c *Candidate) estimateDecode(p *Scheduler, r *Request, pre *Candidate, transfer float64) {
 	m := &c.model
 	wait := c.slotWaitSeconds()
-	first := pre.Estimate.Complete.Seconds() + move + wait + m.step(c.Work.Requests+1) + 2*c.Link.Seconds()
+	first := pre.Estimate.Complete.Seconds() + transfer + wait + m.step(c.Work.Requests+1) + 2*c.Link.Seconds()
 	output := c.node.expectedOutput(r)
 	complete := first + output*m.step(c.Work.Requests+1)
-	alone := pre.Estimate.Unloaded + seconds(move) + m.unloadedTime(0, output)
+	alone := pre.Estimate.Unloaded + seconds(transfer) + m.unloadedTime(0, output)
 	c.Estimate = Estimate{pre.Estimate.Queue, seconds(first), seconds(complete), alone}
 	c.Cost = pre.Cost - weightByUrgency(pre.Estimate.Complete, c.slack) + weightByUrgency(c.Estimate.Complete, c.slack)
 	c.Cost += seconds(p.cfg.OccupancyWeight * c.occupancy(0, r.OutputTokens))
--- a/router/ticket.go
+++ b/router/ticket.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// Ticket follows one attempt in the books. Its methods may be called from any
-// goroutine, and after End do nothing.
+// Ticket tracks one attempt. Its methods may be called from any goroutine, and do
+// nothing after End.
 type Ticket struct {
 	t       *Tracker
 	plan    Plan
 	engine  *upstreamTracker
-	prefill *upstreamTracker // nil unless prefill runs on an engine of its own
-	// movedFrom is that engine once it is done.
+	prefill *upstreamTracker // nil unless a separate engine runs prefill
+	// transferredFrom is the prefill engine once prefill is done.
 	transferredFrom *upstreamTracker
-	tokens          int // of the prompt
+	tokens          int // in the prompt
 	began           time.Time
 	trial           bool
-	noQueue         bool // no prompts were ahead at the start
-	// ownAhead is the own prompt tokens ahead at the start, pace the seconds
-	// that the engine was taken to need for one.
+	noQueue         bool // a fresh report showed no prompts ahead at the start
+	// localAhead is this process's prompt tokens ahead at the start,
+	// secondsPerPromptToken the engine's estimated prefill time of one.
 	localAhead, secondsPerPromptToken float64
 
 	mu              sync.Mutex
-	prompt          int // prompt tokens still booked
-	output          int // output tokens still booked
-	kv              int // KV tokens booked
+	prompt          int // prompt tokens still recorded as pending
+	output          int // output tokens still recorded as pending
+	kv              int // KV tokens recorded
 	requestedOutput int
 	produced        int
 	firstAt         time.Time
-	transferStart   time.Time // prefill on an engine of its own was done
-	predictedGap    float64   // seconds between tokens that were predicted at firstAt
+	transferStart   time.Time // when the separate prefill was done
+	predictedGap    float64   // seconds between tokens, as predicted at firstAt
 	ended           bool
 }
 
@@ -56,19 +56,19 @@
 	k.t.cache.addPredicted(k.prefill.node.id, blocks, now)
 }
 
-// look notes how things stand at the engine as the attempt begins.
+// observeEngine records the engine's state as the attempt begins.
 func (k *Ticket) observeEngine(now time.Time) {
-	b := k.engine
-	u := b.node.state.Load()
-	work := b.node.currentWork(&b.t.cfg, u, now.Sub(u.ReportAt))
-	m := modelOf(&b.t.cfg, u, &b.node.live)
+	ut := k.engine
+	u := ut.node.state.Load()
+	work := ut.node.currentWork(&ut.t.cfg, u, now.Sub(u.ReportAt))
+	m := modelOf(&ut.t.cfg, u, &ut.node.live)
 	k.secondsPerPromptToken = m.prefillSeconds(1, min(work.Requests, m.batch))
-	k.localAhead = float64(b.node.live.localPrompt.Load())
-	k.noQueue = !u.ReportAt.IsZero() && now.Sub(u.ReportAt) < b.t.cfg.StaleAfter && work.PromptTokens == 0
+	k.localAhead = float64(ut.node.live.localPrompt.Load())
+	k.noQueue = !u.ReportAt.IsZero() && now.Sub(u.ReportAt) < ut.t.cfg.StaleAfter && work.PromptTokens == 0
 }
 
-// Prefilled says that the engine for prefill is done and has handed over. It
-// is for plans with a Prefill only.
+// PrefillDone records that the prefill engine has finished and transferred its KV
+// cache. It applies only to plans with a Prefill.
 func (k *Ticket) PrefillDone() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -84,13 +84,13 @@
 	k.prefill = nil
 }
 
-// EngineLeaves reports whether the engine that should give the answer has
-// begun to leave since the attempt began.
+// EngineShuttingDown reports whether the platform is shutting down the engine that
+// is to decode.
 func (k *Ticket) EngineShuttingDown() bool {
 	return k.engine != nil && k.engine.node.state.Load().ShuttingDown
 }
 
-// FirstToken says that the first token has come.
+// FirstToken records that the first token has arrived.
 func (k *Ticket) FirstToken() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -111,7 +111,7 @@
 	}
 }
 
-// Tokens says that n more tokens have come, the first included.
+// Tokens records that n more tokens have arrived, the first included.
 func (k *Ticket) Tokens(n int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -124,8 +124,8 @@
 	k.engine.node.live.localOutput.Add(int64(-n))
 }
 
-// End closes the ticket with the attempt's outcome. If prefill on an engine of
-// its own hasn't ended, the outcome is that engine's.
+// End closes the ticket with the attempt's outcome. If a separate prefill hasn't
+// finished, the outcome counts for the prefill engine.
 func (k *Ticket) End(o Outcome) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/router/tracker.go
+++ b/router/tracker.go
@@ -10,10 +10,9 @@
 	"tamarackchute/upstream"
 )
 
-// Tracker keeps the books of one process: what it has in flight where, what
-// the upstreams reported, what was learnt from own attempts. It is safe for
-// use by many goroutines; Pick and Begin take no lock that another upstream's
-// requests hold.
+// Tracker records one process's work in flight, the upstreams' reports, and what
+// was learned from its attempts. It is safe for concurrent use; Pick and Begin
+// take no lock that requests to other upstreams hold.
 type Tracker struct {
 	cfg        Config
 	now        func() time.Time
@@ -22,15 +21,15 @@
 	snap       atomic.Pointer[Snapshot]
 	rands      sync.Pool
 
-	mu       sync.Mutex // guards changes of membership, role and leaving
-	averages map[averagesKey]*poolAverages
-	byName   map[string]*upstreamTracker
-	all      []*upstreamTracker
-	listed   map[string]bool // upstreams that the platform's list has named
+	mu         sync.Mutex // guards changes of the instance list, roles and snapshot
+	averages   map[averagesKey]*poolAverages
+	byName     map[string]*upstreamTracker
+	all        []*upstreamTracker
+	everListed map[string]bool // upstreams that the platform's list has ever contained
 }
 
-// NewTracker makes a tracker for the upstreams of a deployment. Of each, the
-// name, kind, pool, data centre, models and role are taken. now is the clock;
+// NewTracker returns a tracker for the upstreams of a deployment. Only the name,
+// kind, pool, data centre, models and role of each are needed. now is the clock;
 // nil means time.Now.
 func NewTracker(cfg Config, ups []Upstream, now func() time.Time) *Tracker {
 	if now == nil {
@@ -43,33 +42,33 @@
 		kvTransfer: newKVTransferFactors(),
 		averages:   map[averagesKey]*poolAverages{},
 		byName:     map[string]*upstreamTracker{},
-		listed:     map[string]bool{},
+		everListed: map[string]bool{},
 	}
 	t.rands.New = func() any { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 	s := newSnapshot(cfg, t.cache, t.kvTransfer)
 	for i, u := range ups {
-		b := newUpstreamTracker(t, newNode(int32(i), s.dataCentre(u.DataCentre), u))
-		t.byName[u.Name] = b
-		t.all = append(t.all, b)
+		ut := newUpstreamTracker(t, newNode(int32(i), s.dataCentre(u.DataCentre), u))
+		t.byName[u.Name] = ut
+		t.all = append(t.all, ut)
 	}
 	t.publish(s)
 	return t
 }
 
-// publish indexes the nodes into a new snapshot and swaps it in.
+// publish indexes the nodes into a new snapshot and makes it current.
 func (t *Tracker) publish(s *Snapshot) {
 	nodes := make([]*node, len(t.all))
-	for i, b := range t.all {
-		nodes[i] = b.node
-		u := b.node.state.Load()
-		b.node.averages.Store(t.averagesFor(averagesKey{u.Pool, u.Role}))
+	for i, ut := range t.all {
+		nodes[i] = ut.node
+		u := ut.node.state.Load()
+		ut.node.averages.Store(t.averagesFor(averagesKey{u.Pool, u.Role}))
 	}
 	s.index(nodes)
 	t.snap.Store(s)
 }
 
-// peersOf returns the averages of engines that are alike. t.mu is held, or the
-// tracker is being made.
+// averagesFor returns the averages of a pool and role. t.mu is held, or the
+// tracker is under construction.
 func (t *Tracker) averagesFor(k averagesKey) *poolAverages {
 	p := t.averages[k]
 	if p == nil {
@@ -79,75 +78,75 @@
 	return p
 }
 
-// rebuild makes a new snapshot after a change of role or models.
+// rebuild replaces the snapshot after a change of role.
 func (t *Tracker) rebuild() {
 	s := newSnapshot(t.cfg, t.cache, t.kvTransfer)
-	for _, b := range t.all {
-		s.dataCentre(b.node.state.Load().DataCentre)
+	for _, ut := range t.all {
+		s.dataCentre(ut.node.state.Load().DataCentre)
 	}
 	t.publish(s)
 }
 
-// Snapshot returns the fleet as it stands.
+// Snapshot returns the current snapshot of the fleet.
 func (t *Tracker) Snapshot() *Snapshot { return t.snap.Load() }
 
-// Pick decides where a request runs, now. The error is a *NoUpstreamError.
+// Pick decides where a request runs now. The error is a *NoUpstreamError.
 func (t *Tracker) Pick(r Request) (Plan, error) {
 	rnd := t.rands.Get().(*rand.Rand)
 	defer t.rands.Put(rnd)
 	return Pick(t.snap.Load(), r, t.now(), rnd)
 }
 
-// SetReport takes an engine's load report that was received at a time. Reports
-// that were measured before the one held are dropped. An unknown name is
-// ignored, here and below.
+// SetLoadReport applies an engine's load report. One measured before the current
+// one is dropped. This and the following methods ignore unknown names.
 func (t *Tracker) SetLoadReport(name string, r upstream.LoadReport, received time.Time) {
-	b := t.byName[name]
-	if b == nil {
+	ut := t.byName[name]
+	if ut == nil {
 		return
 	}
-	if b.setReport(r, received) {
+	if ut.setReport(r, received) {
 		t.mu.Lock()
 		defer t.mu.Unlock()
 		t.rebuild()
 	}
 }
 
-// SetCacheEvents takes an engine's cache events, in order of their numbers.
+// ApplyCacheEvents processes an engine's cache events in sequence order.
 func (t *Tracker) ApplyCacheEvents(name string, events []upstream.CacheEvent) {
-	if b := t.byName[name]; b != nil {
-		t.cache.apply(b.node.id, events, t.now())
+	if ut := t.byName[name]; ut != nil {
+		t.cache.apply(ut.node.id, events, t.now())
 	}
 }
 
-// SetList takes the platform's list: an upstream that it calls leaving, or
-// that it has named before and doesn't any more, gets no new work.
+// SetInstances applies the platform's instance list. An upstream that it marks as
+// leaving, or that an earlier list contained and this one doesn't, gets no new
+// work.
 func (t *Tracker) SetInstances(list []infra.Instance) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	listed := make(map[string]bool, len(list))
 	for _, i := range list {
 		listed[i.Name] = i.Leaving
-		t.listed[i.Name] = true
+		t.everListed[i.Name] = true
 	}
-	for name, b := range t.byName {
+	for name, ut := range t.byName {
 		leaving, ok := listed[name]
-		gone := !ok && t.listed[name]
-		b.updateState(func(u *Upstream) { u.ShuttingDown = leaving || gone })
+		gone := !ok && t.everListed[name]
+		ut.updateState(func(u *Upstream) { u.ShuttingDown = leaving || gone })
 	}
 }
 
-// SetDraining says whether an order is about to change an upstream.
+// SetDraining sets whether an order is about to change an upstream.
 func (t *Tracker) SetDraining(name string, draining bool) {
-	if b := t.byName[name]; b != nil {
-		b.updateState(func(u *Upstream) { u.Draining = draining })
+	if ut := t.byName[name]; ut != nil {
+		ut.updateState(func(u *Upstream) { u.Draining = draining })
 	}
 }
 
-// SetRole says which role an engine has by the orders in the journal.
+// SetRole sets the role that the journal's orders give an engine.
 func (t *Tracker) SetRole(name string, role upstream.Role) {
-	b := t.byName[name]
-	if b == nil || !b.setRole(role) {
+	ut := t.byName[name]
+	if ut == nil || !ut.setRole(role) {
 		return
 	}
 	t.mu.Lock()
@@ -155,7 +154,7 @@
 	t.rebuild()
 }
 
-// Begin books an attempt. Every ticket must be ended.
+// Begin records the start of an attempt. Every ticket must be ended.
 func (t *Tracker) Begin(p Plan, r Request) *Ticket {
 	now := t.now()
 	k := &Ticket{t: t, engine: t.byName[p.Engine], began: now, plan: p}
@@ -171,14 +170,15 @@
 	return k
 }
 
-// PoolLoad sums up a pool's engines for admission.
+// PoolLoad is the load and capacity of a pool, for admission control.
 type PoolLoad struct {
-	// Engines counts those that may get new work, Slots their batches' places.
+	// Engines counts the engines that may get new work, Slots their batch slots.
 	Engines int
 	Slots   int
-	// Running and Waiting are the reported requests of all instances.
+	// Running and Waiting are the requests that the engines report, from all
+	// processes.
 	Running, Waiting int
-	// PrefillPerSecond and DecodePerSecond sum the rates.
+	// PrefillPerSecond and DecodePerSecond are the engines' total rates in tokens.
 	PrefillPerSecond, DecodePerSecond float64
 }
 
--- a/router/types.go
+++ b/router/types.go
@@ -13,10 +13,10 @@
 	Requests int
 	// PromptTokens counts prompt tokens whose prefill isn't done.
 	PromptTokens int
-	// KVTokens counts the tokens that KV memory is taken for.
+	// KVTokens counts tokens with KV memory allocated.
 	KVTokens int
-	// OutputTokens counts output tokens still expected. Reports don't have
-	// them, so this is always the process's own.
+	// OutputTokens counts output tokens still expected. Reports lack them, so this
+	// is always this process's work only.
 	OutputTokens int
 }
 
@@ -28,42 +28,42 @@
 	DataCentre string
 	// Models are those that an engine serves; empty for a plain service.
 	Models []string
-	// Role is the engine's role in force, as the journal or its report says.
+	// Role is the engine's current role by the journal or its report.
 	Role upstream.Role
-	// Report is the last load report, ReportAt the moment by our own clock at
-	// which its figures were measured; zero if there is none.
+	// Report is the last load report, ReportAt the time by the local clock at
+	// which it was measured; zero if there is none.
 	Report   upstream.LoadReport
 	ReportAt time.Time
-	// Own is the correction of the report by this process's own work: begun
-	// since ReportAt less ended since. Its parts may be negative. Where there
-	// is no report it is simply the own work in flight.
+	// LocalDelta corrects the report by this process's work: begun since ReportAt
+	// less ended since. Its fields may be negative. Without a report it is this
+	// process's work in flight.
 	LocalDelta Work
-	// InFlight counts this process's own requests in flight.
+	// InFlight counts this process's requests in flight.
 	InFlight int
-	// Draining says that an order is about to change the upstream, Leaving
-	// that the platform takes it away. Neither gets new work.
+	// Draining is set while an order is about to change the upstream, ShuttingDown
+	// while the platform removes it. Neither gets new work.
 	Draining     bool
 	ShuttingDown bool
-	// Ejected says that its record of failures keeps it out for now, Trial
-	// that it is on probation and takes one request at a time.
+	// Ejected is set while recent failures keep the upstream out, Trial while it
+	// recovers and takes one request at a time.
 	Ejected bool
 	Trial   bool
-	// PrefillFactor and GapFactor are learnt: observed time over the time that
-	// the report's rates would give. 0 means nothing learnt yet, as does 1.
+	// PrefillFactor and GapFactor are learned ratios of observed time to the time
+	// by the report's rates. 0 means the same as 1.
 	PrefillFactor float64
 	GapFactor     float64
-	// FailureRate is the smoothed share of own attempts that failed.
+	// FailureRate is the smoothed fraction of this process's attempts that failed.
 	FailureRate float64
-	// ServiceTime is the smoothed duration of own calls to a plain service.
+	// ServiceTime is the smoothed duration of calls to a plain service.
 	ServiceTime time.Duration
 }
 
-// Request is what a routing decision needs to know about a request.
+// Request holds the properties of a request that a routing decision needs.
 type Request struct {
 	Pool         string
 	Model        string // "" for plain services
 	Organisation string
-	// DataCentre is where the request came in; "" means the process's own.
+	// DataCentre is where the request arrived; "" means the process's own.
 	DataCentre string
 	// PromptTokens and OutputTokens are estimates.
 	PromptTokens int
@@ -71,33 +71,33 @@
 	// PrefixBlocks are the chained hashes of the prompt's blocks.
 	PrefixBlocks []uint64
 	Priority     int
-	// Deadline is when the whole answer must be there; zero means none.
+	// Deadline is when the complete response is due; zero means none.
 	Deadline time.Time
-	// Exclude names upstreams that an earlier attempt has failed on.
+	// Exclude names upstreams that an earlier attempt used.
 	Exclude []string
-	// NoTrial keeps the request off upstreams on probation, unless nothing
-	// else is left. Set it for calls that can't be repeated.
+	// NoTrial keeps the request off upstreams on trial unless no others remain.
+	// Set it for calls that can't be repeated.
 	NoTrial bool
 	// NoSplit keeps prefill and decode on one engine.
 	NoSplit bool
-	// MayRunOn, if set, is asked for each candidate; false drops it. It keeps
+	// MayRunOn, if set, rejects candidates for which it returns false. It keeps
 	// suspected requests apart (quarantine.Guard.MayRunOn).
 	MayRunOn func(engine string) bool
 }
 
-// Estimate is the time that a request is expected to take, from now.
+// Estimate is the expected time of a request, from now.
 type Estimate struct {
 	// Queue is the wait at the engine before its prefill starts.
 	Queue time.Duration
 	// FirstToken is the time until the first token is back.
 	FirstToken time.Duration
-	// Complete is the time until the whole answer is back.
+	// Complete is the time until the complete response is back.
 	Complete time.Duration
-	// Alone is what Complete would be if the engine had nothing else to do.
+	// Unloaded is what Complete would be at an idle engine.
 	Unloaded time.Duration
 }
 
-// Why says in a word what decided a plan.
+// PlanReason says what decided a plan.
 type PlanReason string
 
 // The reasons of plans.
@@ -106,21 +106,21 @@
 	ReasonLeastCost    PlanReason = "least expected time"
 	ReasonSpread       PlanReason = "drawn among nearly equal upstreams"
 	ReasonCachedPrefix PlanReason = "prefix cache saves more than the queue costs"
-	ReasonTrial        PlanReason = "trial of an upstream coming back"
+	ReasonTrial        PlanReason = "trial of a recovering upstream"
 	ReasonSplit        PlanReason = "prefill and decode on two engines is faster"
-	ReasonFallback     PlanReason = "upstreams on probation are all that is left"
+	ReasonFallback     PlanReason = "only upstreams on trial are left"
 )
 
 // Plan is a routing decision.
 type Plan struct {
-	// Engine runs the request, or its decode part if Prefill is set.
+	// Engine runs the request, or only its decode if Prefill is set.
 	Engine string
-	// Prefill works through the prompt and hands its KV cache to Engine; ""
-	// means that Engine does both.
+	// Prefill is the engine that runs the prefill and transfers its KV cache to
+	// Engine; "" means that Engine runs both.
 	Prefill  string
 	Estimate Estimate
 	Reason   PlanReason
-	// CachedTokens is how much of the prompt is expected in the prefix cache.
+	// CachedTokens is the part of the prompt expected in the prefix cache.
 	CachedTokens int
 	// Considered counts the upstreams that were scored.
 	Considered int
