--- a/router/fleet_test.go
+++ b/router/fleet_test.go
@@ -11,13 +11,13 @@
 	"tamarackchute/upstream"
 )
 
-// The fakes below are as simple as lets them show queues: engines that batch
-// in steps, as in the stand-in, and entries that are a tracker and a
-// controller each. Time is a counter; nothing runs by itself.
+// The fakes simulate a fleet without goroutines: engines that batch in steps like
+// the stand-in, and entries that are a tracker and an admission controller each.
+// The clock advances in ticks.
 
 const tick = 5 * time.Millisecond
 
-// job is one request on its way through the fakes.
+// job is one simulated request.
 type job struct {
 	class                  string
 	prompt, out            int
@@ -34,8 +34,8 @@
 	refused                bool
 }
 
-// fakeEngine works as the stand-in does: chunks of prompts in order of
-// arrival, one token a step for each stream.
+// fakeEngine models the stand-in: chunked prefill in order of arrival, and one
+// token per step for each stream.
 type fakeEngine struct {
 	name                string
 	role                upstream.Role
@@ -199,7 +199,7 @@
 	running   []*job
 }
 
-// fleet is entries and engines under one clock.
+// fleet is a set of entries and engines with one clock.
 type fleet struct {
 	now     time.Time
 	rnd     *rand.Rand
@@ -208,10 +208,10 @@
 	entries []*fakeEntry
 	lag     time.Duration
 	jobs    []*job
-	// direct sends requests without admission.
+	// direct bypasses admission control.
 	direct bool
-	// imbalance and mean sum, over seconds, the most requests that an engine
-	// holds and the mean.
+	// imbalance sums, over the reports, the largest number of requests at any
+	// engine; mean sums the mean number.
 	imbalance, mean float64
 }
 
@@ -236,7 +236,7 @@
 	return f
 }
 
-// arrive sends a request to a random entry.
+// arrive creates a request at a random entry.
 func (f *fleet) arrive(class string, prompt, out int, limit time.Duration) {
 	j := &job{class: class, prompt: prompt, out: out, promptLeft: prompt, outputLeft: out, arrived: f.now,
 		deadline: f.now.Add(limit), entry: f.entries[f.rnd.IntN(len(f.entries))]}
@@ -268,14 +268,14 @@
 	return router.Request{Pool: "p", Model: "m", PromptTokens: j.prompt, OutputTokens: j.out, Deadline: j.deadline}
 }
 
-// poll dispatches what has been granted.
+// poll dispatches the requests that admission has granted.
 func (f *fleet) poll(e *fakeEntry) {
-	keep := e.waiting[:0]
+	waiting := e.waiting[:0]
 	for _, j := range e.waiting {
 		g, ok, err := j.pending.Poll()
 		switch {
 		case !ok:
-			keep = append(keep, j)
+			waiting = append(waiting, j)
 		case err != nil:
 			j.refused = true
 		default:
@@ -283,7 +283,7 @@
 			f.dispatch(j)
 		}
 	}
-	e.waiting = keep
+	e.waiting = waiting
 }
 
 func (f *fleet) dispatch(j *job) {
@@ -329,20 +329,21 @@
 }
 
 func (f *fleet) cancelLate(e *fakeEntry) {
-	keep := e.running[:0]
+	running := e.running[:0]
 	for _, j := range e.running {
 		if !j.ended && f.now.After(j.deadline) {
 			j.engine.drop(j)
 			j.end(router.OutcomeCancelled, admission.ResultCancelled)
 		}
 		if !j.ended {
-			keep = append(keep, j)
+			running = append(running, j)
 		}
 	}
-	e.running = keep
+	e.running = running
 }
 
-// reportAll lets the engines report, lag late, and tells admission.
+// reportAll makes the engines report, delivers the reports of lag ago to the
+// trackers, and updates the controllers' capacity.
 func (f *fleet) reportAll() {
 	longest, sum := 0.0, 0.0
 	for _, e := range f.engines {
@@ -371,11 +372,11 @@
 	}
 }
 
-// mix is a stream of requests: short ones and long ones a second.
+// arrivalRates are the numbers of short and long requests a second.
 type arrivalRates struct{ short, long float64 }
 
-// run drives arrivals for a time and lets what is left end. It returns the
-// tally of those that arrived after the warm-up.
+// run simulates arrivals for a time and then completes what is left. It returns the
+// tally of the requests that arrived after the warm-up.
 func (f *fleet) run(m arrivalRates, warm, length time.Duration) tally {
 	start := f.now
 	f.drive(m, length)
@@ -383,7 +384,7 @@
 	return f.tallyOf(start.Add(warm), start.Add(length))
 }
 
-// drive sends requests at the rates of a mix for a time.
+// drive generates arrivals at the given rates for a time.
 func (f *fleet) drive(m arrivalRates, length time.Duration) {
 	start := f.now
 	next := [2]time.Duration{}
@@ -399,7 +400,7 @@
 	}
 }
 
-// kill takes engines away with all that they have; revive brings them back.
+// kill stops the first n engines and fails their requests; revive restarts all.
 func (f *fleet) kill(n int) {
 	for _, e := range f.engines[:n] {
 		e.dead = true
@@ -425,7 +426,7 @@
 	f.arrive("long", 2000+f.rnd.IntN(4000), 10+f.rnd.IntN(60), 30*time.Second)
 }
 
-// tally counts what became of requests.
+// tally counts the outcomes of requests.
 type tally struct {
 	offered, withinDeadline, refused, late int
 	shortOffered, shortWithinDeadline      int
--- a/router/pick_test.go
+++ b/router/pick_test.go
@@ -52,23 +52,23 @@
 		{"unknown pool", nil, request, "", NoUpstreamUnknownPool},
 		{"unknown model", []Upstream{engine("a", nil)}, with(func(r *Request) { r.Model = "x" }), "", NoUpstreamUnknownModel},
 		{"leaving", []Upstream{engine("a", func(u *Upstream) { u.ShuttingDown = true })}, request, "", NoUpstreamDraining},
-		{"draining passed over", []Upstream{engine("a", func(u *Upstream) { u.Draining = true }), engine("b", nil)}, request, "b", ""},
+		{"draining skipped", []Upstream{engine("a", func(u *Upstream) { u.Draining = true }), engine("b", nil)}, request, "b", ""},
 		{"out of service", []Upstream{engine("a", func(u *Upstream) { u.Report.InService = false })}, request, "", NoUpstreamOutOfService},
-		{"ejected passed over", []Upstream{engine("a", func(u *Upstream) { u.Ejected = true }), engine("b", nil)}, request, "b", ""},
+		{"ejected skipped", []Upstream{engine("a", func(u *Upstream) { u.Ejected = true }), engine("b", nil)}, request, "b", ""},
 		{"all ejected", []Upstream{engine("a", func(u *Upstream) { u.Ejected = true })}, request, "", NoUpstreamEjected},
 		{"not on trial", []Upstream{engine("a", func(u *Upstream) { u.Trial = true }), engine("b", func(u *Upstream) { u.Report.QueuedPrompt = 9000 })},
 			with(func(r *Request) { r.NoTrial = true }), "b", ""},
-		{"on trial if nothing else is left", []Upstream{engine("a", func(u *Upstream) { u.Trial = true })},
+		{"on trial if no others remain", []Upstream{engine("a", func(u *Upstream) { u.Trial = true })},
 			with(func(r *Request) { r.NoTrial = true }), "a", ""},
 		{"excluded", []Upstream{engine("a", nil)}, with(func(r *Request) { r.Exclude = []string{"a"} }), "", NoUpstreamExcluded},
 		{"isolated", []Upstream{engine("a", nil), engine("b", nil)},
 			with(func(r *Request) { r.MayRunOn = func(e string) bool { return e == "b" } }), "b", ""},
-		{"too large for any memory", []Upstream{engine("a", nil)}, with(func(r *Request) { r.PromptTokens = 70000 }), "", NoUpstreamKVMemory},
+		{"exceeds every KV memory", []Upstream{engine("a", nil)}, with(func(r *Request) { r.PromptTokens = 70000 }), "", NoUpstreamKVMemory},
 		{"shorter queue", []Upstream{engine("a", func(u *Upstream) { u.Report.QueuedPrompt = 9000 }), engine("b", nil)}, request, "b", ""},
-		{"full memory counts as a queue", []Upstream{engine("a", func(u *Upstream) { u.Report.KVUsedTokens = 59900; u.Report.Running = 9 }), engine("b", func(u *Upstream) { u.Report.Running = 9 })}, request, "b", ""},
-		{"own work corrects the report", []Upstream{engine("a", func(u *Upstream) { u.LocalDelta.PromptTokens = 9000; u.InFlight = 3; u.LocalDelta.Requests = 3 }), engine("b", nil)}, request, "b", ""},
+		{"full KV memory counts as a queue", []Upstream{engine("a", func(u *Upstream) { u.Report.KVUsedTokens = 59900; u.Report.Running = 9 }), engine("b", func(u *Upstream) { u.Report.Running = 9 })}, request, "b", ""},
+		{"local work corrects the report", []Upstream{engine("a", func(u *Upstream) { u.LocalDelta.PromptTokens = 9000; u.InFlight = 3; u.LocalDelta.Requests = 3 }), engine("b", nil)}, request, "b", ""},
 		{"local first", []Upstream{engine("a", func(u *Upstream) { u.DataCentre = "far" }), engine("b", func(u *Upstream) { u.Report.Running = 1 })}, request, "b", ""},
-		{"far if the local queue costs more", []Upstream{engine("a", func(u *Upstream) { u.DataCentre = "far" }), engine("b", func(u *Upstream) { u.Report.QueuedPrompt = 5000 })}, request, "a", ""},
+		{"remote if the local queue costs more", []Upstream{engine("a", func(u *Upstream) { u.DataCentre = "far" }), engine("b", func(u *Upstream) { u.Report.QueuedPrompt = 5000 })}, request, "a", ""},
 		{"failures cost", []Upstream{engine("a", func(u *Upstream) { u.FailureRate = 0.4 }), engine("b", nil)}, request, "b", ""},
 		{"slower than reported", []Upstream{engine("a", func(u *Upstream) { u.GapFactor = 1.5 }), engine("b", nil)}, request, "b", ""},
 	}
@@ -87,8 +87,8 @@
 	}
 }
 
-// A few cached words must not draw a request to a long queue, nor a long
-// cached prompt be worked through again to save a short wait.
+// A short cached prefix must not draw a request to a long queue, and a long cached
+// prompt must not be prefilled again to avoid a short wait.
 func TestPrefixAgainstQueue(t *testing.T) {
 	cfg := testConfig()
 	blocks := make([]uint64, 250) // 4000 tokens, 0.8 s of prefill
@@ -108,8 +108,8 @@
 	}
 }
 
-// Split where the prompt is long and many tokens follow; whole where the
-// prompt is short, the link is slow, or the engine for prefill has a queue.
+// A request is split if the prompt is long and many tokens follow, and not if the
+// prompt is short, the link is slow or the prefill engine has a queue.
 func TestSplit(t *testing.T) {
 	fleet := func(queued int) []Upstream {
 		return []Upstream{
@@ -145,8 +145,8 @@
 	}
 }
 
-// A group too large to be looked at whole still yields the one engine that is
-// left in it.
+// In a group that is sampled rather than scanned, the only usable engine must
+// still be found.
 func TestPickFindsTheLastOfMany(t *testing.T) {
 	ups := make([]Upstream, 500)
 	for i := range ups {
--- a/router/policy_test.go
+++ b/router/policy_test.go
@@ -27,15 +27,15 @@
 
 func share(part, of int) float64 { return float64(part) / float64(max(1, of)) }
 
-// fullLoad is the requests a second that the fakes just about serve.
+// fullLoad is about the highest rates that the fake fleet can serve.
 var fullLoad = arrivalRates{short: 30, long: 8}
 
 func (m arrivalRates) times(f float64) arrivalRates { return arrivalRates{m.short * f, m.long * f} }
 
-// Seven entries have the same reports, seconds old, and no word of each other.
-// If each takes the engine with the least reported queue, all take the same
-// until the next report: callers see first tokens late by seconds though other
-// engines idle. The measure is the longest queue over the mean.
+// Seven entries share the same reports, seconds old, and don't exchange their own
+// picks. If each chose the shortest reported queue, all would choose the same
+// engine until the next report, and first tokens would be seconds late while other
+// engines idle. The test compares the longest queue with the mean.
 func TestSevenEntriesDoNotHerd(t *testing.T) {
 	imbalance := func(cfg router.Config, lag time.Duration) float64 {
 		f := newFleet(7, rolesOf(11, 0, 0), 7, cfg, lag)
@@ -45,18 +45,18 @@
 	}
 	minimum := router.DefaultConfig("dc")
 	minimum.Pipeline = router.Baseline(router.LeastCost{})
-	minimum.StaleAfter, minimum.StaleFraction = 1000*time.Hour, 0 // reports are taken at their word
+	minimum.StaleAfter, minimum.StaleFraction = 1000*time.Hour, 0 // effectively no averaging of reports
 	for _, lag := range []time.Duration{time.Second, 2 * time.Second, 5 * time.Second} {
-		ours, least := imbalance(router.DefaultConfig("dc"), lag), imbalance(minimum, lag)
-		t.Logf("reports %v old: most requests over the mean %.2f, picking the minimum %.2f", lag, ours, least)
-		require.Less(t, ours, 1.7)
-		require.Greater(t, least, 2.0, "the measure must catch the herd")
+		spread, least := imbalance(router.DefaultConfig("dc"), lag), imbalance(minimum, lag)
+		t.Logf("reports %v old: longest queue over the mean %.2f, with LeastCost %.2f", lag, spread, least)
+		require.Less(t, spread, 1.7)
+		require.Greater(t, least, 2.0, "the baseline must show herding")
 	}
 }
 
-// Twice the load that the engines can serve. Callers see refusals with a time
-// to come back; what is taken must still be answered in time, and the short
-// queries first.
+// At twice the load that the engines can serve, requests beyond capacity must be
+// refused early, and admitted ones must still meet their deadlines, above all short
+// ones.
 func TestOverload(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -72,7 +72,7 @@
 				peak = max(peak, at(load).withinDeadline)
 			}
 			over := at(2)
-			t.Logf("%s, seed %d: %d answers in time at the peak, %d at twice the load; short in time %.3f; late %d, refused %d of %d",
+			t.Logf("%s, seed %d: %d responses within the deadline at the peak, %d at twice the load; short within the deadline %.3f; late %d, refused %d of %d",
 				c.name, seed+1, peak, over.withinDeadline, share(over.shortWithinDeadline, over.shortOffered), over.late, over.refused, over.offered)
 			require.GreaterOrEqual(t, float64(over.withinDeadline), 0.9*float64(peak))
 			require.GreaterOrEqual(t, share(over.shortWithinDeadline, over.shortOffered), 0.95)
@@ -81,8 +81,8 @@
 }
 
 // Three of eleven engines die at once while the reports are 5 s late. Their
-// requests break off, the rest must carry on, and 10 s after the engines are
-// back all must be as before.
+// requests break off; the others must go on, and 10 s after the engines recover the
+// share within the deadline must be as before.
 func TestEngineLossWithLateReports(t *testing.T) {
 	for seed := range uint64(2) {
 		f := newFleet(seed+1, rolesOf(11, 0, 0), 7, router.DefaultConfig("dc"), 5*time.Second)
@@ -106,15 +106,14 @@
 			return share(r.withinDeadline, r.offered)
 		}
 		b, d, a := rate(before), rate(during), rate(after)
-		t.Logf("seed %d: in time before %.3f, during %.3f, from 10 s after on %.3f", seed+1, b, d, a)
+		t.Logf("seed %d: within the deadline before %.3f, during %.3f, from 10 s after on %.3f", seed+1, b, d, a)
 		require.GreaterOrEqual(t, d, 0.9*b)
 		require.GreaterOrEqual(t, a, 0.97*b)
 	}
 }
 
-// BenchmarkPolicy measures shares in time over mixes, fleets and ages of
-// reports, for the record of rounds. It takes no time of the clock into
-// account; -benchtime 1x is enough.
+// BenchmarkPolicy measures the shares within the deadline over arrival rates,
+// fleets and report ages in simulated time; -benchtime 1x is enough.
 func BenchmarkPolicy(b *testing.B) {
 	fleets := []struct {
 		name  string
@@ -123,7 +122,7 @@
 	pipelines := []struct {
 		name string
 		make func(router.Config) *router.Scheduler
-	}{{"ours", nil}, {"outstanding", router.Baseline(router.LeastOutstanding{})}, {"robin", router.Baseline(&router.RoundRobin{})}}
+	}{{"default", nil}, {"outstanding", router.Baseline(router.LeastOutstanding{})}, {"robin", router.Baseline(&router.RoundRobin{})}}
 	for _, fl := range fleets {
 		for _, p := range pipelines {
 			for _, lag := range []time.Duration{time.Second, 5 * time.Second} {
--- a/router/tracker_test.go
+++ b/router/tracker_test.go
@@ -12,7 +12,7 @@
 	"tamarackchute/upstream"
 )
 
-// testClock is a clock that tests move.
+// testClock is a clock that tests advance.
 type testClock struct{ at time.Time }
 
 func (c *testClock) now() time.Time          { return c.at }
@@ -34,10 +34,9 @@
 
 var testRequest = Request{Pool: "p", Model: "m", PromptTokens: 1000, OutputTokens: 50}
 
-// A report that is 3 s old arrives. Of this process's requests it has the one
-// begun 4 s ago, which ended 1 s ago, and lacks the one begun 2 s ago. Taken
-// at its word, the engine would look idle though a prompt waits there, and
-// the ended request would be counted for another 3 s.
+// A 3 s old report includes the request begun 4 s ago, which ended 1 s ago, and
+// lacks the one begun 2 s ago. Without the correction the engine would look idle
+// although a prompt waits there, and the ended request would count for another 3 s.
 func TestLocalWorkCorrectsALateReport(t *testing.T) {
 	tr, clock := newTestTracker("a")
 	plan := Plan{Engine: "a"}
@@ -64,11 +63,11 @@
 	young.End(OutcomeOK)
 	require.Equal(t, 0, work().Requests)
 	tr.SetLoadReport("a", report(7, 0, 10*time.Second), clock.now())
-	require.Equal(t, 0, work().Requests, "an older report must not replace a younger one")
+	require.Equal(t, 0, work().Requests, "an older report must not replace a newer one")
 }
 
-// Callers ask for many tokens and get a third. Taken at the bound, a request
-// would be refused for a deadline that it makes with ease.
+// Callers request many tokens and receive a third. With the requested number as
+// the estimate, requests would be refused that would meet their deadlines.
 func TestOutputEstimateLearnsActualLength(t *testing.T) {
 	tr, clock := newTestTracker("a")
 	r := testRequest
@@ -89,8 +88,8 @@
 	require.InDelta(t, 0.35, estimate().Seconds()/before.Seconds(), 0.05)
 }
 
-// The books hold whatever the order of begin, first token, end and reports,
-// and many goroutines at once.
+// The counters must return to zero for any order of begin, first token, end and
+// reports, with concurrent goroutines.
 func TestCountersReturnToZero(t *testing.T) {
 	tr, _ := newTestTracker("a", "b", "c")
 	tr.now = time.Now
@@ -129,9 +128,9 @@
 	}
 }
 
-// An engine dies. Requests fail, it looks idle and would draw more of them.
-// It must be passed over at once, tried by single requests, and be back soon
-// after it answers.
+// An engine that has died fails requests and therefore looks idle, which would draw
+// more of them. It must be excluded at once, tried by single requests, and return
+// to service soon after it answers.
 func TestUnreachableUpstreamRecoversByTrial(t *testing.T) {
 	tr, clock := newTestTracker("a", "b")
 	tr.Begin(Plan{Engine: "a"}, testRequest).End(OutcomeBroken)
@@ -162,8 +161,8 @@
 	require.False(t, u.Trial || u.Ejected)
 }
 
-// All upstreams fail alike, say because of what the callers ask for. Ejecting
-// all of them would turn that into an outage.
+// All upstreams fail alike, for example because of what the callers request.
+// Ejecting all of them would turn that into an outage.
 func TestEjectionStopsAtMaxFraction(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e", "f"}
 	tr, clock := newTestTracker(names...)
@@ -181,21 +180,21 @@
 	require.Equal(t, 2, out)
 }
 
-// Holds double while trials fail, and stay short enough for a return within
-// 10 s of the fault's end.
+// Ejection times double while trials fail, and stay short enough for a return
+// within 10 s of the fault's end.
 func TestEjectionTimesGrow(t *testing.T) {
 	tr, clock := newTestTracker("a", "b")
-	var holds []time.Duration
+	var times []time.Duration
 	for range 5 {
 		for range 3 {
 			tr.Begin(Plan{Engine: "a"}, testRequest).End(OutcomeTimeout)
 		}
 		until := tr.byName["a"].node.live.ejectedUntil.Load()
-		holds = append(holds, time.Unix(0, until).Sub(clock.now()))
+		times = append(times, time.Unix(0, until).Sub(clock.now()))
 		clock.at = time.Unix(0, until)
 	}
 	s := time.Second
-	require.Equal(t, []time.Duration{2 * s, 4 * s, 8 * s, 8 * s, 8 * s}, holds)
+	require.Equal(t, []time.Duration{2 * s, 4 * s, 8 * s, 8 * s, 8 * s}, times)
 }
 
 func TestInstanceListAndDraining(t *testing.T) {
@@ -213,14 +212,13 @@
 	require.Equal(t, "", pick())
 	tr.SetDraining("b", false)
 	tr.SetInstances([]infra.Instance{{Name: "a"}})
-	require.Equal(t, "a", pick(), "b has gone from the list")
+	require.Equal(t, "a", pick(), "b is no longer listed")
 	tr.SetInstances(nil)
 	require.Equal(t, "", pick())
 }
 
-// Events come late and with gaps, and an engine starts anew with an empty
-// cache: what was believed must lose its weight, and none of it may stay for
-// good.
+// Events arrive late and with gaps, and an engine restarts with an empty cache: the
+// confidence of entries must fall accordingly, and the index must stay bounded.
 func TestPrefixIndexConfidence(t *testing.T) {
 	blocks := []uint64{1, 2, 3, 4}
 	stored := func(from uint64, ids ...uint64) []upstream.CacheEvent {
@@ -244,12 +242,12 @@
 		after     time.Duration
 		low, high float64
 	}{
-		{"told", func(x *PrefixIndex) {}, 0, 1, 1},
+		{"stored", func(x *PrefixIndex) {}, 0, 1, 1},
 		{"half-life", func(x *PrefixIndex) {}, time.Minute, 0.49, 0.51},
 		{"gap as large as the cache", func(x *PrefixIndex) { x.apply(0, stored(9, 77), testNow) }, 0, 0.49, 0.51},
-		{"new start", func(x *PrefixIndex) { x.apply(0, stored(1, 77), testNow) }, 0, 0, 0},
-		{"dropped", func(x *PrefixIndex) { x.apply(0, []upstream.CacheEvent{{Seq: 5, Block: 4}}, testNow) }, 0, 0.7, 0.8},
-		{"told again", func(x *PrefixIndex) { x.apply(0, stored(9, 1, 2, 3, 4), testNow) }, 0, 1, 1},
+		{"restart", func(x *PrefixIndex) { x.apply(0, stored(1, 77), testNow) }, 0, 0, 0},
+		{"evicted", func(x *PrefixIndex) { x.apply(0, []upstream.CacheEvent{{Seq: 5, Block: 4}}, testNow) }, 0, 0.7, 0.8},
+		{"stored again", func(x *PrefixIndex) { x.apply(0, stored(9, 1, 2, 3, 4), testNow) }, 0, 1, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -271,8 +269,8 @@
 func TestPrefixBlocks(t *testing.T) {
 	long := wordsOf(64)
 	require.Len(t, PrefixBlocks(long), 4)
-	require.Len(t, PrefixBlocks(long[:6*31]), 1, "part of a block has no hash")
-	require.Equal(t, PrefixBlocks(long)[:2], PrefixBlocks(wordsOf(32)), "chained from the beginning")
+	require.Len(t, PrefixBlocks(long[:6*31]), 1, "an incomplete block has no hash")
+	require.Equal(t, PrefixBlocks(long)[:2], PrefixBlocks(wordsOf(32)), "chained from the start")
 	other := PrefixBlocks("x" + long)
 	require.NotEqual(t, PrefixBlocks(long)[3], other[3])
 }
