--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -14,7 +14,7 @@
 
 var testStart = time.Unix(1_700_000_000, 0)
 
-// testClock is a clock that tests move.
+// testClock is a clock that tests advance.
 type testClock struct{ at time.Time }
 
 func (c *testClock) now() time.Time { return c.at }
@@ -30,7 +30,7 @@
 
 var oneEngine = Capacity{Engines: 1, Entries: 1, PrefillPerSecond: 5000, DecodePerSecond: 500}
 
-// longRequest has a prefill of half a second and takes a second in all.
+// longRequest returns a request with half a second of prefill and a second in total.
 func longRequest(org string, left time.Duration, at time.Time) Request {
 	return Request{Pool: "p", Model: "m", Organisation: org, Class: ClassLong, PromptTokens: 2500, OutputTokens: 50,
 		Deadline: at.Add(left), Estimate: Estimate{FirstToken: 500 * time.Millisecond, Complete: time.Second}}
@@ -72,7 +72,7 @@
 		change func(*Request)
 		want   Reason
 	}{
-		{"deadline shorter than the answer", nil, func(r *Request) { r.Deadline = testStart.Add(100 * time.Millisecond) }, ReasonDeadline},
+		{"deadline shorter than the response", nil, func(r *Request) { r.Deadline = testStart.Add(100 * time.Millisecond) }, ReasonDeadline},
 		{"no engine", func(c *Controller) { c.SetCapacity("p", "m", Capacity{}) }, nil, ReasonNoCapacity},
 		{"queue full", func(c *Controller) { c.cfg.MaxQueued = 0 }, nil, ReasonQueueFull},
 		{"stopping", func(c *Controller) { c.Stop() }, nil, ReasonStopping},
@@ -109,9 +109,8 @@
 	}
 }
 
-// Long bundles fill the queue of an engine. A short fault query comes and must
-// start at once, whatever waits there, and also when other short ones wait it
-// goes before any long one.
+// Long requests fill an engine's queue. A short request that arrives must start at
+// once, ahead of all waiting long ones.
 func TestShortIsNotHeldBehindLong(t *testing.T) {
 	c, clock := newTest(nil)
 	c.SetCapacity("p", "m", oneEngine)
@@ -121,9 +120,9 @@
 	require.NotNil(t, granted(t, submit(t, c, shortRequest("crew", 2*time.Second, clock.at))))
 }
 
-// The queue is long and drains at a known rate. A request that would wait past
-// its deadline is told at once, and when to come back; one with more time in
-// hand is taken.
+// The queue is long and drains at a known rate. A request that would wait past its
+// deadline must be refused at once with a retry delay; one with more time must be
+// accepted.
 func TestEarlyRefusalAndRetryAfter(t *testing.T) {
 	c, clock := newTest(nil)
 	c.SetCapacity("p", "m", oneEngine)
@@ -147,13 +146,13 @@
 	_, err := c.Submit(longRequest("a", 5*time.Second, clock.at))
 	ref := refusal(t, err)
 	require.Equal(t, ReasonDeadline, ref.Reason)
-	require.InDelta(t, 20, ref.ExpectedWait.Seconds(), 7, "about twenty wait, one goes a second")
+	require.InDelta(t, 20, ref.ExpectedWait.Seconds(), 7, "about twenty wait, one starts each second")
 	require.InDelta(t, 16, ref.RetryAfter.Seconds(), 7)
 	submit(t, c, longRequest("a", time.Minute, clock.at))
 }
 
-// The engine stalls after requests were taken in. Those that can't make their
-// deadlines any more are refused as soon as that is clear, not at the deadline.
+// The engine stalls after requests were accepted. Those that can no longer meet
+// their deadlines must be refused as soon as that is clear, not at the deadline.
 func TestWaitingIsRefusedOnceDeadlineIsUnmeetable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New(DefaultConfig(), nil)
@@ -168,19 +167,19 @@
 		_, err := c.Acquire(ctx, longRequest("z", 3*time.Second, start))
 		ref := refusal(t, err)
 		require.Equal(t, ReasonDeadline, ref.Reason)
-		require.LessOrEqual(t, time.Since(start), 2*time.Second+sweepPeriod, "the answer itself needs a second")
+		require.LessOrEqual(t, time.Since(start), 2*time.Second+sweepPeriod, "the response itself needs a second")
 
-		gone, leave := context.WithTimeout(ctx, 10*time.Millisecond)
-		defer leave()
-		_, err = c.Acquire(gone, longRequest("z", time.Hour, time.Now()))
+		short, cancelShort := context.WithTimeout(ctx, 10*time.Millisecond)
+		defer cancelShort()
+		_, err = c.Acquire(short, longRequest("z", time.Hour, time.Now()))
 		require.Equal(t, ReasonCancelled, refusal(t, err).Reason)
 		require.Equal(t, 4, c.Counts().Waiting)
 	})
 }
 
-// An engine turns slow after requests were taken in: one goes each ten seconds,
-// not each second. The last in the queue have half a minute left, yet it is
-// clear that they won't make it. Told now, their callers can go elsewhere.
+// An engine slows down after requests were accepted: one goes every ten seconds
+// rather than every second. The last in the queue have half a minute left but will
+// miss their deadlines. Refused now, their callers can go elsewhere.
 func TestUnmeetableDeadlineIsRefusedEarly(t *testing.T) {
 	c, clock := newTest(nil)
 	c.SetCapacity("p", "m", oneEngine)
@@ -207,11 +206,11 @@
 		c.Sweep()
 	}
 	require.GreaterOrEqual(t, refused, 2)
-	require.LessOrEqual(t, refused, 6, "six can still make it")
+	require.LessOrEqual(t, refused, 6, "six can still meet their deadlines")
 }
 
-// One organisation floods. The others' shares must not shrink with its queue,
-// and while they are silent it gets everything.
+// One organisation floods the queue. The others' shares must not shrink with its
+// queue, and while they are idle it must get everything.
 func TestFairShares(t *testing.T) {
 	q := newFairQueue(100)
 	for range 300 {
@@ -241,7 +240,7 @@
 			late++
 		}
 	}
-	require.InDelta(t, 5, late, 1, "who comes late has nothing to catch up on")
+	require.InDelta(t, 5, late, 1, "a late arrival gets no compensation")
 	for q.len > 0 {
 		q.pop()
 	}
@@ -249,8 +248,8 @@
 	require.Equal(t, "flood", q.pop().org, "work-conserving")
 }
 
-// An organisation sends its next request only once the last one has gone, so
-// that it never has two waiting. It must not pass a queue at every turn.
+// An organisation that sends its next request only after the previous one was served
+// never has two waiting. It must not overtake another's queue at every turn.
 func TestSingleWaitingRequestGetsFairShare(t *testing.T) {
 	q := newFairQueue(100)
 	for range 40 {
@@ -267,8 +266,8 @@
 	require.InDelta(t, 10, single, 1)
 }
 
-// Whatever is pushed, popped and removed, in any order: nothing is lost or
-// served twice, higher priority goes first, and the sums come out.
+// For any order of push, pop and remove: no request is lost or served twice, higher
+// priority goes first, and the sums are consistent.
 func TestFairQueueInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := newFairQueue(3)
@@ -314,8 +313,8 @@
 	})
 }
 
-// Every request is answered once, granted places come back, and nothing stays
-// behind, with many callers that come, wait, give up and end at once.
+// With many concurrent callers that arrive, wait, cancel and end, every request must
+// be decided once, and all window and limit places must be given back.
 func TestControllerUnderManyCallers(t *testing.T) {
 	c := New(DefaultConfig(), nil)
 	c.SetCapacity("p", "m", oneEngine)
@@ -350,8 +349,8 @@
 	require.Empty(t, c.limits.running)
 }
 
-// A fault makes every attempt fail. Each caller's request would be tried again
-// and so double the load on what is left.
+// A fault fails every attempt. Unlimited retries would double the load on the
+// remaining upstreams.
 func TestRetryBudget(t *testing.T) {
 	c, clock := newTest(nil)
 	retries := 0
@@ -362,7 +361,7 @@
 			retries++
 		}
 	}
-	require.InDelta(t, 115, retries, 6, "a tenth, half of what may be saved up, and one in two seconds")
+	require.InDelta(t, 115, retries, 6, "a tenth, the initial half of the bucket, and one every two seconds")
 }
 
 func BenchmarkAcquire(b *testing.B) {
--- a/admission/budget.go
+++ b/admission/budget.go
@@ -2,24 +2,23 @@
 
 import "time"
 
-// The parts of a retry budget beside the share: how many retries may be saved
-// up, and how many a second are given whatever the traffic, so that a quiet
-// entry can retry at all.
+// A budget holds at most maxBudgetTokens retries, and refills by
+// budgetRefillPerSecond whatever the traffic, so that an idle entry can retry.
 const (
 	maxBudgetTokens       = 20.0
 	budgetRefillPerSecond = 0.5
 )
 
-// budget is a token bucket filled by requests. A fault that makes each attempt
-// fail would otherwise double the load on what is left, just when that is
-// least able to bear it; with the budget the load grows by the share at most.
+// budget is a token bucket of retries, filled by a ratio of the requests. A fault
+// that fails every attempt would otherwise double the load on the remaining
+// upstreams; with the budget, the load grows by the ratio at most.
 type budget struct {
 	ratio  float64
 	tokens float64
 	last   time.Time
 }
 
-// earn counts a first attempt.
+// earn records a first attempt.
 func (b *budget) earn(now time.Time) {
 	b.refill(now)
 	b.tokens = min(maxBudgetTokens, b.tokens+b.ratio)
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// poolKey names the upstreams that share a capacity.
+// poolKey identifies the upstreams that share a capacity.
 type poolKey struct{ pool, model string }
 
-// Controller admits requests. It is safe for use by many goroutines.
+// Controller admits requests. It is safe for concurrent use.
 type Controller struct {
 	cfg Config
 	now func() time.Time
@@ -23,15 +23,15 @@
 	counts   Counts
 }
 
-// Counts are totals since the start, for metrics.
+// Counts are totals since the start, and the current number of waiting requests.
 type Counts struct {
 	Admitted, Queued uint64
 	Refused          map[Reason]uint64
 	Waiting          int
 }
 
-// New makes a controller. now is the clock; nil means time.Now. Its Serve
-// must run for waiting requests to be refused before their last moment.
+// New returns a controller. now is the clock; nil means time.Now. Without a running
+// Serve, waiting requests are refused only at their latest start time.
 func New(cfg Config, now func() time.Time) *Controller {
 	if now == nil {
 		now = time.Now
@@ -46,7 +46,7 @@
 	}
 }
 
-// pool returns the core of a pool and model, made if needed.
+// pool returns the state of a pool and model, and creates it if needed.
 func (c *Controller) pool(name, model string) *pool {
 	k := poolKey{name, model}
 	p := c.pools[k]
@@ -57,9 +57,9 @@
 	return p
 }
 
-// SetCapacity takes what the router knows of a pool and model. Call it about
-// once a second and when engines come or go. Until the first call nothing of
-// that pool waits; plain services need none.
+// SetCapacity sets the capacity of a pool and model. It should be called about once
+// a second and when engines come or go. Until the first call, no request to the
+// pool waits; plain services need no call.
 func (c *Controller) SetCapacity(name, model string, capacity Capacity) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -68,8 +68,8 @@
 	c.startWaiting(p)
 }
 
-// Acquire waits until a request may be sent. Its error is always a *Refusal,
-// after which the request has not run. A grant must be released.
+// Acquire waits until a request may be sent. Its error is always a *Refusal, which
+// means that the request has not run. A grant must be released.
 func (c *Controller) Acquire(ctx context.Context, r Request) (*Grant, error) {
 	p, err := c.Submit(r)
 	if err != nil {
@@ -81,16 +81,15 @@
 	return &Grant{c: c, w: p.w}, nil
 }
 
-// Pending is a request that was taken in and may still wait. It is for callers
-// that don't want to block; others use Acquire.
+// Pending is an accepted request that may still be waiting. It serves callers that
+// must not block; others use Acquire.
 type Pending struct {
 	c *Controller
 	w *waiter
 }
 
-// Submit takes a request in without waiting, or refuses it at once with a
-// *Refusal. Something must call Sweep, or run Serve, for the waiting to be
-// refused in time.
+// Submit enqueues a request without waiting, or refuses it with a *Refusal. Serve
+// must run, or Sweep be called, for waiting requests to be refused early.
 func (c *Controller) Submit(r Request) (*Pending, error) {
 	w := &waiter{req: r, class: c.classOf(&r), decision: make(chan *Refusal, 1)}
 	if ref := c.enqueueOrRefuse(w); ref != nil {
@@ -99,8 +98,8 @@
 	return &Pending{c, w}, nil
 }
 
-// Poll returns the grant or the *Refusal once there is one; ok says whether
-// there is. It is there once.
+// Poll returns the grant or the *Refusal once there is a decision; ok reports
+// whether there is. It returns a decision only once.
 func (p *Pending) Poll() (g *Grant, ok bool, err error) {
 	select {
 	case ref := <-p.w.decision:
@@ -123,8 +122,8 @@
 	return ClassShort
 }
 
-// arrive decides on a new request: refused, started (the verdict is there at
-// once) or waiting.
+// enqueueOrRefuse refuses a new request or enqueues it; if it starts at once, its
+// decision is ready on return.
 func (c *Controller) enqueueOrRefuse(w *waiter) *Refusal {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -150,7 +149,7 @@
 	return nil
 }
 
-// check refuses what can't be answered in time and what finds no room.
+// checkCapacity refuses a request that can't meet its deadline or finds no room.
 func (c *Controller) checkCapacity(p *pool, w *waiter, now time.Time) *Refusal {
 	if c.stopping {
 		return &Refusal{Reason: ReasonStopping, RetryAfter: time.Second}
@@ -169,7 +168,7 @@
 	return nil
 }
 
-// pump starts what may start.
+// startWaiting grants the waiting requests that may start now.
 func (c *Controller) startWaiting(p *pool) {
 	now := c.now()
 	for w := p.next(now); w != nil; w = p.next(now) {
@@ -179,8 +178,7 @@
 	}
 }
 
-// await waits for the verdict, the caller's going away, or the last moment at
-// which the request can start.
+// await waits for the decision, the end of ctx, or the request's latest start time.
 func (c *Controller) await(ctx context.Context, w *waiter) *Refusal {
 	select {
 	case ref := <-w.decision:
@@ -203,14 +201,14 @@
 	}
 }
 
-// giveUp takes a waiting request out, unless its verdict came meanwhile. A
-// grant that came together with the caller's going away is given back.
-func (c *Controller) abandon(w *waiter, why Reason) *Refusal {
+// abandon removes a waiting request, unless it was decided meanwhile. A grant that
+// coincides with the caller's cancellation is released.
+func (c *Controller) abandon(w *waiter, reason Reason) *Refusal {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	select {
 	case ref := <-w.decision:
-		if ref != nil || why != ReasonCancelled {
+		if ref != nil || reason != ReasonCancelled {
 			return ref
 		}
 		c.release(w)
@@ -220,8 +218,8 @@
 	now := c.now()
 	p := c.pool(w.req.Pool, w.req.Model)
 	p.tick(now)
-	ref := &Refusal{Reason: why, Waited: now.Sub(w.arrived)}
-	if why == ReasonDeadline {
+	ref := &Refusal{Reason: reason, Waited: now.Sub(w.arrived)}
+	if reason == ReasonDeadline {
 		ref.RequiredTime = w.req.Estimate.Complete
 		ref.TimeLeft = w.req.Deadline.Sub(now)
 		ref.ExpectedWait = p.forClass(w.class).meter.wait(p.forClass(w.class).queue.ahead(w.req.Organisation, w.req.Priority))
@@ -231,7 +229,7 @@
 	return ref
 }
 
-// remove takes a waiting request out with a refusal.
+// refuseWaiting removes a waiting request with a refusal.
 func (c *Controller) refuseWaiting(p *pool, w *waiter, ref *Refusal) {
 	p.removeWaiting(w)
 	c.queued--
@@ -239,7 +237,7 @@
 	c.counts.Refused[ref.Reason]++
 }
 
-// release ends a granted request's claims on window and limits.
+// release gives up a granted request's share of the window and the limits.
 func (c *Controller) release(w *waiter) {
 	p := c.pool(w.req.Pool, w.req.Model)
 	p.tick(c.now())
@@ -248,11 +246,11 @@
 	c.startWaiting(p)
 }
 
-// sweepPeriod is how often waiting requests are judged anew.
+// sweepPeriod is how often waiting requests are checked against their deadlines.
 const sweepPeriod = 25 * time.Millisecond
 
-// Serve refuses waiting requests as soon as it is clear that they won't make
-// their deadlines, until ctx ends.
+// Serve refuses waiting requests as soon as they are expected to miss their
+// deadlines, until ctx ends.
 func (c *Controller) Serve(ctx context.Context) error {
 	t := time.NewTicker(sweepPeriod)
 	defer t.Stop()
@@ -266,8 +264,8 @@
 	}
 }
 
-// Sweep refuses the waiting requests that won't make their deadlines, and
-// starts those that may start. Serve calls it.
+// Sweep refuses the waiting requests that are expected to miss their deadlines, and
+// starts those that may start. Serve calls it periodically.
 func (c *Controller) Sweep() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -283,7 +281,7 @@
 	}
 }
 
-// Stop refuses what waits and what comes. Granted requests go on.
+// Stop refuses all waiting and future requests. Granted requests continue.
 func (c *Controller) Stop() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -299,15 +297,15 @@
 	}
 }
 
-// MayRetry reports whether the retry budget allows one more attempt of an
-// admitted request, and counts it.
+// MayRetry reports whether the retry budget allows another attempt of an admitted
+// request, and counts it.
 func (c *Controller) MayRetry() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.budget.spend(c.now())
 }
 
-// Counts returns the totals.
+// Counts returns the current counts.
 func (c *Controller) Counts() Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/admission/doc.go
+++ b/admission/doc.go
@@ -1,12 +1,12 @@
-// Package admission decides which requests start now, which wait and which
-// are refused at once.
+// Package admission decides which requests start now, which wait and which are
+// refused at once.
 //
-// A request is taken only if it is expected to be answered whole by its
-// deadline. What can't be is refused before anything was sent, so the refusal's
-// "not run" is true, with the time after which a repeat may succeed. Waiting
-// requests are ordered by class (a window of work sent ahead for each),
-// priority and fair shares of the organisations, counted in tokens.
+// A request is admitted only if its complete response is expected by its deadline.
+// Others are refused before anything is sent, so that the refusal's "not run" is
+// true, with a time after which a retry may succeed. Waiting requests are ordered
+// by class (each with a window of outstanding work), priority, and fair shares of
+// the organisations, measured in tokens.
 //
-// The decisions are pure: time and events in, decisions out. Controller is the
-// runtime around them.
+// The decisions are pure functions of time and events; Controller is the runtime
+// around them.
 package admission
--- a/admission/fair.go
+++ b/admission/fair.go
@@ -17,48 +17,44 @@
 	removed  bool
 }
 
-// flow is the waiting requests of one organisation at one priority.
+// flow holds the waiting requests of one organisation at one priority.
 type flow struct {
 	org     string
-	finish  float64 // virtual time at which its last served request ends
+	finish  float64 // virtual finish time of its last served request
 	start   float64 // virtual start time of its first waiting request
-	seq     uint64  // breaks ties by arrival
-	items   []*item // in order of arrival; removed ones are dropped when met
-	live    int     // items that aren't removed
-	cost    float64 // their sum
+	seq     uint64  // order in which the flow became active; breaks ties
+	items   []*item // in order of arrival; removed ones are dropped lazily
+	live    int     // number of items that aren't removed
+	cost    float64 // total cost of those
 	heapPos int
 }
 
-// fairQueue orders waiting requests by priority, then by start-time fair
-// queueing: each organisation's requests get virtual start times spaced by
-// their cost, and the least start time goes first. It is work-conserving, for
-// virtual time only moves as requests are served: whoever is alone gets all.
-//
-// An organisation with nothing waiting needs state only while its last finish
-// time lies ahead of the virtual time. Those are kept in a bounded LRU; one
-// that falls out of it may get one request's cost too much, once.
+// fairQueue orders waiting requests by priority, then by start-time fair queueing:
+// an organisation's requests get virtual start times spaced by their cost, and the
+// least goes first. It is work-conserving, since virtual time advances only as
+// requests are served.
 type fairQueue struct {
 	levels  []*level // highest priority first
-	maxIdle int      // bound of remembered idle flows for each level
+	maxIdle int      // bound on the remembered idle flows of each level
 	len     int
 	cost    float64
 	seq     uint64
 }
 
-// level is the waiting requests of one priority.
+// level holds the waiting requests of one priority.
 type level struct {
 	priority   int
 	virtual    float64
 	flows      map[string]*flow
 	ready      flowHeap
-	idleFinish *simplelru.LRU[string, float64] // finish times of idle flows
+	idleFinish *simplelru.LRU[string, float64] // finish times of idle flows that lie ahead of virtual; bounded, see deactivate
 	cost       float64
 	live       int
 }
 
 func newFairQueue(idle int) *fairQueue { return &fairQueue{maxIdle: max(1, idle)} }
 
-// level returns the level of a priority, made if needed.
+// level returns the level of a priority, and creates it if needed.
 func (q *fairQueue) level(priority int) *level {
 	i, ok := slices.BinarySearchFunc(q.levels, priority, func(l *level, p int) int { return p - l.priority })
 	if ok {
@@ -71,7 +67,7 @@
 	return l
 }
 
-// push adds a request at the end of its organisation's.
+// push appends a request to its organisation's flow.
 func (q *fairQueue) push(it *item) {
 	l := q.level(it.priority)
 	f := l.flows[it.org]
@@ -94,7 +90,7 @@
 	}
 }
 
-// revive takes an organisation back from the idle ones.
+// reactivate creates an organisation's flow, with its finish time if remembered.
 func (l *level) reactivate(org string) *flow {
 	f := &flow{org: org}
 	if finish, ok := l.idleFinish.Peek(org); ok {
@@ -105,7 +101,7 @@
 	return f
 }
 
-// peek returns the request that goes next, nil if none waits.
+// peek returns the request that goes next, or nil if none waits.
 func (q *fairQueue) peek() *item {
 	for _, l := range q.levels {
 		if len(l.ready) > 0 {
@@ -115,8 +111,8 @@
 	return nil
 }
 
-// first returns the first item that isn't removed. There is one while the
-// flow is in the heap.
+// first returns the first item that isn't removed. There is one while the flow is
+// in the heap.
 func (f *flow) first() *item {
 	for f.items[0].removed {
 		f.items[0] = nil
@@ -125,7 +121,7 @@
 	return f.items[0]
 }
 
-// pop takes the request that peek returned.
+// pop removes and returns the request that peek returns.
 func (q *fairQueue) pop() *item {
 	it := q.peek()
 	if it == nil {
@@ -139,7 +135,7 @@
 	return it
 }
 
-// remove takes a request out of the middle. Its organisation isn't charged.
+// remove removes a request without serving it. Its organisation isn't charged.
 func (q *fairQueue) remove(it *item) {
 	if it.removed {
 		return
@@ -166,22 +162,23 @@
 	heap.Fix(&l.ready, f.heapPos)
 }
 
-// retire drops a flow with nothing waiting, and remembers its finish time if
-// that still lies ahead.
+// deactivate drops an empty flow, and remembers its finish time if that lies ahead
+// of the virtual time. A flow that the LRU evicts may get one request too many
+// served early, once.
 func (l *level) deactivate(f *flow) {
 	delete(l.flows, f.org)
 	if f.finish > l.virtual {
 		l.idleFinish.Add(f.org, f.finish)
 	}
 	if len(l.ready) == 0 {
-		// Nobody waits: the next to come competes with nobody's past.
+		// The level is idle: past service doesn't count against the next arrivals.
 		l.idleFinish.Purge()
 		l.cost = 0
 	}
 }
 
-// charge corrects an organisation's account by the difference between what a
-// request was taken to cost and what it cost.
+// charge adjusts an organisation's account by the difference between a request's
+// actual and estimated cost.
 func (q *fairQueue) charge(org string, priority int, difference float64) {
 	l := q.level(priority)
 	if f := l.flows[org]; f != nil {
@@ -207,9 +204,9 @@
 	return q.aheadOf(priority, own)
 }
 
-// aheadOf is the cost of what will be served before a request that has a cost
-// of its own organisation's before it: everything of higher priority, and of
-// its own as much from each organisation as from its own.
+// aheadOf is the cost of what will be served before a request with cost own of its
+// organisation's ahead of it: everything of higher priority and, at its own, as much
+// of each other organisation.
 func (q *fairQueue) aheadOf(priority int, own float64) float64 {
 	var sum float64
 	for _, l := range q.levels {
@@ -225,8 +222,8 @@
 	return sum
 }
 
-// fairPart is what the other organisations of a level are served while one is
-// served a cost; at least one request each.
+// fairShare is the cost that a level's organisations are served while one of them is
+// served own; at least one mean request each.
 func (l *level) fairShare(own float64) float64 {
 	if len(l.ready) == 0 {
 		return 0
@@ -235,8 +232,8 @@
 	return max(own, mean) * float64(len(l.ready))
 }
 
-// visit calls f for each waiting request with the cost that its organisation
-// has before it. f may not change the queue.
+// visit calls f for each waiting request with the cost of its organisation's
+// requests ahead of it. f must not change the queue.
 func (q *fairQueue) visit(f func(it *item, own float64)) {
 	for _, l := range q.levels {
 		for _, fl := range l.ready {
--- a/admission/grant.go
+++ b/admission/grant.go
@@ -2,19 +2,18 @@
 
 import "time"
 
-// Grant is the leave to send a request. Retries of the request go under the
-// same grant.
+// Grant is the permission to send a request. It covers the request's retries.
 type Grant struct {
 	c        *Controller
 	w        *waiter
 	released bool
 }
 
-// Waited is how long the request was in the queue.
+// Waited is the time that the request spent in the queue.
 func (g *Grant) Waited() time.Duration { return g.w.granted.Sub(g.w.arrived) }
 
-// FirstToken says that the upstream has begun to answer, which makes room for
-// the next request. Calling it again does nothing.
+// FirstToken records the first token, which makes room in the window for the next
+// request. Further calls do nothing.
 func (g *Grant) FirstToken() {
 	g.c.mu.Lock()
 	defer g.c.mu.Unlock()
@@ -25,8 +24,8 @@
 	g.c.startWaiting(p)
 }
 
-// Release ends the grant, with the output tokens that the answer had. Calling
-// it again does nothing.
+// Release ends the grant, with the number of output tokens. Further calls do
+// nothing.
 func (g *Grant) Release(res Result, output int) {
 	g.c.mu.Lock()
 	defer g.c.mu.Unlock()
--- a/admission/limits.go
+++ b/admission/limits.go
@@ -8,7 +8,7 @@
 	"golang.org/x/time/rate"
 )
 
-// limitKey names what shares a limit: a rule, or an organisation under it.
+// limitKey identifies what shares a limit: a rule, or an organisation under it.
 type limitKey struct{ rule, organisation string }
 
 func keyOf(l *Limit, organisation string) limitKey {
@@ -18,10 +18,9 @@
 	return limitKey{rule: l.Rule}
 }
 
-// limits holds the state of the rules' limits. Rates of organisations that
-// haven't been seen for longest are forgotten; after that an organisation
-// starts with a full bucket, which lets it have one burst too many. Counts of
-// concurrent requests exist only while there are some.
+// limits holds the state of the rules' limits. The least recently used rate
+// limiters are evicted; their organisations then start with a full bucket, which
+// allows one extra burst. Concurrency counts exist only while they aren't zero.
 type limits struct {
 	rates   *simplelru.LRU[limitKey, *rate.Limiter]
 	running map[limitKey]int
@@ -32,8 +31,8 @@
 	return &limits{rates: rates, running: map[limitKey]int{}}
 }
 
-// take books a request under all its limits, or returns the refusal. One that a
-// later limit refuses has still used up its token of an earlier rate.
+// acquire counts a request against all its limits, or returns the refusal. A
+// request that a later limit refuses has still used a token of the earlier rates.
 func (l *limits) acquire(r *Request, now time.Time) *Refusal {
 	for i := range r.Limits {
 		lim := &r.Limits[i]
@@ -73,7 +72,7 @@
 	return &Refusal{Reason: ReasonRate, RetryAfter: retryAfter(wait), Rule: lim.Rule}
 }
 
-// release gives the concurrent places back.
+// release gives back the request's places under concurrency limits.
 func (l *limits) release(r *Request) {
 	for i := range r.Limits {
 		if r.Limits[i].Concurrent <= 0 {
--- a/admission/meter.go
+++ b/admission/meter.go
@@ -5,27 +5,25 @@
 	"time"
 )
 
-// meterSpan is the time over which a meter forgets.
+// meterTimeConstant is the time constant of the meter's decay.
 const meterTimeConstant = 4 * time.Second
 
-// meterKeep is what a serve leaves of those before it at most.
+// maxMeterRetention is the most of the previous values that a serve retains.
 const maxMeterRetention = 0.98
 
-// meter measures how fast a queue drains: the cost served over the time in
-// which something waited, both forgotten alike. Time without a queue says
-// nothing about capacity and isn't counted. The time since the last serve
-// counts once it is longer than usual, so that a queue that goes in lumps
-// doesn't seem to have stopped between two of them, and one that has stopped
-// does.
+// meter measures how fast a queue drains: the cost served over the time in which
+// something waited, with exponential decay. Idle time says nothing about capacity.
+// The time since the last serve counts once it exceeds the usual gap, so that a
+// queue served in bursts doesn't seem stalled and a stalled one does.
 type meter struct {
 	served     float64
-	busy       float64 // seconds, up to the last serve
+	busy       float64 // seconds with a queue, up to the last serve
 	serves     float64
-	sinceServe float64 // seconds since the last serve
+	sinceServe float64 // seconds with a queue since the last serve
 	last       time.Time
 }
 
-// prime gives a rate to start from, as if seen for a second.
+// seed sets an initial rate, as if observed for a second.
 func (m *meter) seed(rate float64) {
 	if m.busy > 0 || rate <= 0 {
 		return
@@ -35,7 +33,7 @@
 	m.serves = 1
 }
 
-// tick moves time on. waiting says whether something has waited since the
+// tick advances the time. waiting says whether the queue was nonempty since the
 // last tick.
 func (m *meter) tick(now time.Time, waiting bool) {
 	if waiting && !m.last.IsZero() {
@@ -44,7 +42,7 @@
 	m.last = now
 }
 
-// serve counts something taken from the queue.
+// serve records that a cost was taken from the queue.
 func (m *meter) serve(cost float64) {
 	keep := min(maxMeterRetention, math.Exp(-m.sinceServe/meterTimeConstant.Seconds()))
 	m.served = m.served*keep + cost
@@ -53,7 +51,7 @@
 	m.sinceServe = 0
 }
 
-// rate is the cost served a second; 0 if nothing is known.
+// rate is the cost served per second; 0 if unknown.
 func (m *meter) rate() float64 {
 	if m.busy <= 0 {
 		return 0
@@ -62,7 +60,7 @@
 	return m.served / (m.busy + max(0, m.sinceServe-usual))
 }
 
-// wait is the time to serve a cost.
+// wait is the expected time to serve a cost.
 func (m *meter) wait(cost float64) time.Duration {
 	r := m.rate()
 	if r <= 0 || cost <= 0 {
--- a/admission/pool.go
+++ b/admission/pool.go
@@ -9,25 +9,24 @@
 	item        *item
 	arrived     time.Time
 	granted     time.Time
-	outstanding bool // sent and without a first token
-	// verdict gets nil for a grant, else the refusal; once.
+	outstanding bool // sent, first token not received
+	// decision receives nil for a grant or else the refusal, once.
 	decision chan *Refusal
 }
 
-// work is the waiter's weight in the window.
+// work is the request's weight in the window.
 func (w *waiter) work() time.Duration { return workPerRequest + w.req.Estimate.prefillTime() }
 
-// caution is what estimates are multiplied by before they are held against a
-// deadline: an answer that comes too late has taken engine time from one that
-// would have been in time.
+// safetyFactor multiplies estimates before they are compared with a deadline: a
+// late response takes engine time from one that would have met its deadline.
 const safetyFactor = 1.1
 
-// needs is the time from its start that a request is judged by.
+// requiredTime is the time from the start that the request is expected to need.
 func (w *waiter) requiredTime() time.Duration {
 	return time.Duration(safetyFactor * float64(w.req.Estimate.Complete))
 }
 
-// latest is the last moment at which it can start; zero without a deadline.
+// latestStart is the latest time at which it can start; zero without a deadline.
 func (w *waiter) latestStart() time.Time {
 	if w.req.Deadline.IsZero() {
 		return time.Time{}
@@ -35,7 +34,7 @@
 	return w.req.Deadline.Add(-w.requiredTime())
 }
 
-// lane is the requests of one class.
+// classState is the state of one class of requests.
 type classState struct {
 	queue    *fairQueue
 	meter    meter
@@ -43,15 +42,15 @@
 	pressure pressure
 }
 
-// pool is the pure core for the upstreams of one pool and model. Time comes in
-// with each call; what it decides is returned.
+// pool is the state for the upstreams of one pool and model. Time is passed to each
+// call, and decisions are returned.
 type pool struct {
 	cfg           *Config
 	capacity      Capacity
-	capacityKnown bool // a capacity was set; without one nothing waits
+	capacityKnown bool // SetCapacity was called; until then no request waits
 	classes       [2]classState
-	periodStart   time.Time // start of the windows' period
-	// outputCost is what an output token costs in prompt tokens.
+	periodStart   time.Time // start of the windows' current period
+	// outputCost is the cost of an output token in prompt tokens.
 	outputCost float64
 }
 
@@ -73,7 +72,7 @@
 	return &p.classes[0]
 }
 
-// setCapacity takes what the router knows of the upstreams.
+// setCapacity sets the capacity of the upstreams.
 func (p *pool) setCapacity(c Capacity) {
 	p.capacityKnown = true
 	p.capacity = c
@@ -87,19 +86,19 @@
 	}
 }
 
-// cost is a request's weight in fair shares, in prompt tokens.
+// cost is a request's cost for fair shares, in prompt tokens.
 func (p *pool) cost(prompt, output int) float64 {
 	return float64(prompt) + p.outputCost*float64(output)
 }
 
-// tick moves the meters on; called before each change of the queues.
+// tick advances the meters. It is called before each change of the queues.
 func (p *pool) tick(now time.Time) {
 	for i := range p.classes {
 		p.classes[i].meter.tick(now, p.classes[i].queue.len > 0)
 	}
 }
 
-// expectedWait is the time in the queue of a request that comes now.
+// expectedWait is the expected queueing time of a request that arrives now.
 func (p *pool) expectedWait(w *waiter) time.Duration {
 	l := p.forClass(w.class)
 	if l.queue.len == 0 {
@@ -108,7 +107,7 @@
 	return l.meter.wait(l.queue.ahead(w.req.Organisation, w.req.Priority))
 }
 
-// tooLate returns the refusal of a request that can't make its deadline after
+// checkDeadline returns the refusal of a request that would miss its deadline after
 // a wait, or nil.
 func (p *pool) checkDeadline(w *waiter, wait time.Duration, now time.Time) *Refusal {
 	if w.req.Deadline.IsZero() {
@@ -129,19 +128,18 @@
 	}
 }
 
-// whenToComeBack is the time until the queue is expected to be so short that
-// the same request with the same time in hand would be taken: what the queue
-// has too much, at the rate at which it drains.
+// retryDelay is the time until an identical request with the same slack is expected
+// to be accepted: the excess of the queue at the rate at which it drains.
 func (p *pool) retryDelay(w *waiter, wait time.Duration, now time.Time) time.Duration {
-	inHand := w.req.Deadline.Sub(w.arrived) - w.requiredTime()
-	back := wait - max(0, inHand)
-	if w.req.Estimate.Queue > back {
-		back = w.req.Estimate.Queue
+	slack := w.req.Deadline.Sub(w.arrived) - w.requiredTime()
+	delay := wait - max(0, slack)
+	if w.req.Estimate.Queue > delay {
+		delay = w.req.Estimate.Queue
 	}
-	return min(p.cfg.MaxRetryAfter, retryAfter(back))
+	return min(p.cfg.MaxRetryAfter, retryAfter(delay))
 }
 
-// retryAfter rounds up to whole seconds, for that is what HTTP's header has.
+// retryAfter rounds up to whole seconds, the unit of the Retry-After header.
 func retryAfter(d time.Duration) time.Duration {
 	if d <= time.Second {
 		return time.Second
@@ -160,11 +158,11 @@
 	p.forClass(w.class).queue.push(w.item)
 }
 
-// drop takes a waiting request out of its queue.
+// removeWaiting removes a waiting request from its queue.
 func (p *pool) removeWaiting(w *waiter) { p.forClass(w.class).queue.remove(w.item) }
 
-// next returns the request that starts now, nil if none may. It has been taken
-// from its queue and is on its way.
+// next returns the request that starts now, or nil if none may. It has been removed
+// from its queue and counts in its window.
 func (p *pool) next(now time.Time) *waiter {
 	for _, c := range [...]Class{ClassShort, ClassLong} {
 		l := p.forClass(c)
@@ -180,8 +178,8 @@
 	return nil
 }
 
-// mayStart reports whether its window lets a request be sent. Long requests
-// also leave a share of the engines free.
+// mayStart reports whether the window allows a request to be sent. Long requests
+// also leave a fraction of the engines free.
 func (p *pool) mayStart(w *waiter) bool {
 	if !p.capacityKnown {
 		return true
@@ -193,19 +191,19 @@
 	return win.fits(w.work())
 }
 
-// longRoom is how many long requests may be on their way from here.
+// maxLongOutstanding bounds this entry's outstanding long requests.
 func (p *pool) maxLongOutstanding() int {
 	return max(1, int((1-p.cfg.ShortReserve)*float64(p.capacity.Engines)))
 }
 
-// start marks a request as on its way.
+// markSent marks a request as sent.
 func (p *pool) markSent(w *waiter, now time.Time) {
 	w.granted = now
 	w.outstanding = true
 	p.forClass(w.class).window.add(w.work())
 }
 
-// started marks a request's first token.
+// firstToken records a request's first token.
 func (p *pool) firstToken(w *waiter, now time.Time) {
 	if p.leaveWindow(w) {
 		p.recordPressure(w, now.Sub(w.granted)-w.req.Estimate.prefillTime())
@@ -213,7 +211,7 @@
 	}
 }
 
-// completed marks a request's whole answer.
+// completed records a request's complete response.
 func (p *pool) completed(w *waiter, now time.Time) {
 	p.recordPressure(w, now.Sub(w.granted)-w.req.Estimate.Unloaded)
 	p.adjustWindows(now)
@@ -223,7 +221,7 @@
 	p.forClass(w.class).pressure.add(w.slackLost(delay))
 }
 
-// leave takes a request out of its window, and reports whether it was in it.
+// leaveWindow removes a request from its window, and reports whether it was in it.
 func (p *pool) leaveWindow(w *waiter) bool {
 	if !w.outstanding {
 		return false
@@ -233,9 +231,9 @@
 	return true
 }
 
-// steer ends a period of the windows if its time has come. Pressure on short
-// requests first holds long ones back; only when that has gone as far as it
-// can are short ones held back too.
+// adjustWindows ends the windows' period when it is due. Pressure on short requests
+// first restricts long ones; short ones are restricted only when the window of long
+// ones is empty or at its minimum.
 func (p *pool) adjustWindows(now time.Time) {
 	samples := p.classes[0].pressure.samples + p.classes[1].pressure.samples
 	if now.Sub(p.periodStart) < windowPeriod && samples < windowSamples {
@@ -251,14 +249,14 @@
 	long.pressure = pressure{}
 }
 
-// settle corrects the organisation's account by what the answer really took.
+// adjustCharge corrects the organisation's account by the actual output length.
 func (p *pool) adjustCharge(w *waiter, output int) {
 	difference := p.cost(0, output-w.req.OutputTokens)
 	p.forClass(w.class).queue.charge(w.req.Organisation, w.req.Priority, difference)
 }
 
-// late returns the waiting requests that can't make their deadlines any more,
-// or won't at the rate at which the queue drains.
+// findLate returns the waiting requests that can't meet their deadlines or are
+// expected to miss them at the rate at which the queue drains.
 func (p *pool) findLate(now time.Time) []lateRequest {
 	var out []lateRequest
 	for i := range p.classes {
@@ -276,11 +274,11 @@
 	return out
 }
 
-// lateMargin is the part of the expected wait that a waiting request is judged
-// by: it is only thrown out if even a rate half as high again wouldn't do.
+// lateMargin scales the expected wait of waiting requests: one is refused only if it
+// would miss its deadline even at one and a half times the rate.
 const lateMargin = 0.67
 
-// expired is a waiting request with its refusal.
+// lateRequest is a waiting request with its refusal.
 type lateRequest struct {
 	w       *waiter
 	refusal *Refusal
--- a/admission/refusal.go
+++ b/admission/refusal.go
@@ -10,34 +10,34 @@
 
 // The reasons of refusals.
 const (
-	// ReasonDeadline is a request that can't be answered by its deadline.
+	// ReasonDeadline is a request that can't meet its deadline.
 	ReasonDeadline Reason = "deadline can't be met"
-	// ReasonQueueFull is one request too many in the queue.
+	// ReasonQueueFull is a request beyond the bound of the queue.
 	ReasonQueueFull Reason = "queue is full"
-	// ReasonRate and ReasonConcurrent are a rule's limits.
+	// ReasonRate and ReasonConcurrent are the limits of a rule.
 	ReasonRate       Reason = "rule's limit of requests a second"
 	ReasonConcurrent Reason = "rule's limit of concurrent requests"
 	// ReasonNoCapacity is a pool without an upstream in service.
 	ReasonNoCapacity Reason = "no upstream in service"
-	// ReasonCancelled is a request whose caller went away while it waited.
+	// ReasonCancelled is a request whose caller cancelled while it waited.
 	ReasonCancelled Reason = "cancelled while waiting"
-	// ReasonStopping is a request that waited when the entry gave up its queue.
+	// ReasonStopping is a request that was waiting or arrived as the entry stopped.
 	ReasonStopping Reason = "instance is stopping"
 )
 
-// Refusal says that a request was not run and won't be: nothing was sent to
-// any upstream.
+// Refusal is the error of a request that was not run and won't be: nothing was sent
+// to any upstream.
 type Refusal struct {
 	Reason Reason
-	// RetryAfter is when a repeat may succeed, from now; 0 means no advice.
+	// RetryAfter is the time after which a retry may succeed; 0 means unknown.
 	RetryAfter time.Duration
-	// Waited is how long the request had been in the queue.
+	// Waited is the time that the request spent in the queue.
 	Waited time.Duration
-	// Expected is the wait in the queue that was foreseen, Needed the time
-	// that the answer takes after it, Left the time until the deadline. They
-	// are set for ReasonDeadline.
+	// ExpectedWait is the expected remaining queueing time, RequiredTime the
+	// expected time to the complete response after it, TimeLeft the time until the
+	// deadline. They are set for ReasonDeadline.
 	ExpectedWait, RequiredTime, TimeLeft time.Duration
-	// Rule names the rule whose limit it was.
+	// Rule names the rule whose limit was reached.
 	Rule string
 }
 
--- a/admission/window.go
+++ b/admission/window.go
@@ -2,41 +2,40 @@
 
 import "time"
 
-// The bounds and steps of the windows.
+// Parameters of the windows.
 const (
-	// A period ends after some samples, or after windowPeriod without.
+	// A period ends after windowSamples samples, or after windowPeriod.
 	windowPeriod    = 250 * time.Millisecond
 	windowSamples   = 3
 	windowGrowth    = 1.08
 	windowShrinkage = 0.85
-	// windowLeast lets an entry always have something on its way.
+	// minWindow ensures that an entry can always have some work outstanding.
 	minWindow = 10 * time.Millisecond
-	// windowMost is the work on its way for each engine that an entry never
-	// goes beyond.
+	// maxWindowPerEngine bounds the window, for each engine of the pool.
 	maxWindowPerEngine = 20 * time.Second
-	// sendCost is charged for each request beside its prefill.
+	// workPerRequest is charged for each request in addition to its prefill.
 	workPerRequest = 5 * time.Millisecond
 )
 
-// window bounds the work of a class that has been sent to the engines and not
-// yet started there, in seconds of prefill. It is what keeps the engines' own
-// queues short, so that priorities and fair shares act in ours.
+// window bounds a class's outstanding work: sent to the engines and not started
+// there, in seconds of prefill. It keeps the engines' queues short, so that
+// priorities and fair shares take effect in the queues of the entry.
 //
-// It works like a congestion window, for the entries share the engines without
-// talking to each other: under pressure it shrinks, and if it held a request
-// back without pressure it grows. An engine whose batch is full doesn't start
-// what it is sent, so a full batch closes the window too.
+// It works like a congestion window, because the entries share the engines without
+// coordination: it shrinks under pressure, and grows if it held a request back
+// without pressure. Engines with a full batch don't start new requests, which
+// closes the window as well.
 type window struct {
 	limit           time.Duration
 	ceiling         time.Duration
-	enginesPerEntry float64       // engines for each entry
-	outstanding     time.Duration // work on its way
-	requests        int           // requests on their way
-	limited         bool          // a request was held back in this period
+	enginesPerEntry float64       // engines divided by entries
+	outstanding     time.Duration // outstanding work
+	requests        int           // outstanding requests
+	limited         bool          // the window held a request back in this period
 }
 
-// resize sets the bounds by the number of engines, and this entry's part of
-// them, with which the window begins.
+// resize sets the bound and the initial size from the number of engines and
+// entries.
 func (w *window) resize(c Capacity) {
 	engines := max(1, c.Engines)
 	w.ceiling = maxWindowPerEngine * time.Duration(engines)
@@ -44,11 +43,11 @@
 	w.limit = min(w.limit, w.ceiling)
 }
 
-// fits reports whether work may be sent. A window that is empty takes any, or
-// else a request larger than it would never go.
+// fits reports whether work may be sent. An empty window accepts any request,
+// otherwise one larger than the window would never be sent.
 func (w *window) fits(work time.Duration) bool {
 	if w.limit == 0 {
-		// Two requests like the first for each engine.
+		// Start with two requests of this size for each engine.
 		w.limit = max(minWindow, time.Duration(2*w.enginesPerEntry*float64(work)))
 	}
 	if w.requests == 0 || w.outstanding+work <= w.limit {
@@ -58,7 +57,7 @@
 	return false
 }
 
-// send and start book work on its way.
+// add and remove account for outstanding work.
 func (w *window) add(work time.Duration) {
 	w.outstanding += work
 	w.requests++
@@ -69,10 +68,10 @@
 	w.requests--
 }
 
-// adjust ends a period.
-func (w *window) adjust(pressed bool) {
+// adjust resizes the window at the end of a period.
+func (w *window) adjust(underPressure bool) {
 	switch {
-	case pressed:
+	case underPressure:
 		w.limit = max(minWindow, time.Duration(windowShrinkage*float64(w.limit)))
 	case w.limited:
 		w.limit = min(w.ceiling, time.Duration(windowGrowth*float64(w.limit)))
@@ -80,22 +79,19 @@
 	w.limited = false
 }
 
-// atLeast reports whether the window can't shrink further.
+// atMinimum reports whether the window can't shrink further.
 func (w *window) atMinimum() bool { return w.limit <= minWindow }
 
-// pressure is how much of their slack the requests of a class lose to waiting
-// at the upstreams: 0 for none, 1 for all of it. The slack is the time until
-// the deadline that the answer itself doesn't take.
-//
-// Pressure rather than a wait in milliseconds is what the windows steer by: a
-// wait of a second is nothing to an answer that is due in a minute, and too
-// long for one that is due in two seconds.
+// pressure is the mean fraction of their slack that a class's requests lose to
+// waiting at the upstreams. The slack is the time until the deadline beyond the
+// unloaded response time. A wait in seconds would not do: one second is harmless to
+// a request due in a minute and too long for one due in two seconds.
 type pressure struct {
 	sum     float64
 	samples int
 }
 
-// Bounds of one sample: a single stall shouldn't close a window.
+// Bounds of one sample, so that a single stall doesn't close a window.
 const (
 	maxPressureSample = 2.0
 	refusalPressure   = 1.0
@@ -107,7 +103,7 @@
 	p.samples++
 }
 
-// mean is the pressure of the period; 0 if nothing was seen.
+// mean is the period's mean pressure; 0 without samples.
 func (p *pressure) mean() float64 {
 	if p.samples == 0 {
 		return 0
@@ -115,7 +111,7 @@
 	return p.sum / float64(p.samples)
 }
 
-// lost is the part of a request's slack that a delay took.
+// slackLost is the fraction of the request's slack that a delay took.
 func (w *waiter) slackLost(delay time.Duration) float64 {
 	slack := defaultSlack
 	if !w.req.Deadline.IsZero() {
@@ -124,6 +120,6 @@
 	return float64(delay) / float64(max(slack, minSlack))
 }
 
-// minSlack keeps a request that was granted at the last moment from counting
-// without bounds.
+// minSlack bounds the pressure of a request that was granted just before its
+// deadline.
 const minSlack = 10 * time.Millisecond
