--- a/admission/fair.go
+++ b/admission/fair.go
@@ -47,7 +47,7 @@
 	virtual    float64
 	flows      map[string]*flow
 	ready      flowHeap
-	idleFinish *simplelru.LRU[string, float64] // finish times of idle flows that lie ahead of virtual; bounded, see deactivate
+	idleFinish *simplelru.LRU[string, float64] // finish times of idle flows
 	cost       float64
 	live       int
 }
@@ -163,8 +163,8 @@
 }
 
 // deactivate drops an empty flow, and remembers its finish time if that lies ahead
-// of the virtual time. A flow that the LRU evicts may get one request too many
-// served early, once.
+// of the virtual time. An organisation whose finish time is evicted may be served
+// one request's cost too much, once.
 func (l *level) deactivate(f *flow) {
 	delete(l.flows, f.org)
 	if f.finish > l.virtual {
--- a/admission/pool.go
+++ b/admission/pool.go
@@ -79,10 +79,10 @@
 	if c.PrefillPerSecond > 0 && c.DecodePerSecond > 0 {
 		p.outputCost = c.PrefillPerSecond / c.DecodePerSecond
 	}
-	own := c.PrefillPerSecond / float64(max(1, c.Entries))
+	entryRate := c.PrefillPerSecond / float64(max(1, c.Entries))
 	for i := range p.classes {
 		p.classes[i].window.resize(c)
-		p.classes[i].meter.seed(own)
+		p.classes[i].meter.seed(entryRate)
 	}
 }
 
--- a/admission/window.go
+++ b/admission/window.go
@@ -17,14 +17,10 @@
 	workPerRequest = 5 * time.Millisecond
 )
 
-// window bounds a class's outstanding work: sent to the engines and not started
-// there, in seconds of prefill. It keeps the engines' queues short, so that
-// priorities and fair shares take effect in the queues of the entry.
-//
-// It works like a congestion window, because the entries share the engines without
-// coordination: it shrinks under pressure, and grows if it held a request back
-// without pressure. Engines with a full batch don't start new requests, which
-// closes the window as well.
+// window bounds a class's outstanding work, in seconds of prefill: sent, but not
+// started at the engines. It keeps their queues short, so that priorities and fair
+// shares take effect in the entry's. Like a congestion window it needs no
+// coordination of the entries; an engine with a full batch closes it as well.
 type window struct {
 	limit           time.Duration
 	ceiling         time.Duration
@@ -91,11 +87,14 @@
 	samples int
 }
 
-// Bounds of one sample, so that a single stall doesn't close a window.
 const (
+	// maxPressureSample bounds one sample, so that a single stall doesn't close a
+	// window.
 	maxPressureSample = 2.0
-	refusalPressure   = 1.0
-	defaultSlack      = 10 * time.Second
+	// refusalPressure is the sample of a request refused for its deadline.
+	refusalPressure = 1.0
+	// defaultSlack is the slack of a request without a deadline.
+	defaultSlack = 10 * time.Second
 )
 
 func (p *pressure) add(v float64) {
--- a/router/averages.go
+++ b/router/averages.go
@@ -55,12 +55,12 @@
 // only an upper bound; used as the estimate, it would refuse requests that would
 // have met their deadlines.
 func (n *node) expectedOutput(r *Request) float64 {
-	asked := float64(max(0, r.OutputTokens-1))
+	requested := float64(max(0, r.OutputTokens-1))
 	p := n.averages.Load()
 	if p == nil || p.outputFraction.load() == 0 {
-		return asked
+		return requested
 	}
-	return asked * p.outputFraction.load()
+	return requested * p.outputFraction.load()
 }
 
 // outputWeight is the weight of one response's length.
@@ -87,13 +87,13 @@
 // remoteWorkAt is the report's work of other processes: the total less the local
 // work at the time of measurement.
 func remoteWorkAt(u *Upstream, l *liveState) remoteWork {
-	then := func(reported int, own, since int64) float64 {
-		return max(0, float64(int64(reported)-(own-since)))
+	remote := func(reported int, local, since int64) float64 {
+		return max(0, float64(int64(reported)-(local-since)))
 	}
 	return remoteWork{
-		then(u.Report.Running+u.Report.Waiting, l.inFlight.Load(), l.deltaRequests.Load()),
-		then(u.Report.QueuedPrompt, l.localPrompt.Load(), l.deltaPrompt.Load()),
-		then(u.Report.KVUsedTokens, l.localKV.Load(), l.deltaKV.Load()),
+		remote(u.Report.Running+u.Report.Waiting, l.inFlight.Load(), l.deltaRequests.Load()),
+		remote(u.Report.QueuedPrompt, l.localPrompt.Load(), l.deltaPrompt.Load()),
+		remote(u.Report.KVUsedTokens, l.localKV.Load(), l.deltaKV.Load()),
 	}
 }
 
@@ -101,14 +101,14 @@
 // known, and the remote work by report and average.
 func (n *node) currentWork(cfg *Config, u *Upstream, age time.Duration) Work {
 	l := &n.live
-	own := Work{
+	local := Work{
 		Requests:     int(l.inFlight.Load()),
 		PromptTokens: int(l.localPrompt.Load()),
 		KVTokens:     int(l.localKV.Load()),
 		OutputTokens: int(l.localOutput.Load()),
 	}
 	if u.ReportAt.IsZero() {
-		return own
+		return local
 	}
 	o := remoteWorkAt(u, l)
 	if p := n.averages.Load(); p != nil {
@@ -117,10 +117,10 @@
 		o.prompt = blend(o.prompt, p.prompt.load(), trust)
 		o.kv = blend(o.kv, p.kv.load(), trust)
 	}
-	own.Requests += int(o.requests + 0.5)
-	own.PromptTokens += int(o.prompt)
-	own.KVTokens += int(o.kv)
-	return own
+	local.Requests += int(o.requests + 0.5)
+	local.PromptTokens += int(o.prompt)
+	local.KVTokens += int(o.kv)
+	return local
 }
 
 // reportWeight falls from 1 at age 0 to a quarter at staleAfter.
--- a/router/engine.go
+++ b/router/engine.go
@@ -75,16 +75,16 @@
 func (c *Candidate) slotWaitSeconds() float64 {
 	m := &c.model
 	var wait float64
-	answer := c.node.live.meanOutput.load() * m.step(m.batch)
+	responseTime := c.node.live.meanOutput.load() * m.step(m.batch)
 	if over := c.Work.Requests + 1 - m.batch; over > 0 {
-		wait += answer * float64(over) / float64(m.batch)
+		wait += responseTime * float64(over) / float64(m.batch)
 	}
-	return wait + c.kvWaitSeconds(answer)
+	return wait + c.kvWaitSeconds(responseTime)
 }
 
 // kvWaitSeconds is the wait for KV memory. What is in use is freed as responses
 // end, all of it within about the time of one response.
-func (c *Candidate) kvWaitSeconds(answer float64) float64 {
+func (c *Candidate) kvWaitSeconds(responseTime float64) float64 {
 	total := c.Upstream.Report.KVTotalTokens
 	if total <= 0 || c.kvTokens == 0 {
 		return 0
@@ -93,7 +93,7 @@
 	if over <= 0 {
 		return 0
 	}
-	return answer * float64(over) / float64(max(over, c.Work.KVTokens))
+	return responseTime * float64(over) / float64(max(over, c.Work.KVTokens))
 }
 
 // estimateSingleEngine estimates a request with prefill and decode on one engine.
--- a/router/fleet_test.go
+++ b/router/fleet_test.go
@@ -377,18 +377,18 @@
 
 // run simulates arrivals for a time and then completes what is left. It returns the
 // tally of the requests that arrived after the warm-up.
-func (f *fleet) run(m arrivalRates, warm, length time.Duration) tally {
+func (f *fleet) run(r arrivalRates, warmUp, length time.Duration) tally {
 	start := f.now
-	f.drive(m, length)
+	f.drive(r, length)
 	f.drive(arrivalRates{}, 40*time.Second)
-	return f.tallyOf(start.Add(warm), start.Add(length))
+	return f.tallyOf(start.Add(warmUp), start.Add(length))
 }
 
 // drive generates arrivals at the given rates for a time.
-func (f *fleet) drive(m arrivalRates, length time.Duration) {
+func (f *fleet) drive(r arrivalRates, length time.Duration) {
 	start := f.now
 	next := [2]time.Duration{}
-	rates := [2]float64{m.short, m.long}
+	rates := [2]float64{r.short, r.long}
 	for f.now.Sub(start) < length {
 		for i := range next {
 			for rates[i] > 0 && next[i] <= f.now.Sub(start) {
--- a/router/outlier.go
+++ b/router/outlier.go
@@ -48,7 +48,7 @@
 	ut.ejectIfSlow(now)
 }
 
-// passTrial counts a successful trial and ends the probation after the last.
+// passTrial counts a successful trial and restores the upstream after the last.
 func (ut *upstreamTracker) passTrial() {
 	l := &ut.node.live
 	ut.history.trialsPassed++
--- a/router/pick_test.go
+++ b/router/pick_test.go
@@ -51,7 +51,7 @@
 	}{
 		{"unknown pool", nil, request, "", NoUpstreamUnknownPool},
 		{"unknown model", []Upstream{engine("a", nil)}, with(func(r *Request) { r.Model = "x" }), "", NoUpstreamUnknownModel},
-		{"leaving", []Upstream{engine("a", func(u *Upstream) { u.ShuttingDown = true })}, request, "", NoUpstreamDraining},
+		{"shutting down", []Upstream{engine("a", func(u *Upstream) { u.ShuttingDown = true })}, request, "", NoUpstreamDraining},
 		{"draining skipped", []Upstream{engine("a", func(u *Upstream) { u.Draining = true }), engine("b", nil)}, request, "b", ""},
 		{"out of service", []Upstream{engine("a", func(u *Upstream) { u.Report.InService = false })}, request, "", NoUpstreamOutOfService},
 		{"ejected skipped", []Upstream{engine("a", func(u *Upstream) { u.Ejected = true }), engine("b", nil)}, request, "b", ""},
@@ -63,7 +63,7 @@
 		{"excluded", []Upstream{engine("a", nil)}, with(func(r *Request) { r.Exclude = []string{"a"} }), "", NoUpstreamExcluded},
 		{"isolated", []Upstream{engine("a", nil), engine("b", nil)},
 			with(func(r *Request) { r.MayRunOn = func(e string) bool { return e == "b" } }), "b", ""},
-		{"exceeds every KV memory", []Upstream{engine("a", nil)}, with(func(r *Request) { r.PromptTokens = 70000 }), "", NoUpstreamKVMemory},
+		{"too large for any KV memory", []Upstream{engine("a", nil)}, with(func(r *Request) { r.PromptTokens = 70000 }), "", NoUpstreamKVMemory},
 		{"shorter queue", []Upstream{engine("a", func(u *Upstream) { u.Report.QueuedPrompt = 9000 }), engine("b", nil)}, request, "b", ""},
 		{"full KV memory counts as a queue", []Upstream{engine("a", func(u *Upstream) { u.Report.KVUsedTokens = 59900; u.Report.Running = 9 }), engine("b", func(u *Upstream) { u.Report.Running = 9 })}, request, "b", ""},
 		{"local work corrects the report", []Upstream{engine("a", func(u *Upstream) { u.LocalDelta.PromptTokens = 9000; u.InFlight = 3; u.LocalDelta.Requests = 3 }), engine("b", nil)}, request, "b", ""},
@@ -131,8 +131,8 @@
 	}{
 		{"long prompt", 4000, 0, 1e10, true},
 		{"short prompt", 100, 0, 1e10, false},
-		{"slow handoff", 4000, 0, 1e6, false},
-		{"queue for prefill", 4000, 400000, 1e10, false},
+		{"slow KV transfer", 4000, 0, 1e6, false},
+		{"prefill queue", 4000, 400000, 1e10, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/router/policy_test.go
+++ b/router/policy_test.go
@@ -30,7 +30,9 @@
 // fullLoad is about the highest rates that the fake fleet can serve.
 var fullLoad = arrivalRates{short: 30, long: 8}
 
-func (m arrivalRates) times(f float64) arrivalRates { return arrivalRates{m.short * f, m.long * f} }
+func (r arrivalRates) times(f float64) arrivalRates {
+	return arrivalRates{r.short * f, r.long * f}
+}
 
 // Seven entries share the same reports, seconds old, and don't exchange their own
 // picks. If each chose the shortest reported queue, all would choose the same
@@ -86,19 +88,19 @@
 func TestEngineLossWithLateReports(t *testing.T) {
 	for seed := range uint64(2) {
 		f := newFleet(seed+1, rolesOf(11, 0, 0), 7, router.DefaultConfig("dc"), 5*time.Second)
-		m := fullLoad.times(0.6)
-		f.drive(m, 20*time.Second)
+		rates := fullLoad.times(0.6)
+		f.drive(rates, 20*time.Second)
 		span := func(length time.Duration) [2]time.Time {
 			from := f.now
-			f.drive(m, length)
+			f.drive(rates, length)
 			return [2]time.Time{from, f.now}
 		}
 		before := span(20 * time.Second)
 		f.kill(3)
-		f.drive(m, 2*time.Second)
+		f.drive(rates, 2*time.Second)
 		during := span(20 * time.Second)
 		f.revive()
-		f.drive(m, 10*time.Second)
+		f.drive(rates, 10*time.Second)
 		after := span(20 * time.Second)
 		f.drive(arrivalRates{}, 40*time.Second)
 		rate := func(s [2]time.Time) float64 {
--- a/router/prefix.go
+++ b/router/prefix.go
@@ -121,11 +121,11 @@
 // apply processes an engine's cache events in sequence order.
 func (x *PrefixIndex) apply(id int32, events []upstream.CacheEvent, now time.Time) {
 	for _, ev := range events {
-		doubt, ok := x.advanceSeq(id, ev.Seq, now)
+		uncertainty, ok := x.advanceSeq(id, ev.Seq, now)
 		if !ok {
 			continue
 		}
-		added := x.setHolder(id, ev.Block, ev.Stored, float32(doubt))
+		added := x.setHolder(id, ev.Block, ev.Stored, float32(uncertainty))
 		x.addBlockCount(id, added, now)
 	}
 }
@@ -171,11 +171,11 @@
 	}
 	x.mu.Lock()
 	x.engine(id, now)
-	doubt := x.uncertaintyAt(id, now) - predictedUncertainty
+	uncertainty := x.uncertaintyAt(id, now) - predictedUncertainty
 	x.mu.Unlock()
 	added := 0
 	for _, b := range blocks {
-		added += x.setHolder(id, b, true, float32(doubt))
+		added += x.setHolder(id, b, true, float32(uncertainty))
 	}
 	x.addBlockCount(id, added, now)
 }
@@ -191,7 +191,7 @@
 }
 
 // setHolder adds or removes an entry and returns the change in their number.
-func (x *PrefixIndex) setHolder(id int32, block uint64, stored bool, doubt float32) int {
+func (x *PrefixIndex) setHolder(id int32, block uint64, stored bool, uncertainty float32) int {
 	s := x.shard(block)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -203,9 +203,9 @@
 	replaced := h.remove(id)
 	if stored {
 		if replaced != nil {
-			doubt = max(doubt, replaced.uncertainty)
+			uncertainty = max(uncertainty, replaced.uncertainty)
 		}
-		h.add(holder{id, doubt})
+		h.add(holder{id, uncertainty})
 	}
 	if h.n == 0 {
 		s.blocks.Remove(block)
@@ -293,8 +293,8 @@
 			return dst
 		}
 	}
-	doubt := x.uncertaintyAt(h.engine, now) - float64(h.uncertainty)
-	confidence := math.Exp(-max(0, doubt))
+	uncertainty := x.uncertaintyAt(h.engine, now) - float64(h.uncertainty)
+	confidence := math.Exp(-max(0, uncertainty))
 	if confidence < minConfidence {
 		return dst
 	}
--- a/router/split.go
+++ b/router/split.go
@@ -38,22 +38,22 @@
 // MinSplitGain. A split pays for a long prompt with many output tokens, whose
 // prefill would delay the decode engines' streams; it costs the KV transfer and a
 // queue at each of two engines.
-func (p *Scheduler) trySplit(d *decision, whole Plan, cost time.Duration) Plan {
-	if d.r.NoSplit || d.r.PromptTokens-whole.CachedTokens < p.cfg.MinSplitTokens || len(d.g.prefill) == 0 {
-		return whole
+func (p *Scheduler) trySplit(d *decision, single Plan, cost time.Duration) Plan {
+	if d.r.NoSplit || d.r.PromptTokens-single.CachedTokens < p.cfg.MinSplitTokens || len(d.g.prefill) == 0 {
+		return single
 	}
 	pre := d.prefillCandidates(p)
 	if len(pre) == 0 {
-		return whole
+		return single
 	}
 	i, _ := p.Picker.Pick(pre, d.r, d.rnd)
 	dec := d.decodeCandidates(p, &pre[i])
 	if len(dec) == 0 {
-		return whole
+		return single
 	}
 	j, _ := p.Picker.Pick(dec, d.r, d.rnd)
 	if float64(dec[j].Cost) > float64(cost)*(1-p.cfg.MinSplitGain) {
-		return whole
+		return single
 	}
 	return Plan{
 		Engine:       dec[j].Upstream.Name,
@@ -118,8 +118,8 @@
 	first := pre.Estimate.Complete.Seconds() + transfer + wait + m.step(c.Work.Requests+1) + 2*c.Link.Seconds()
 	output := c.node.expectedOutput(r)
 	complete := first + output*m.step(c.Work.Requests+1)
-	alone := pre.Estimate.Unloaded + seconds(transfer) + m.unloadedTime(0, output)
-	c.Estimate = Estimate{pre.Estimate.Queue, seconds(first), seconds(complete), alone}
+	unloaded := pre.Estimate.Unloaded + seconds(transfer) + m.unloadedTime(0, output)
+	c.Estimate = Estimate{pre.Estimate.Queue, seconds(first), seconds(complete), unloaded}
 	c.Cost = pre.Cost - weightByUrgency(pre.Estimate.Complete, c.slack) + weightByUrgency(c.Estimate.Complete, c.slack)
 	c.Cost += seconds(p.cfg.OccupancyWeight * c.occupancy(0, r.OutputTokens))
 	c.Cost += p.cfg.crossDCCost(c)
