--- a/admission/fair.go
+++ b/admission/fair.go
@@ -61,8 +61,8 @@
 		return q.levels[i]
 	}
 	// The size is at least 1, so that NewLRU can't fail.
-	recent, _ := simplelru.NewLRU[string, float64](q.maxIdle, nil)
-	l := &level{priority: priority, flows: map[string]*flow{}, idleFinish: recent}
+	idleFinish, _ := simplelru.NewLRU[string, float64](q.maxIdle, nil)
+	l := &level{priority: priority, flows: map[string]*flow{}, idleFinish: idleFinish}
 	q.levels = slices.Insert(q.levels, i, l)
 	return l
 }
--- a/admission/window.go
+++ b/admission/window.go
@@ -64,7 +64,8 @@
 	w.requests--
 }
 
-// adjust resizes the window at the end of a period.
+// adjust resizes the window at the end of a period: it shrinks under pressure, and
+// grows if it held a request back without.
 func (w *window) adjust(underPressure bool) {
 	switch {
 	case underPressure:
--- a/router/config.go
+++ b/router/config.go
@@ -27,7 +27,8 @@
 	// CrossDCKVTransferBytesPerSecond the rate between two.
 	KVTransferBytesPerSecond        float64
 	CrossDCKVTransferBytesPerSecond float64
-	// KVBytesPerToken is the size of the KV cache of one token.
+	// KVBytesPerToken is the size of the KV cache of one token. Transfer times
+	// computed from it are corrected by learned factors.
 	KVBytesPerToken float64
 	// MinSplitTokens is the shortest prompt whose prefill and decode may run on
 	// two engines, MinSplitGain the fraction of the cost that this must save.
--- a/router/fleet_test.go
+++ b/router/fleet_test.go
@@ -37,17 +37,17 @@
 // fakeEngine models the stand-in: chunked prefill in order of arrival, and one
 // token per step for each stream.
 type fakeEngine struct {
-	name                string
-	role                upstream.Role
-	prefill             float64
-	stepFirst, stepFull float64
-	dead                bool
-	kvTotal, kvUsed     int
-	waiting, running    []*job
-	chunks              map[*job]int
-	busyUntil           time.Time
-	reports             []upstream.LoadReport
-	reportsAt           []time.Time
+	name                 string
+	role                 upstream.Role
+	prefill              float64
+	stepSingle, stepFull float64
+	dead                 bool
+	kvTotal, kvUsed      int
+	waiting, running     []*job
+	chunks               map[*job]int
+	busyUntil            time.Time
+	reports              []upstream.LoadReport
+	reportsAt            []time.Time
 }
 
 const (
@@ -57,15 +57,15 @@
 )
 
 func newFakeEngine(name string, role upstream.Role) *fakeEngine {
-	e := &fakeEngine{name: name, role: role, prefill: 8000, stepFirst: 0.015, stepFull: 0.030, kvTotal: 60000}
+	e := &fakeEngine{name: name, role: role, prefill: 8000, stepSingle: 0.015, stepFull: 0.030, kvTotal: 60000}
 	switch role {
 	case upstream.RolePrefill:
-		e.stepFirst, e.stepFull = e.stepFirst/0.25, e.stepFull/0.25
+		e.stepSingle, e.stepFull = e.stepSingle/0.25, e.stepFull/0.25
 	case upstream.RoleDecode:
 		e.prefill *= 0.25
 	default:
 		e.prefill *= 0.6
-		e.stepFirst, e.stepFull = e.stepFirst/0.6, e.stepFull/0.6
+		e.stepSingle, e.stepFull = e.stepSingle/0.6, e.stepFull/0.6
 	}
 	return e
 }
@@ -115,7 +115,7 @@
 		}
 	}
 	if decoding > 0 {
-		took += e.stepFirst + (e.stepFull-e.stepFirst)*float64(decoding-1)/(fakeBatch-1)
+		took += e.stepSingle + (e.stepFull-e.stepSingle)*float64(decoding-1)/(fakeBatch-1)
 	}
 	if took > 0 {
 		d := time.Duration(took * float64(time.Second))
