--- a/admission/controller.go
+++ b/admission/controller.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// poolKey names the upstreams that share a capacity.
+// poolKey identifies the upstreams that share a capacity.
 type poolKey struct{ pool, model string }
 
-// Controller admits requests. It is safe for use by many goroutines.
+// Controller admits requests. It is safe for concurrent use.
 type Controller struct {
 	cfg Config
 	now func() time.Time
@@ -23,15 +23,15 @@
 	counts   Counts
 }
 
-// Counts are totals since the start, for metrics.
+// Counts are totals since the start, and the current number of waiting requests.
 type Counts struct {
 	Admitted, Queued uint64
 	Refused          map[Reason]uint64
 	Waiting          int
 }
 
-// New makes a controller. now is the clock; nil means time.Now. Its Serve
-// must run for waiting requests to be refused before their last moment.
+// New returns a controller. now is the clock; nil means time.Now. Without a running
+// Serve, waiting requests are refused only at their latest start time.
 func New(cfg Config, now func() time.Time) *Controller {
 	if now == nil {
 		now = time.Now
@@ -41,12 +41,12 @@
 		now:    now,
 		pools:  map[poolKey]*pool{},
 		limits: newLimits(cfg.MaxOrganisations),
-		budget: budget{share: cfg.RetryBudgetRatio},
+		budget: budget{ratio: cfg.RetryBudgetRatio},
 		counts: Counts{Refused: map[Reason]uint64{}},
 	}
 }
 
-// pool returns the core of a pool and model, made if needed.
+// pool returns the state of a pool and model, and creates it if needed.
 func (c *Controller) pool(name, model string) *pool {
 	k := poolKey{name, model}
 	p := c.pools[k]
@@ -57,19 +57,19 @@
 	return p
 }
 
-// SetCapacity takes what the router knows of a pool and model. Call it about
-// once a second and when engines come or go. Until the first call nothing of
-// that pool waits; plain services need none.
+// SetCapacity sets the capacity of a pool and model. It should be called about once
+// a second and when engines come or go. Until the first call, no request to the
+// pool waits; plain services need no call.
 func (c *Controller) SetCapacity(name, model string, capacity Capacity) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.pool(name, model)
 	p.setCapacity(capacity)
-	c.pump(p)
+	c.startWaiting(p)
 }
 
-// Acquire waits until a request may be sent. Its error is always a *Refusal,
-// after which the request has not run. A grant must be released.
+// Acquire waits until a request may be sent. Its error is always a *Refusal, which
+// means that the request has not run. A grant must be released.
 func (c *Controller) Acquire(ctx context.Context, r Request) (*Grant, error) {
 	p, err := c.Submit(r)
 	if err != nil {
@@ -81,29 +81,28 @@
 	return &Grant{c: c, w: p.w}, nil
 }
 
-// Pending is a request that was taken in and may still wait. It is for callers
-// that don't want to block; others use Acquire.
+// Pending is an accepted request that may still be waiting. It serves callers that
+// must not block; others use Acquire.
 type Pending struct {
 	c *Controller
 	w *waiter
 }
 
-// Submit takes a request in without waiting, or refuses it at once with a
-// *Refusal. Something must call Sweep, or run Serve, for the waiting to be
-// refused in time.
+// Submit enqueues a request without waiting, or refuses it with a *Refusal. Serve
+// must run, or Sweep be called, for waiting requests to be refused early.
 func (c *Controller) Submit(r Request) (*Pending, error) {
-	w := &waiter{req: r, class: c.classOf(&r), verdict: make(chan *Refusal, 1)}
-	if ref := c.arrive(w); ref != nil {
+	w := &waiter{req: r, class: c.classOf(&r), decision: make(chan *Refusal, 1)}
+	if ref := c.enqueueOrRefuse(w); ref != nil {
 		return nil, ref
 	}
 	return &Pending{c, w}, nil
 }
 
-// Poll returns the grant or the *Refusal once there is one; ok says whether
-// there is. It is there once.
+// Poll returns the grant or the *Refusal once there is a decision; ok reports
+// whether there is. It returns a decision only once.
 func (p *Pending) Poll() (g *Grant, ok bool, err error) {
 	select {
-	case ref := <-p.w.verdict:
+	case ref := <-p.w.decision:
 		if ref != nil {
 			return nil, true, ref
 		}
@@ -123,18 +122,18 @@
 	return ClassShort
 }
 
-// arrive decides on a new request: refused, started (the verdict is there at
-// once) or waiting.
-func (c *Controller) arrive(w *waiter) *Refusal {
+// enqueueOrRefuse refuses a new request or enqueues it; if it starts at once, its
+// decision is ready on return.
+func (c *Controller) enqueueOrRefuse(w *waiter) *Refusal {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
 	w.arrived = now
 	p := c.pool(w.req.Pool, w.req.Model)
 	p.tick(now)
-	ref := c.check(p, w, now)
+	ref := c.checkCapacity(p, w, now)
 	if ref == nil {
-		ref = c.limits.take(&w.req, now)
+		ref = c.limits.acquire(&w.req, now)
 	}
 	if ref != nil {
 		c.counts.Refused[ref.Reason]++
@@ -143,24 +142,24 @@
 	c.budget.earn(now)
 	p.enqueue(w)
 	c.queued++
-	c.pump(p)
-	if !w.onWay {
+	c.startWaiting(p)
+	if !w.outstanding {
 		c.counts.Queued++
 	}
 	return nil
 }
 
-// check refuses what can't be answered in time and what finds no room.
-func (c *Controller) check(p *pool, w *waiter, now time.Time) *Refusal {
+// checkCapacity refuses a request that can't meet its deadline or finds no room.
+func (c *Controller) checkCapacity(p *pool, w *waiter, now time.Time) *Refusal {
 	if c.stopping {
 		return &Refusal{Reason: ReasonStopping, RetryAfter: time.Second}
 	}
-	if p.known && p.capacity.Engines == 0 {
+	if p.capacityKnown && p.capacity.Engines == 0 {
 		return &Refusal{Reason: ReasonNoCapacity, RetryAfter: 2 * time.Second}
 	}
 	wait := p.expectedWait(w)
-	if ref := p.tooLate(w, wait, now); ref != nil {
-		p.lane(w.class).pressure.add(refusedSample)
+	if ref := p.checkDeadline(w, wait, now); ref != nil {
+		p.forClass(w.class).pressure.add(refusalPressure)
 		return ref
 	}
 	if c.queued >= c.cfg.MaxQueued {
@@ -169,48 +168,47 @@
 	return nil
 }
 
-// pump starts what may start.
-func (c *Controller) pump(p *pool) {
+// startWaiting grants the waiting requests that may start now.
+func (c *Controller) startWaiting(p *pool) {
 	now := c.now()
 	for w := p.next(now); w != nil; w = p.next(now) {
 		c.queued--
 		c.counts.Admitted++
-		w.verdict <- nil
+		w.decision <- nil
 	}
 }
 
-// await waits for the verdict, the caller's going away, or the last moment at
-// which the request can start.
+// await waits for the decision, the end of ctx, or the request's latest start time.
 func (c *Controller) await(ctx context.Context, w *waiter) *Refusal {
 	select {
-	case ref := <-w.verdict:
+	case ref := <-w.decision:
 		return ref
 	default:
 	}
 	var last <-chan time.Time
-	if latest := w.latest(); !latest.IsZero() {
+	if latest := w.latestStart(); !latest.IsZero() {
 		t := time.NewTimer(latest.Sub(c.now()))
 		defer t.Stop()
 		last = t.C
 	}
 	select {
-	case ref := <-w.verdict:
+	case ref := <-w.decision:
 		return ref
 	case <-ctx.Done():
-		return c.giveUp(w, ReasonCancelled)
+		return c.abandon(w, ReasonCancelled)
 	case <-last:
-		return c.giveUp(w, ReasonDeadline)
+		return c.abandon(w, ReasonDeadline)
 	}
 }
 
-// giveUp takes a waiting request out, unless its verdict came meanwhile. A
-// grant that came together with the caller's going away is given back.
-func (c *Controller) giveUp(w *waiter, why Reason) *Refusal {
+// abandon removes a waiting request, unless it was decided meanwhile. A grant that
+// coincides with the caller's cancellation is released.
+func (c *Controller) abandon(w *waiter, reason Reason) *Refusal {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	select {
-	case ref := <-w.verdict:
-		if ref != nil || why != ReasonCancelled {
+	case ref := <-w.decision:
+		if ref != nil || reason != ReasonCancelled {
 			return ref
 		}
 		c.release(w)
@@ -220,39 +218,39 @@
 	now := c.now()
 	p := c.pool(w.req.Pool, w.req.Model)
 	p.tick(now)
-	ref := &Refusal{Reason: why, Waited: now.Sub(w.arrived)}
-	if why == ReasonDeadline {
+	ref := &Refusal{Reason: reason, Waited: now.Sub(w.arrived)}
+	if reason == ReasonDeadline {
 		ref.RequiredTime = w.req.Estimate.Complete
 		ref.TimeLeft = w.req.Deadline.Sub(now)
-		ref.ExpectedWait = p.lane(w.class).meter.wait(p.lane(w.class).queue.ahead(w.req.Organisation, w.req.Priority))
-		ref.RetryAfter = p.whenToComeBack(w, ref.ExpectedWait, now)
+		ref.ExpectedWait = p.forClass(w.class).meter.wait(p.forClass(w.class).queue.ahead(w.req.Organisation, w.req.Priority))
+		ref.RetryAfter = p.retryDelay(w, ref.ExpectedWait, now)
 	}
-	c.remove(p, w, ref)
+	c.refuseWaiting(p, w, ref)
 	return ref
 }
 
-// remove takes a waiting request out with a refusal.
-func (c *Controller) remove(p *pool, w *waiter, ref *Refusal) {
-	p.drop(w)
+// refuseWaiting removes a waiting request with a refusal.
+func (c *Controller) refuseWaiting(p *pool, w *waiter, ref *Refusal) {
+	p.removeWaiting(w)
 	c.queued--
 	c.limits.release(&w.req)
 	c.counts.Refused[ref.Reason]++
 }
 
-// release ends a granted request's claims on window and limits.
+// release gives up a granted request's share of the window and the limits.
 func (c *Controller) release(w *waiter) {
 	p := c.pool(w.req.Pool, w.req.Model)
 	p.tick(c.now())
-	p.leave(w)
+	p.leaveWindow(w)
 	c.limits.release(&w.req)
-	c.pump(p)
+	c.startWaiting(p)
 }
 
-// sweepPeriod is how often waiting requests are judged anew.
+// sweepPeriod is how often waiting requests are checked against their deadlines.
 const sweepPeriod = 25 * time.Millisecond
 
-// Serve refuses waiting requests as soon as it is clear that they won't make
-// their deadlines, until ctx ends.
+// Serve refuses waiting requests as soon as they are expected to miss their
+// deadlines, until ctx ends.
 func (c *Controller) Serve(ctx context.Context) error {
 	t := time.NewTicker(sweepPeriod)
 	defer t.Stop()
@@ -266,48 +264,48 @@
 	}
 }
 
-// Sweep refuses the waiting requests that won't make their deadlines, and
-// starts those that may start. Serve calls it.
+// Sweep refuses the waiting requests that are expected to miss their deadlines, and
+// starts those that may start. Serve calls it periodically.
 func (c *Controller) Sweep() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
 	for _, p := range c.pools {
 		p.tick(now)
-		p.steer(now)
-		for _, e := range p.late(now) {
-			c.remove(p, e.w, e.refusal)
-			e.w.verdict <- e.refusal
+		p.adjustWindows(now)
+		for _, e := range p.findLate(now) {
+			c.refuseWaiting(p, e.w, e.refusal)
+			e.w.decision <- e.refusal
 		}
-		c.pump(p)
+		c.startWaiting(p)
 	}
 }
 
-// Stop refuses what waits and what comes. Granted requests go on.
+// Stop refuses all waiting and future requests. Granted requests continue.
 func (c *Controller) Stop() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stopping = true
 	for _, p := range c.pools {
-		for i := range p.lanes {
-			for it := p.lanes[i].queue.peek(); it != nil; it = p.lanes[i].queue.peek() {
+		for i := range p.classes {
+			for it := p.classes[i].queue.peek(); it != nil; it = p.classes[i].queue.peek() {
 				ref := &Refusal{Reason: ReasonStopping, RetryAfter: time.Second}
-				c.remove(p, it.waiter, ref)
-				it.waiter.verdict <- ref
+				c.refuseWaiting(p, it.waiter, ref)
+				it.waiter.decision <- ref
 			}
 		}
 	}
 }
 
-// MayRetry reports whether the retry budget allows one more attempt of an
-// admitted request, and counts it.
+// MayRetry reports whether the retry budget allows another attempt of an admitted
+// request, and counts it.
 func (c *Controller) MayRetry() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.budget.spend(c.now())
 }
 
-// Counts returns the totals.
+// Counts returns the current counts.
 func (c *Controller) Counts() Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/admission/meter.go
+++ b/admission/meter.go
@@ -5,28 +5,26 @@
 	"time"
 )
 
-// meterSpan is the time over which a meter forgets.
-const meterSpan = 4 * time.Second
+// meterTimeConstant is the time constant of the meter's decay.
+const meterTimeConstant = 4 * time.Second
 
-// meterKeep is what a serve leaves of those before it at most.
-const meterKeep = 0.98
+// maxMeterRetention is the most of the previous values that a serve retains.
+const maxMeterRetention = 0.98
 
-// meter measures how fast a queue drains: the cost served over the time in
-// which something waited, both forgotten alike. Time without a queue says
-// nothing about capacity and isn't counted. The time since the last serve
-// counts once it is longer than usual, so that a queue that goes in lumps
-// doesn't seem to have stopped between two of them, and one that has stopped
-// does.
+// meter measures how fast a queue drains: the cost served over the time in which
+// something waited, with exponential decay. Idle time says nothing about capacity.
+// The time since the last serve counts once it exceeds the usual gap, so that a
+// queue served in bursts doesn't seem stalled and a stalled one does.
 type meter struct {
-	served float64
-	busy   float64 // seconds, up to the last serve
-	serves float64
-	open   float64 // seconds since the last serve
-	last   time.Time
+	served     float64
+	busy       float64 // seconds with a queue, up to the last serve
+	serves     float64
+	sinceServe float64 // seconds with a queue since the last serve
+	last       time.Time
 }
 
-// prime gives a rate to start from, as if seen for a second.
-func (m *meter) prime(rate float64) {
+// seed sets an initial rate, as if observed for a second.
+func (m *meter) seed(rate float64) {
 	if m.busy > 0 || rate <= 0 {
 		return
 	}
@@ -35,34 +33,34 @@
 	m.serves = 1
 }
 
-// tick moves time on. waiting says whether something has waited since the
+// tick advances the time. waiting says whether the queue was nonempty since the
 // last tick.
 func (m *meter) tick(now time.Time, waiting bool) {
 	if waiting && !m.last.IsZero() {
-		m.open += max(0, now.Sub(m.last).Seconds())
+		m.sinceServe += max(0, now.Sub(m.last).Seconds())
 	}
 	m.last = now
 }
 
-// serve counts something taken from the queue.
+// serve records that a cost was taken from the queue.
 func (m *meter) serve(cost float64) {
-	keep := min(meterKeep, math.Exp(-m.open/meterSpan.Seconds()))
+	keep := min(maxMeterRetention, math.Exp(-m.sinceServe/meterTimeConstant.Seconds()))
 	m.served = m.served*keep + cost
-	m.busy = m.busy*keep + m.open
+	m.busy = m.busy*keep + m.sinceServe
 	m.serves = m.serves*keep + 1
-	m.open = 0
+	m.sinceServe = 0
 }
 
-// rate is the cost served a second; 0 if nothing is known.
+// rate is the cost served per second; 0 if unknown.
 func (m *meter) rate() float64 {
 	if m.busy <= 0 {
 		return 0
 	}
 	usual := m.busy / m.serves
-	return m.served / (m.busy + max(0, m.open-usual))
+	return m.served / (m.busy + max(0, m.sinceServe-usual))
 }
 
-// wait is the time to serve a cost.
+// wait is the expected time to serve a cost.
 func (m *meter) wait(cost float64) time.Duration {
 	r := m.rate()
 	if r <= 0 || cost <= 0 {
--- a/admission/window.go
+++ b/admission/window.go
@@ -2,112 +2,108 @@
 
 import "time"
 
-// The bounds and steps of the windows.
+// Parameters of the windows.
 const (
-	// A period ends after some samples, or after windowPeriod without.
-	windowPeriod  = 250 * time.Millisecond
-	windowSamples = 3
-	windowGrow    = 1.08
-	windowShrink  = 0.85
-	// windowLeast lets an entry always have something on its way.
-	windowLeast = 10 * time.Millisecond
-	// windowMost is the work on its way for each engine that an entry never
-	// goes beyond.
-	windowMost = 20 * time.Second
-	// sendCost is charged for each request beside its prefill.
-	sendCost = 5 * time.Millisecond
+	// A period ends after windowSamples samples, or after windowPeriod.
+	windowPeriod    = 250 * time.Millisecond
+	windowSamples   = 3
+	windowGrowth    = 1.08
+	windowShrinkage = 0.85
+	// minWindow ensures that an entry can always have some work outstanding.
+	minWindow = 10 * time.Millisecond
+	// maxWindowPerEngine bounds the window, for each engine of the pool.
+	maxWindowPerEngine = 20 * time.Second
+	// workPerRequest is charged for each request in addition to its prefill.
+	workPerRequest = 5 * time.Millisecond
 )
 
-// window bounds the work of a class that has been sent to the engines and not
-// yet started there, in seconds of prefill. It is what keeps the engines' own
-// queues short, so that priorities and fair shares act in ours.
-//
-// It works like a congestion window, for the entries share the engines without
-// talking to each other: under pressure it shrinks, and if it held a request
-// back without pressure it grows. An engine whose batch is full doesn't start
-// what it is sent, so a full batch closes the window too.
+// window bounds a class's outstanding work, in seconds of prefill: sent, but not
+// started at the engines. It keeps their queues short, so that priorities and fair
+// shares take effect in the entry's. Like a congestion window it needs no
+// coordination of the entries; an engine with a full batch closes it as well.
 type window struct {
-	limit    time.Duration
-	most     time.Duration
-	part     float64       // engines for each entry
-	sent     time.Duration // work on its way
-	requests int           // requests on their way
-	full     bool          // a request was held back in this period
+	limit           time.Duration
+	ceiling         time.Duration
+	enginesPerEntry float64       // engines divided by entries
+	outstanding     time.Duration // outstanding work
+	requests        int           // outstanding requests
+	limited         bool          // the window held a request back in this period
 }
 
-// resize sets the bounds by the number of engines, and this entry's part of
-// them, with which the window begins.
+// resize sets the bound and the initial size from the number of engines and
+// entries.
 func (w *window) resize(c Capacity) {
 	engines := max(1, c.Engines)
-	w.most = windowMost * time.Duration(engines)
-	w.part = float64(engines) / float64(max(1, c.Entries))
-	w.limit = min(w.limit, w.most)
+	w.ceiling = maxWindowPerEngine * time.Duration(engines)
+	w.enginesPerEntry = float64(engines) / float64(max(1, c.Entries))
+	w.limit = min(w.limit, w.ceiling)
 }
 
-// fits reports whether work may be sent. A window that is empty takes any, or
-// else a request larger than it would never go.
+// fits reports whether work may be sent. An empty window accepts any request,
+// otherwise one larger than the window would never be sent.
 func (w *window) fits(work time.Duration) bool {
 	if w.limit == 0 {
-		// Two requests like the first for each engine.
-		w.limit = max(windowLeast, time.Duration(2*w.part*float64(work)))
+		// Start with two requests of this size for each engine.
+		w.limit = max(minWindow, time.Duration(2*w.enginesPerEntry*float64(work)))
 	}
-	if w.requests == 0 || w.sent+work <= w.limit {
+	if w.requests == 0 || w.outstanding+work <= w.limit {
 		return true
 	}
-	w.full = true
+	w.limited = true
 	return false
 }
 
-// send and start book work on its way.
-func (w *window) send(work time.Duration) {
-	w.sent += work
+// add and remove account for outstanding work.
+func (w *window) add(work time.Duration) {
+	w.outstanding += work
 	w.requests++
 }
 
-func (w *window) start(work time.Duration) {
-	w.sent -= work
+func (w *window) remove(work time.Duration) {
+	w.outstanding -= work
 	w.requests--
 }
 
-// adjust ends a period.
-func (w *window) adjust(pressed bool) {
+// adjust resizes the window at the end of a period: it shrinks under pressure, and
+// grows if it held a request back without.
+func (w *window) adjust(underPressure bool) {
 	switch {
-	case pressed:
-		w.limit = max(windowLeast, time.Duration(windowShrink*float64(w.limit)))
-	case w.full:
-		w.limit = min(w.most, time.Duration(windowGrow*float64(w.limit)))
+	case underPressure:
+		w.limit = max(minWindow, time.Duration(windowShrinkage*float64(w.limit)))
+	case w.limited:
+		w.limit = min(w.ceiling, time.Duration(windowGrowth*float64(w.limit)))
 	}
-	w.full = false
+	w.limited = false
 }
 
-// atLeast reports whether the window can't shrink further.
-func (w *window) atLeast() bool { return w.limit <= windowLeast }
+// atMinimum reports whether the window can't shrink further.
+func (w *window) atMinimum() bool { return w.limit <= minWindow }
 
-// pressure is how much of their slack the requests of a class lose to waiting
-// at the upstreams: 0 for none, 1 for all of it. The slack is the time until
-// the deadline that the answer itself doesn't take.
-//
-// Pressure rather than a wait in milliseconds is what the windows steer by: a
-// wait of a second is nothing to an answer that is due in a minute, and too
-// long for one that is due in two seconds.
+// pressure is the mean fraction of their slack that a class's requests lose to
+// waiting at the upstreams. The slack is the time until the deadline beyond the
+// unloaded response time. A wait in seconds would not do: one second is harmless to
+// a request due in a minute and too long for one due in two seconds.
 type pressure struct {
 	sum     float64
 	samples int
 }
 
-// Bounds of one sample: a single stall shouldn't close a window.
 const (
-	mostPressure   = 2.0
-	refusedSample  = 1.0
-	unboundedSlack = 10 * time.Second
+	// maxPressureSample bounds one sample, so that a single stall doesn't close a
+	// window.
+	maxPressureSample = 2.0
+	// refusalPressure is the sample of a request refused for its deadline.
+	refusalPressure = 1.0
+	// defaultSlack is the slack of a request without a deadline.
+	defaultSlack = 10 * time.Second
 )
 
 func (p *pressure) add(v float64) {
-	p.sum += min(mostPressure, max(0, v))
+	p.sum += min(maxPressureSample, max(0, v))
 	p.samples++
 }
 
-// mean is the pressure of the period; 0 if nothing was seen.
+// mean is the period's mean pressure; 0 without samples.
 func (p *pressure) mean() float64 {
 	if p.samples == 0 {
 		return 0
@@ -115,15 +111,15 @@
 	return p.sum / float64(p.samples)
 }
 
-// lost is the part of a request's slack that a delay took.
-func (w *waiter) lost(delay time.Duration) float64 {
-	slack := unboundedSlack
+// slackLost is the fraction of the request's slack that a delay took.
+func (w *waiter) slackLost(delay time.Duration) float64 {
+	slack := defaultSlack
 	if !w.req.Deadline.IsZero() {
 		slack = w.req.Deadline.Sub(w.granted) - w.req.Estimate.Unloaded
 	}
 	return float64(delay) / float64(max(slack, minSlack))
 }
 
-// minSlack keeps a request that was granted at the last moment from counting
-// without bounds.
+// minSlack bounds the pressure of a request that was granted just before its
+// deadline.
 const minSlack = 10 * time.Millisecond
--- a/router/fleet_test.go
+++ b/router/fleet_test.go
@@ -11,61 +11,61 @@
 	"tamarackchute/upstream"
 )
 
-// The fakes below are as simple as lets them show queues: engines that batch
-// in steps, as in the stand-in, and entries that are a tracker and a
-// controller each. Time is a counter; nothing runs by itself.
+// The fakes simulate a fleet without goroutines: engines that batch in steps like
+// the stand-in, and entries that are a tracker and an admission controller each.
+// The clock advances in ticks.
 
 const tick = 5 * time.Millisecond
 
-// job is one request on its way through the fakes.
+// job is one simulated request.
 type job struct {
-	class              string
-	prompt, out        int
-	todo, left         int
-	arrived, deadline  time.Time
-	entry              *fakeEntry
-	pending            *admission.Pending
-	grant              *admission.Grant
-	ticket             *router.Ticket
-	engine, decode     *fakeEngine
-	prefillOnly, ended bool
-	inTime             bool
-	first              time.Time
-	refused            bool
+	class                  string
+	prompt, out            int
+	promptLeft, outputLeft int
+	arrived, deadline      time.Time
+	entry                  *fakeEntry
+	pending                *admission.Pending
+	grant                  *admission.Grant
+	ticket                 *router.Ticket
+	engine, decode         *fakeEngine
+	prefillOnly, ended     bool
+	withinDeadline         bool
+	first                  time.Time
+	refused                bool
 }
 
-// fakeEngine works as the stand-in does: chunks of prompts in order of
-// arrival, one token a step for each stream.
+// fakeEngine models the stand-in: chunked prefill in order of arrival, and one
+// token per step for each stream.
 type fakeEngine struct {
-	name                string
-	role                upstream.Role
-	prefill             float64
-	stepFirst, stepFull float64
-	dead                bool
-	kvTotal, kvUsed     int
-	waiting, running    []*job
-	chunks              map[*job]int
-	busyUntil           time.Time
-	reports             []upstream.LoadReport
-	reportsAt           []time.Time
+	name                 string
+	role                 upstream.Role
+	prefill              float64
+	stepSingle, stepFull float64
+	dead                 bool
+	kvTotal, kvUsed      int
+	waiting, running     []*job
+	chunks               map[*job]int
+	busyUntil            time.Time
+	reports              []upstream.LoadReport
+	reportsAt            []time.Time
 }
 
 const (
-	fakeBatch = 32
-	fakeChunk = 256
-	fakeAlone = 1024
+	fakeBatch               = 32
+	fakeChunk               = 256
+	fakeChunkWithoutStreams = 1024
 )
 
 func newFakeEngine(name string, role upstream.Role) *fakeEngine {
-	e := &fakeEngine{name: name, role: role, prefill: 8000, stepFirst: 0.015, stepFull: 0.030, kvTotal: 60000}
+	e := &fakeEngine{name: name, role: role, prefill: 8000, stepSingle: 0.015, stepFull: 0.030, kvTotal: 60000}
 	switch role {
 	case upstream.RolePrefill:
-		e.stepFirst, e.stepFull = e.stepFirst/0.25, e.stepFull/0.25
+		e.stepSingle, e.stepFull = e.stepSingle/0.25, e.stepFull/0.25
 	case upstream.RoleDecode:
 		e.prefill *= 0.25
 	default:
 		e.prefill *= 0.6
-		e.stepFirst, e.stepFull = e.stepFirst/0.6, e.stepFull/0.6
+		e.stepSingle, e.stepFull = e.stepSingle/0.6, e.stepFull/0.6
 	}
 	return e
 }
@@ -73,7 +73,7 @@
 func (e *fakeEngine) report(now time.Time) {
 	queued := 0
 	for _, j := range append(append([]*job(nil), e.waiting...), e.running...) {
-		queued += j.todo
+		queued += j.promptLeft
 	}
 	e.reports = append(e.reports, upstream.LoadReport{
 		Role: e.role, InService: true, Running: len(e.running), Waiting: len(e.waiting), QueuedPrompt: queued,
@@ -87,7 +87,7 @@
 	if e.dead || now.Before(e.busyUntil) {
 		return
 	}
-	e.complete(now)
+	e.finishStep(now)
 	for len(e.running) < fakeBatch && len(e.waiting) > 0 && e.kvUsed+e.waiting[0].prompt+e.waiting[0].out <= e.kvTotal {
 		j := e.waiting[0]
 		e.waiting = e.waiting[1:]
@@ -96,18 +96,18 @@
 	}
 	decoding := 0
 	for _, j := range e.running {
-		if j.todo == 0 {
+		if j.promptLeft == 0 {
 			decoding++
 		}
 	}
-	budget := fakeAlone
+	budget := fakeChunkWithoutStreams
 	if decoding > 0 {
 		budget = fakeChunk
 	}
 	e.chunks = map[*job]int{}
 	took := 0.0
 	for _, j := range e.running {
-		n := min(j.todo, budget)
+		n := min(j.promptLeft, budget)
 		if n > 0 {
 			e.chunks[j] = n
 			budget -= n
@@ -115,7 +115,7 @@
 		}
 	}
 	if decoding > 0 {
-		took += e.stepFirst + (e.stepFull-e.stepFirst)*float64(decoding-1)/(fakeBatch-1)
+		took += e.stepSingle + (e.stepFull-e.stepSingle)*float64(decoding-1)/(fakeBatch-1)
 	}
 	if took > 0 {
 		d := time.Duration(took * float64(time.Second))
@@ -123,21 +123,21 @@
 	}
 }
 
-func (e *fakeEngine) complete(now time.Time) {
+func (e *fakeEngine) finishStep(now time.Time) {
 	if e.chunks == nil {
 		return
 	}
 	for _, j := range append([]*job(nil), e.running...) {
-		j.todo -= e.chunks[j]
-		if j.todo > 0 {
+		j.promptLeft -= e.chunks[j]
+		if j.promptLeft > 0 {
 			continue
 		}
 		if j.prefillOnly {
 			e.drop(j)
-			j.handOver(now)
+			j.startDecode(now)
 			continue
 		}
-		j.left--
+		j.outputLeft--
 		if j.first.IsZero() {
 			j.first = now
 			j.ticket.FirstToken()
@@ -146,9 +146,9 @@
 			}
 		}
 		j.ticket.Tokens(1)
-		if j.left == 0 {
+		if j.outputLeft == 0 {
 			e.drop(j)
-			j.inTime = !now.After(j.deadline)
+			j.withinDeadline = !now.After(j.deadline)
 			j.end(router.OutcomeOK, admission.ResultCompleted)
 		}
 	}
@@ -171,11 +171,11 @@
 	}
 }
 
-func (j *job) handOver(now time.Time) {
+func (j *job) startDecode(now time.Time) {
 	j.ticket.PrefillDone()
 	j.prefillOnly = false
 	j.engine = j.decode
-	j.todo = 1
+	j.promptLeft = 1
 	j.decode.waiting = append(j.decode.waiting, j)
 }
 
@@ -187,7 +187,7 @@
 
 func (j *job) release(r admission.Result) {
 	if j.grant != nil {
-		j.grant.Release(r, j.out-j.left)
+		j.grant.Release(r, j.out-j.outputLeft)
 	}
 }
 
@@ -199,7 +199,7 @@
 	running   []*job
 }
 
-// fleet is entries and engines under one clock.
+// fleet is a set of entries and engines with one clock.
 type fleet struct {
 	now     time.Time
 	rnd     *rand.Rand
@@ -208,10 +208,10 @@
 	entries []*fakeEntry
 	lag     time.Duration
 	jobs    []*job
-	// direct sends requests without admission.
+	// direct bypasses admission control.
 	direct bool
-	// imbalance and mean sum, over seconds, the most requests that an engine
-	// holds and the mean.
+	// imbalance sums, over the reports, the largest number of requests at any
+	// engine; mean sums the mean number.
 	imbalance, mean float64
 }
 
@@ -236,9 +236,9 @@
 	return f
 }
 
-// arrive sends a request to a random entry.
+// arrive creates a request at a random entry.
 func (f *fleet) arrive(class string, prompt, out int, limit time.Duration) {
-	j := &job{class: class, prompt: prompt, out: out, todo: prompt, left: out, arrived: f.now,
+	j := &job{class: class, prompt: prompt, out: out, promptLeft: prompt, outputLeft: out, arrived: f.now,
 		deadline: f.now.Add(limit), entry: f.entries[f.rnd.IntN(len(f.entries))]}
 	f.jobs = append(f.jobs, j)
 	if f.direct {
@@ -268,14 +268,14 @@
 	return router.Request{Pool: "p", Model: "m", PromptTokens: j.prompt, OutputTokens: j.out, Deadline: j.deadline}
 }
 
-// poll dispatches what has been granted.
+// poll dispatches the requests that admission has granted.
 func (f *fleet) poll(e *fakeEntry) {
-	keep := e.waiting[:0]
+	waiting := e.waiting[:0]
 	for _, j := range e.waiting {
 		g, ok, err := j.pending.Poll()
 		switch {
 		case !ok:
-			keep = append(keep, j)
+			waiting = append(waiting, j)
 		case err != nil:
 			j.refused = true
 		default:
@@ -283,7 +283,7 @@
 			f.dispatch(j)
 		}
 	}
-	e.waiting = keep
+	e.waiting = waiting
 }
 
 func (f *fleet) dispatch(j *job) {
@@ -329,20 +329,21 @@
 }
 
 func (f *fleet) cancelLate(e *fakeEntry) {
-	keep := e.running[:0]
+	running := e.running[:0]
 	for _, j := range e.running {
 		if !j.ended && f.now.After(j.deadline) {
 			j.engine.drop(j)
 			j.end(router.OutcomeCancelled, admission.ResultCancelled)
 		}
 		if !j.ended {
-			keep = append(keep, j)
+			running = append(running, j)
 		}
 	}
-	e.running = keep
+	e.running = running
 }
 
-// reportAll lets the engines report, lag late, and tells admission.
+// reportAll makes the engines report, delivers the reports of lag ago to the
+// trackers, and updates the controllers' capacity.
 func (f *fleet) reportAll() {
 	longest, sum := 0.0, 0.0
 	for _, e := range f.engines {
@@ -371,23 +372,23 @@
 	}
 }
 
-// mix is a stream of requests: short ones and long ones a second.
-type mix struct{ short, long float64 }
+// arrivalRates are the numbers of short and long requests a second.
+type arrivalRates struct{ short, long float64 }
 
-// run drives arrivals for a time and lets what is left end. It returns the
-// tally of those that arrived after the warm-up.
-func (f *fleet) run(m mix, warm, length time.Duration) tally {
+// run simulates arrivals for a time and then completes what is left. It returns the
+// tally of the requests that arrived after the warm-up.
+func (f *fleet) run(r arrivalRates, warmUp, length time.Duration) tally {
 	start := f.now
-	f.drive(m, length)
-	f.drive(mix{}, 40*time.Second)
-	return f.tallyOf(start.Add(warm), start.Add(length))
+	f.drive(r, length)
+	f.drive(arrivalRates{}, 40*time.Second)
+	return f.tallyOf(start.Add(warmUp), start.Add(length))
 }
 
-// drive sends requests at the rates of a mix for a time.
-func (f *fleet) drive(m mix, length time.Duration) {
+// drive generates arrivals at the given rates for a time.
+func (f *fleet) drive(r arrivalRates, length time.Duration) {
 	start := f.now
 	next := [2]time.Duration{}
-	rates := [2]float64{m.short, m.long}
+	rates := [2]float64{r.short, r.long}
 	for f.now.Sub(start) < length {
 		for i := range next {
 			for rates[i] > 0 && next[i] <= f.now.Sub(start) {
@@ -399,7 +400,7 @@
 	}
 }
 
-// kill takes engines away with all that they have; revive brings them back.
+// kill stops the first n engines and fails their requests; revive restarts all.
 func (f *fleet) kill(n int) {
 	for _, e := range f.engines[:n] {
 		e.dead = true
@@ -425,10 +426,10 @@
 	f.arrive("long", 2000+f.rnd.IntN(4000), 10+f.rnd.IntN(60), 30*time.Second)
 }
 
-// tally counts what became of requests.
+// tally counts the outcomes of requests.
 type tally struct {
-	offered, inTime, refused, late int
-	shortOffered, shortInTime      int
+	offered, withinDeadline, refused, late int
+	shortOffered, shortWithinDeadline      int
 }
 
 func (f *fleet) tallyOf(from, to time.Time) tally {
@@ -444,12 +445,12 @@
 		switch {
 		case j.refused:
 			t.refused++
-		case !j.inTime:
+		case !j.withinDeadline:
 			t.late++
 		default:
-			t.inTime++
+			t.withinDeadline++
 			if j.class == "short" {
-				t.shortInTime++
+				t.shortWithinDeadline++
 			}
 		}
 	}
--- a/router/pick.go
+++ b/router/pick.go
@@ -7,32 +7,28 @@
 
 // Picker chooses among scored candidates.
 type Picker interface {
-	// Pick returns the index of the candidate chosen, and why. There is at
-	// least one.
+	// Pick returns the index of the chosen candidate and the reason. There is at
+	// least one candidate.
 	Pick(cands []Candidate, r *Request, rnd *rand.Rand) (int, PlanReason)
 }
 
-// spreadPicker draws among the candidates whose cost is near the least, each
-// with a chance that falls with its cost.
-//
-// It guards against herding: seven processes with the same late reports all
-// see the same engine as the best and send it everything until the next
-// report, so that its queue grows while others idle. The draw spreads them,
-// and the band widens with the age of the reports, since a difference between
-// two engines means less the older it is.
+// spreadPicker draws among the candidates with a cost close to the lowest, cheaper
+// ones more often. Otherwise all processes with the same delayed reports would
+// send to one engine until the next report. The band widens with the age of the
+// reports, since an older difference between two engines means less.
 type spreadPicker struct {
-	// base is the band's least width, share its width by the least cost, and
-	// ageShare its width by the age of the reports.
-	base     time.Duration
-	share    float64
-	ageShare float64
+	// minWidth is the band's least width, costShare its width relative to the
+	// lowest cost, ageShare its width relative to the age of the reports.
+	minWidth  time.Duration
+	costShare float64
+	ageShare  float64
 }
 
-// leastSpread is the band's least width.
-const leastSpread = 5 * time.Millisecond
+// minSpread is the default of the band's least width.
+const minSpread = 5 * time.Millisecond
 
 func (p spreadPicker) Pick(cands []Candidate, _ *Request, rnd *rand.Rand) (int, PlanReason) {
-	best := cheapest(cands)
+	best := lowestCost(cands)
 	if len(cands) == 1 {
 		return 0, ReasonOnlyUpstream
 	}
@@ -47,7 +43,7 @@
 		}
 	}
 	if near == 1 {
-		return best, reasonOf(&cands[best], ReasonLeastCost)
+		return best, reasonFor(&cands[best], ReasonLeastCost)
 	}
 	return p.draw(cands, limit, width, rnd.Float64()*total, best)
 }
@@ -59,16 +55,16 @@
 			continue
 		}
 		if at -= w; at <= 0 {
-			return i, reasonOf(&cands[i], ReasonSpread)
+			return i, reasonFor(&cands[i], ReasonSpread)
 		}
 	}
-	return best, reasonOf(&cands[best], ReasonSpread)
+	return best, reasonFor(&cands[best], ReasonSpread)
 }
 
 func (p spreadPicker) width(best *Candidate) time.Duration {
-	byCost := time.Duration(p.share * float64(best.Cost))
+	byCost := time.Duration(p.costShare * float64(best.Cost))
 	byAge := time.Duration(p.ageShare * float64(best.ReportAge))
-	return max(p.base, byCost, byAge)
+	return max(p.minWidth, byCost, byAge)
 }
 
 // weight falls from 1 at limit-width to 0 at limit.
@@ -79,7 +75,7 @@
 	return min(1, float64(limit-c.Cost)/float64(width))
 }
 
-func reasonOf(c *Candidate, otherwise PlanReason) PlanReason {
+func reasonFor(c *Candidate, otherwise PlanReason) PlanReason {
 	if c.Trial {
 		return ReasonTrial
 	}
@@ -89,7 +85,7 @@
 	return otherwise
 }
 
-func cheapest(cands []Candidate) int {
+func lowestCost(cands []Candidate) int {
 	best := 0
 	for i := range cands {
 		if cands[i].Cost < cands[best].Cost {
--- a/router/schedule.go
+++ b/router/schedule.go
@@ -6,76 +6,76 @@
 	"time"
 )
 
-// The bounds of what one decision looks at. A group up to scanAll is scored
-// whole; of a larger one, random samples of the own data centre and of the
-// others, with the engines that the prefix index names.
+// Bounds on one decision. A group of up to scanAll upstreams is scored in full; of
+// a larger one, random samples of the request's data centre and of the whole group
+// are scored, with the engines that the prefix index matched.
 const (
-	scanAll      = 48
-	sampleLocal  = 18
-	sampleOthers = 8
-	maxCached    = 8
-	scratchSize  = scanAll + maxCached
+	scanAll       = 48
+	sampleLocal   = 18
+	sampleOthers  = 8
+	maxMatches    = 8
+	maxCandidates = scanAll + maxMatches
 )
 
 // Scheduler is a pipeline of filters, scorers and a picker.
 type Scheduler struct {
-	// Filters for whole requests, cheapest first.
+	// Filters apply to requests on one engine, cheapest first.
 	Filters []Filter
-	// Fallback replaces Filters if those leave nothing: it lets upstreams on
-	// probation run more than trials.
+	// Fallback replaces Filters if those leave no candidate: it lets upstreams on
+	// trial run more than one request.
 	Fallback []Filter
 	Scorers  []Scorer
 	Picker   Picker
 	cfg      Config
 }
 
-// NewScheduler returns the usual pipeline.
+// NewScheduler returns the default pipeline.
 func NewScheduler(cfg Config) *Scheduler {
 	s := &Scheduler{
 		Filters: []Filter{
-			leavingFilter{}, serviceFilter{}, memoryFilter{}, ejectedFilter{},
+			drainingFilter{}, serviceFilter{}, memoryFilter{}, ejectedFilter{},
 			trialFilter{}, excludedFilter{}, isolatedFilter{},
 		},
 		Fallback: []Filter{
-			leavingFilter{}, serviceFilter{}, memoryFilter{}, ejectedFilter{},
+			drainingFilter{}, serviceFilter{}, memoryFilter{}, ejectedFilter{},
 			excludedFilter{}, isolatedFilter{},
 		},
-		Picker: spreadPicker{base: leastSpread, share: cfg.SpreadByCost, ageShare: cfg.SpreadByAge},
+		Picker: spreadPicker{minWidth: minSpread, costShare: cfg.SpreadByCost, ageShare: cfg.SpreadByAge},
 		cfg:    cfg,
 	}
 	s.Scorers = []Scorer{
 		timeScorer{}, occupancyScorer{cfg.OccupancyWeight},
-		crossScorer{&s.cfg}, failureScorer{},
+		crossDCScorer{&s.cfg}, failureScorer{},
 	}
 	return s
 }
 
-// scratch is the memory of one decision, kept for the next.
+// scratch holds the buffers of one decision, for reuse.
 type scratch struct {
 	cands   []Candidate
-	pre     []Candidate // engines for prefill
-	dec     []Candidate // engines to take over from one of them
+	prefill []Candidate // engines for prefill
+	decode  []Candidate // engines for decode after one of them
 	nodes   []*node
 	matches []Match
 	dropped []int
 	request Request
 }
 
-// put gives the scratch back, without what its request points to.
-func (sc *scratch) put() {
+// release returns the scratch to the pool, without references to the request.
+func (sc *scratch) release() {
 	sc.request = Request{}
 	scratches.Put(sc)
 }
 
 var scratches = sync.Pool{New: func() any {
 	return &scratch{
-		cands: make([]Candidate, 0, scratchSize),
-		nodes: make([]*node, 0, scratchSize),
+		cands: make([]Candidate, 0, maxCandidates),
+		nodes: make([]*node, 0, maxCandidates),
 	}
 }}
 
 // Pick decides where a request runs, with the snapshot's pipeline. The error
-// is a *NoUpstreamError; nothing else fails.
+// is always a *NoUpstreamError.
 func Pick(s *Snapshot, r Request, now time.Time, rnd *rand.Rand) (Plan, error) {
 	return s.scheduler.Pick(s, r, now, rnd)
 }
@@ -84,16 +84,16 @@
 func (p *Scheduler) Pick(s *Snapshot, r Request, now time.Time, rnd *rand.Rand) (Plan, error) {
 	g := s.groups[groupKey{r.Pool, r.Model}]
 	if g == nil {
-		return Plan{}, lackOf(s, r.Pool, r.Model)
+		return Plan{}, unknownGroupError(s, r.Pool, r.Model)
 	}
 	sc := scratches.Get().(*scratch)
-	defer sc.put()
+	defer sc.release()
 	sc.request = r
-	d := decision{s: s, g: g, r: &sc.request, now: now, rnd: rnd, sc: sc, dc: s.ownDC(r.DataCentre)}
+	d := decision{s: s, g: g, r: &sc.request, now: now, rnd: rnd, sc: sc, dc: s.dataCentreIndex(r.DataCentre)}
 	return p.run(&d)
 }
 
-func lackOf(s *Snapshot, pool, model string) error {
+func unknownGroupError(s *Snapshot, pool, model string) error {
 	e := &NoUpstreamError{Pool: pool, Model: model, Reason: NoUpstreamUnknownPool}
 	if s.pools[pool] > 0 {
 		e.Reason = NoUpstreamUnknownModel
@@ -101,9 +101,9 @@
 	return e
 }
 
-// ownDC returns the index of the request's data centre; an unknown one counts
-// as the process's own, which has index 0.
-func (s *Snapshot) ownDC(name string) int32 {
+// dataCentreIndex returns the index of the request's data centre; an unknown one
+// counts as the process's own, which has index 0.
+func (s *Snapshot) dataCentreIndex(name string) int32 {
 	if name == "" {
 		return 0
 	}
@@ -122,26 +122,26 @@
 }
 
 func (p *Scheduler) run(d *decision) (Plan, error) {
-	d.lookUpCache()
-	why := PlanReason("")
-	d.gather(p.Filters)
+	d.lookupCache()
+	reason := PlanReason("")
+	d.collectCandidates(p.Filters)
 	if len(d.sc.cands) == 0 {
-		why = ReasonFallback
-		d.gather(p.Fallback)
+		reason = ReasonFallback
+		d.collectCandidates(p.Fallback)
 	}
 	if len(d.sc.cands) == 0 {
-		return Plan{}, d.lack(p.Filters)
+		return Plan{}, d.noUpstreamError(p.Filters)
 	}
 	p.score(d)
-	i, reason := p.Picker.Pick(d.sc.cands, d.r, d.rnd)
-	if why == "" {
-		why = reason
+	i, picked := p.Picker.Pick(d.sc.cands, d.r, d.rnd)
+	if reason == "" {
+		reason = picked
 	}
 	c := &d.sc.cands[i]
 	plan := Plan{
 		Engine:       c.Upstream.Name,
 		Estimate:     c.Estimate,
-		Reason:       why,
+		Reason:       reason,
 		CachedTokens: c.CachedTokens,
 		Considered:   len(d.sc.cands),
 	}
@@ -151,41 +151,41 @@
 func (p *Scheduler) score(d *decision) {
 	for i := range d.sc.cands {
 		c := &d.sc.cands[i]
-		c.CachedTokens = d.cachedOn(c.node)
+		c.CachedTokens = d.expectedCachedTokens(c.node)
 		for _, s := range p.Scorers {
 			c.Cost += s.Cost(c, d.r)
 		}
 	}
 }
 
-// gather fills the candidates with upstreams that the filters keep. If a
-// sample holds none, it goes on through the whole group.
-func (d *decision) gather(filters []Filter) {
+// collectCandidates fills the candidates with upstreams that pass the filters. If
+// no sampled one does, it tries the whole group.
+func (d *decision) collectCandidates(filters []Filter) {
 	d.sc.cands = d.sc.cands[:0]
 	d.sc.dropped = append(d.sc.dropped[:0], make([]int, len(filters))...)
 	if len(d.g.nodes) <= scanAll {
-		d.keep(d.g.nodes, filters)
+		d.appendKept(d.g.nodes, filters)
 		return
 	}
-	d.keep(d.sample(), filters)
+	d.appendKept(d.sample(), filters)
 	if len(d.sc.cands) > 0 {
 		return
 	}
 	clear(d.sc.dropped)
 	start := d.rnd.IntN(len(d.g.nodes))
-	d.keep(d.g.nodes[start:], filters)
-	d.keep(d.g.nodes[:start], filters)
+	d.appendKept(d.g.nodes[start:], filters)
+	d.appendKept(d.g.nodes[:start], filters)
 }
 
-// keep appends those of the nodes that pass, up to the scratch's size.
-func (d *decision) keep(nodes []*node, filters []Filter) {
+// appendKept appends the nodes that pass the filters, up to maxCandidates.
+func (d *decision) appendKept(nodes []*node, filters []Filter) {
 	for _, n := range nodes {
-		if len(d.sc.cands) == scratchSize {
+		if len(d.sc.cands) == maxCandidates {
 			return
 		}
 		d.sc.cands = d.sc.cands[:len(d.sc.cands)+1]
 		c := &d.sc.cands[len(d.sc.cands)-1]
-		c.load(d.s, n, d.r, d.dc, d.now)
+		c.fill(d.s, n, d.r, d.dc, d.now)
 		if i := firstDrop(filters, c, d.r); i >= 0 {
 			d.sc.dropped[i]++
 			d.sc.cands = d.sc.cands[:len(d.sc.cands)-1]
@@ -193,7 +193,7 @@
 	}
 }
 
-// firstDrop returns the index of the first filter that drops c, or -1.
+// firstDrop returns the index of the first filter that rejects c, or -1.
 func firstDrop(filters []Filter, c *Candidate, r *Request) int {
 	for i, f := range filters {
 		if !f.Keep(c, r) {
@@ -203,8 +203,8 @@
 	return -1
 }
 
-// sample draws nodes of a large group: of the own data centre, of the others,
-// and those whose prefix cache should hold most of the prompt.
+// sample draws nodes of a large group: those whose prefix cache matches the
+// prompt, some of the request's data centre, and some of the whole group.
 func (d *decision) sample() []*node {
 	d.sc.nodes = d.sc.nodes[:0]
 	for _, m := range d.sc.matches {
@@ -213,27 +213,27 @@
 			d.sc.nodes = append(d.sc.nodes, n)
 		}
 	}
-	d.draw(d.g.byDC[d.dc], sampleLocal)
-	d.draw(d.g.nodes, sampleOthers)
+	d.drawSample(d.g.byDC[d.dc], sampleLocal)
+	d.drawSample(d.g.nodes, sampleOthers)
 	return d.sc.nodes
 }
 
-// sampleOf returns the nodes, or a sample if they are many.
+// sampleOf returns the nodes, or a sample if there are more than scanAll.
 func (d *decision) sampleOf(from []*node) []*node {
 	if len(from) <= scanAll {
 		return from
 	}
 	d.sc.nodes = d.sc.nodes[:0]
-	d.draw(from, sampleLocal)
+	d.drawSample(from, sampleLocal)
 	return d.sc.nodes
 }
 
-func (d *decision) draw(from []*node, count int) {
+func (d *decision) drawSample(from []*node, count int) {
 	if len(from) == 0 {
 		return
 	}
-	// A run from a random start would tie neighbours together, so each is
-	// drawn by itself; a node that comes up twice is dropped.
+	// Drawing a run from a random start would always group the same neighbours,
+	// so each node is drawn on its own; a duplicate is skipped.
 	for range min(count, len(from)) {
 		n := from[d.rnd.IntN(len(from))]
 		if !contains(d.sc.nodes, n) {
@@ -265,11 +265,11 @@
 	return false
 }
 
-// lack names the filter that dropped the most; ties go to the later one, which
-// is the more particular.
-func (d *decision) lack(filters []Filter) error {
+// noUpstreamError names the filter that rejected the most upstreams; ties go to
+// the later one, which is more specific.
+func (d *decision) noUpstreamError(filters []Filter) error {
 	e := &NoUpstreamError{Pool: d.r.Pool, Model: d.r.Model, Members: len(d.g.nodes)}
-	d.gather(filters)
+	d.collectCandidates(filters)
 	most := 0
 	for i, f := range filters {
 		e.Dropped = append(e.Dropped, FilterCount{f.Reason(), d.sc.dropped[i]})
