--- a/enginemodel/doc.go
+++ b/enginemodel/doc.go
@@ -1,7 +1,7 @@
-// Package enginemodel predicts what a model engine takes for its work: to read a
-// prompt, to take a KV cache over, and between two events of a stream. Each figure
-// is learnt from what was seen of the engines of one pool; nothing is assumed of an
-// engine that one observation couldn't leave behind.
+// Package enginemodel predicts the durations of an engine's work: the prefill of a prompt,
+// the handoff of a KV cache, and the interval between two events of a stream. All
+// parameters are learned from observations of the engines of one pool; the initial
+// assumptions are weak enough for one observation to override.
 //
-// It is pure code: time and measurements are handed in.
+// The package is free of side effects: time and measurements are passed in.
 package enginemodel
--- a/enginemodel/errors.go
+++ b/enginemodel/errors.go
@@ -9,36 +9,35 @@
 )
 
 const (
-	// errorUnit is the resolution of an error, as a share of what was predicted.
+	// errorUnit is the resolution of a prediction error, as a share of the prediction.
 	errorUnit = 0.01
-	// mostError is the greatest error that is told apart, in units.
-	mostError = 10_000
-	// errorDigits is the precision of the histogram.
+	// maxError is the upper bound of recorded errors, in units.
+	maxError = 10_000
+	// errorDigits is the precision of the histogram in significant digits.
 	errorDigits = 2
 )
 
-// errorShares counts by how much readings differed from the prediction, as a share
-// of it.
-type errorShares struct {
+// errorHistogram counts prefills by their relative prediction error.
+type errorHistogram struct {
 	histogram *hdrhistogram.Histogram
 }
 
-func newErrorShares() *errorShares {
-	return &errorShares{histogram: hdrhistogram.New(1, mostError, errorDigits)}
+func newErrorHistogram() *errorHistogram {
+	return &errorHistogram{histogram: hdrhistogram.New(1, maxError, errorDigits)}
 }
 
-func (e *errorShares) note(took, expected float64) {
-	share := int64(math.Abs(took-expected) / max(leastTime, expected) / errorUnit)
-	_ = e.histogram.RecordValue(min(mostError, max(1, share))) // within the bounds, it never fails
+func (e *errorHistogram) record(took, expected float64) {
+	share := int64(math.Abs(took-expected) / max(minTime, expected) / errorUnit)
+	_ = e.histogram.RecordValue(min(maxError, max(1, share))) // the value is clamped, so this can't fail
 }
 
-// Error is how far readings were from their prediction, as shares of it.
+// Error is the distribution of relative prediction errors of prefills.
 type Error struct {
 	Count    int64
 	P50, P90 float64
 }
 
-// Error returns how well the readings of a role were predicted.
+// Error returns the prediction errors of prefills by engines of a role.
 func (m *Model) Error(role upstream.Role) Error {
 	e := m.errors[role]
 	if e == nil {
--- a/enginemodel/fit.go
+++ b/enginemodel/fit.go
@@ -8,32 +8,30 @@
 )
 
 const (
-	// memory is the number of observations over which a fit forgets: engines of a
-	// pool are alike, and a changed one has a factor of its own.
-	memory = 300.0
-	// priorWeight is the weight of what is assumed at first, in observations: the
-	// first observation outweighs it by far.
+	// fitMemory is the number of observations over which a fit decays. It can be long, as
+	// engines of a pool are alike and a changed engine has a slowdown factor of its own.
+	fitMemory = 300.0
+	// priorWeight is the weight of the prior in observations. The first observation
+	// outweighs it by far.
 	priorWeight = 0.02
-	// trusting is the number of observations from which on one that is far off is cut
-	// to outlier times the prediction, or that part of it.
-	trusting = 8
-	outlier  = 3.0
-	// An observation counts less the farther it is off, half at a logarithm of the
-	// ratio of oddScale, and aboveWeight of that if it took longer than predicted. A
-	// prompt that was kept already takes less; a lost packet, a stalled engine or a
-	// queue that nobody knew of make times longer, and are more frequent. Without it a
-	// model that was learnt in a crowd, as after a restart of all daemons, stayed
-	// several times too slow for ten seconds.
+	// minOutlierCount is the number of observations from which on an outlier is clamped to
+	// outlierRatio times the prediction, or to the prediction divided by it.
+	minOutlierCount = 8
+	outlierRatio    = 3.0
+	// An observation counts less the farther it is from the prediction: half at a log ratio
+	// of trustScale, and a further aboveWeight of that if it took longer. Cache hits take
+	// less; lost packets, stalled engines and unknown queues take longer, and are more
+	// frequent. Without aboveWeight a model trained in a crowd, as after a restart of all
+	// daemons, stayed several times too slow for ten seconds.
 	aboveWeight = 0.5
-	oddScale    = 0.5
-	// leastTime is what a prediction counts as at least, in milliseconds, where
-	// errors are taken in proportion to it.
-	leastTime = 1.0
+	trustScale  = 0.5
+	// minTime is the least prediction, in milliseconds, by which errors are divided.
+	minTime = 1.0
 )
 
-// Stats are the weighted normal equations of a linear fit, in the units of its
-// coefficients. Those of several processes add up, so that each has the
-// observations of all.
+// Stats are the weighted normal equations of a linear fit, in units of its coefficients.
+// The statistics of several processes add up, so that each process uses the observations of
+// all.
 type Stats struct {
 	Normal, Right []float64
 	// Count is the number of observations.
@@ -44,25 +42,25 @@
 	return Stats{Normal: make([]float64, n*n), Right: make([]float64, n)}
 }
 
-// fit is a linear model of a time in milliseconds: the sum of the features times
-// coefficients that are not negative. It minimises the squared error in proportion
-// to the time, the older observations counting less.
+// fit is a linear model of a time in milliseconds: a sum of features times coefficients
+// that are not negative. It minimises the squared relative error, with older observations
+// decayed.
 type fit struct {
 	prior  []coefficient
 	coef   []float64
-	own    Stats
+	local  Stats
 	others map[string]Stats
-	// all is the sum of those of the others.
+	// all is the sum of others.
 	all Stats
-	// stale says that coef is of before the last observation.
+	// stale is set if coef doesn't include the last observation.
 	stale bool
 }
 
-// coefficient is what is assumed of one of a fit's coefficients.
+// coefficient is the prior of one of a fit's coefficients.
 type coefficient struct {
-	// assumed is its value as long as nothing says otherwise, unit the size in which its
-	// changes are measured: of two coefficients that could explain an observation alike,
-	// that with the larger unit does for the most part.
+	// assumed is the value without observations, unit the scale of its changes: of two
+	// coefficients that explain an observation equally well, the one with the larger unit
+	// changes more.
 	assumed, unit float64
 }
 
@@ -73,7 +71,7 @@
 func newFit(prior ...coefficient) *fit {
 	f := &fit{
 		prior: prior, coef: make([]float64, len(prior)),
-		own: newStats(len(prior)), others: make(map[string]Stats), all: newStats(len(prior)),
+		local: newStats(len(prior)), others: make(map[string]Stats), all: newStats(len(prior)),
 	}
 	for i, c := range prior {
 		f.coef[i] = c.assumed
@@ -81,17 +79,17 @@
 	return f
 }
 
-// settle finds the coefficients again if there is something new.
-func (f *fit) settle() {
+// refresh recomputes the coefficients if there are new observations.
+func (f *fit) refresh() {
 	if f.stale {
 		f.stale = false
 		f.solve()
 	}
 }
 
-// predict returns the time for some features.
+// predict returns the predicted time for the given features.
 func (f *fit) predict(features ...float64) float64 {
-	f.settle()
+	f.refresh()
 	sum := 0.0
 	for i, c := range f.coef {
 		sum += c * features[i]
@@ -100,58 +98,57 @@
 }
 
 // count returns the number of observations of all processes.
-func (f *fit) count() int { return f.own.Count + f.all.Count }
+func (f *fit) count() int { return f.local.Count + f.all.Count }
 
-// learn takes a time that was seen. weight is what it counts, 1 for an observation
-// without doubt.
+// learn adds an observed time. weight is its relative weight, 1 for a reliable observation.
 func (f *fit) learn(took, weight float64, features ...float64) {
-	expected := max(leastTime, f.predict(features...))
-	if f.count() >= trusting {
-		took = min(max(took, expected/outlier), outlier*expected)
+	expected := max(minTime, f.predict(features...))
+	if f.count() >= minOutlierCount {
+		took = min(max(took, expected/outlierRatio), outlierRatio*expected)
 	}
 	if f.count() > 0 {
 		weight *= trust(took / expected)
 	}
-	f.own.Count++
-	// By the prediction alone the first observations, predicted far too short, would
-	// outweigh all later ones.
+	f.local.Count++
+	// Divided by the prediction alone, the first observations, whose predictions are far
+	// too short, would outweigh all later ones.
 	unit := max(expected, took)
 	n := len(f.prior)
 	row := make([]float64, n)
 	for i := range row {
 		row[i] = f.prior[i].unit * features[i] / unit
 	}
-	const keep = 1 - 1/memory
+	const keep = 1 - 1/fitMemory
 	for i := range n {
 		for j := range n {
-			f.own.Normal[i*n+j] = keep*f.own.Normal[i*n+j] + weight*row[i]*row[j]
+			f.local.Normal[i*n+j] = keep*f.local.Normal[i*n+j] + weight*row[i]*row[j]
 		}
-		f.own.Right[i] = keep*f.own.Right[i] + weight*row[i]*took/unit
+		f.local.Right[i] = keep*f.local.Right[i] + weight*row[i]*took/unit
 	}
 	f.stale = true
 }
 
 // trust is the weight of an observation by its ratio to the prediction.
 func trust(ratio float64) float64 {
-	odd := math.Log(ratio) / oddScale
-	weight := 1 / (1 + odd*odd)
+	deviation := math.Log(ratio) / trustScale
+	weight := 1 / (1 + deviation*deviation)
 	if ratio > 1 {
 		weight *= aboveWeight
 	}
 	return weight
 }
 
-// newcomer is the number of observations below which another process's statistics
-// don't replace better ones of its former start.
-const newcomer = 50
+// minReplacementCount is the number of observations below which a restarted process's
+// statistics don't replace larger ones from before its restart.
+const minReplacementCount = 50
 
-// merge takes over the statistics of another process.
+// merge replaces the statistics of another process.
 func (f *fit) merge(from string, s Stats) {
 	if len(s.Right) != len(f.prior) || len(s.Normal) != len(f.prior)*len(f.prior) {
-		return // of a process that models engines in another way
+		return // the process uses another model
 	}
 	before, known := f.others[from]
-	if s.Count < min(before.Count, newcomer) {
+	if s.Count < min(before.Count, minReplacementCount) {
 		return
 	}
 	if known {
@@ -164,12 +161,12 @@
 
 // sum adds up the statistics of all processes.
 func (f *fit) sum() Stats {
-	total := f.own.clone()
+	total := f.local.clone()
 	total.add(f.all, 1)
 	return total
 }
 
-// add adds the statistics of a process, or with a sign of -1 takes them away.
+// add adds the statistics of a process, or subtracts them if sign is -1.
 func (s *Stats) add(o Stats, sign int) {
 	for i := range s.Normal {
 		s.Normal[i] += float64(sign) * o.Normal[i]
@@ -180,8 +177,8 @@
 	s.Count += sign * o.Count
 }
 
-// solve finds the coefficients. Those that would be negative are left out, the most
-// negative first: no work makes an engine faster.
+// solve computes the coefficients. Negative ones are eliminated, the most negative first:
+// work never takes negative time.
 func (f *fit) solve() {
 	total := f.sum()
 	if total.Count == 0 {
@@ -194,7 +191,7 @@
 	for len(active) > 0 {
 		solution, ok := f.solveFor(total, active)
 		if !ok {
-			return // the last coefficients hold
+			return // keep the previous coefficients
 		}
 		least := 0
 		for i := range solution {
@@ -213,19 +210,19 @@
 	}
 }
 
-// solveFor solves the equations of some of the coefficients. The prior pulls each
-// towards what is assumed.
+// solveFor solves the equations of the active coefficients. The prior pulls each towards
+// its assumed value.
 func (f *fit) solveFor(s Stats, active []int) ([]float64, bool) {
 	n, all := len(active), len(s.Right)
 	a := mat.NewSymDense(n, nil)
 	b := mat.NewVecDense(n, nil)
-	pull := priorWeight * s.scale()
+	priorScale := priorWeight * s.scale()
 	for i, p := range active {
 		for j := i; j < n; j++ {
 			a.SetSym(i, j, s.Normal[p*all+active[j]])
 		}
-		a.SetSym(i, i, a.At(i, i)+pull)
-		b.SetVec(i, s.Right[p]+pull*f.prior[p].assumed/f.prior[p].unit)
+		a.SetSym(i, i, a.At(i, i)+priorScale)
+		b.SetVec(i, s.Right[p]+priorScale*f.prior[p].assumed/f.prior[p].unit)
 	}
 	var chol mat.Cholesky
 	if !chol.Factorize(a) {
@@ -233,18 +230,18 @@
 	}
 	var x mat.VecDense
 	if err := chol.SolveVecTo(&x, b); err != nil {
-		return nil, false // too close to singular to say anything
+		return nil, false // nearly singular
 	}
 	return x.RawVector().Data, true
 }
 
-// scale is the size of one observation's terms, so that the prior's weight is in
-// observations whatever the engines' speed.
+// scale is the mean size of an observation's terms. It makes the prior's weight independent
+// of the engines' speed.
 func (s Stats) scale() float64 {
 	trace := 0.0
 	n := len(s.Right)
 	for i := range n {
 		trace += s.Normal[i*n+i]
 	}
-	return math.Max(trace/float64(max(1, min(s.Count, memory))), math.SmallestNonzeroFloat32)
+	return math.Max(trace/float64(max(1, min(s.Count, fitMemory))), math.SmallestNonzeroFloat32)
 }
--- a/enginemodel/model.go
+++ b/enginemodel/model.go
@@ -6,205 +6,205 @@
 	"tamarackchute/upstream"
 )
 
-// What is assumed of engines that nothing was seen of, in milliseconds. An engine
-// that is believed slow is sent nothing, and never shows that it is fast; so all are
-// believed fast at first, and the first prompt says what is true. The units only say
-// which of several explanations comes first.
+// The priors of the coefficients, in milliseconds. An engine believed to be slow would get
+// no work and never prove to be fast, so all are assumed to be fast until the first
+// observation. The units only decide which of several explanations prevails.
 var (
-	// assumedStart is of an answer to a prompt of no length.
+	// assumedStart is the time to respond to an empty prompt.
 	assumedStart = coefficient{assumed: 0.5, unit: 0.5}
-	// assumedToken is a prompt token read.
+	// assumedToken is the prefill time per token.
 	assumedToken = coefficient{assumed: 0.001, unit: 0.001}
-	// assumedPair is a million pairs of tokens that attend to each other.
+	// assumedPair is the prefill time per million pairs of tokens that attend to each
+	// other.
 	assumedPair = coefficient{assumed: 0, unit: 0.05}
-	// assumedTakeover is from one engine's answer to the other's first event.
-	assumedTakeover = coefficient{assumed: 2, unit: 2}
-	// assumedMove is a thousand tokens moved.
-	assumedMove = coefficient{assumed: 0.05, unit: 0.05}
-	// assumedBehind is the share of the reading before it that a request taken over
+	// assumedHandoff is the time from the response of one engine to the first event of the
+	// other.
+	assumedHandoff = coefficient{assumed: 2, unit: 2}
+	// assumedTransfer is the KV transfer time per thousand tokens.
+	assumedTransfer = coefficient{assumed: 0.05, unit: 0.05}
+	// assumedQueueShare is the share of the pending prefill work that a handed-over request
 	// waits for.
-	assumedBehind = coefficient{assumed: 0.5, unit: 0.5}
-	// assumedInterval is between two events of a stream alone on its engine,
-	// assumedShared what each other stream there adds.
-	assumedInterval = coefficient{assumed: 5, unit: 5}
-	assumedShared   = coefficient{assumed: 0.02, unit: 0.02}
+	assumedQueueShare = coefficient{assumed: 0.5, unit: 0.5}
+	// assumedInterval is the interval between two events of a stream alone on its engine,
+	// assumedPerStream what each concurrent stream adds.
+	assumedInterval  = coefficient{assumed: 5, unit: 5}
+	assumedPerStream = coefficient{assumed: 0.02, unit: 0.02}
 )
 
-// assumedOutput is a token generated.
-const assumedOutput = 0.2
+// assumedMillisPerToken is the assumed decode time per token.
+const assumedMillisPerToken = 0.2
 
-// beside is how much longer an engine that generates is assumed to read, as it does so
-// between the tokens of its streams.
-const beside = 2.0
+// decodePrefillFactor is the assumed ratio of prefill times on decode engines to those on
+// prefill engines, as decode engines prefill between the tokens of their streams.
+const decodePrefillFactor = 2.0
 
-// Prompt is what an engine has to read of a prompt.
+// Prompt is the part of a prompt that an engine has to prefill.
 type Prompt struct {
-	// Tokens are to be read, after Context tokens that it keeps already.
+	// Tokens are to be prefilled after Context tokens that are cached.
 	Tokens, Context int
 }
 
-// pairs is the number of pairs of tokens, in millions, that attention has to look
-// at: each token that is read looks at all before it.
+// pairs is the number of pairs of tokens, in millions, that attention computes: each
+// prefilled token attends to all before it.
 func (p Prompt) pairs() float64 {
-	read, kept := float64(p.Tokens), float64(p.Context)
-	return read * (kept + read/2) / 1e6
+	tokens, context := float64(p.Tokens), float64(p.Context)
+	return tokens * (context + tokens/2) / 1e6
 }
 
-// Model learns the figures of the engines of one pool. It isn't safe for use by many
-// goroutines; what Figures returns is.
+// Model learns the parameters of the engines of one pool. It isn't safe for concurrent use;
+// the Parameters that it returns are.
 type Model struct {
-	reading  map[upstream.Role]*fit
-	takeover *fit
+	prefill  map[upstream.Role]*fit
+	handoff  *fit
 	interval *fit
-	// generated and events sum up the times of whole streams and their events, expected
-	// the tokens that were expected of them.
-	generated, events, expected float64
-	// answers are those asked for.
-	answers ResponseStats
-	// typical is the smoothed time of reading a prompt, in milliseconds.
+	// streamMillis and streamEvents sum up the durations and events of complete streams,
+	// streamTokens the tokens expected of them. They decay.
+	streamMillis, streamEvents, streamTokens float64
+	// responses are the statistics of long responses requested here.
+	responses ResponseStats
+	// typical is the smoothed prefill time, in milliseconds.
 	typical float64
-	// others is what other processes have observed, by their names.
+	// others are the observations of other processes, by their names.
 	others map[string]Observations
-	errors map[upstream.Role]*errorShares
-	// current is nil if something was learnt since it was last asked for: others tell far
-	// more often what they have learnt than anything is decided by it.
+	errors map[upstream.Role]*errorHistogram
+	// current caches the parameters; nil after new observations. Observations of others
+	// arrive far more often than parameters are needed.
 	current *Parameters
 }
 
-// New returns a model that has seen nothing.
+// New returns a model without observations.
 func New() *Model {
 	m := &Model{
-		reading: map[upstream.Role]*fit{
+		prefill: map[upstream.Role]*fit{
 			upstream.RolePrefill: newFit(assumedStart, assumedToken, assumedPair),
-			upstream.RoleDecode:  newFit(assumedStart, assumedToken.times(beside), assumedPair.times(beside)),
+			upstream.RoleDecode:  newFit(assumedStart, assumedToken.times(decodePrefillFactor), assumedPair.times(decodePrefillFactor)),
 		},
-		takeover: newFit(assumedTakeover, assumedMove, assumedBehind),
-		interval: newFit(assumedInterval, assumedShared),
+		handoff:  newFit(assumedHandoff, assumedTransfer, assumedQueueShare),
+		interval: newFit(assumedInterval, assumedPerStream),
 		others:   make(map[string]Observations),
-		errors: map[upstream.Role]*errorShares{
-			upstream.RolePrefill: newErrorShares(),
-			upstream.RoleDecode:  newErrorShares(),
+		errors: map[upstream.Role]*errorHistogram{
+			upstream.RolePrefill: newErrorHistogram(),
+			upstream.RoleDecode:  newErrorHistogram(),
 		},
 	}
 	return m
 }
 
-// Figures returns what is known now. It never changes.
+// Parameters returns the current parameters. The result is never modified.
 func (m *Model) Parameters() *Parameters {
 	if m.current == nil {
-		m.current = m.figures()
+		m.current = m.computeParameters()
 	}
 	return m.current
 }
 
-func (m *Model) figures() *Parameters {
-	for _, f := range []*fit{m.reading[upstream.RolePrefill], m.reading[upstream.RoleDecode], m.takeover, m.interval} {
-		f.settle()
+func (m *Model) computeParameters() *Parameters {
+	for _, f := range []*fit{m.prefill[upstream.RolePrefill], m.prefill[upstream.RoleDecode], m.handoff, m.interval} {
+		f.refresh()
 	}
-	prefill, decode := m.readings()
-	streams := m.streams()
+	prefill, decode := m.prefillCosts()
+	streams := m.allStreams()
 	return &Parameters{
 		prefill: prefill, decode: decode,
-		takeover: handoffOf(m.takeover), interval: lineOf(m.interval),
-		output: streams.output(), events: streams.eventsPerToken(), typical: m.typicalOfAll(),
-		longest: streams.Answers.longest(), left: streams.Answers.left(),
+		handoff: handoffOf(m.handoff), interval: lineOf(m.interval),
+		millisPerToken: streams.millisPerToken(), eventsPerToken: streams.eventsPerToken(), typicalPrefill: m.meanTypical(),
+		longTokens: streams.Answers.longTokens(), longMillis: streams.Answers.meanTimeLeft(),
 		known: map[upstream.Role]bool{
-			upstream.RolePrefill: m.reading[upstream.RolePrefill].count() > 0,
-			upstream.RoleDecode:  m.reading[upstream.RoleDecode].count() > 0,
+			upstream.RolePrefill: m.prefill[upstream.RolePrefill].count() > 0,
+			upstream.RoleDecode:  m.prefill[upstream.RoleDecode].count() > 0,
 		},
 	}
 }
 
-// readings returns what is known of reading by role. A role that nothing was seen of is
-// taken to be to the other as assumed: beside engines that are known to be fast, the
-// assumption alone would make engines of the other role look slow, and none would be
-// given it.
-func (m *Model) readings() (prefill, decode reading) {
-	read, generate := m.reading[upstream.RolePrefill], m.reading[upstream.RoleDecode]
-	prefill, decode = readingOf(read), readingOf(generate)
+// prefillCosts returns the prefill cost by role. For a role without observations it is
+// derived from the other role: next to observed fast engines the mere prior would make
+// engines of the other role look slow, and none would be given that role.
+func (m *Model) prefillCosts() (prefill, decode prefillCost) {
+	prefillFit, decodeFit := m.prefill[upstream.RolePrefill], m.prefill[upstream.RoleDecode]
+	prefill, decode = prefillCostOf(prefillFit), prefillCostOf(decodeFit)
 	switch {
-	case read.count() == 0 && generate.count() > 0:
-		prefill = decode.times(1 / beside)
-	case generate.count() == 0 && read.count() > 0:
-		decode = prefill.times(beside)
+	case prefillFit.count() == 0 && decodeFit.count() > 0:
+		prefill = decode.times(1 / decodePrefillFactor)
+	case decodeFit.count() == 0 && prefillFit.count() > 0:
+		decode = prefill.times(decodePrefillFactor)
 	}
 	return prefill, decode
 }
 
-// typicalStep is the weight of one prompt in the typical reading.
+// typicalStep is the weight of one prompt in the typical prefill time.
 const typicalStep = 0.02
 
-// Read is a prompt that an engine has read, as it was seen.
+// PrefillSample is an observed prefill.
 type PrefillSample struct {
 	Role upstream.Role
 	Prompt
-	// Took is the time from its sending to the sign that it had been read, Ahead
-	// that which the prompts sent there before were believed to take.
+	// Took is the time from sending the prompt to the sign that it was prefilled, QueueTime
+	// the expected duration of the work queued before it.
 	Took, QueueTime time.Duration
-	// Alone says that no other prompt waited there when it was sent.
+	// QueueEmpty is set if no other prefill was pending when the prompt was sent.
 	QueueEmpty bool
 }
 
-// behindWeight is what a prompt that had to wait for others counts. The belief about
-// those is part of what it seems to take: a model that learns from its own errors can
-// come to believe that all prompts take the same, let everything in, and see nothing
-// else from then on.
-const behindWeight = 0.02
+// queuedWeight is the weight of a prefill that was queued behind others. Its duration
+// depends on the predictions for those; a model that learns from its own errors can
+// converge to the same time for all prompts, admit everything, and never observe anything
+// else.
+const queuedWeight = 0.02
 
-// LearnRead takes a prompt that was read.
+// LearnPrefill records a prefill.
 func (m *Model) LearnPrefill(r PrefillSample) {
-	f := m.reading[r.Role]
+	f := m.prefill[r.Role]
 	if f == nil || r.Tokens <= 0 {
 		return
 	}
-	took, ahead := Millis(r.Took), Millis(r.QueueTime)
-	own := m.Parameters().PrefillMillis(r.Role, r.Prompt)
-	m.errors[r.Role].note(took, ahead+own+f.coef[0])
+	took, queued := Millis(r.Took), Millis(r.QueueTime)
+	expected := m.Parameters().PrefillMillis(r.Role, r.Prompt)
+	m.errors[r.Role].record(took, queued+expected+f.coef[0])
 	if m.typical == 0 {
-		m.typical = own
+		m.typical = expected
 	}
-	m.typical += typicalStep * (own - m.typical)
-	if alone := took - ahead; alone > 0 {
-		weight := behindWeight
+	m.typical += typicalStep * (expected - m.typical)
+	if net := took - queued; net > 0 {
+		weight := queuedWeight
 		if r.QueueEmpty {
 			weight = 1
 		}
-		f.learn(alone, weight, 1, float64(r.Tokens), r.pairs())
+		f.learn(net, weight, 1, float64(r.Tokens), r.pairs())
 	}
 	m.current = nil
 }
 
-// LearnTakeover takes the time until an engine that took a KV cache over gave its
-// first event, and the reading that waited there, in milliseconds.
+// LearnHandoff records the time from the handoff to the engine's first event, with the
+// prefill work pending there in milliseconds.
 func (m *Model) LearnHandoff(tokens int, queue float64, took time.Duration) {
-	m.takeover.learn(Millis(took), 1, 1, float64(tokens)/1000, queue)
+	m.handoff.learn(Millis(took), 1, 1, float64(tokens)/1000, queue)
 	m.current = nil
 }
 
-// LearnInterval takes a time between two events during which the engine read nothing.
+// LearnInterval records the time between two events during which the engine did no prefill.
 func (m *Model) LearnInterval(others int, took time.Duration) {
 	m.interval.learn(Millis(took), 1, 1, float64(max(0, others)))
 	m.current = nil
 }
 
-// generationMemory is the number of expected tokens over which the time of one is
+// streamMemory is the number of expected tokens over which stream observations are
 // averaged.
-const generationMemory = 20_000.0
+const streamMemory = 20_000.0
 
-// LearnGeneration takes the time from the first event of a whole stream to its last, and
-// how many events it had.
+// LearnStream records the time from the first to the last event of a complete stream, and
+// its number of events.
 func (m *Model) LearnStream(expected, events int, took time.Duration) {
-	m.generated += Millis(took)
-	m.events += float64(events)
-	m.expected += float64(expected)
-	if m.expected > generationMemory {
-		keep := generationMemory / m.expected
-		m.generated *= keep
-		m.events *= keep
-		m.expected *= keep
+	m.streamMillis += Millis(took)
+	m.streamEvents += float64(events)
+	m.streamTokens += float64(expected)
+	if m.streamTokens > streamMemory {
+		keep := streamMemory / m.streamTokens
+		m.streamMillis *= keep
+		m.streamEvents *= keep
+		m.streamTokens *= keep
 	}
 	m.current = nil
 }
 
-// Millis returns a time in milliseconds, the unit of all figures here.
+// Millis returns a duration in milliseconds, the unit of all times in this package.
 func Millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/placement/batchreplay_test.go
+++ b/placement/batchreplay_test.go
@@ -16,62 +16,62 @@
 // the engine reads. One daemon decides for all requests.
 type batchReplay struct {
 	clock   *clock
-	books   *Tracker
+	tracker *Tracker
 	engines []*batchEngine
 	rand    *rand.Rand
 	// slow is how many times as long as the first engines' all times are.
-	slow float64
+	speedFactor float64
 
-	streams []*playedStream
+	streams []*batchStream
 	prompts struct{ asked, inTime int }
 }
 
 // The figures of the engines, in milliseconds unless said otherwise.
 const (
-	eventTokens   = 70
-	eventAlone    = 42.0
-	eventBeside   = 1.6
-	tokensPerMs   = 490.0
-	longestEvents = 170
-	shortEvents   = 2
+	eventTokens          = 70
+	baseEventMillis      = 42.0
+	eventMillisPerStream = 1.6
+	tokensPerMs          = 490.0
+	maxEvents            = 170
+	shortEvents          = 2
 	// patience is the longest that callers wait, leastPatience the share of it that the
 	// least patient do.
-	patience      = 15 * time.Second
-	leastPatience = 0.87
-	tick          = 5 * time.Millisecond
+	maxTimeout      = 15 * time.Second
+	minTimeoutShare = 0.87
+	tick            = 5 * time.Millisecond
 	// mostRead is the share of its time that an engine with streams reads at most.
-	mostRead = 0.7
+	maxPrefillTime = 0.7
 )
 
 type batchEngine struct {
 	Member
 	// slower is how many times as long as at the first ones all takes there.
-	slower  float64
-	streams []*playedStream
-	reads   []*playedRead
+	slowdown float64
+	streams  []*batchStream
+	prefills []*batchPrefill
 }
 
-type playedStream struct {
+type batchStream struct {
 	events, done float64
 	deadline     time.Time
 	ticket       *Ticket
-	whole        bool
+	complete     bool
 }
 
 // playedRead is a prompt that an engine reads, and the short answer to it that follows at
 // the engine that generates.
-type playedRead struct {
-	left     float64
-	deadline time.Time
-	reader   *Ticket
-	answer   *playedStream
-	at       *batchEngine
+type batchPrefill struct {
+	remaining float64
+	deadline  time.Time
+	ticket    *Ticket
+	response  *batchStream
+	decode    *batchEngine
 }
 
-func newBatchReplay(engines int, slow float64, seed uint64) *batchReplay {
-	p := &batchReplay{clock: &clock{time.Unix(1000, 0)}, rand: rand.New(rand.NewPCG(seed, 27)), slow: slow}
-	p.books = NewTracker(p.clock.now)
-	p.books.AssumeNewEnginesEmpty()
+func newBatchReplay(engines int, speedFactor float64, seed uint64) *batchReplay {
+	p := &batchReplay{clock: &clock{time.Unix(1000, 0)}, rand: rand.New(rand.NewPCG(seed, 27)), speedFactor: speedFactor}
+	p.tracker = NewTracker(p.clock.now)
+	p.tracker.AssumeNewEnginesEmpty()
 	var members []Member
 	for i := range engines {
 		m := Member{ID: fmt.Sprint("e", i), DataCentre: "d", Pool: "p", Role: upstream.RoleDecode, Slots: 32, KVTokens: 1_250_000, TransferMillisPerToken: 0.0001}
@@ -79,34 +79,34 @@
 			m.Role = upstream.RolePrefill
 		}
 		members = append(members, m)
-		p.engines = append(p.engines, &batchEngine{Member: m, slower: 1})
+		p.engines = append(p.engines, &batchEngine{Member: m, slowdown: 1})
 	}
-	p.books.Sync(members)
-	p.learn()
+	p.tracker.Sync(members)
+	p.train()
 	return p
 }
 
 // learn has the daemon know the engines from the start.
-func (p *batchReplay) learn() {
-	m := p.books.model("p")
+func (p *batchReplay) train() {
+	m := p.tracker.model("p")
 	for i := range 200 {
 		n := i % 24
 		m.LearnInterval(n, millis(p.interval(n)))
 		m.LearnStream(eventTokens*50, 50, millis(50*p.interval(12)))
 		tokens := 1000 + 100*(i%50)
 		for _, role := range []upstream.Role{upstream.RolePrefill, upstream.RoleDecode} {
-			m.LearnPrefill(enginemodel.PrefillSample{Role: role, Prompt: enginemodel.Prompt{Tokens: tokens}, Took: millis(10*p.slow + p.reading(role, tokens)), QueueEmpty: true})
+			m.LearnPrefill(enginemodel.PrefillSample{Role: role, Prompt: enginemodel.Prompt{Tokens: tokens}, Took: millis(10*p.speedFactor + p.prefillMillis(role, tokens)), QueueEmpty: true})
 		}
-		m.LearnHandoff(3000, 0, millis(5*p.slow))
+		m.LearnHandoff(3000, 0, millis(5*p.speedFactor))
 	}
 }
 
 func (p *batchReplay) interval(others int) float64 {
-	return p.slow * (eventAlone + eventBeside*float64(others))
+	return p.speedFactor * (baseEventMillis + eventMillisPerStream*float64(others))
 }
 
-func (p *batchReplay) reading(role upstream.Role, tokens int) float64 {
-	took := p.slow * float64(tokens) / tokensPerMs
+func (p *batchReplay) prefillMillis(role upstream.Role, tokens int) float64 {
+	took := p.speedFactor * float64(tokens) / tokensPerMs
 	if role == upstream.RoleDecode {
 		took *= 2
 	}
@@ -114,17 +114,17 @@
 }
 
 func (p *batchReplay) scaled(d time.Duration) time.Duration {
-	return time.Duration(p.slow * float64(d))
+	return time.Duration(p.speedFactor * float64(d))
 }
 
 // play has callers ask for a while; the rates are of streams and prompts a second on the
 // first engines. All streams are then played to their ends.
 func (p *batchReplay) play(length time.Duration, rates func(at time.Duration) (streams, prompts float64)) {
-	for at := time.Duration(0); at < length+patience+time.Second; at += tick {
+	for at := time.Duration(0); at < length+maxTimeout+time.Second; at += tick {
 		if at < length {
 			streams, prompts := rates(at)
-			p.times(streams, p.askStream)
-			p.times(prompts, p.askPrompt)
+			p.times(streams, p.requestStream)
+			p.times(prompts, p.requestPrompt)
 		}
 		for _, e := range p.engines {
 			p.work(e)
@@ -142,24 +142,24 @@
 
 // askStream asks for an answer of a length that callers guess within a factor of two, of
 // which they name only the bound.
-func (p *batchReplay) askStream() {
-	events := min(longestEvents, 51*math.Exp(0.84*p.rand.NormFloat64()))
+func (p *batchReplay) requestStream() {
+	events := min(maxEvents, 51*math.Exp(0.84*p.rand.NormFloat64()))
 	guess := events * math.Exp(0.5*p.rand.NormFloat64())
 	r := Request{
-		PromptTokens: 141, OutputTokens: eventTokens * int(min(longestEvents, guess)), MaxOutputTokens: eventTokens * longestEvents,
+		PromptTokens: 141, OutputTokens: eventTokens * int(min(maxEvents, guess)), MaxOutputTokens: eventTokens * maxEvents,
 		DataCentre: "d", Objective: p.scaled(150 * time.Millisecond), GapObjective: p.scaled(250 * time.Millisecond),
-		TimeLeft: time.Duration((leastPatience + (1-leastPatience)*p.rand.Float64()) * float64(p.scaled(patience))),
+		TimeLeft: time.Duration((minTimeoutShare + (1-minTimeoutShare)*p.rand.Float64()) * float64(p.scaled(maxTimeout))),
 	}
 	r.Parts = []Part{{ID: p.rand.Uint64(), Tokens: r.PromptTokens}}
 	r.FirstTokenLimit = r.Objective * 85 / 100
 	r.RecomputeLimit = r.FirstTokenLimit
-	s := &playedStream{events: math.Ceil(events), deadline: p.clock.at.Add(r.TimeLeft)}
+	s := &batchStream{events: math.Ceil(events), deadline: p.clock.at.Add(r.TimeLeft)}
 	p.streams = append(p.streams, s)
-	plan, ok := p.books.Pick("p", r)
+	plan, ok := p.tracker.Pick("p", r)
 	if !ok || !plan.MeetsLimit(r) {
 		return // refused
 	}
-	s.ticket = p.books.Begin(plan.Engine, Work{
+	s.ticket = p.tracker.Begin(plan.Engine, Work{
 		Prefill: plan.PrefillWork(r), Parts: r.Parts, ReservedKVTokens: r.PromptTokens + r.OutputTokens, OutputTokens: r.OutputTokens, LongStream: plan.LongStream, TimeLeft: r.TimeLeft,
 	})
 	s.ticket.PrefillDone()
@@ -172,7 +172,7 @@
 }
 
 // askPrompt asks for a short answer to a long prompt.
-func (p *batchReplay) askPrompt() {
+func (p *batchReplay) requestPrompt() {
 	p.prompts.asked++
 	r := Request{
 		PromptTokens: 2890, OutputTokens: 2, DataCentre: "d",
@@ -181,46 +181,46 @@
 	r.Parts = []Part{{ID: p.rand.Uint64(), Tokens: r.PromptTokens}}
 	r.FirstTokenLimit = r.Objective * 85 / 100
 	r.RecomputeLimit = r.FirstTokenLimit
-	plan, ok := p.books.Pick("p", r)
+	plan, ok := p.tracker.Pick("p", r)
 	if !ok || !plan.MeetsLimit(r) {
 		return
 	}
-	e := p.engine(reader(plan))
-	read := &playedRead{left: e.slower * p.reading(e.Role, r.PromptTokens), deadline: p.clock.at.Add(r.Objective), at: p.engine(plan.Engine)}
-	read.reader = p.books.Begin(e.ID, Work{Prefill: plan.PrefillWork(r), Parts: r.Parts, ReservedKVTokens: r.PromptTokens})
-	read.answer = &playedStream{events: shortEvents, deadline: p.clock.at.Add(r.TimeLeft), ticket: read.reader}
+	e := p.engine(prefillEngine(plan))
+	prefill := &batchPrefill{remaining: e.slowdown * p.prefillMillis(e.Role, r.PromptTokens), deadline: p.clock.at.Add(r.Objective), decode: p.engine(plan.Engine)}
+	prefill.ticket = p.tracker.Begin(e.ID, Work{Prefill: plan.PrefillWork(r), Parts: r.Parts, ReservedKVTokens: r.PromptTokens})
+	prefill.response = &batchStream{events: shortEvents, deadline: p.clock.at.Add(r.TimeLeft), ticket: prefill.ticket}
 	if plan.Prefill != "" {
-		read.answer.ticket = p.books.Begin(plan.Engine, Work{Parts: r.Parts, ReservedKVTokens: r.PromptTokens, TransferredTokens: r.PromptTokens})
+		prefill.response.ticket = p.tracker.Begin(plan.Engine, Work{Parts: r.Parts, ReservedKVTokens: r.PromptTokens, TransferredTokens: r.PromptTokens})
 	}
-	e.reads = append(e.reads, read)
+	e.prefills = append(e.prefills, prefill)
 }
 
 // work has an engine work for one tick.
 func (p *batchReplay) work(e *batchEngine) {
-	left := p.slow * enginemodel.Millis(tick)
+	left := p.speedFactor * enginemodel.Millis(tick)
 	share := 1.0
 	if len(e.streams) > 0 {
-		share = mostRead
+		share = maxPrefillTime
 	}
-	for budget := share * left; len(e.reads) > 0 && budget > 0; {
-		took := min(budget, e.reads[0].left)
-		e.reads[0].left -= took
+	for budget := share * left; len(e.prefills) > 0 && budget > 0; {
+		took := min(budget, e.prefills[0].remaining)
+		e.prefills[0].remaining -= took
 		budget -= took
 		left -= took
-		if e.reads[0].left <= 0 {
-			p.endRead(e.reads[0])
-			e.reads = e.reads[1:]
+		if e.prefills[0].remaining <= 0 {
+			p.endPrefill(e.prefills[0])
+			e.prefills = e.prefills[1:]
 		}
 	}
-	interval := e.slower * p.interval(len(e.streams)-1)
+	interval := e.slowdown * p.interval(len(e.streams)-1)
 	each := left / interval
-	e.streams = slices.DeleteFunc(e.streams, func(s *playedStream) bool {
+	e.streams = slices.DeleteFunc(e.streams, func(s *batchStream) bool {
 		s.done += each
-		if int(s.done) > int(s.done-each) && len(e.reads) == 0 {
+		if int(s.done) > int(s.done-each) && len(e.prefills) == 0 {
 			s.ticket.RecordGap(millis(interval))
 		}
-		s.whole = s.done >= s.events
-		over := s.whole || p.clock.at.After(s.deadline)
+		s.complete = s.done >= s.events
+		over := s.complete || p.clock.at.After(s.deadline)
 		if over {
 			s.ticket.End(Done)
 		}
@@ -228,31 +228,31 @@
 	})
 }
 
-func (p *batchReplay) endRead(read *playedRead) {
-	read.reader.PrefillDone()
-	if read.answer.ticket != read.reader {
-		read.reader.End(Done)
+func (p *batchReplay) endPrefill(prefill *batchPrefill) {
+	prefill.ticket.PrefillDone()
+	if prefill.response.ticket != prefill.ticket {
+		prefill.ticket.End(Done)
 	}
-	read.at.streams = append(read.at.streams, read.answer)
-	if !p.clock.at.After(read.deadline) {
+	prefill.decode.streams = append(prefill.decode.streams, prefill.response)
+	if !p.clock.at.After(prefill.deadline) {
 		p.prompts.inTime++
 	}
 }
 
 // wholeByLength returns the shares of the longest tenth and of all other streams that were
 // whole, and of the prompts that were answered in time.
-func (p *batchReplay) wholeByLength() (longest, others, prompts float64) {
-	slices.SortStableFunc(p.streams, func(a, b *playedStream) int { return int(a.events) - int(b.events) })
+func (p *batchReplay) completeByLength() (longest, others, prompts float64) {
+	slices.SortStableFunc(p.streams, func(a, b *batchStream) int { return int(a.events) - int(b.events) })
 	tenth := len(p.streams) - len(p.streams)/10
-	return shareWhole(p.streams[tenth:]), shareWhole(p.streams[:tenth]), float64(p.prompts.inTime) / float64(max(1, p.prompts.asked))
+	return completeShare(p.streams[tenth:]), completeShare(p.streams[:tenth]), float64(p.prompts.inTime) / float64(max(1, p.prompts.asked))
 }
 
-func shareWhole(streams []*playedStream) float64 {
-	whole := 0
+func completeShare(streams []*batchStream) float64 {
+	complete := 0
 	for _, s := range streams {
-		if s.whole {
-			whole++
+		if s.complete {
+			complete++
 		}
 	}
-	return float64(whole) / float64(max(1, len(streams)))
+	return float64(complete) / float64(max(1, len(streams)))
 }
--- a/placement/cache.go
+++ b/placement/cache.go
@@ -6,42 +6,43 @@
 	lru "github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// cacheShare is the share of an engine's KV memory that kept parts are believed
-// to fill: running requests take the rest.
+// cacheShare is the share of an engine's KV memory that cached parts are assumed to fill;
+// running requests take the rest.
 const cacheShare = 0.8
 
-// maxParts bounds the parts remembered of one engine.
-const maxParts = 8192
+// maxTrackedParts bounds the number of parts tracked per engine.
+const maxTrackedParts = 8192
 
-// cacheBelief guesses which parts an engine keeps: those that it read last, as
-// far as its memory goes. Engines drop the least recently used parts too. A part
-// that is kept has those before it in the prompt kept as well, since it was read
-// behind them.
-type cacheBelief struct {
+// cacheEstimate estimates which parts an engine has cached: the most recently prefilled
+// ones that fit its memory, as engines evict the least recently used parts. A cached part
+// implies that the parts before it in the prompt are cached, since it was prefilled after
+// them.
+type cacheEstimate struct {
 	parts    *lru.LRU[uint64, int]
 	tokens   int
 	capacity int
-	// coming are the prompts being read there, by their last shared part, with the
-	// time until which that is believed. They keep a second daemon from having the
-	// same part read at another engine in the time that the reading takes.
-	coming map[uint64]time.Time
-	// fillers tells prompts' own parts of other daemons apart.
-	fillers uint64
+	// inProgress holds the pending prefills by their last shared part, with the time at
+	// which the entry expires. It keeps a second daemon from prefilling the same part on
+	// another engine meanwhile.
+	inProgress map[uint64]time.Time
+	// placeholders numbers the entries that stand for unshared parts of other daemons'
+	// prompts.
+	placeholders uint64
 }
 
-func newCacheBelief(kvTokens int) *cacheBelief {
-	c := &cacheBelief{capacity: int(float64(kvTokens) * cacheShare), coming: make(map[uint64]time.Time)}
-	parts, err := lru.NewLRU(maxParts, func(_ uint64, tokens int) { c.tokens -= tokens })
-	if err != nil { // only a size below 1 is an error
+func newCacheEstimate(kvTokens int) *cacheEstimate {
+	c := &cacheEstimate{capacity: int(float64(kvTokens) * cacheShare), inProgress: make(map[uint64]time.Time)}
+	parts, err := lru.NewLRU(maxTrackedParts, func(_ uint64, tokens int) { c.tokens -= tokens })
+	if err != nil { // fails only for a size below 1
 		panic(err)
 	}
 	c.parts = parts
 	return c
 }
 
-// read notes that the engine has read a prompt.
-func (c *cacheBelief) read(parts []Part) {
-	// The first part goes in last: it is the one that most requests share.
+// recordPrefill records that the engine has prefilled a prompt.
+func (c *cacheEstimate) recordPrefill(parts []Part) {
+	// The first part is added last: it is the one that most requests share.
 	for i := len(parts) - 1; i >= 0; i-- {
 		if _, known := c.parts.Get(parts[i].ID); known {
 			continue
@@ -53,54 +54,56 @@
 	}
 }
 
-func (c *cacheBelief) add(p Part) {
+func (c *cacheEstimate) add(p Part) {
 	c.parts.Add(p.ID, p.Tokens)
 	c.tokens += p.Tokens
 }
 
-// note takes another daemon's word on a prompt.
-func (c *cacheBelief) note(r PrefillEvent, now time.Time) {
+// applyEvent applies a prefill event that another daemon has reported.
+func (c *cacheEstimate) applyEvent(r PrefillEvent, now time.Time) {
 	switch r.State {
 	case PrefillStarted:
-		c.begin(r.LastShared.ID, now)
+		c.startPrefill(r.LastShared.ID, now)
 	case PrefillAbandoned:
-		c.end(r.LastShared.ID)
+		c.endPrefill(r.LastShared.ID)
 	case PrefillFinished:
-		c.end(r.LastShared.ID)
-		c.fillers++
-		c.read([]Part{r.LastShared, {ID: ^c.fillers, Tokens: r.UnsharedTokens}})
+		c.endPrefill(r.LastShared.ID)
+		c.placeholders++
+		c.recordPrefill([]Part{r.LastShared, {ID: ^c.placeholders, Tokens: r.UnsharedTokens}})
 	}
 }
 
-// comingFor is how long a prompt is believed to be read without a word that it was:
-// the daemon that sent it may have ended. Readings in time take less.
-const comingFor = 2 * time.Second
+// inProgressTimeout is how long a prefill counts as pending without a further event: the
+// daemon that sent it may have stopped. Prefills that meet their objective take less.
+const inProgressTimeout = 2 * time.Second
 
-func (c *cacheBelief) begin(last uint64, now time.Time) { c.coming[last] = now.Add(comingFor) }
+func (c *cacheEstimate) startPrefill(last uint64, now time.Time) {
+	c.inProgress[last] = now.Add(inProgressTimeout)
+}
 
-func (c *cacheBelief) end(last uint64) { delete(c.coming, last) }
+func (c *cacheEstimate) endPrefill(last uint64) { delete(c.inProgress, last) }
 
-// kept returns how many tokens from the beginning of a prompt are kept.
-func (c *cacheBelief) kept(parts []Part, now time.Time) CachedPrefix {
-	var k CachedPrefix
+// cachedPrefix returns the length of the prompt's cached prefix.
+func (c *cacheEstimate) cachedPrefix(parts []Part, now time.Time) CachedPrefix {
+	var prefix CachedPrefix
 	for i := len(parts) - 1; i >= 0; i-- {
 		if c.parts.Contains(parts[i].ID) {
-			k.Ready = sumTokens(parts[:i+1])
+			prefix.Ready = sumTokens(parts[:i+1])
 			break
 		}
 	}
-	k.Expected = k.Ready
+	prefix.Expected = prefix.Ready
 	for i := len(parts) - 1; i >= 0; i-- {
-		if now.Before(c.coming[parts[i].ID]) {
-			k.Expected = max(k.Expected, sumTokens(parts[:i+1]))
+		if now.Before(c.inProgress[parts[i].ID]) {
+			prefix.Expected = max(prefix.Expected, sumTokens(parts[:i+1]))
 			break
 		}
 	}
-	return k
+	return prefix
 }
 
-// sharedParts returns the parts of a prompt that other requests may share: all
-// but the last.
+// sharedParts returns the parts of a prompt that other requests may share: all but the
+// last.
 func sharedParts(parts []Part) []Part {
 	return parts[:max(0, len(parts)-1)]
 }
--- a/placement/whole_test.go
+++ b/placement/completion_test.go
@@ -15,20 +15,20 @@
 
 // playSeeds plays a pattern with some seeds, and returns the mean shares of the longest tenth
 // of the streams and of the others that were whole, and of the prompts answered in time.
-func playSeeds(slow float64, set func(p *batchReplay), rates func(at time.Duration) (streams, prompts float64)) (longest, others, prompts float64) {
+func averageOverSeeds(slow float64, set func(p *batchReplay), rates func(at time.Duration) (streams, prompts float64)) (longest, others, prompts float64) {
 	const seeds = 3
 	for seed := range uint64(seeds) {
 		p := newBatchReplay(12, slow, seed)
 		set(p)
 		p.play(40*time.Second, rates)
-		l, o, r := p.wholeByLength()
+		l, o, r := p.completeByLength()
 		longest, others, prompts = longest+l/seeds, others+o/seeds, prompts+r/seeds
 	}
 	return longest, others, prompts
 }
 
 // turns is a mix that swings between long answers and long prompts every three seconds.
-func turns(at time.Duration) (streams, prompts float64) {
+func alternatingMix(at time.Duration) (streams, prompts float64) {
 	if at/(3*time.Second)%2 == 0 {
 		return 20, 250
 	}
@@ -42,9 +42,9 @@
 // short answers took, and which read beside them: an event then took 92 ms, and 170 of them
 // are due within 15 s. Attempts said "expected_gap_ms":84, "beside":31, "events":156,
 // "lasted_ms":14529, "left_ms":14528, and their engine, alone, makes an event in 42 ms.
-func TestLongestAnswersAreWhole(t *testing.T) {
+func TestLongestResponsesComplete(t *testing.T) {
 	for _, slow := range []float64{0.3, 1, 5} {
-		longest, others, prompts := playSeeds(slow, func(*batchReplay) {}, turns)
+		longest, others, prompts := averageOverSeeds(slow, func(*batchReplay) {}, alternatingMix)
 		t.Logf("times %v: whole of the longest tenth %.3f, of the others %.3f; prompts in time %.3f", slow, longest, others, prompts)
 		assert.GreaterOrEqual(t, longest, 0.95*others)
 		assert.GreaterOrEqual(t, others, 0.99, "no worse than where nothing asks when they are whole")
@@ -56,15 +56,15 @@
 // were cut at their deadline ran on these alone. An event took 42 to 44 ms there, 31 to 33
 // elsewhere, and the longest answers have 322 events, due within 13.3 s; engines taken for
 // alike got alike many streams.
-func TestLongestAnswersAreWholeOnUnequalEngines(t *testing.T) {
+func TestLongestResponsesCompleteOnUnequalEngines(t *testing.T) {
 	slower := func(p *batchReplay) {
 		for i, e := range p.engines {
 			if i%4 == 1 {
-				e.slower = 1.6
+				e.slowdown = 1.6
 			}
 		}
 	}
-	longest, others, prompts := playSeeds(1, slower, turns)
+	longest, others, prompts := averageOverSeeds(1, slower, alternatingMix)
 	t.Logf("whole of the longest tenth %.3f, of the others %.3f; prompts in time %.3f", longest, others, prompts)
 	assert.GreaterOrEqual(t, longest, 0.95*others)
 	assert.GreaterOrEqual(t, others, 0.99)
@@ -75,23 +75,23 @@
 // of the fifteen streams cut at their deadline ran on the first. Each next engine cost more, so
 // that the first ones were filled up until they were slower by as much: the more, the longer
 // the prompts that the engines read.
-func TestGeneratorsShareLongStreams(t *testing.T) {
+func TestDedicatedEnginesShareLongStreams(t *testing.T) {
 	p := newBatchReplay(12, 1, 1)
 	for range 300 {
-		p.books.model("p").LearnPrefill(enginemodel.PrefillSample{
-			Role: upstream.RoleDecode, Prompt: enginemodel.Prompt{Tokens: 200_000}, Took: millis(p.reading(upstream.RoleDecode, 200_000)), QueueEmpty: true,
+		p.tracker.model("p").LearnPrefill(enginemodel.PrefillSample{
+			Role: upstream.RoleDecode, Prompt: enginemodel.Prompt{Tokens: 200_000}, Took: millis(p.prefillMillis(upstream.RoleDecode, 200_000)), QueueEmpty: true,
 		})
 	}
 	for i := range 100 {
-		p.books.model("p").LearnLongResponse(eventTokens*longestEvents*i/100, patience)
+		p.tracker.model("p").LearnLongResponse(eventTokens*maxEvents*i/100, maxTimeout)
 	}
 	for _, e := range p.engines {
 		if e.Role == upstream.RoleDecode {
-			p.books.ApplyPeerUpdate("other", []UpstreamLoad{{Upstream: KeyOf(e.ID, time.Time{}), Load: Load{Running: 8, LongStreams: 8}}}, nil)
+			p.tracker.ApplyPeerUpdate("other", []UpstreamLoad{{Upstream: KeyOf(e.ID, time.Time{}), Load: Load{Running: 8, LongStreams: 8}}}, nil)
 		}
 	}
 	for range 40 {
-		p.askStream()
+		p.requestStream()
 	}
 	var running []int
 	for _, e := range p.engines {
@@ -107,7 +107,7 @@
 // answers even alone: each counted as taken up by one stream. The leader then saw more
 // generating than there were engines ("generating":19.89 of 16), and left one engine to read
 // ("prefill":1) in a burst of long prompts.
-func TestStreamsThatDontSlowEachOtherTakeNoEngineUp(t *testing.T) {
+func TestStreamCapacityWithoutSlowdown(t *testing.T) {
 	b := NewTracker((&clock{time.Unix(1000, 0)}).now)
 	b.Sync([]Member{{ID: "e", Pool: "p", Role: upstream.RoleDecode, Slots: 32}})
 	m := b.model("p")
@@ -116,12 +116,12 @@
 		m.LearnStream(eventTokens*300, 300, 9*time.Second)
 		m.LearnLongResponse(eventTokens*300, 10*time.Second)
 	}
-	require.InDelta(t, LongSlots(32), longStreams(&b.Engines([]string{"e"})[0]), 0.01)
+	require.InDelta(t, LongSlots(32), longStreamCapacity(&b.Engines([]string{"e"})[0]), 0.01)
 }
 
 // An engine's pace is known from the streams of all daemons, as each sees only a few there; it
 // goes with what is told of the work, and is no news by itself: events are many.
-func TestPaceOfAnEngineIsTold(t *testing.T) {
+func TestDecodeSlowdownIsReported(t *testing.T) {
 	c := &clock{time.Unix(1000, 0)}
 	one, other := NewTracker(c.now), NewTracker(c.now)
 	members := []Member{{ID: "slow", Pool: "p", Role: upstream.RoleDecode}, {ID: "e", Pool: "p", Role: upstream.RoleDecode}}
@@ -144,13 +144,13 @@
 }
 
 // Engines of any speed: what one event says isn't lost in the unit in which it is told.
-func TestPaceOfFastEngines(t *testing.T) {
+func TestDecodeSlowdownAtAnySpeed(t *testing.T) {
 	for _, interval := range []float64{0.3, 4, 600} {
 		var l Load
 		for range 100_000 {
-			l.noteEventTime(1.4*interval, interval)
+			l.recordEventTime(1.4*interval, interval)
 		}
-		require.InDelta(t, 1.4, l.paceFactor(), 0.06, "%v ms between events", interval)
+		require.InDelta(t, 1.4, l.decodeSlowdown(), 0.06, "%v ms between events", interval)
 		require.Less(t, float64(l.ExpectedEventTime)*2000, float64(math.MaxUint32), "two thousand daemons' sums")
 	}
 }
--- a/placement/cost.go
+++ b/placement/cost.go
@@ -5,207 +5,204 @@
 	"tamarackchute/upstream"
 )
 
-// The weights of a plan's cost, in milliseconds of an engine's time.
+// The weights of a plan's cost, in milliseconds of engine time.
 const (
-	// waitWeight is what a millisecond of the time to the first token counts
-	// while the request is expected in time, lateWeight beyond that. Work counts
-	// in full: a part read a second time keeps others waiting, whom this request
-	// never meets.
-	waitWeight = 0.25
-	lateWeight = 3.0
-	// mostLate bounds the cost of being late, in readings of a typical prompt: it is
-	// one answer that is lost, not those of all streams beside which it could be read.
-	mostLate = 4.0
-	// comfort is the share of the objective up to which a first event counts as
-	// certainly in time.
-	comfort = 0.6
-	// fetchWeight is what a millisecond of moving KV caches counts. It keeps no
-	// engine from its work, but is paid for.
-	fetchWeight = 0.5
-	// crossing is the way to another data centre and back, crossingPerKB what
-	// each KB of the request that crosses counts, in readings of a typical prompt: such
-	// bytes are paid for.
-	crossing      = 0.04
-	crossingPerKB = 0.045
-	// acrossFactor is how much longer KV caches take to another data centre.
-	acrossFactor = 2.0
-	// pauseShare is the share of the objective for pauses up to which a pause counts
-	// as certainly in time.
-	pauseShare = 0.8
-	// harmShare is what a stream whose pause is made too long counts, in readings of
-	// a typical prompt: its answer is then worth about half of what its reading cost.
-	harmShare = 0.5
-	// slowedShare is what reading counts beside streams that it doesn't make late, in
-	// shares of itself: they take longer, and hold their places and memory meanwhile.
-	slowedShare = 0.5
+	// firstTokenWeight is the cost of a millisecond of time to first token within the
+	// objective, lateWeight beyond it. Engine work counts in full: prefilling a part a
+	// second time delays other requests.
+	firstTokenWeight = 0.25
+	lateWeight       = 3.0
+	// maxLateCost bounds the cost of missing the objective, in typical prefills: one
+	// response is lost, not those of all concurrent streams.
+	maxLateCost = 4.0
+	// objectiveMargin is the share of the objective up to which a first event is considered
+	// safe.
+	objectiveMargin = 0.6
+	// transferWeight is the cost of a millisecond of KV transfer. Transfers don't occupy
+	// the engine, but they use bandwidth that is paid for.
+	transferWeight = 0.5
+	// crossCentreBase is the cost of the round trip to another data centre,
+	// crossCentrePerKB that of each KB of the request, in typical prefills. Traffic between
+	// data centres is paid for.
+	crossCentreBase  = 0.04
+	crossCentrePerKB = 0.045
+	// crossCentreFactor is how much longer KV transfers to another data centre take.
+	crossCentreFactor = 2.0
+	// gapMargin is the share of the gap objective up to which a gap is considered safe.
+	gapMargin = 0.8
+	// missedGapCost is the cost per stream that misses its gap objective, in typical
+	// prefills: its response is then worth about half of what its prefill cost.
+	missedGapCost = 0.5
+	// slowdownShare is the cost of prefill concurrent with streams that still meet their
+	// objectives, as a share of the prefill: the streams take longer and hold their slots
+	// and memory meanwhile.
+	slowdownShare = 0.5
 )
 
-// crossCost is the cost of the request's way to an engine.
-func crossCost(e *Engine, r Request) float64 {
+// crossCentreCost is the cost of sending the request to the engine's data centre.
+func crossCentreCost(e *Engine, r Request) float64 {
 	if e.DataCentre == r.DataCentre {
 		return 0
 	}
-	return (crossing + crossingPerKB*float64(r.BodyBytes)/1000) * e.Model.TypicalPrefillMillis()
+	return (crossCentreBase + crossCentrePerKB*float64(r.BodyBytes)/1000) * e.Model.TypicalPrefillMillis()
 }
 
-// waitCost is the cost of a time to the first token.
-func waitCost(e *Engine, first float64, r Request) float64 {
-	cost := waitWeight * first
+// firstTokenCost is the cost of a time to first token.
+func firstTokenCost(e *Engine, first float64, r Request) float64 {
+	cost := firstTokenWeight * first
 	if r.Objective <= 0 {
 		return cost
 	}
-	if certain := comfort * enginemodel.Millis(r.Objective-r.Elapsed); first > certain {
-		cost += min(lateWeight*(first-certain), mostLate*e.Model.TypicalPrefillMillis())
+	if safe := objectiveMargin * enginemodel.Millis(r.Objective-r.Elapsed); first > safe {
+		cost += min(lateWeight*(first-safe), maxLateCost*e.Model.TypicalPrefillMillis())
 	}
 	return cost
 }
 
-// pause returns the longest pause that streams of an engine see if it reads for some
-// more milliseconds: what it reads between two events comes on top of their interval.
-func pause(e *Engine, read float64) float64 {
-	return e.Model.IntervalMillis(e.Running) + max(e.QueueMillis, e.readLately) + read
+// maxGap returns the longest gap that streams of an engine see if it also does a prefill of
+// the given milliseconds: prefill between two events adds to their interval.
+func maxGap(e *Engine, prefill float64) float64 {
+	return e.Model.IntervalMillis(e.Running) + max(e.QueueMillis, e.recentPrefill) + prefill
 }
 
-// readBesideStreams is the cost of reading at an engine that generates too.
-func readBesideStreams(e *Engine, r Request, read float64) float64 {
+// concurrentPrefillCost is the cost that a prefill imposes on the engine's running streams.
+func concurrentPrefillCost(e *Engine, r Request, prefill float64) float64 {
 	if e.Running == 0 {
 		return 0
 	}
-	cost := slowedShare*read + overrunCost(e, read)
-	if r.GapObjective > 0 && pause(e, read) > pauseShare*enginemodel.Millis(r.GapObjective) {
-		cost += harmShare * float64(e.Running) * e.Model.TypicalPrefillMillis()
+	cost := slowdownShare*prefill + overrunCost(e, prefill)
+	if r.GapObjective > 0 && maxGap(e, prefill) > gapMargin*enginemodel.Millis(r.GapObjective) {
+		cost += missedGapCost * float64(e.Running) * e.Model.TypicalPrefillMillis()
 	}
 	return cost
 }
 
-// holders are the engines that keep the most of a prompt.
-type holders struct {
-	// best keeps the most tokens that can be fetched; nil if none keeps any. near are
-	// those of each data centre that keep as many.
-	best *Engine
-	near []*Engine
-	// coming is the most that any engine keeps or is reading.
-	coming int
-	// draw is the request's own, by which it chooses among engines alike.
-	draw uint64
+// cacheSources are the engines that have the longest prefix of a prompt cached.
+type cacheSources struct {
+	// best has the most tokens available for transfer; nil if none has any. nearest holds
+	// one engine per data centre that has as many.
+	best    *Engine
+	nearest []*Engine
+	// expected is the longest prefix that any engine has cached or is prefilling.
+	expected int
+	// tieBreak is the request's own value by which it chooses among equal engines.
+	tieBreak uint64
 }
 
-// lookUpCaches asks for what each engine keeps of the prompt.
-func (h *holders) lookUpCaches(engines []Engine, r Request) {
-	h.best, h.near, h.coming, h.draw = nil, h.near[:0], 0, r.draw()
+// lookUpCaches determines what each engine has cached of the prompt.
+func (s *cacheSources) lookUpCaches(engines []Engine, r Request) {
+	s.best, s.nearest, s.expected, s.tieBreak = nil, s.nearest[:0], 0, r.tieBreak()
 	shared := sharedParts(r.Parts)
 	for i := range engines {
 		e := &engines[i]
-		e.kept = e.Cached(shared)
-		h.coming = max(h.coming, e.kept.Expected)
-		if e.kept.Ready > 0 {
-			h.add(e)
+		e.cached = e.Cached(shared)
+		s.expected = max(s.expected, e.cached.Expected)
+		if e.cached.Ready > 0 {
+			s.add(e)
 		}
 	}
 }
 
-// add takes an engine that keeps some of the prompt.
-func (h *holders) add(e *Engine) {
+// add considers an engine that has part of the prompt cached.
+func (s *cacheSources) add(e *Engine) {
 	switch {
-	case h.best == nil || e.kept.Ready > h.best.kept.Ready:
-		h.best, h.near = e, append(h.near[:0], e)
+	case s.best == nil || e.cached.Ready > s.best.cached.Ready:
+		s.best, s.nearest = e, append(s.nearest[:0], e)
 		return
-	case e.kept.Ready < h.best.kept.Ready:
+	case e.cached.Ready < s.best.cached.Ready:
 		return
-	case h.freer(e, h.best):
-		h.best = e
+	case s.preferred(e, s.best):
+		s.best = e
 	}
-	for i, other := range h.near {
+	for i, other := range s.nearest {
 		if other.DataCentre == e.DataCentre {
-			if h.freer(e, other) {
-				h.near[i] = e
+			if s.preferred(e, other) {
+				s.nearest[i] = e
 			}
 			return
 		}
 	}
-	h.near = append(h.near, e)
+	s.nearest = append(s.nearest, e)
 }
 
-// freer reports whether the request rather fetches from an engine than from another that
-// keeps as much.
-func (h *holders) freer(e, o *Engine) bool {
+// preferred reports whether e is the better source than o, which has as much cached.
+func (s *cacheSources) preferred(e, o *Engine) bool {
 	if e.LinkMillis != o.LinkMillis {
 		return e.LinkMillis < o.LinkMillis
 	}
-	return e.hash^h.draw < o.hash^h.draw
+	return e.hash^s.tieBreak < o.hash^s.tieBreak
 }
 
-// draw returns a number that differs between requests with the same shared parts.
-func (r Request) draw() uint64 {
+// tieBreak returns a value that differs between requests with the same shared parts.
+func (r Request) tieBreak() uint64 {
 	if len(r.Parts) == 0 {
 		return 0
 	}
 	return r.Parts[len(r.Parts)-1].ID * 0x9e3779b97f4a7c15
 }
 
-// source returns the engine from which another one best fetches what it lacks: one of its
-// data centre if any keeps as much as the best, since the way from another one takes
-// twice as long. Of several it is the one whose link is the least busy, and of these any:
-// parts that many prompts share are kept by many engines, and would all be fetched from
-// the first.
-func (h *holders) source(to *Engine) *Engine {
-	for _, e := range h.near {
+// source returns the best engine to transfer from: one of the same data centre if any has
+// the full prefix, as transfers between data centres take twice as long. Among several, the
+// least busy link wins, then a value that differs per request: widely cached parts would
+// otherwise all be transferred from the first engine.
+func (s *cacheSources) source(to *Engine) *Engine {
+	for _, e := range s.nearest {
 		if e.DataCentre == to.DataCentre {
 			return e
 		}
 	}
-	return h.best
+	return s.best
 }
 
-// fetching is a KV cache to be fetched.
-type fetching struct {
+// transfer is a KV transfer that precedes a prefill.
+type transfer struct {
 	from   *Engine
 	tokens int
-	// millis is the time until it has come.
+	// millis is the time until the transfer is complete.
 	millis float64
 }
 
-// leastFetch is the share of the time of reading that fetching must save: what is
-// believed to be kept there may be gone.
-const leastFetch = 0.5
-
-// toRead returns what an engine has to read of the prompt, and what it fetches
-// before, if that is sooner than to read it. Replayed, a burst of long prompts with
-// shared parts is answered in time by 0.79 with fetching and by 0.70 without, and a
-// quarter as many tokens are read again.
-func toRead(e *Engine, sources *holders, r Request) (enginemodel.Prompt, fetching) {
-	kept := min(e.kept.Expected, r.PromptTokens-1)
-	prompt := enginemodel.Prompt{Tokens: r.PromptTokens - kept, Context: kept}
+// maxTransferShare is the longest transfer worth doing, as a share of the prefill time it
+// saves: the parts assumed to be cached may have been evicted.
+const maxTransferShare = 0.5
+
+// planPrefill returns what an engine has to prefill, and the KV transfer before it if that
+// is faster than prefilling. Without transfers, bursts of long prompts with shared parts
+// miss their objectives more often (0.70 within it rather than 0.79) and prefill four times
+// as many cached tokens again.
+func planPrefill(e *Engine, sources *cacheSources, r Request) (enginemodel.Prompt, transfer) {
+	cached := min(e.cached.Expected, r.PromptTokens-1)
+	prompt := enginemodel.Prompt{Tokens: r.PromptTokens - cached, Context: cached}
 	from := sources.source(e)
-	if from == nil || from == e || from.kept.Ready <= kept || e.TransferMillisPerToken <= 0 {
-		return prompt, fetching{}
+	if from == nil || from == e || from.cached.Ready <= cached || e.TransferMillisPerToken <= 0 {
+		return prompt, transfer{}
 	}
-	lacking := from.kept.Ready - kept
-	move := moveMillis(from, e, lacking)
-	saved := e.Model.PrefillMillis(e.Role, enginemodel.Prompt{Tokens: lacking, Context: kept})
-	if move > leastFetch*saved {
-		return prompt, fetching{}
+	missing := from.cached.Ready - cached
+	transferTime := transferMillis(from, e, missing)
+	saved := e.Model.PrefillMillis(e.Role, enginemodel.Prompt{Tokens: missing, Context: cached})
+	if transferTime > maxTransferShare*saved {
+		return prompt, transfer{}
 	}
-	kept = min(from.kept.Ready, r.PromptTokens-1)
-	prompt = enginemodel.Prompt{Tokens: r.PromptTokens - kept, Context: kept}
-	return prompt, fetching{from: from, tokens: lacking, millis: max(from.LinkMillis, e.LinkMillis) + move}
+	cached = min(from.cached.Ready, r.PromptTokens-1)
+	prompt = enginemodel.Prompt{Tokens: r.PromptTokens - cached, Context: cached}
+	return prompt, transfer{from: from, tokens: missing, millis: max(from.LinkMillis, e.LinkMillis) + transferTime}
 }
 
-// moveMillis is the time that the KV cache of some tokens is on its way.
-func moveMillis(from, to *Engine, tokens int) float64 {
+// transferMillis is the time to transfer the KV cache of some tokens.
+func transferMillis(from, to *Engine, tokens int) float64 {
 	took := float64(tokens) * to.TransferMillisPerToken
 	if from.DataCentre != to.DataCentre {
-		took *= acrossFactor
+		took *= crossCentreFactor
 	}
 	return took
 }
 
-// longCost keeps streams that last for long together, on the engines set apart for
-// generating: see markGenerators. These share them: a cost for each next one would fill the
-// first ones up beyond what leaves their longest streams whole, with room on the others.
-func longCost(e *Engine, r Request) float64 {
-	if !r.long(e) || e.generator || e.Role != upstream.RoleDecode {
+// longStreamCost keeps long streams on the engines dedicated to decoding (see
+// markDedicatedDecode). It is the same for all of these: a cost that rises from one to the
+// next would overload the first ones until their longest streams miss their deadlines.
+func longStreamCost(e *Engine, r Request) float64 {
+	if !r.longStream(e) || e.dedicatedDecode || e.Role != upstream.RoleDecode {
 		return 0
 	}
-	return openingLong * float64(e.rank) * e.Model.TypicalPrefillMillis()
+	return nextEngineCost * float64(e.decodeRank) * e.Model.TypicalPrefillMillis()
 }
--- a/placement/health.go
+++ b/placement/health.go
@@ -2,59 +2,61 @@
 
 import "time"
 
-// Outcome says how an attempt at an upstream ended.
+// Outcome is the result of an attempt at an upstream.
 type Outcome uint8
 
-// The outcomes.
+// The outcomes of an attempt.
 const (
-	// Done: the upstream answered, with whatever status.
+	// Done: the upstream answered, with any status.
 	Done Outcome = iota
-	// Cancelled says nothing about the upstream.
+	// Cancelled: the attempt says nothing about the upstream.
 	Cancelled
 	// Refused: the upstream is full, or can't do what was asked.
 	Refused
-	// Failed: an error or a spoilt answer.
+	// Failed: an error or an invalid response.
 	Failed
-	// Unreachable: no connection, or it broke.
+	// Unreachable: the connection failed or broke.
 	Unreachable
-	// Replaced: another incarnation has the address.
+	// Replaced: another incarnation has taken over the address.
 	Replaced
 )
 
 const (
-	// failureStep is the weight of one attempt in the smoothed failure rate.
-	failureStep = 0.15
-	// failureLimit ejects an upstream whose smoothed failure rate is above it:
-	// a healthy one fails a few requests in a hundred.
+	// failureSmoothing is the weight of one attempt in the smoothed failure rate.
+	failureSmoothing = 0.15
+	// failureLimit is the smoothed failure rate above which an upstream is ejected. A
+	// healthy one fails a few requests in a hundred.
 	failureLimit = 0.5
-	// firstHold and maxHold bound the time out, which doubles each time.
-	firstHold = 500 * time.Millisecond
-	maxHold   = 4 * time.Second
-	// calm is the time without an ejection after which holds start anew.
-	calm = 10 * time.Second
-	// unreachableLimit is how many breaks in a row eject: one may be a
-	// connection that was idle for too long.
+	// baseEjection and maxEjection bound the ejection time, which doubles with each
+	// ejection.
+	baseEjection = 500 * time.Millisecond
+	maxEjection  = 4 * time.Second
+	// ejectionReset is the time without an ejection after which the ejection time starts
+	// again from baseEjection.
+	ejectionReset = 10 * time.Second
+	// unreachableLimit is the number of connection failures in a row that eject an
+	// upstream: a single one may come from a connection that was idle for too long.
 	unreachableLimit = 2
 )
 
-// health is an upstream's record of failures with this daemon.
+// health is the failure history of an upstream as seen by this daemon.
 type health struct {
-	failureRate float64
-	breaks      int
-	holds       int
-	lastEjected time.Time
-	heldUntil   time.Time
-	trial       bool
+	failureRate        float64
+	connectionFailures int
+	ejections          int
+	lastEjected        time.Time
+	ejectedUntil       time.Time
+	probing            bool
 }
 
-func (h *health) note(o Outcome, began, now time.Time) {
+func (h *health) record(o Outcome, began, now time.Time) {
 	switch o {
 	case Cancelled, Refused, Replaced:
 		return
 	case Done:
 		h.succeed(began)
 	case Unreachable:
-		h.breaks++
+		h.connectionFailures++
 		h.fail(now)
 	case Failed:
 		h.fail(now)
@@ -62,34 +64,34 @@
 }
 
 func (h *health) succeed(began time.Time) {
-	h.breaks = 0
-	h.failureRate *= 1 - failureStep
-	if h.trial && began.After(h.heldUntil) {
-		h.trial = false
+	h.connectionFailures = 0
+	h.failureRate *= 1 - failureSmoothing
+	if h.probing && began.After(h.ejectedUntil) {
+		h.probing = false
 		h.failureRate = 0
 	}
 }
 
 func (h *health) fail(now time.Time) {
-	h.failureRate += failureStep * (1 - h.failureRate)
-	if h.out(now) {
-		return // a request that began before the ejection
+	h.failureRate += failureSmoothing * (1 - h.failureRate)
+	if h.ejected(now) {
+		return // the request began before the ejection
 	}
-	if h.trial || h.breaks >= unreachableLimit || h.failureRate > failureLimit {
+	if h.probing || h.connectionFailures >= unreachableLimit || h.failureRate > failureLimit {
 		h.eject(now)
 	}
 }
 
 func (h *health) eject(now time.Time) {
-	if now.Sub(h.lastEjected) > calm {
-		h.holds = 0
+	if now.Sub(h.lastEjected) > ejectionReset {
+		h.ejections = 0
 	}
-	h.heldUntil = now.Add(min(maxHold, firstHold<<min(h.holds, 8)))
-	h.holds++
+	h.ejectedUntil = now.Add(min(maxEjection, baseEjection<<min(h.ejections, 8)))
+	h.ejections++
 	h.lastEjected = now
-	h.trial = true
-	h.breaks = 0
+	h.probing = true
+	h.connectionFailures = 0
 }
 
-// out reports whether the upstream is to be left alone.
-func (h *health) out(now time.Time) bool { return now.Before(h.heldUntil) }
+// ejected reports whether the upstream is ejected at the given time.
+func (h *health) ejected(now time.Time) bool { return now.Before(h.ejectedUntil) }
--- a/placement/load.go
+++ b/placement/load.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Key names an upstream between daemons, in fewer bytes than its ID.
+// Key identifies an upstream in messages between daemons, in fewer bytes than its ID.
 type Key uint32
 
 // KeyOf returns the key of one start of an upstream.
@@ -19,29 +19,28 @@
 	return Key(xxhash.Sum64String(id + "@" + strconv.FormatInt(started.UnixMilli(), 10)))
 }
 
-// Load is a daemon's work at one upstream.
+// Load is a daemon's load at one upstream.
 type Load struct {
 	//lint:ignore U1000 msgpack reads it: the fields go without their names.
 	_msgpack struct{} `msgpack:",as_array"`
-	// Running counts requests in flight, Long those of them that generate for
-	// long, Held the KV memory that they take, in tokens. Behind counts those of them
-	// whose prompts are read for a late answer, and weren't read yet.
+	// Running counts the requests in flight and LongStreams the long streams among them.
+	// ReservedKVTokens is the KV memory they reserve. LatePrefills counts the late requests
+	// whose prefill is pending.
 	Running, LongStreams, ReservedKVTokens, LatePrefills int
-	// Sent sums up the reading ever sent there, in microseconds that it takes an
-	// engine of that role, Done that which is over. The difference between two states
-	// is what was added, also if states in between are lost; that between the two sums
-	// is what the engine still has to read.
+	// PrefillSent and PrefillDone sum up all prefill work ever sent and done, in
+	// microseconds of an engine of that role. The difference between two reports is the
+	// work added, even if reports in between were lost; PrefillSent - PrefillDone is the
+	// pending work.
 	PrefillSent, PrefillDone uint32
-	// Moved sums up the tokens whose KV caches were ever fetched there.
+	// TransferredTokens sums up the tokens of all KV transfers to the upstream.
 	TransferredTokens uint32
-	// EventTime sums up the times between events of streams there while it read nothing,
-	// ExpectedEventTime what these take engines of its pool on average, in units of 10
-	// microseconds; the older ones count less. Their ratio says how much slower than the
-	// others it generates.
+	// EventTime sums up the gaps between events of streams while the engine did no prefill,
+	// ExpectedEventTime the pool's average for them, in units of 10 microseconds; both
+	// decay. Their ratio is the engine's decode slowdown.
 	EventTime, ExpectedEventTime uint32
 }
 
-// Plus returns the sum of two daemons' loads.
+// Plus returns the sum of two loads.
 func (l Load) Plus(o Load) Load {
 	return Load{
 		Running: l.Running + o.Running, LongStreams: l.LongStreams + o.LongStreams, ReservedKVTokens: l.ReservedKVTokens + o.ReservedKVTokens, LatePrefills: l.LatePrefills + o.LatePrefills,
@@ -50,7 +49,7 @@
 	}
 }
 
-// Minus takes a load back that Plus has added.
+// Minus subtracts a load that Plus has added.
 func (l Load) Minus(o Load) Load {
 	return Load{
 		Running: l.Running - o.Running, LongStreams: l.LongStreams - o.LongStreams, ReservedKVTokens: l.ReservedKVTokens - o.ReservedKVTokens, LatePrefills: l.LatePrefills - o.LatePrefills,
@@ -60,35 +59,36 @@
 }
 
 const (
-	// eventTimePerMilli is the number of units of EventTime in a millisecond. The sums of a few
-	// thousand daemons fit in 32 bits.
+	// eventTimePerMilli is the number of EventTime units in a millisecond. The sums of a
+	// few thousand daemons fit in 32 bits.
 	eventTimePerMilli = 100
-	// paceMemory is the time between events over which a daemon forgets what it saw at an
-	// engine: about one long answer. paceDoubt is the time for which an engine is taken
-	// to be like the others beside what was seen there.
-	paceMemory = 10_000 * eventTimePerMilli
-	paceDoubt  = 1000.0 * eventTimePerMilli
-	// mostPace bounds what one event may say, in times what was expected: a lost packet
-	// or a stalled daemon makes single ones come late.
-	mostPace = 4.0
+	// eventTimeMemory is the sum at which older observations are halved: about one long
+	// response. eventTimePrior is the weight of the assumption that an engine is like the
+	// others.
+	eventTimeMemory = 10_000 * eventTimePerMilli
+	eventTimePrior  = 1000.0 * eventTimePerMilli
+	// maxEventTimeRatio bounds a single gap relative to the expected one: a lost packet or
+	// a stalled daemon delays single events.
+	maxEventTimeRatio = 4.0
 )
 
-// noteEventTime takes a time between two events and what was expected of it, in milliseconds.
-func (l *Load) noteEventTime(took, expected float64) {
-	l.EventTime += uint32(math.Round(eventTimePerMilli * min(took, mostPace*expected)))
+// recordEventTime adds an observed gap between events and the expected one, in
+// milliseconds.
+func (l *Load) recordEventTime(took, expected float64) {
+	l.EventTime += uint32(math.Round(eventTimePerMilli * min(took, maxEventTimeRatio*expected)))
 	l.ExpectedEventTime += uint32(math.Round(eventTimePerMilli * expected))
-	if l.ExpectedEventTime > paceMemory {
+	if l.ExpectedEventTime > eventTimeMemory {
 		l.EventTime /= 2
 		l.ExpectedEventTime /= 2
 	}
 }
 
-// paceFactor is how many times as long as at the others an event takes there.
-func (l Load) paceFactor() float64 {
-	return (float64(l.EventTime) + paceDoubt) / (float64(l.ExpectedEventTime) + paceDoubt)
+// decodeSlowdown is the time per event relative to the other engines of the pool.
+func (l Load) decodeSlowdown() float64 {
+	return (float64(l.EventTime) + eventTimePrior) / (float64(l.ExpectedEventTime) + eventTimePrior)
 }
 
-// LoadAt is a load with the upstream's key.
+// UpstreamLoad is a load with the key of its upstream.
 type UpstreamLoad struct {
 	//lint:ignore U1000 msgpack reads it: the fields go without their names.
 	_msgpack struct{} `msgpack:",as_array"`
@@ -96,28 +96,29 @@
 	Load     Load
 }
 
-// Read says what became of the shared parts of a prompt at an engine.
+// PrefillEvent reports a change in the prefill of a prompt's shared parts on an engine.
 type PrefillEvent struct {
 	//lint:ignore U1000 msgpack reads it: the fields go without their names.
 	_msgpack struct{} `msgpack:",as_array"`
 	Engine   Key
 	State    PrefillState
-	// Last is the last shared part, with the tokens of all up to it; those before it
-	// are kept as well.
+	// LastShared is the last shared part, with Tokens counting all parts up to it; those
+	// before it are cached as well.
 	LastShared Part
-	// Own is the number of tokens of the prompt's own part, which take memory too.
+	// UnsharedTokens is the length of the prompt's unshared part, which takes cache memory
+	// too.
 	UnsharedTokens int
 }
 
-// ReadState says how far the reading of a prompt is.
+// PrefillState is the state of a prompt's prefill.
 type PrefillState uint8
 
-// The states.
+// The states of a prefill.
 const (
-	// Begun: it is being read, or waits for it.
+	// PrefillStarted: the prefill is running or queued.
 	PrefillStarted PrefillState = iota
-	// Finished: the engine keeps it.
+	// PrefillFinished: the engine has the prompt cached.
 	PrefillFinished
-	// Abandoned: it won't be read.
+	// PrefillAbandoned: the prefill won't take place.
 	PrefillAbandoned
 )
--- a/placement/oracle_test.go
+++ b/placement/oracle_test.go
@@ -18,24 +18,24 @@
 
 // oracle is the search for the best plan written plainly: each figure is worked out
 // anew wherever it is needed, from what the books say of each engine.
-type oracle struct {
+type referenceSearch struct {
 	engines []Engine
 	r       Request
 }
 
 // pick returns the best plan, its cost and that of any other plan.
-func (o oracle) pick() (best Plan, least float64, costs map[string]float64) {
-	o.mark()
+func (o referenceSearch) pick() (best Plan, least float64, costs map[string]float64) {
+	o.markEngines()
 	least = math.Inf(1)
 	costs = make(map[string]float64)
 	sources := o.sources()
 	for i := range o.engines {
 		e := &o.engines[i]
-		if excluded(e, o.r) || full(e, o.r) || unproven(e) || (o.r.Late && !roomBehind(o.engines)) {
+		if excluded(e, o.r) || full(e, o.r) || unmeasured(e) || (o.r.Late && !hasLateCapacity(o.engines)) {
 			continue
 		}
 		p, cost, fits := o.consider(e, sources)
-		if !fits || (o.r.Late && disturbs(e, p, o.r)) {
+		if !fits || (o.r.Late && delaysOthers(e, p, o.r)) {
 			continue
 		}
 		costs[p.Engine+" "+p.Prefill] = cost
@@ -47,21 +47,21 @@
 }
 
 // mark sets generators and homes.
-func (o oracle) mark() {
+func (o referenceSearch) markEngines() {
 	var decode []*Engine
 	need := 0.0
 	for i := range o.engines {
 		e := &o.engines[i]
-		e.readLately, e.readInWindow = e.RecentPrefill(o.r.GapObjective), e.RecentPrefill(rememberedFor)
-		e.generating = generating(e)
+		e.recentPrefill, e.windowPrefill = e.RecentPrefill(o.r.GapObjective), e.RecentPrefill(recentWindow)
+		e.decodeDemand = decodeDemand(e)
 		if e.Role == upstream.RoleDecode {
 			decode = append(decode, e)
-			need += generating(e)
+			need += decodeDemand(e)
 		}
 	}
 	slices.SortFunc(decode, func(a, b *Engine) int { return cmp.Compare(xxhash.Sum64String(a.ID), xxhash.Sum64String(b.ID)) })
 	for i, e := range decode {
-		e.rank, e.generator = i, i < 1+int(need)
+		e.decodeRank, e.dedicatedDecode = i, i < 1+int(need)
 	}
 	order := make([]*Engine, 0, len(o.engines))
 	scores := make(map[string]float64)
@@ -79,7 +79,7 @@
 		}
 		u := (float64(xxhash.Sum64(raw[:])>>11) + 0.5) / (1 << 53)
 		scores[e.ID] = -weight / math.Log(u)
-		if e.generator {
+		if e.dedicatedDecode {
 			scores[e.ID] = math.Inf(-1)
 		}
 		order = append(order, e)
@@ -88,19 +88,19 @@
 		return cmp.Or(cmp.Compare(scores[b.ID], scores[a.ID]), cmp.Compare(a.ID, b.ID))
 	})
 	for i, e := range order {
-		e.home = min(i, len(homeShares))
+		e.preference = min(i, len(preferenceShares))
 	}
 }
 
 // sources asks each engine what it keeps. The best source is that which keeps the most, and
 // of those the one whose link is the least busy, as is that of each data centre.
-func (o oracle) sources() *holders {
-	h := &holders{draw: o.r.draw()}
+func (o referenceSearch) sources() *cacheSources {
+	h := &cacheSources{tieBreak: o.r.tieBreak()}
 	for i := range o.engines {
 		e := &o.engines[i]
-		e.kept = e.Cached(sharedParts(o.r.Parts))
-		h.coming = max(h.coming, e.kept.Expected)
-		if e.kept.Ready > 0 && (h.best == nil || better(h, e, h.best)) {
+		e.cached = e.Cached(sharedParts(o.r.Parts))
+		h.expected = max(h.expected, e.cached.Expected)
+		if e.cached.Ready > 0 && (h.best == nil || betterSource(h, e, h.best)) {
 			h.best = e
 		}
 	}
@@ -108,68 +108,68 @@
 		var near *Engine
 		for i := range o.engines {
 			e := &o.engines[i]
-			if e.DataCentre == centre && e.kept.Ready > 0 && e.kept.Ready == h.best.kept.Ready && (near == nil || better(h, e, near)) {
+			if e.DataCentre == centre && e.cached.Ready > 0 && e.cached.Ready == h.best.cached.Ready && (near == nil || betterSource(h, e, near)) {
 				near = e
 			}
 		}
 		if near != nil {
-			h.near = append(h.near, near)
+			h.nearest = append(h.nearest, near)
 		}
 	}
 	return h
 }
 
-func better(h *holders, e, o *Engine) bool {
-	return e.kept.Ready > o.kept.Ready || (e.kept.Ready == o.kept.Ready && h.freer(e, o))
+func betterSource(h *cacheSources, e, o *Engine) bool {
+	return e.cached.Ready > o.cached.Ready || (e.cached.Ready == o.cached.Ready && h.preferred(e, o))
 }
 
-func (o oracle) consider(e *Engine, sources *holders) (p Plan, cost float64, fits bool) {
+func (o referenceSearch) consider(e *Engine, sources *cacheSources) (p Plan, cost float64, fits bool) {
 	r := o.r
-	prompt, fetch := toRead(e, sources, r)
-	p = Plan{Engine: e.ID, LongStream: r.long(e), Uncached: prompt.Tokens, Transferred: fetch.tokens, Recomputes: sources.coming > prompt.Context}
+	prompt, fetch := planPrefill(e, sources, r)
+	p = Plan{Engine: e.ID, LongStream: r.longStream(e), Uncached: prompt.Tokens, Transferred: fetch.tokens, Recomputes: sources.expected > prompt.Context}
 	if fetch.from != nil {
 		p.Source = fetch.from.ID
 	}
-	read := e.Model.PrefillMillis(e.Role, prompt) * e.PrefillSlowdown
-	first := max(e.QueueMillis, fetch.millis) + read + e.Model.StartMillis(e.Role)
-	p.QueueTime, p.PrefillTime = millis(e.QueueMillis), millis(read)
+	prefill := e.Model.PrefillMillis(e.Role, prompt) * e.PrefillSlowdown
+	first := max(e.QueueMillis, fetch.millis) + prefill + e.Model.StartMillis(e.Role)
+	p.QueueTime, p.PrefillTime = millis(e.QueueMillis), millis(prefill)
 	at := e
-	cost = e.Model.MeanPrefillMillis(prompt) + crossCost(e, r) + fetchWeight*fetch.millis - homeBonus(e, r)
+	cost = e.Model.MeanPrefillMillis(prompt) + crossCentreCost(e, r) + transferWeight*fetch.millis - preferenceBonus(e, r)
 	if e.Role == upstream.RolePrefill {
-		g := cheapestGenerator(o.engines, e.DataCentre, r)
-		if g.engine == nil {
+		decode := cheapestDecodeEngine(o.engines, e.DataCentre, r)
+		if decode.engine == nil {
 			return p, 0, false
 		}
-		at = g.engine
-		p.Engine, p.Prefill = g.engine.ID, e.ID
-		p.MaxGap = millis(pause(g.engine, 0))
-		first += g.takeover
-		cost += g.cost
+		at = decode.engine
+		p.Engine, p.Prefill = decode.engine.ID, e.ID
+		p.MaxGap = millis(maxGap(decode.engine, 0))
+		first += decode.handoffMillis
+		cost += decode.cost
 	} else {
-		p.MaxGap = millis(pause(e, read))
-		cost += readBesideStreams(e, r, read) + longCost(e, r) + wholeCost(e, first, r)
+		p.MaxGap = millis(maxGap(e, prefill))
+		cost += concurrentPrefillCost(e, r, prefill) + longStreamCost(e, r) + deadlineCost(e, first, r)
 	}
-	p.FirstToken, p.Completion, p.Concurrent = millis(first), whole(at, first, r), at.Running
-	return p, cost + waitCost(e, first, r), true
+	p.FirstToken, p.Completion, p.Concurrent = millis(first), completionTime(at, first, r), at.Running
+	return p, cost + firstTokenCost(e, first, r), true
 }
 
 // state is books in some state, with the requests that come next.
-type state struct {
-	clock *clock
-	books *Tracker
-	ids   []string
-	rand  *rand.Rand
+type trackerFixture struct {
+	clock   *clock
+	tracker *Tracker
+	ids     []string
+	rand    *rand.Rand
 }
 
 var (
-	centres = []string{"a", "b", "c"}
-	states  = []PrefillState{PrefillStarted, PrefillFinished, PrefillFinished, PrefillFinished, PrefillAbandoned}
+	centres       = []string{"a", "b", "c"}
+	prefillStates = []PrefillState{PrefillStarted, PrefillFinished, PrefillFinished, PrefillFinished, PrefillAbandoned}
 )
 
-func newState(seed uint64) *state {
-	s := &state{clock: &clock{time.Unix(1000, 0)}, rand: rand.New(rand.NewPCG(seed, 1))}
-	s.books = NewTracker(s.clock.now)
-	s.books.AssumeNewEnginesEmpty()
+func newTrackerFixture(seed uint64) *trackerFixture {
+	s := &trackerFixture{clock: &clock{time.Unix(1000, 0)}, rand: rand.New(rand.NewPCG(seed, 1))}
+	s.tracker = NewTracker(s.clock.now)
+	s.tracker.AssumeNewEnginesEmpty()
 	var members []Member
 	for i := range 2 + s.rand.IntN(60) {
 		m := Member{
@@ -182,10 +182,10 @@
 		members = append(members, m)
 		s.ids = append(s.ids, m.ID)
 	}
-	s.books.Sync(members)
+	s.tracker.Sync(members)
 	for _, m := range members {
 		for range 3 {
-			t := s.books.Begin(m.ID, Work{Prefill: enginemodel.Prompt{Tokens: 1000 + s.rand.IntN(5000)}})
+			t := s.tracker.Begin(m.ID, Work{Prefill: enginemodel.Prompt{Tokens: 1000 + s.rand.IntN(5000)}})
 			s.clock.pass(time.Duration(10+s.rand.IntN(50)) * time.Millisecond)
 			t.PrefillDone()
 			t.End(Done)
@@ -195,25 +195,25 @@
 }
 
 // change has something happen, here or at another daemon.
-func (s *state) change() {
+func (s *trackerFixture) change() {
 	id := s.ids[s.rand.IntN(len(s.ids))]
 	at := KeyOf(id, time.Time{})
 	switch s.rand.IntN(4) {
 	case 0:
 		l := Load{Running: s.rand.IntN(20), LongStreams: s.rand.IntN(4), ReservedKVTokens: s.rand.IntN(60_000), PrefillSent: uint32(s.rand.IntN(200_000))}
 		l.PrefillDone = uint32(s.rand.IntN(int(l.PrefillSent) + 1))
-		read := PrefillEvent{Engine: at, State: states[s.rand.IntN(len(states))], LastShared: Part{ID: 1 + s.rand.Uint64N(8), Tokens: 5000}, UnsharedTokens: 1000}
-		s.books.ApplyPeerUpdate(fmt.Sprint("peer", s.rand.IntN(3)), []UpstreamLoad{{Upstream: at, Load: l}}, []PrefillEvent{read})
+		read := PrefillEvent{Engine: at, State: prefillStates[s.rand.IntN(len(prefillStates))], LastShared: Part{ID: 1 + s.rand.Uint64N(8), Tokens: 5000}, UnsharedTokens: 1000}
+		s.tracker.ApplyPeerUpdate(fmt.Sprint("peer", s.rand.IntN(3)), []UpstreamLoad{{Upstream: at, Load: l}}, []PrefillEvent{read})
 	case 1:
-		s.books.MarkUnavailable(at, "", time.Duration(s.rand.IntN(200))*time.Millisecond)
+		s.tracker.MarkUnavailable(at, "", time.Duration(s.rand.IntN(200))*time.Millisecond)
 	case 2:
-		s.books.ForgetPeer(fmt.Sprint("peer", s.rand.IntN(3)))
+		s.tracker.ForgetPeer(fmt.Sprint("peer", s.rand.IntN(3)))
 	default:
 		s.clock.pass(time.Duration(s.rand.IntN(20)) * time.Millisecond)
 	}
 }
 
-func (s *state) request() Request {
+func (s *trackerFixture) request() Request {
 	r := Request{
 		Parts:        []Part{{ID: 1, Tokens: 1000}, {ID: 1 + s.rand.Uint64N(8), Tokens: 4000}, {ID: s.rand.Uint64(), Tokens: 100 + s.rand.IntN(3000)}},
 		OutputTokens: 1 + s.rand.IntN(300), BodyBytes: 400, DataCentre: centres[s.rand.IntN(len(centres))],
@@ -231,17 +231,17 @@
 // figure of an earlier one, or of another engine, as the room for one search is used
 // again for the next. The plan must be that of the plain search in 999 of 1,000
 // decisions, and cost as little within 1% in the rest.
-func TestDecisionsAreThoseOfThePlainSearch(t *testing.T) {
+func TestPickMatchesReferenceSearch(t *testing.T) {
 	decisions, other := 0, 0
 	for seed := range uint64(100) {
-		s := newState(seed)
+		s := newTrackerFixture(seed)
 		for range 100 {
 			for range s.rand.IntN(6) {
 				s.change()
 			}
 			r := s.request()
-			got, ok := s.books.Pick("p", r)
-			want, least, costs := oracle{s.books.Engines(s.ids), r}.pick()
+			got, ok := s.tracker.Pick("p", r)
+			want, least, costs := referenceSearch{s.tracker.Engines(s.ids), r}.pick()
 			require.Equal(t, !math.IsInf(least, 1), ok, "seed %d", seed)
 			decisions++
 			if got.Candidates, got.IdealFirstToken = 0, 0; got == want {
--- a/placement/told_test.go
+++ b/placement/peers_test.go
@@ -28,7 +28,7 @@
 
 // What one daemon sends to an engine makes the engine look busy to the others,
 // also if a state was lost on the way; a peer's new start counts from nothing.
-func TestPeersQueue(t *testing.T) {
+func TestPeerPrefillQueues(t *testing.T) {
 	c := &clock{time.Unix(1, 0)}
 	a, b := NewTracker(c.now), NewTracker(c.now)
 	members := fleet(upstream.RolePrefill)
@@ -37,15 +37,15 @@
 	queue := func() float64 { return b.Engines(ids(members))[0].QueueMillis }
 	first := a.LocalLoads(true)
 	b.ApplyPeerUpdate("a", append(first, UpstreamLoad{Upstream: KeyOf("e0", time.Time{})}), nil)
-	reading := a.PrefillMillis("p", upstream.RolePrefill, tokens(4300))
+	prefill := a.PrefillMillis("p", upstream.RolePrefill, tokens(4300))
 	a.Begin("e0", Work{Prefill: tokens(4300)})
 	a.LocalLoads(false) // lost on the way
 	a.Begin("e0", Work{Prefill: tokens(4300)})
 	b.ApplyPeerUpdate("a", a.LocalLoads(false), nil)
-	require.InDelta(t, 2*reading, queue(), 0.1)
-	c.pass(millis(1.5 * reading))
-	require.InDelta(t, 0.5*reading, queue(), 0.1, "the engine works meanwhile")
-	c.pass(millis(reading))
+	require.InDelta(t, 2*prefill, queue(), 0.1)
+	c.pass(millis(1.5 * prefill))
+	require.InDelta(t, 0.5*prefill, queue(), 0.1, "the engine works meanwhile")
+	c.pass(millis(prefill))
 	require.Zero(t, queue())
 	b.ApplyPeerUpdate("a", []UpstreamLoad{{Upstream: KeyOf("e0", time.Time{}), Load: Load{PrefillSent: 10}}}, nil)
 	require.Zero(t, queue())
@@ -54,12 +54,12 @@
 // Most of what daemons tell each other of prompts was that parts are being read which the
 // engine keeps already. Only the first reading of a part is told before it is over, and
 // each one that is over, as parts that aren't used yield.
-func TestOnlyNewReadingsAreTold(t *testing.T) {
+func TestRedundantPrefillEventsAreOmitted(t *testing.T) {
 	b := NewTracker(nil)
 	b.Sync(fleet(upstream.RoleDecode))
-	told := func(o Outcome, read bool) (states []PrefillState) {
+	reported := func(o Outcome, prefilled bool) (states []PrefillState) {
 		ticket := b.Begin("e0", Work{Prefill: tokens(100), Parts: prompt(2).Parts})
-		if read {
+		if prefilled {
 			ticket.PrefillDone()
 		}
 		ticket.End(o)
@@ -68,15 +68,15 @@
 		}
 		return states
 	}
-	require.Equal(t, []PrefillState{PrefillStarted, PrefillAbandoned}, told(Failed, false))
-	require.Equal(t, []PrefillState{PrefillStarted, PrefillFinished}, told(Done, true))
-	require.Equal(t, []PrefillState{PrefillFinished}, told(Done, true))
-	require.Empty(t, told(Failed, false))
+	require.Equal(t, []PrefillState{PrefillStarted, PrefillAbandoned}, reported(Failed, false))
+	require.Equal(t, []PrefillState{PrefillStarted, PrefillFinished}, reported(Done, true))
+	require.Equal(t, []PrefillState{PrefillFinished}, reported(Done, true))
+	require.Empty(t, reported(Failed, false))
 }
 
 // The last call to a plain server ends while a whole state is told. Peers must hear that
 // nothing is left there: left out, it would look busy to them until its next call.
-func TestTheEndOfTheLastCallIsTold(t *testing.T) {
+func TestEndOfLastCallIsReported(t *testing.T) {
 	b := NewTracker(nil)
 	b.Sync([]Member{{ID: "s", Pool: "p", Slots: 4}})
 	call := b.Begin("s", Work{})
@@ -89,7 +89,7 @@
 
 // An engine has changed its role, and its entry says so. Other daemons still pass
 // on for seconds that it is about to: it must get work all the same.
-func TestAwayEndsWithTheChange(t *testing.T) {
+func TestUnavailableEndsWithRoleChange(t *testing.T) {
 	b := NewTracker(nil)
 	members := fleet(upstream.RoleDecode, upstream.RoleDecode)
 	b.Sync(members)
@@ -107,7 +107,7 @@
 
 // An engine has crashed and started again under its ID. Prompts were still sent there
 // for the parts that it had kept, and it was left alone for the failures of before.
-func TestNewStartKnowsNothingOfTheFormer(t *testing.T) {
+func TestRestartClearsState(t *testing.T) {
 	c := &clock{time.Unix(1, 0)}
 	b := NewTracker(c.now)
 	b.AssumeNewEnginesEmpty()
--- a/placement/pick.go
+++ b/placement/pick.go
@@ -9,123 +9,123 @@
 	"tamarackchute/upstream"
 )
 
-// Pick returns the plan with the least cost among the engines that have a free
-// place. ok is false if none has. Books.Pick does the same without a list made for it.
+// Pick returns the plan with the lowest cost among the engines with a free slot. ok is
+// false if there is none. Tracker.Pick does the same without allocating a list of engines.
 func Pick(engines []Engine, r Request) (plan Plan, ok bool) {
 	return newSearch(engines).pick(r)
 }
 
-// search is one decision among some engines.
+// search holds the state of one decision.
 type search struct {
 	engines []Engine
-	// sources are the engines that keep the most of the prompt.
-	sources holders
-	// generators are the best generators for prompts read in each data centre.
-	generators []generatorFor
-	// blind is how long other daemons' work takes to be known.
-	blind time.Duration
-	// draw returns a number by which others' unknown work is drawn, 1 on average.
+	// sources are the engines with the longest cached prefix of the prompt.
+	sources cacheSources
+	// decodeChoices caches the best decode engine by the data centre of the prefill.
+	decodeChoices []decodeChoiceFor
+	// updateDelay is how long it takes until other daemons' work is known here.
+	updateDelay time.Duration
+	// draw returns a random factor with mean 1 for unseen work of other daemons.
 	draw func() float64
 }
 
-// newSearch returns a search in which the order of generators is known.
+// newSearch returns a search over engines, whose decode ranks it sets.
 func newSearch(engines []Engine) *search {
-	rankGenerators(engines)
+	rankDecodeEngines(engines)
 	return &search{engines: engines}
 }
 
 func (s *search) pick(r Request) (plan Plan, ok bool) {
 	s.prepare(r)
 	best, least := math.Inf(1), math.Inf(1)
-	var plain Plan
-	considered := 0
-	room := !r.Late || roomBehind(s.engines)
+	var undrawn Plan
+	candidates := 0
+	capacity := !r.Late || hasLateCapacity(s.engines)
 	for i := range s.engines {
 		e := &s.engines[i]
-		if !room || excluded(e, r) || full(e, r) || unproven(e) {
+		if !capacity || excluded(e, r) || full(e, r) || unmeasured(e) {
 			continue
 		}
 		p, cost, drawn, fits := s.consider(e, r)
-		if !fits || (r.Late && disturbs(e, p, r)) {
+		if !fits || (r.Late && delaysOthers(e, p, r)) {
 			continue
 		}
-		considered++
+		candidates++
 		if cost < least {
-			least, plain = cost, p
+			least, undrawn = cost, p
 		}
 		if cost+drawn < best {
 			best, plan = cost+drawn, p
 		}
 	}
 	if !plan.MeetsLimit(r) {
-		plan = plain // the draw must not make a request late that needn't be
+		plan = undrawn // the random estimate must not make a request miss a limit that it can meet
 	}
-	plan.Candidates = considered
+	plan.Candidates = candidates
 	plan.IdealFirstToken = s.ideal(r)
 	return plan, !math.IsInf(best, 1)
 }
 
-// prepare finds out once for each engine what the decision asks of several.
+// prepare computes the per-engine values that the decision uses several times.
 func (s *search) prepare(r Request) {
-	s.generators = s.generators[:0]
+	s.decodeChoices = s.decodeChoices[:0]
 	for i := range s.engines {
 		e := &s.engines[i]
-		e.readLately, e.readInWindow = e.RecentPrefill(r.GapObjective), e.RecentPrefill(rememberedFor)
+		e.recentPrefill, e.windowPrefill = e.RecentPrefill(r.GapObjective), e.RecentPrefill(recentWindow)
 	}
-	markGenerators(s.engines)
-	markHomes(s.engines, r)
+	markDedicatedDecode(s.engines)
+	markPreferred(s.engines, r)
 	s.sources.lookUpCaches(s.engines, r)
 	s.drawUnseen()
 }
 
-func (s *search) pickGenerator(dataCentre string, r Request) (plan Plan, ok bool) {
+func (s *search) pickDecode(dataCentre string, r Request) (plan Plan, ok bool) {
 	s.prepare(r)
-	g := s.generatorFor(dataCentre, r)
-	if g.engine == nil {
+	choice := s.decodeEngineFor(dataCentre, r)
+	if choice.engine == nil {
 		return Plan{}, false
 	}
 	return Plan{
-		Engine: g.engine.ID, FirstToken: millis(g.takeover), MaxGap: millis(pause(g.engine, 0)), Candidates: len(s.engines),
-		Completion: whole(g.engine, g.takeover, r), Concurrent: g.engine.Running,
+		Engine: choice.engine.ID, FirstToken: millis(choice.handoffMillis), MaxGap: millis(maxGap(choice.engine, 0)), Candidates: len(s.engines),
+		Completion: completionTime(choice.engine, choice.handoffMillis, r), Concurrent: choice.engine.Running,
 	}, true
 }
 
-// consider returns the plan that an engine reads the prompt, its cost, and what is drawn on
-// top for work that isn't known yet. fits is false if no engine can generate then.
+// consider returns the plan in which e prefills the prompt, its cost, and the extra cost of
+// unseen work. fits is false if no engine can decode then.
 func (s *search) consider(e *Engine, r Request) (p Plan, cost, drawn float64, fits bool) {
-	p = Plan{Engine: e.ID, LongStream: r.long(e)}
-	prompt, fetch := toRead(e, &s.sources, r)
+	p = Plan{Engine: e.ID, LongStream: r.longStream(e)}
+	prompt, fetch := planPrefill(e, &s.sources, r)
 	p.Uncached, p.Transferred = prompt.Tokens, fetch.tokens
 	if fetch.from != nil {
 		p.Source = fetch.from.ID
 	}
-	p.Recomputes = s.sources.coming > prompt.Context
-	read := e.Model.PrefillMillis(e.Role, prompt) * e.PrefillSlowdown
-	first := max(e.QueueMillis, fetch.millis) + read + e.Model.StartMillis(e.Role)
-	p.QueueTime, p.PrefillTime = millis(e.QueueMillis), millis(read)
+	p.Recomputes = s.sources.expected > prompt.Context
+	prefill := e.Model.PrefillMillis(e.Role, prompt) * e.PrefillSlowdown
+	first := max(e.QueueMillis, fetch.millis) + prefill + e.Model.StartMillis(e.Role)
+	p.QueueTime, p.PrefillTime = millis(e.QueueMillis), millis(prefill)
 	at := e
 	work := e.Model.MeanPrefillMillis(prompt)
-	cost = work + crossCost(e, r) + fetchWeight*fetch.millis - homeBonus(e, r)
+	cost = work + crossCentreCost(e, r) + transferWeight*fetch.millis - preferenceBonus(e, r)
 	if e.Role == upstream.RolePrefill {
-		g := s.generatorFor(e.DataCentre, r)
-		if g.engine == nil {
+		decode := s.decodeEngineFor(e.DataCentre, r)
+		if decode.engine == nil {
 			return p, 0, 0, false
 		}
-		at = g.engine
-		p.Engine, p.Prefill = g.engine.ID, e.ID
-		p.MaxGap = millis(pause(g.engine, 0))
-		first += g.takeover
-		cost += g.cost
+		at = decode.engine
+		p.Engine, p.Prefill = decode.engine.ID, e.ID
+		p.MaxGap = millis(maxGap(decode.engine, 0))
+		first += decode.handoffMillis
+		cost += decode.cost
 	} else {
-		p.MaxGap = millis(pause(e, read))
-		cost += readBesideStreams(e, r, read) + longCost(e, r) + wholeCost(e, first, r)
+		p.MaxGap = millis(maxGap(e, prefill))
+		cost += concurrentPrefillCost(e, r, prefill) + longStreamCost(e, r) + deadlineCost(e, first, r)
 	}
-	p.FirstToken, p.Completion, p.Concurrent = millis(first), whole(at, first, r), at.Running
-	wait := waitCost(e, first, r)
-	return p, cost + wait, waitCost(e, first+e.unseen, r) - wait, true
+	p.FirstToken, p.Completion, p.Concurrent = millis(first), completionTime(at, first, r), at.Running
+	wait := firstTokenCost(e, first, r)
+	return p, cost + wait, firstTokenCost(e, first+e.unseenPrefill, r) - wait, true
 }
 
-// InTime reports whether the first event is expected soon enough for the plan to be of use.
+// MeetsLimit reports whether the first event is expected within the request's limit.
 func (p Plan) MeetsLimit(r Request) bool {
 	limit := r.FirstTokenLimit
 	if p.Recomputes {
@@ -134,22 +134,22 @@
 	return limit == 0 || p.FirstToken <= limit
 }
 
-// PromptAt returns what the engine that reads the prompt under a plan has to read.
+// PrefillWork returns what remains to be prefilled under the plan.
 func (p Plan) PrefillWork(r Request) enginemodel.Prompt {
 	return enginemodel.Prompt{Tokens: p.Uncached, Context: r.PromptTokens - p.Uncached}
 }
 
-// ideal returns the expected time to the first token on an engine without a queue
-// that keeps the parts that any keeps.
+// ideal returns the expected time to the first token on an engine without a queue that has
+// every part cached that any engine has.
 func (s *search) ideal(r Request) time.Duration {
 	best := math.Inf(1)
-	kept := min(s.sources.coming, r.PromptTokens-1)
-	prompt := enginemodel.Prompt{Tokens: r.PromptTokens - kept, Context: kept}
+	cached := min(s.sources.expected, r.PromptTokens-1)
+	prompt := enginemodel.Prompt{Tokens: r.PromptTokens - cached, Context: cached}
 	var last *Engine
 	for i := range s.engines {
 		e := &s.engines[i]
 		if last != nil && last.Role == e.Role && last.Model == e.Model {
-			continue // alike
+			continue // same prediction
 		}
 		last = e
 		took := e.Model.PrefillMillis(e.Role, prompt) + e.Model.StartMillis(e.Role)
@@ -166,15 +166,14 @@
 
 func excluded(e *Engine, r Request) bool { return slices.Contains(r.Exclude, e.ID) }
 
-// unproven reports whether an engine reads already and nothing is known yet of how
-// fast such engines do. Without it the first burst would be let in whole, and most of
-// it be late.
-func unproven(e *Engine) bool { return e.PendingPrefillMillis > 0 && !e.Model.Known(e.Role) }
+// unmeasured reports whether an engine has a pending prefill while no prefill time of its
+// role is known. Otherwise the whole first burst would be admitted, and most of it be late.
+func unmeasured(e *Engine) bool { return e.PendingPrefillMillis > 0 && !e.Model.Known(e.Role) }
 
-// full reports whether an engine has no place for one more request.
+// full reports whether an engine has no slot for one more request.
 func full(e *Engine, r Request) bool {
 	if e.Slots <= 0 {
 		return false
 	}
-	return e.Running >= e.Slots || (e.Role == upstream.RoleDecode && r.long(e) && e.LongStreams >= LongSlots(e.Slots))
+	return e.Running >= e.Slots || (e.Role == upstream.RoleDecode && r.longStream(e) && e.LongStreams >= LongSlots(e.Slots))
 }
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -17,7 +17,7 @@
 func (c *clock) pass(d time.Duration) { c.at = c.at.Add(d) }
 
 // reader returns the engine that reads the prompt.
-func reader(p Plan) string {
+func prefillEngine(p Plan) string {
 	if p.Prefill != "" {
 		return p.Prefill
 	}
@@ -49,7 +49,7 @@
 
 // A prompt whose shared parts an engine has read goes there again: anywhere else
 // they would be read a second time.
-func TestSharedPartsDecide(t *testing.T) {
+func TestSharedPartsAttractRequests(t *testing.T) {
 	c := &clock{time.Unix(1, 0)}
 	b := NewTracker(c.now)
 	members := fleet(upstream.RoleDecode, upstream.RoleDecode, upstream.RoleDecode, upstream.RoleDecode)
@@ -71,9 +71,9 @@
 
 // Daemons that know nothing of each other's requests send the same shared parts
 // to the same engine.
-func TestDaemonsAgreeOnAHome(t *testing.T) {
+func TestDaemonsAgreeOnPreferredEngine(t *testing.T) {
 	members := fleet(upstream.RoleDecode, upstream.RoleDecode, upstream.RoleDecode, upstream.RolePrefill)
-	homes := map[string]int{}
+	preferred := map[string]int{}
 	for shared := uint64(2); shared < 60; shared++ {
 		var first string
 		for range 3 {
@@ -82,17 +82,17 @@
 			plan, ok := Pick(b.Engines(ids(members)), prompt(shared))
 			require.True(t, ok)
 			if first == "" {
-				first = reader(plan)
-				homes[first]++
+				first = prefillEngine(plan)
+				preferred[first]++
 			}
-			require.Equal(t, first, reader(plan))
+			require.Equal(t, first, prefillEngine(plan))
 		}
 	}
-	require.Len(t, homes, 3, "one of the four generates, all others are somebody's home")
+	require.Len(t, preferred, 3, "one of the four generates, all others are somebody's home")
 }
 
 // A prefill engine can't generate: without a decode engine there is no place.
-func TestPrefillNeedsAGenerator(t *testing.T) {
+func TestPrefillNeedsDecodeEngine(t *testing.T) {
 	b := NewTracker(nil)
 	members := fleet(upstream.RolePrefill, upstream.RoleDecode)
 	b.Sync(members)
@@ -100,7 +100,7 @@
 	require.True(t, ok)
 	require.Equal(t, "e0", plan.Prefill)
 	require.Equal(t, "e1", plan.Engine)
-	require.Equal(t, "e0", reader(plan))
+	require.Equal(t, "e0", prefillEngine(plan))
 	r := prompt(2)
 	r.Exclude = []string{"e1"}
 	_, ok = Pick(b.Engines(ids(members)), r)
@@ -109,12 +109,12 @@
 
 // An engine breaks connection after connection. It is left alone for a while,
 // longer each time, and comes back by one request at a time.
-func TestEjectionAndTrial(t *testing.T) {
+func TestEjectionAndProbe(t *testing.T) {
 	c := &clock{time.Unix(1, 0)}
 	b := NewTracker(c.now)
 	members := fleet("", "")
 	b.Sync(members)
-	hold := firstHold
+	hold := baseEjection
 	for range 3 {
 		for range unreachableLimit {
 			b.Begin("e0", Work{}).End(Unreachable)
@@ -122,12 +122,12 @@
 		require.Len(t, b.Engines(ids(members)), 1)
 		c.pass(hold + time.Millisecond)
 		require.Len(t, b.Engines(ids(members)), 2)
-		trial := b.Begin("e0", Work{})
+		probe := b.Begin("e0", Work{})
 		require.Len(t, b.Engines(ids(members)), 1, "one trial at a time")
-		trial.End(Unreachable) // fails the trial
+		probe.End(Unreachable) // fails the trial
 		require.Len(t, b.Engines(ids(members)), 1)
 		hold *= 2
-		c.pass(min(hold, maxHold) + time.Millisecond)
+		c.pass(min(hold, maxEjection) + time.Millisecond)
 		hold *= 2
 	}
 	b.Begin("e0", Work{}).End(Done)
@@ -139,7 +139,7 @@
 }
 
 // One broken connection is no reason to leave an upstream alone.
-func TestOneBreakIsForgiven(t *testing.T) {
+func TestSingleConnectionFailureIsTolerated(t *testing.T) {
 	b := NewTracker(nil)
 	members := fleet("", "")
 	b.Sync(members)
@@ -180,7 +180,7 @@
 
 // What readings take is learnt, for engines of any speed. Where reading hardly shows
 // beside the time to begin, it isn't told apart from that so well.
-func TestReadingIsLearnt(t *testing.T) {
+func TestPrefillTimeIsLearned(t *testing.T) {
 	for rate, tolerance := range map[int]float64{5: 0.1, 60: 0.1, 600: 0.1, 6000: 0.3} {
 		c := &clock{time.Unix(1, 0)}
 		b := NewTracker(c.now)
@@ -206,7 +206,7 @@
 
 // seen returns books whose daemon has seen what engines take for a while: 100 tokens a
 // millisecond to read, a token generated in 4 ms.
-func seen(c *clock, members []Member) *Tracker {
+func trainedTracker(c *clock, members []Member) *Tracker {
 	b := NewTracker(c.now)
 	b.AssumeNewEnginesEmpty()
 	b.Sync(members)
@@ -229,12 +229,12 @@
 
 // Long streams go together, so that other engines are free to read prompts, but
 // leave some slots of theirs.
-func TestLongStreamsGoTogether(t *testing.T) {
+func TestLongStreamsShareEngines(t *testing.T) {
 	members := fleet(upstream.RoleDecode, upstream.RoleDecode, upstream.RoleDecode)
 	for i := range members {
 		members[i].Slots = 16
 	}
-	b := seen(&clock{time.Unix(1, 0)}, members)
+	b := trainedTracker(&clock{time.Unix(1, 0)}, members)
 	chat := Request{PromptTokens: 200, OutputTokens: 500, DataCentre: "d", Objective: 100 * time.Millisecond, GapObjective: 150 * time.Millisecond}
 	used := map[string]int{}
 	for range 2*LongSlots(16) - 1 {
@@ -256,17 +256,17 @@
 }
 
 // An engine's memory is bounded: what was used least recently is believed gone.
-func TestCacheBeliefIsBounded(t *testing.T) {
-	cache := newCacheBelief(10_000)
+func TestCacheEstimateIsBounded(t *testing.T) {
+	cache := newCacheEstimate(10_000)
 	for i := range uint64(100) {
-		cache.read([]Part{{ID: 1, Tokens: 500}, {ID: 100 + i, Tokens: 1000}})
+		cache.recordPrefill([]Part{{ID: 1, Tokens: 500}, {ID: 100 + i, Tokens: 1000}})
 	}
 	require.LessOrEqual(t, cache.tokens, cache.capacity)
 	now := time.Unix(1, 0)
-	kept := func(parts ...Part) int { return cache.kept(parts, now).Ready }
-	require.Equal(t, 1500, kept(Part{ID: 1, Tokens: 500}, Part{ID: 199, Tokens: 1000}))
-	require.Equal(t, 500, kept(Part{ID: 1, Tokens: 500}, Part{ID: 100, Tokens: 1000}))
-	require.Zero(t, kept(Part{ID: 1000, Tokens: 500}, Part{ID: 2000, Tokens: 1000}))
+	cached := func(parts ...Part) int { return cache.cachedPrefix(parts, now).Ready }
+	require.Equal(t, 1500, cached(Part{ID: 1, Tokens: 500}, Part{ID: 199, Tokens: 1000}))
+	require.Equal(t, 500, cached(Part{ID: 1, Tokens: 500}, Part{ID: 100, Tokens: 1000}))
+	require.Zero(t, cached(Part{ID: 1000, Tokens: 500}, Part{ID: 2000, Tokens: 1000}))
 }
 
 // Plain calls go to the upstream with the most free slots, near ones first.
@@ -274,7 +274,7 @@
 	list := []Engine{
 		{ID: "far", DataCentre: "x", Slots: 4},
 		{ID: "near", DataCentre: "d", Slots: 4, Running: 1},
-		{ID: "full", DataCentre: "d", Slots: 4, Running: 4 + queuedCalls},
+		{ID: "full", DataCentre: "d", Slots: 4, Running: 4 + maxQueuedCalls},
 	}
 	id, full, ok := PickService(list, Request{DataCentre: "d"})
 	require.True(t, ok)
@@ -298,12 +298,12 @@
 			}
 		}
 		members := fleet(roles...)
-		books := NewTracker(nil)
-		books.Sync(members)
+		tracker := NewTracker(nil)
+		tracker.Sync(members)
 		list := ids(members)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
-				Pick(books.Engines(list), prompt(2))
+				Pick(tracker.Engines(list), prompt(2))
 			}
 		})
 	}
@@ -312,7 +312,7 @@
 // BenchmarkBooksPick is a decision as daemons make it: 3.9 us before 8 engines, 15 us before
 // 35 and 78 us before 200 on a busy machine, without allocating; where each made its own list,
 // 14, 59 and 355 us on a quiet one, with three allocations an engine.
-func BenchmarkBooksPick(b *testing.B) {
+func BenchmarkTrackerPick(b *testing.B) {
 	for _, n := range []int{8, 35, 200, 6900} {
 		roles := make([]upstream.Role, n)
 		for i := range roles {
@@ -321,13 +321,13 @@
 				roles[i] = upstream.RolePrefill
 			}
 		}
-		books := NewTracker(nil)
-		books.Sync(fleet(roles...))
+		tracker := NewTracker(nil)
+		tracker.Sync(fleet(roles...))
 		r := prompt(2)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				books.Pick("p", r)
+				tracker.Pick("p", r)
 			}
 		})
 	}
@@ -335,7 +335,7 @@
 
 // A server of a model pool doesn't say what role it has, as plain ones don't. A prompt
 // sent to its pool ended in a panic: there was no model of such a server.
-func TestServersWithoutARoleAreServed(t *testing.T) {
+func TestUpstreamsWithoutRole(t *testing.T) {
 	b := NewTracker(nil)
 	members := fleet("", "")
 	b.Sync(members)
@@ -356,7 +356,7 @@
 // The engines that a prompt belongs to are busy, and callers are refused though most
 // others of a large site are idle: only a prompt's few homes were looked at there. It
 // must go to an idle one.
-func TestBusyHomesDontRefuse(t *testing.T) {
+func TestBusyPreferredEnginesDontRefuse(t *testing.T) {
 	roles := make([]upstream.Role, 90)
 	for i := range roles {
 		roles[i] = upstream.RolePrefill
@@ -365,7 +365,7 @@
 		}
 	}
 	members := fleet(roles...)
-	engines := seen(&clock{time.Unix(1, 0)}, members).Engines(ids(members))
+	engines := trainedTracker(&clock{time.Unix(1, 0)}, members).Engines(ids(members))
 	for shared := uint64(2); shared < 40; shared++ {
 		r := prompt(shared)
 		r.Objective = time.Second
@@ -373,7 +373,7 @@
 		_, ok := Pick(at, r)
 		require.True(t, ok)
 		for i := range at {
-			if at[i].home < len(homeShares) {
+			if at[i].preference < len(preferenceShares) {
 				at[i].QueueMillis = 5000
 			}
 		}
--- a/placement/replay_test.go
+++ b/placement/replay_test.go
@@ -18,32 +18,32 @@
 // have read. One daemon decides for all requests.
 type replay struct {
 	clock   *clock
-	books   *Tracker
+	tracker *Tracker
 	members []Member
-	engines map[string]*twin
+	engines map[string]*simulatedEngine
 	events  eventQueue
 	seq     int
 	rand    *rand.Rand
 
-	asked, inTime, late, refused int
+	requests, onTime, late, refused int
 	// read and reread are the tokens read, and those of them that another engine kept.
-	read, reread int
+	prefilled, recomputed int
 }
 
 // twin is an engine as it is.
-type twin struct {
-	free time.Time
-	kept map[uint64]bool
+type simulatedEngine struct {
+	idleAt time.Time
+	cached map[uint64]bool
 	// perToken is what a prompt token takes.
 	perToken time.Duration
 }
 
 // kindOf a request: the sizes of its shared and own parts, and its objective.
-type kindOf struct {
-	name                 string
-	shared, own, outputs int
-	subjects             int
-	objective            time.Duration
+type requestKind struct {
+	name                           string
+	shared, unshared, outputTokens int
+	variants                       int
+	objective                      time.Duration
 }
 
 type event struct {
@@ -70,9 +70,9 @@
 // newReplay returns a pool of engines, a third of which only read. speed is in prompt
 // tokens a millisecond.
 func newReplay(engines int, speed float64, fetch bool) *replay {
-	p := &replay{clock: &clock{time.Unix(1000, 0)}, engines: make(map[string]*twin), rand: rand.New(rand.NewPCG(11, 12))}
-	p.books = NewTracker(p.clock.now)
-	p.books.AssumeNewEnginesEmpty()
+	p := &replay{clock: &clock{time.Unix(1000, 0)}, engines: make(map[string]*simulatedEngine), rand: rand.New(rand.NewPCG(11, 12))}
+	p.tracker = NewTracker(p.clock.now)
+	p.tracker.AssumeNewEnginesEmpty()
 	for i := range engines {
 		m := Member{ID: fmt.Sprint("e", i), DataCentre: "d", Pool: "p", Role: upstream.RoleDecode, Slots: 64, KVTokens: int(10_000 * speed)}
 		per := 2 * float64(time.Millisecond) / speed
@@ -83,9 +83,9 @@
 			m.TransferMillisPerToken = 0.1 / speed
 		}
 		p.members = append(p.members, m)
-		p.engines[m.ID] = &twin{kept: make(map[uint64]bool), perToken: time.Duration(per)}
+		p.engines[m.ID] = &simulatedEngine{cached: make(map[uint64]bool), perToken: time.Duration(per)}
 	}
-	p.books.Sync(p.members)
+	p.tracker.Sync(p.members)
 	return p
 }
 
@@ -104,28 +104,28 @@
 }
 
 // load adds requests of a kind at a rate a second for a while.
-func (p *replay) load(k kindOf, from, length time.Duration, perSecond float64) {
+func (p *replay) load(k requestKind, from, length time.Duration, perSecond float64) {
 	start := p.clock.at
 	for t := from; t < from+length; {
-		p.at(start.Add(t), func() { p.ask(k) })
+		p.at(start.Add(t), func() { p.request(k) })
 		t += time.Duration(p.rand.ExpFloat64() / perSecond * float64(time.Second))
 	}
 }
 
-func (p *replay) ask(k kindOf) {
-	p.asked++
-	subject := uint64(len(k.name)*1000 + p.rand.IntN(k.subjects))
+func (p *replay) request(k requestKind) {
+	p.requests++
+	subject := uint64(len(k.name)*1000 + p.rand.IntN(k.variants))
 	r := Request{
-		Parts:        []Part{{ID: subject, Tokens: k.shared}, {ID: 1<<40 + uint64(p.asked), Tokens: k.own}},
-		PromptTokens: k.shared + k.own, OutputTokens: k.outputs, DataCentre: "d",
+		Parts:        []Part{{ID: subject, Tokens: k.shared}, {ID: 1<<40 + uint64(p.requests), Tokens: k.unshared}},
+		PromptTokens: k.shared + k.unshared, OutputTokens: k.outputTokens, DataCentre: "d",
 		Objective: k.objective, GapObjective: 150 * time.Millisecond, FirstTokenLimit: k.objective * 85 / 100,
 	}
 	r.RecomputeLimit = r.FirstTokenLimit
-	plan, ok := p.books.Pick("p", r)
+	plan, ok := p.tracker.Pick("p", r)
 	if !ok || float64(plan.FirstToken) > 0.85*float64(k.objective) {
 		// It can't be in time: a late answer is worth more than none.
 		r.Late, r.FirstTokenLimit, r.RecomputeLimit = true, 0, 0
-		if plan, ok = p.books.Pick("p", r); !ok {
+		if plan, ok = p.tracker.Pick("p", r); !ok {
 			p.refused++
 			return
 		}
@@ -134,64 +134,64 @@
 }
 
 // send has the prompt read by the twin that the plan names.
-func (p *replay) send(k kindOf, r Request, plan Plan) {
+func (p *replay) send(k requestKind, r Request, plan Plan) {
 	began := p.clock.at
-	work := Work{Prefill: plan.PrefillWork(r), TransferredTokens: plan.Transferred, Parts: r.Parts, ReservedKVTokens: r.PromptTokens, OutputTokens: k.outputs, Late: r.Late}
-	at := reader(plan)
-	ticket := p.books.Begin(at, work)
+	work := Work{Prefill: plan.PrefillWork(r), TransferredTokens: plan.Transferred, Parts: r.Parts, ReservedKVTokens: r.PromptTokens, OutputTokens: k.outputTokens, Late: r.Late}
+	at := prefillEngine(plan)
+	ticket := p.tracker.Begin(at, work)
 	e := p.engines[at]
-	tokens := k.own
-	if !e.kept[r.Parts[0].ID] && plan.Source == "" {
+	tokens := k.unshared
+	if !e.cached[r.Parts[0].ID] && plan.Source == "" {
 		tokens += k.shared
-		p.noteRead(r.Parts[0])
+		p.countRecomputed(r.Parts[0])
 	}
-	p.read += tokens
-	start := e.free
+	p.prefilled += tokens
+	start := e.idleAt
 	if start.Before(began) {
 		start = began
 	}
-	e.free = start.Add(time.Duration(tokens) * e.perToken)
-	p.at(e.free.Add(10*time.Millisecond), func() {
+	e.idleAt = start.Add(time.Duration(tokens) * e.perToken)
+	p.at(e.idleAt.Add(10*time.Millisecond), func() {
 		ticket.PrefillDone()
-		e.kept[r.Parts[0].ID] = true
+		e.cached[r.Parts[0].ID] = true
 		if p.clock.at.Sub(began) <= k.objective {
-			p.inTime++
+			p.onTime++
 		} else {
 			p.late++
 		}
-		p.at(p.clock.at.Add(time.Duration(k.outputs)*4*time.Millisecond), func() { ticket.End(Done) })
+		p.at(p.clock.at.Add(time.Duration(k.outputTokens)*4*time.Millisecond), func() { ticket.End(Done) })
 	})
 }
 
 // noteRead counts a shared part that is read although another engine keeps it.
-func (p *replay) noteRead(part Part) {
+func (p *replay) countRecomputed(part Part) {
 	for _, e := range p.engines {
-		if e.kept[part.ID] {
-			p.reread += part.Tokens
+		if e.cached[part.ID] {
+			p.recomputed += part.Tokens
 			return
 		}
 	}
 }
 
-func (p *replay) share() float64 { return float64(p.inTime) / float64(max(1, p.asked)) }
+func (p *replay) onTimeShare() float64 { return float64(p.onTime) / float64(max(1, p.requests)) }
 
 func (p *replay) String() string {
-	return fmt.Sprintf("asked %d: %d in time, %d late, %d refused; %d tokens read, %d again", p.asked, p.inTime, p.late, p.refused, p.read, p.reread)
+	return fmt.Sprintf("asked %d: %d in time, %d late, %d refused; %d tokens read, %d again", p.requests, p.onTime, p.late, p.refused, p.prefilled, p.recomputed)
 }
 
 // The kinds of request, for engines that read so many tokens a millisecond: prompts take
 // a share of the objective, whatever the engines' speed.
-func kinds(speed float64) (long, short kindOf) {
+func kinds(speed float64) (long, short requestKind) {
 	scale := func(tokens float64) int { return int(tokens * speed / 60) }
-	long = kindOf{"long one", scale(13_000), scale(3_700), 120, 100, 500 * time.Millisecond}
-	short = kindOf{"short", scale(350), scale(1_100), 170, 200, 300 * time.Millisecond}
+	long = requestKind{"long one", scale(13_000), scale(3_700), 120, 100, 500 * time.Millisecond}
+	short = requestKind{"short", scale(350), scale(1_100), 170, 200, 300 * time.Millisecond}
 	return long, short
 }
 
 // A swing of the mix every three seconds, at a load that engines can bear if shared
 // parts stay where they were read: a burst of long prompts takes turns with one of short
 // ones. Engines from a tenth to ten times as fast as the first must serve it alike.
-func TestSwingOfTheMix(t *testing.T) {
+func TestAlternatingMix(t *testing.T) {
 	for _, speed := range []float64{6, 60, 600} {
 		p := newReplay(12, speed, true)
 		long, short := kinds(speed)
@@ -203,14 +203,14 @@
 		}
 		p.run()
 		t.Logf("speed %v: %v", speed, p)
-		require.Greater(t, p.share(), 0.8, "speed %v: %v", speed, p)
-		require.Less(t, p.reread, p.read/10, "speed %v: %v", speed, p)
+		require.Greater(t, p.onTimeShare(), 0.8, "speed %v: %v", speed, p)
+		require.Less(t, p.recomputed, p.prefilled/10, "speed %v: %v", speed, p)
 	}
 }
 
 // A long burst of the kind with the largest shared parts: where engines can't fetch
 // parts from each other, each has to read what another one keeps, or most are refused.
-func TestFetchedPartsCarryABurst(t *testing.T) {
+func TestKVTransfersInBurst(t *testing.T) {
 	play := func(fetch bool) *replay {
 		p := newReplay(12, 60, fetch)
 		long, _ := kinds(60)
@@ -220,8 +220,8 @@
 	}
 	with, without := play(true), play(false)
 	t.Logf("with fetching %v; without %v", with, without)
-	require.Greater(t, with.share(), without.share()+0.05)
-	require.Less(t, with.reread, without.reread/2)
+	require.Greater(t, with.onTimeShare(), without.onTimeShare()+0.05)
+	require.Less(t, with.recomputed, without.recomputed/2)
 }
 
 // More is asked than the fleet can read. What is let in must still be in time: a queue
@@ -233,48 +233,48 @@
 	p.load(short, 0, 10*time.Second, 100)
 	p.run()
 	t.Log(p)
-	require.Greater(t, p.refused, p.asked/10, "it is too much")
-	require.Less(t, p.late, (p.inTime+p.late)/8, "%v", p)
+	require.Greater(t, p.refused, p.requests/10, "it is too much")
+	require.Less(t, p.late, (p.onTime+p.late)/8, "%v", p)
 }
 
 // A third of the engines is lost in the middle of a burst. The others go on without a
 // lapse: what is known of them holds.
-func TestLossOfAThird(t *testing.T) {
+func TestLossOfThirdOfEngines(t *testing.T) {
 	p := newReplay(12, 60, true)
 	long, short := kinds(60)
 	p.load(long, 0, 12*time.Second, 20)
 	p.load(short, 0, 12*time.Second, 30)
 	p.at(p.clock.at.Add(6*time.Second), func() {
 		p.members = p.members[:8]
-		p.books.Sync(p.members)
+		p.tracker.Sync(p.members)
 	})
 	p.run()
 	t.Log(p)
-	require.Greater(t, p.share(), 0.75, "%v", p)
+	require.Greater(t, p.onTimeShare(), 0.75, "%v", p)
 }
 
 // Late answers take the engines for long. However many ask for one, most engines stay
 // with those that can be in time.
-func TestLateAnswersTakeFewEngines(t *testing.T) {
+func TestLateRequestsTakeFewEngines(t *testing.T) {
 	p := newReplay(12, 60, true)
 	large := Request{Parts: []Part{{ID: 7, Tokens: 40_000}}, PromptTokens: 40_000, DataCentre: "d", Objective: 500 * time.Millisecond, Late: true}
 	taken := map[string]bool{}
 	for range 50 {
-		plan, ok := Pick(p.books.Engines(ids(p.members)), large)
+		plan, ok := Pick(p.tracker.Engines(ids(p.members)), large)
 		if !ok {
 			break
 		}
-		p.books.Begin(reader(plan), Work{Prefill: enginemodel.Prompt{Tokens: 40_000}, Late: true})
-		taken[reader(plan)] = true
+		p.tracker.Begin(prefillEngine(plan), Work{Prefill: enginemodel.Prompt{Tokens: 40_000}, Late: true})
+		taken[prefillEngine(plan)] = true
 	}
 	require.NotEmpty(t, taken)
-	require.LessOrEqual(t, float64(len(taken)), 1+behindShare*12)
+	require.LessOrEqual(t, float64(len(taken)), 1+lateEngineShare*12)
 }
 
 // A part that most prompts of a burst share is kept by engines of two data centres, and
 // each prompt that is read elsewhere fetches it. From whichever came first in the list all
 // would come over one link, half of them across data centres.
-func TestSharedPartsComeFromNearAndFreeEngines(t *testing.T) {
+func TestTransferSources(t *testing.T) {
 	b := NewTracker((&clock{time.Unix(1000, 0)}).now)
 	b.AssumeNewEnginesEmpty()
 	var members []Member
--- a/placement/service.go
+++ b/placement/service.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// PickService returns the plain upstream with the fewest requests for its slots,
-// and whether it has none free.
+// PickService returns the plain upstream with the lowest load relative to its slots, and
+// whether all its slots are taken.
 func PickService(upstreams []Engine, r Request) (id string, full, ok bool) {
 	best := math.Inf(1)
 	for i := range upstreams {
@@ -13,21 +13,21 @@
 		}
 		cost := serviceCost(u, r)
 		if cost < best {
-			best, id, full = cost, u.ID, u.Running >= u.Slots+queuedCalls
+			best, id, full = cost, u.ID, u.Running >= u.Slots+maxQueuedCalls
 		}
 	}
 	return id, full, id != ""
 }
 
 const (
-	// queuedCalls is how many calls may wait at an upstream beyond its slots, so
-	// that it has the next one at hand when one ends.
-	queuedCalls = 1
-	// queuePenalty makes a free slot anywhere better than any queue.
+	// maxQueuedCalls is the number of calls that may queue at an upstream beyond its slots,
+	// so that the next call is there when one ends.
+	maxQueuedCalls = 1
+	// queuePenalty makes any free slot cheaper than queueing.
 	queuePenalty = 1.0
-	// farPenalty is what a call to another data centre counts, in shares of an
+	// remotePenalty is the cost of a call to another data centre, as a share of the
 	// upstream's slots.
-	farPenalty = 0.3
+	remotePenalty = 0.3
 )
 
 func serviceCost(u *Engine, r Request) float64 {
@@ -36,7 +36,7 @@
 		cost += queuePenalty
 	}
 	if u.DataCentre != r.DataCentre {
-		cost += farPenalty
+		cost += remotePenalty
 	}
 	return cost
 }
--- a/placement/site_test.go
+++ b/placement/site_test.go
@@ -15,11 +15,11 @@
 	daemons []*Tracker
 	// every and underway are how often a daemon tells of its work, and how long that takes
 	// to be known.
-	every, underway time.Duration
+	interval, delay time.Duration
 }
 
-func newSiteReplay(daemons, engines int, speed float64, every, underway time.Duration) *siteReplay {
-	p := &siteReplay{replay: newReplay(engines, speed, true), every: every, underway: underway}
+func newSiteReplay(daemons, engines int, speed float64, interval, delay time.Duration) *siteReplay {
+	p := &siteReplay{replay: newReplay(engines, speed, true), interval: interval, delay: delay}
 	for range daemons {
 		b := NewTracker(p.clock.now)
 		b.AssumeNewEnginesEmpty()
@@ -31,34 +31,34 @@
 }
 
 // load is as that of a replay, at any of the daemons.
-func (p *siteReplay) load(k kindOf, from, length time.Duration, perSecond float64) {
+func (p *siteReplay) load(k requestKind, from, length time.Duration, perSecond float64) {
 	start := p.clock.at
 	for t := from; t < from+length; {
 		at := start.Add(t)
 		p.at(at, func() {
-			p.books = p.daemons[p.rand.IntN(len(p.daemons))]
-			p.ask(k)
+			p.tracker = p.daemons[p.rand.IntN(len(p.daemons))]
+			p.request(k)
 		})
 		t += time.Duration(p.rand.ExpFloat64() / perSecond * float64(time.Second))
 	}
 }
 
 // talk has the daemons tell each other of their work for a while.
-func (p *siteReplay) talk(length time.Duration) {
+func (p *siteReplay) exchange(length time.Duration) {
 	start := p.clock.at
 	for i, from := range p.daemons {
-		for t := time.Duration(i) * p.every / time.Duration(len(p.daemons)); t < length; t += p.every {
-			p.at(start.Add(t), func() { p.tell(from, fmt.Sprint("daemon ", i)) })
+		for t := time.Duration(i) * p.interval / time.Duration(len(p.daemons)); t < length; t += p.interval {
+			p.at(start.Add(t), func() { p.sendUpdate(from, fmt.Sprint("daemon ", i)) })
 		}
 	}
 }
 
-func (p *siteReplay) tell(from *Tracker, name string) {
+func (p *siteReplay) sendUpdate(from *Tracker, name string) {
 	loads, reads := from.LocalLoads(false), from.PrefillEvents()
 	if len(loads)+len(reads) == 0 {
 		return
 	}
-	p.at(p.clock.at.Add(p.underway), func() {
+	p.at(p.clock.at.Add(p.delay), func() {
 		for _, b := range p.daemons {
 			if b != from {
 				b.ApplyPeerUpdate(name, loads, reads)
@@ -68,7 +68,7 @@
 }
 
 // learn has all daemons know the engines from the start.
-func (p *siteReplay) learn(k kindOf) {
+func (p *siteReplay) train(k requestKind) {
 	p.load(k, 0, time.Second, 100)
 	p.run()
 	for i, from := range p.daemons {
@@ -78,19 +78,19 @@
 			}
 		}
 	}
-	p.asked, p.inTime, p.late, p.refused = 0, 0, 0, 0
+	p.requests, p.onTime, p.late, p.refused = 0, 0, 0, 0
 }
 
 // burst plays three seconds in which callers press four times as hard as usual at a site of
 // forty daemons before sixteen engines.
-func burst(every, underway, blind time.Duration) *siteReplay {
-	kind := kindOf{"brief", 6300, 2890, 2, 40, 120 * time.Millisecond}
-	p := newSiteReplay(40, 16, 600, every, underway)
-	p.learn(kind)
+func burst(interval, delay, blind time.Duration) *siteReplay {
+	kind := requestKind{"brief", 6300, 2890, 2, 40, 120 * time.Millisecond}
+	p := newSiteReplay(40, 16, 600, interval, delay)
+	p.train(kind)
 	for _, b := range p.daemons {
 		b.SetUpdateDelay(blind)
 	}
-	p.talk(3200 * time.Millisecond)
+	p.exchange(3200 * time.Millisecond)
 	p.load(kind, 0, 3*time.Second, 2000)
 	p.run()
 	return p
@@ -99,20 +99,20 @@
 // A burst comes to a site of many daemons, which hear of each other's work some 20 ms late.
 // Each sends its prompts to the engine that looks best, as do all others in that time: every
 // prompt there was expected in time, and many are late, while other engines have room.
-func TestDaemonsOfALargeSiteDontCrowdOneEngine(t *testing.T) {
-	const every, underway = 13 * time.Millisecond, 10 * time.Millisecond
-	without, with := burst(every, underway, 0), burst(every, underway, every/2+underway)
+func TestManyDaemonsSpreadBurst(t *testing.T) {
+	const interval, delay = 13 * time.Millisecond, 10 * time.Millisecond
+	without, with := burst(interval, delay, 0), burst(interval, delay, interval/2+delay)
 	t.Logf("drawn: %v; not drawn: %v", with, without)
-	require.Greater(t, with.share(), without.share()+0.05)
+	require.Greater(t, with.onTimeShare(), without.onTimeShare()+0.05)
 	require.Less(t, with.late, without.late/2)
 }
 
 // The same burst, where daemons tell their work as it changes, and where each step waits for
 // the next report: what others have sent must be known sooner for fewer to be late.
-func TestSoonerWordMakesFewerLate(t *testing.T) {
+func TestPromptUpdatesReduceLateRequests(t *testing.T) {
 	late := burst(13*time.Millisecond, 20*time.Millisecond, 0)
 	soon := burst(2*time.Millisecond, 7*time.Millisecond, 0)
 	t.Logf("as it changes: %v; with the next report: %v", soon, late)
-	require.Greater(t, soon.share(), late.share()+0.05)
+	require.Greater(t, soon.onTimeShare(), late.onTimeShare()+0.05)
 	require.Less(t, soon.late, late.late/2)
 }
--- a/placement/beliefs_test.go
+++ b/placement/snapshot_test.go
@@ -12,7 +12,7 @@
 // All daemons have started again. The engines keep what they kept; the daemons took it
 // to be missing, had it read again, and took the engines for several times faster than
 // they are, as nothing had to be read.
-func TestNothingIsLearntBeforeItIsKnownWhatIsKept(t *testing.T) {
+func TestNoLearningWithUnknownCache(t *testing.T) {
 	c := &clock{time.Unix(1, 0)}
 	b := NewTracker(c.now)
 	members := fleet(upstream.RolePrefill, upstream.RolePrefill)
@@ -35,9 +35,9 @@
 
 // A daemon that starts while others serve takes over what they believe: what engines
 // keep, whatever the order, and how fast they are.
-func TestBeliefsAreHandedOver(t *testing.T) {
+func TestSnapshotAndRestore(t *testing.T) {
 	members := fleet(upstream.RoleDecode, upstream.RolePrefill)
-	old := seen(&clock{time.Unix(1, 0)}, members)
+	old := trainedTracker(&clock{time.Unix(1, 0)}, members)
 	ticket := old.Begin("e0", Work{Prefill: tokens(5000), Parts: prompt(2).Parts})
 	ticket.PrefillDone()
 	ticket.End(Done)
@@ -55,9 +55,9 @@
 	}
 
 	// One that knows nothing itself says nothing of engines.
-	ignorant := NewTracker(nil)
-	ignorant.Sync(members)
-	require.Empty(t, ignorant.Snapshot(missing).Cached)
+	untrained := NewTracker(nil)
+	untrained.Sync(members)
+	require.Empty(t, untrained.Snapshot(missing).Cached)
 
 	// An engine that appears later has just started, and keeps nothing.
 	fresh.AssumeNewEnginesEmpty()
@@ -67,15 +67,15 @@
 
 // A second daemon asks for a prompt while the first one's is being read at another
 // engine: it goes there too, and isn't read twice.
-func TestPartsBeingReadCountAsKept(t *testing.T) {
+func TestPendingPrefillCountsAsCached(t *testing.T) {
 	c := &clock{time.Unix(1, 0)}
 	members := fleet(upstream.RoleDecode, upstream.RoleDecode)
-	a, b := seen(c, members), seen(c, members)
+	a, b := trainedTracker(c, members), trainedTracker(c, members)
 	ticket := a.Begin("e1", Work{Prefill: tokens(6000), Parts: prompt(2).Parts})
 	a.LocalLoads(false)
 	b.ApplyPeerUpdate("a", nil, a.PrefillEvents())
-	kept := b.Engines(ids(members))[1].Cached(sharedParts(prompt(2).Parts))
-	require.Equal(t, CachedPrefix{Expected: 5000}, kept)
+	cached := b.Engines(ids(members))[1].Cached(sharedParts(prompt(2).Parts))
+	require.Equal(t, CachedPrefix{Expected: 5000}, cached)
 
 	ticket.End(Cancelled)
 	b.ApplyPeerUpdate("a", nil, a.PrefillEvents())
@@ -84,6 +84,6 @@
 	// The first daemon ends without a word.
 	a.Begin("e1", Work{Prefill: tokens(6000), Parts: prompt(3).Parts})
 	b.ApplyPeerUpdate("a", nil, a.PrefillEvents())
-	c.pass(comingFor + time.Millisecond)
+	c.pass(inProgressTimeout + time.Millisecond)
 	require.Zero(t, b.Engines(ids(members))[1].Cached(sharedParts(prompt(3).Parts)))
 }
--- a/placement/ticket.go
+++ b/placement/ticket.go
@@ -8,270 +8,275 @@
 
 // Work is what an attempt asks of an upstream.
 type Work struct {
-	// Read is what it has to read of the prompt, nothing if another engine does.
+	// Prefill is what the upstream has to prefill; empty if another engine does.
 	Prefill enginemodel.Prompt
-	// Fetched are the tokens whose KV cache it fetches from another engine.
+	// TransferredTokens is the number of tokens whose KV cache is transferred from another
+	// engine.
 	TransferredTokens int
-	// Parts are the prompt's.
+	// Parts are the parts of the prompt.
 	Parts []Part
-	// Held is the KV memory that the request takes there, in tokens.
+	// ReservedKVTokens is the KV memory that the request takes, in tokens.
 	ReservedKVTokens int
-	// Output is the expected number of tokens generated there, 0 if none.
+	// OutputTokens is the expected number of tokens decoded; 0 if none.
 	OutputTokens int
-	// Long says that it generates for long.
+	// LongStream is set if the response counts as a long stream.
 	LongStream bool
-	// Left is the time within which the whole answer must be there; 0 is none.
+	// TimeLeft is the time within which the response must be complete; 0 means no deadline.
 	TimeLeft time.Duration
-	// Behind says that its answer will be late.
+	// Late is set if the response will miss its objective.
 	Late bool
 }
 
-// Ticket is one attempt at one upstream.
+// Ticket tracks one attempt at one upstream.
 type Ticket struct {
-	books *Tracker
-	entry *entry
-	work  Work
-	began time.Time
-	// reading is the time that the prompt is expected to take, ahead that of those
-	// before it, both in milliseconds.
-	reading, ahead float64
-	// alone says that no prompt waited there before it.
-	alone bool
-	// handedAt is when the request went to this engine with another one's KV cache,
-	// before the reading that waited there then, in milliseconds.
-	handedAt time.Time
-	before   float64
-	// informed says that what the engine keeps was known when the prompt was sent, kept
-	// that the prompt's shared parts were among it.
-	informed, kept bool
-	trial          bool
-	read           bool
-	ended          bool
+	tracker *Tracker
+	tracked *trackedUpstream
+	work    Work
+	began   time.Time
+	// prefillMillis is the expected duration of the prefill, queueMillis that of the work
+	// queued before it.
+	prefillMillis, queueMillis float64
+	// queueEmpty is set if no prefill was pending when this one was sent.
+	queueEmpty bool
+	// handoffAt is when the request went to this engine with another engine's KV cache,
+	// handoffQueue the prefill work queued there at that time, in milliseconds.
+	handoffAt    time.Time
+	handoffQueue float64
+	// cacheKnown is set if the engine's cache contents were known when the prompt was sent,
+	// wasCached if they included the prompt's shared parts.
+	cacheKnown, wasCached bool
+	probe                 bool
+	prefilled             bool
+	ended                 bool
 }
 
-// Begin books an attempt at an upstream.
-func (b *Tracker) Begin(id string, w Work) *Ticket {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	e := b.upstreams[id]
+// Begin records an attempt at an upstream.
+func (tr *Tracker) Begin(id string, w Work) *Ticket {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	e := tr.byID[id]
 	if e == nil {
-		e = b.newEntry(Member{ID: id}) // it left just now; its books go nowhere
+		e = tr.newTracked(Member{ID: id}) // the upstream has just gone; its state is not kept
 	}
-	t := &Ticket{books: b, entry: e, work: w, began: b.now(), informed: e.listed}
-	b.touch(e)
-	e.own.Running++
-	e.own.ReservedKVTokens += w.ReservedKVTokens
+	t := &Ticket{tracker: tr, tracked: e, work: w, began: tr.now(), cacheKnown: e.cacheKnown}
+	tr.markDirty(e)
+	e.local.Running++
+	e.local.ReservedKVTokens += w.ReservedKVTokens
 	if w.LongStream {
-		e.own.LongStreams++
-		t.learnAnswer()
+		e.local.LongStreams++
+		t.learnLongResponse()
 	}
 	if e.model != nil {
-		t.bookReading()
+		t.reservePrefill()
 	}
-	if e.health.trial {
-		t.trial = true
-		e.trials++
+	if e.health.probing {
+		t.probe = true
+		e.probes++
 	}
 	return t
 }
 
-// learnAnswer notes what a long answer asks of the engines. Those of callers that come back
-// with what is left of their time say nothing of the next ones.
-func (t *Ticket) learnAnswer() {
-	if t.entry.model != nil && t.work.TimeLeft > 0 && !t.work.Late {
-		t.entry.model.LearnLongResponse(t.work.OutputTokens, t.work.TimeLeft)
+// learnLongResponse records the expected length and time limit of a long response. Those of
+// late requests are skipped: the time left after a caller retry says nothing about future
+// requests.
+func (t *Ticket) learnLongResponse() {
+	if t.tracked.model != nil && t.work.TimeLeft > 0 && !t.work.Late {
+		t.tracked.model.LearnLongResponse(t.work.OutputTokens, t.work.TimeLeft)
 	}
 }
 
-func (t *Ticket) bookReading() {
-	e := t.entry
-	t.reading = e.model.Parameters().PrefillMillis(e.Role, t.work.Prefill)
-	e.own.TransferredTokens += uint32(t.work.TransferredTokens)
-	e.addMove(t.began, float64(t.work.TransferredTokens)*e.TransferMillisPerToken)
+func (t *Ticket) reservePrefill() {
+	e := t.tracked
+	t.prefillMillis = e.model.Parameters().PrefillMillis(e.Role, t.work.Prefill)
+	e.local.TransferredTokens += uint32(t.work.TransferredTokens)
+	e.addTransfer(t.began, float64(t.work.TransferredTokens)*e.TransferMillisPerToken)
 	if t.work.Prefill.Tokens == 0 {
 		return
 	}
-	t.ahead = e.queue.left(t.began)
-	t.alone = e.unread() == 0
+	t.queueMillis = e.prefillQueue.remaining(t.began)
+	t.queueEmpty = e.pendingPrefill() == 0
 	if t.work.TransferredTokens > 0 {
-		t.ahead = max(t.ahead, e.link.left(t.began))
+		t.queueMillis = max(t.queueMillis, e.linkQueue.remaining(t.began))
 	}
-	e.own.PrefillSent += t.micros()
+	e.local.PrefillSent += t.micros()
 	if t.work.Late {
-		e.own.LatePrefills++
+		e.local.LatePrefills++
 	}
-	e.addReading(t.began, t.reading)
-	t.tell(PrefillStarted)
+	e.addPrefill(t.began, t.prefillMillis)
+	t.reportPrefill(PrefillStarted)
 }
 
-func (t *Ticket) micros() uint32 { return uint32(t.reading * microsPerMilli) }
+func (t *Ticket) micros() uint32 { return uint32(t.prefillMillis * microsPerMilli) }
 
-// tell notes what became of the prompt, here and for the peers. That parts are being
-// read which the engine keeps already is no news: most prompts are like that.
-func (t *Ticket) tell(s PrefillState) {
+// reportPrefill applies a prefill event to the cache estimate and queues it for the peers.
+// For parts that were cached already only the end is reported, to limit the traffic: most
+// prompts are like that.
+func (t *Ticket) reportPrefill(s PrefillState) {
 	shared := sharedParts(t.work.Parts)
 	if len(shared) == 0 {
 		return
 	}
 	last := shared[len(shared)-1]
 	if s == PrefillStarted {
-		t.kept = t.entry.cache.parts.Contains(last.ID)
+		t.wasCached = t.tracked.cache.parts.Contains(last.ID)
 	}
-	if t.kept && s != PrefillFinished {
+	if t.wasCached && s != PrefillFinished {
 		return
 	}
 	last.Tokens = sumTokens(shared)
-	r := PrefillEvent{Engine: t.entry.key(), State: s, LastShared: last, UnsharedTokens: t.work.Parts[len(shared)].Tokens}
-	t.books.reads = append(t.books.reads, r)
+	r := PrefillEvent{Engine: t.tracked.key(), State: s, LastShared: last, UnsharedTokens: t.work.Parts[len(shared)].Tokens}
+	t.tracker.prefillEvents = append(t.tracker.prefillEvents, r)
 	switch s {
 	case PrefillStarted:
-		t.entry.cache.begin(last.ID, t.books.now())
+		t.tracked.cache.startPrefill(last.ID, t.tracker.now())
 	default:
-		t.entry.cache.end(last.ID)
+		t.tracked.cache.endPrefill(last.ID)
 	}
 }
 
-// PromptRead notes that the engine has the prompt in its memory: it has read it,
-// or fetched it.
+// PrefillDone records that the engine has the prompt in its memory, by prefill or by KV
+// transfer.
 func (t *Ticket) PrefillDone() {
-	t.books.mu.Lock()
-	defer t.books.mu.Unlock()
-	e := t.entry
-	if t.read || e.cache == nil {
+	t.tracker.mu.Lock()
+	defer t.tracker.mu.Unlock()
+	e := t.tracked
+	if t.prefilled || e.cache == nil {
 		return
 	}
-	t.read = true
-	t.readingOver()
-	e.cache.read(t.work.Parts)
-	t.tell(PrefillFinished)
-	if t.work.Prefill.Tokens > 0 && t.informed {
-		t.learnReading()
+	t.prefilled = true
+	t.releasePrefill()
+	e.cache.recordPrefill(t.work.Parts)
+	t.reportPrefill(PrefillFinished)
+	if t.work.Prefill.Tokens > 0 && t.cacheKnown {
+		t.learnPrefill()
 	}
 }
 
-// readingOver takes the reading off what waits at the engine.
-func (t *Ticket) readingOver() {
-	t.books.touch(t.entry)
-	t.entry.own.PrefillDone += t.micros()
+// releasePrefill removes the prefill from the engine's pending work.
+func (t *Ticket) releasePrefill() {
+	t.tracker.markDirty(t.tracked)
+	t.tracked.local.PrefillDone += t.micros()
 	if t.work.Late && t.work.Prefill.Tokens > 0 {
-		t.entry.own.LatePrefills--
+		t.tracked.local.LatePrefills--
 	}
 }
 
-// slownessStep is the weight of one reading in an engine's slowness, mostSlowness
-// bounds what a single one may say.
+// slowdownStep is the weight of one prefill in the engine's slowdown; maxSlowdownSample
+// bounds a single observation.
 const (
-	slownessStep = 0.1
-	mostSlowness = 8.0
+	slowdownStep      = 0.1
+	maxSlowdownSample = 8.0
 )
 
-// learnReading compares a reading with what was expected of it.
-func (t *Ticket) learnReading() {
-	e, now := t.entry, t.books.now()
+// learnPrefill compares the duration of a prefill with the prediction.
+func (t *Ticket) learnPrefill() {
+	e, now := t.tracked, t.tracker.now()
 	took := enginemodel.Millis(now.Sub(t.began))
 	start := e.model.Parameters().StartMillis(e.Role)
-	late := took - start - t.ahead - t.reading*e.slowness
-	if alone := took - start - t.ahead; t.reading > t.ahead && alone > 0 {
-		sample := min(mostSlowness, max(1/mostSlowness, alone/t.reading))
-		e.slowness += slownessStep * (sample - e.slowness)
+	delay := took - start - t.queueMillis - t.prefillMillis*e.prefillSlowdown
+	if net := took - start - t.queueMillis; t.prefillMillis > t.queueMillis && net > 0 {
+		sample := min(maxSlowdownSample, max(1/maxSlowdownSample, net/t.prefillMillis))
+		e.prefillSlowdown += slowdownStep * (sample - e.prefillSlowdown)
 	}
 	e.model.LearnPrefill(enginemodel.PrefillSample{
-		Role: e.Role, Prompt: t.work.Prefill, Took: now.Sub(t.began), QueueTime: millis(t.ahead), QueueEmpty: t.alone,
+		Role: e.Role, Prompt: t.work.Prefill, Took: now.Sub(t.began), QueueTime: millis(t.queueMillis), QueueEmpty: t.queueEmpty,
 	})
-	// A reading that ended later than expected has kept those behind it too.
-	e.queue.add(now, latenessStep*late)
+	// A prefill that ended later than expected delays those queued after it too.
+	e.prefillQueue.add(now, queueCorrection*delay)
 }
 
-// HandedOver notes that the request goes to this engine with the KV cache that
-// another one has made.
+// HandoffStarted records that the request goes to this engine with the KV cache computed by
+// another.
 func (t *Ticket) HandoffStarted() {
-	t.books.mu.Lock()
-	defer t.books.mu.Unlock()
-	t.handedAt = t.books.now()
-	t.before = t.entry.queue.left(t.handedAt)
+	t.tracker.mu.Lock()
+	defer t.tracker.mu.Unlock()
+	t.handoffAt = t.tracker.now()
+	t.handoffQueue = t.tracked.prefillQueue.remaining(t.handoffAt)
 }
 
-// TakenOver notes the first event of a request that was handed over.
+// HandoffDone records the first event of a request that was handed over.
 func (t *Ticket) HandoffDone() {
-	t.books.mu.Lock()
-	defer t.books.mu.Unlock()
-	if t.entry.model != nil && !t.handedAt.IsZero() {
-		t.entry.model.LearnHandoff(sumTokens(t.work.Parts), t.before, t.books.now().Sub(t.handedAt))
+	t.tracker.mu.Lock()
+	defer t.tracker.mu.Unlock()
+	if t.tracked.model != nil && !t.handoffAt.IsZero() {
+		t.tracked.model.LearnHandoff(sumTokens(t.work.Parts), t.handoffQueue, t.tracker.now().Sub(t.handoffAt))
 	}
 }
 
-// Paused notes the time between two events of a stream.
+// RecordGap records the time between two events of a stream.
 func (t *Ticket) RecordGap(d time.Duration) {
-	t.books.mu.Lock()
-	defer t.books.mu.Unlock()
-	e := t.entry
+	t.tracker.mu.Lock()
+	defer t.tracker.mu.Unlock()
+	e := t.tracked
 	if e.model == nil {
 		return
 	}
-	// What prompts have added to it says nothing about the streams.
-	if e.lately.within(t.books.now(), d) == 0 && e.unread() == 0 {
+	// Gaps during prefills say nothing about decode speed.
+	if e.recentPrefill.within(t.tracker.now(), d) == 0 && e.pendingPrefill() == 0 {
 		others := e.total().Running - 1
-		// It is told with the next change of the work there: events are too many.
-		e.own.noteEventTime(enginemodel.Millis(d), e.model.Parameters().IntervalMillis(others))
+		// Reported with the next change of the load: there are too many events to report
+		// each.
+		e.local.recordEventTime(enginemodel.Millis(d), e.model.Parameters().IntervalMillis(others))
 		e.model.LearnInterval(others, d)
 	}
 }
 
-// Generated notes the time from the first event to the last of a whole stream, and how many
-// events it had.
+// RecordStream records the time from the first event to the last of a complete stream, and
+// its number of events.
 func (t *Ticket) RecordStream(events int, d time.Duration) {
-	t.books.mu.Lock()
-	defer t.books.mu.Unlock()
-	if t.entry.model != nil && t.work.OutputTokens > 0 {
-		t.entry.model.LearnStream(t.work.OutputTokens, events, d)
+	t.tracker.mu.Lock()
+	defer t.tracker.mu.Unlock()
+	if t.tracked.model != nil && t.work.OutputTokens > 0 {
+		t.tracked.model.LearnStream(t.work.OutputTokens, events, d)
 	}
 }
 
 // End closes the attempt. Only the first call counts.
 func (t *Ticket) End(o Outcome) {
-	t.books.mu.Lock()
-	defer t.books.mu.Unlock()
+	t.tracker.mu.Lock()
+	defer t.tracker.mu.Unlock()
 	if t.ended {
 		return
 	}
 	t.ended = true
-	e := t.entry
-	t.books.touch(e)
-	if !t.read && t.work.Prefill.Tokens > 0 && e.model != nil {
-		t.readingOver()
-		t.tell(PrefillAbandoned)
+	e := t.tracked
+	t.tracker.markDirty(e)
+	if !t.prefilled && t.work.Prefill.Tokens > 0 && e.model != nil {
+		t.releasePrefill()
+		t.reportPrefill(PrefillAbandoned)
 	}
-	e.own.Running--
-	e.own.ReservedKVTokens -= t.work.ReservedKVTokens
+	e.local.Running--
+	e.local.ReservedKVTokens -= t.work.ReservedKVTokens
 	if t.work.LongStream {
-		e.own.LongStreams--
+		e.local.LongStreams--
 	}
-	if t.trial {
-		e.trials--
+	if t.probe {
+		e.probes--
 	}
-	now := t.books.now()
+	now := t.tracker.now()
 	if o == Done && e.Role == "" {
 		e.latency += latencyStep * (enginemodel.Millis(now.Sub(t.began)) - e.latency)
 	}
-	e.health.note(o, t.began, now)
-	e.noteRefusal(o, now)
+	e.health.record(o, t.began, now)
+	e.recordRefusal(o, now)
 }
 
-// latencyStep is the weight of one call in the smoothed time of calls.
+// latencyStep is the weight of one call in the smoothed latency.
 const latencyStep = 0.05
 
-// noteRefusal leaves an upstream alone that refuses, or that isn't there any more.
-func (e *entry) noteRefusal(o Outcome, now time.Time) {
+// recordRefusal excludes an upstream for a while that refuses, or whose address another one
+// has taken over.
+func (e *trackedUpstream) recordRefusal(o Outcome, now time.Time) {
 	switch o {
 	case Replaced:
-		// This incarnation has ended, or works in another role. Its entry takes
-		// seconds to say so.
-		e.away = now.Add(replacedFor)
+		// This incarnation has ended, or has another role. It takes seconds until the
+		// upstream's entry shows it.
+		e.unavailableUntil = now.Add(replacedCooldown)
 	case Refused:
-		// Whatever made it refuse lasts longer than the next request takes.
+		// The reason for a refusal usually outlasts the next request.
 		e.refusals = min(e.refusals+1, maxRefusals)
-		if until := now.Add(refusedFor * time.Duration(e.refusals)); until.After(e.away) {
-			e.away = until
+		if until := now.Add(refusalCooldown * time.Duration(e.refusals)); until.After(e.unavailableUntil) {
+			e.unavailableUntil = until
 		}
 	case Done:
 		e.refusals = 0
--- a/placement/types.go
+++ b/placement/types.go
@@ -1,8 +1,8 @@
-// Package placement decides where a model request runs: on one engine that
-// reads the prompt and generates, or on one that reads and another that
-// generates, and from which engine the parts that they share are fetched. A decision
-// is a pure function of the engines as they are believed to be and of the request;
-// Books keep those beliefs.
+// Package placement decides where a model request runs: on one engine that does both
+// prefill and decode, or on a prefill engine that hands the KV cache over to a decode
+// engine; and from which other engine cached prompt parts are transferred. A decision is a
+// pure function of the request and of the estimated state of the engines, which Tracker
+// maintains.
 package placement
 
 import (
@@ -12,8 +12,8 @@
 	"tamarackchute/upstream"
 )
 
-// Part is a piece of a prompt that requests may share. Engines keep the KV cache
-// of parts; a part is of use only if all parts before it are kept too.
+// Part is a piece of a prompt that several requests may share. Engines cache KV per part; a
+// cached part is usable only if all parts before it are cached too.
 type Part struct {
 	//lint:ignore U1000 msgpack reads it: the fields go without their names.
 	_msgpack struct{} `msgpack:",as_array"`
@@ -21,190 +21,193 @@
 	Tokens   int
 }
 
-// Request is what a decision needs to know about a request.
+// Request is what a placement decision needs to know about a request.
 type Request struct {
-	// Parts are the prompt's pieces in order. The last belongs to the request
-	// or its session alone.
+	// Parts are the parts of the prompt in order. The last one belongs to this request or
+	// its session alone.
 	Parts []Part
-	// PromptTokens is the whole prompt.
+	// PromptTokens is the length of the whole prompt.
 	PromptTokens int
-	// OutputTokens is the expected length of the answer, MaxOutput the longest that its
-	// caller allows; 0 if it doesn't say.
+	// OutputTokens is the expected length of the response, MaxOutputTokens the longest that
+	// the caller allows; 0 if unspecified.
 	OutputTokens, MaxOutputTokens int
-	// BodyBytes is the size of the request.
+	// BodyBytes is the size of the request body.
 	BodyBytes int
-	// Objective is the time within which the first event is worth most; 0 is
-	// none. Spent is what has passed of it.
+	// Objective is the latency objective for the first event; 0 means none. Elapsed is how
+	// much of it has passed.
 	Objective, Elapsed time.Duration
-	// Left is the time within which the whole answer must be there; 0 is none.
+	// TimeLeft is the time within which the response must be complete; 0 means no deadline.
 	TimeLeft time.Duration
-	// Within is the time within which the first event must be expected for a plan to be of
-	// use, WithinReread that where parts would be read again that another engine keeps; 0
-	// is none.
+	// FirstTokenLimit bounds the expected time to the first token of an acceptable plan;
+	// RecomputeLimit replaces it for plans that prefill parts again that another engine has
+	// cached. 0 means no limit.
 	FirstTokenLimit, RecomputeLimit time.Duration
-	// PauseObjective is the longest pause between two events that counts as on
-	// time; 0 is none.
+	// GapObjective is the longest acceptable gap between two events; 0 means none.
 	GapObjective time.Duration
-	// Behind says that its answer will be late: it takes what the others leave.
+	// Late marks a request whose response will miss its objective. It only gets capacity
+	// that other requests leave.
 	Late bool
-	// DataCentre is where the request came in.
+	// DataCentre is where the request arrived.
 	DataCentre string
-	// Exclude names engines that an earlier attempt has failed at.
+	// Exclude names engines at which an earlier attempt has failed.
 	Exclude []string
 }
 
-// Engine is what is believed of one engine at the moment of a decision.
+// Engine is the estimated state of one engine at the time of a decision.
 type Engine struct {
 	ID         string
 	DataCentre string
 	Role       upstream.Role
 	Slots      int
-	// Running counts the requests in flight there, of all daemons as far as
-	// known, Long those of them that generate for long.
+	// Running counts the requests in flight on the engine, from all daemons as far as
+	// known; LongStreams counts the long streams among them.
 	Running, LongStreams int
-	// Behind counts the requests there whose prompts are read for a late answer.
+	// LatePrefills counts the pending prefills of late requests.
 	LatePrefills int
-	// QueueMillis is the time until the prompts sent there have been read.
+	// QueueMillis is the estimated time until the engine has finished the prefills sent to
+	// it.
 	QueueMillis float64
-	// UnreadMillis is what the prompts that weren't read yet take altogether.
+	// PendingPrefillMillis is the total duration of the prefills that have not been
+	// reported as done.
 	PendingPrefillMillis float64
-	// LinkMillis is the time until the KV caches that it was told to fetch have
-	// come.
+	// LinkMillis is the time until the KV transfers already assigned to the engine are
+	// done.
 	LinkMillis float64
-	// Slowness is how much longer than the others of its role it takes to read.
+	// PrefillSlowdown is the engine's prefill time relative to the other engines of its
+	// role.
 	PrefillSlowdown float64
-	// PaceFactor is how many times as long as at the others of its pool an event of a
-	// stream takes.
+	// DecodeSlowdown is the engine's time per event relative to the other engines of its
+	// pool.
 	DecodeSlowdown float64
-	// HeldTokens is the KV memory that its requests in flight take, KVTokens what it
-	// has.
+	// ReservedKVTokens is the KV memory reserved by requests in flight, KVTokens the total.
 	ReservedKVTokens, KVTokens int
-	// MoveMillisPerToken is the time to move a token's KV cache between two engines
-	// of one data centre.
+	// TransferMillisPerToken is the time to transfer the KV cache of a token between two
+	// engines of one data centre.
 	TransferMillisPerToken float64
-	// Trial says that the engine has failed lately and gets one request at a
+	// Probing is set while the engine recovers from an ejection and gets one request at a
 	// time.
 	Probing bool
-	// LatencyMillis is the smoothed time of a call to a plain service.
+	// LatencyMillis is the smoothed latency of calls to a plain service.
 	LatencyMillis float64
-	// Model is what was learnt of the engines of its pool.
+	// Model holds the learned parameters of the engine's pool.
 	Model *enginemodel.Parameters
 
-	// hash is that of the ID: all daemons order engines by it.
+	// hash is the hash of the ID. All daemons order engines by it.
 	hash uint64
-	// entry is what the books hold of the engine, as of now. books is nil while the
-	// books are locked for the decision.
-	entry *entry
-	books *Tracker
-	now   time.Time
+	// tracked is the tracker's state of the engine. tracker is nil while the tracker's lock
+	// is held for the whole decision.
+	tracked *trackedUpstream
+	tracker *Tracker
+	now     time.Time
 
-	// What follows is found out once for a decision.
+	// The fields below are computed once per decision.
 
-	// generator says that the engine is set apart for generating, rank is its place in
-	// the order in which engines are.
-	generator bool
-	rank      int
-	// generating is the share of the engine that generating takes up.
-	generating float64
-	// home is the engine's place in the order in which the prompt belongs to engines.
-	home int
-	// kept is what it keeps of the prompt.
-	kept CachedPrefix
-	// readLately is the reading sent there within the longest pause that counts as on
-	// time, in milliseconds.
-	readLately float64
-	// readInWindow is that within the time for which it is remembered.
-	readInWindow float64
-	// unseen is the reading that it may have been sent without its being known, in
+	// dedicatedDecode is set for engines reserved for decoding; decodeRank is the engine's
+	// position in the order in which engines are reserved.
+	dedicatedDecode bool
+	decodeRank      int
+	// decodeDemand is the share of the engine's capacity that decoding takes.
+	decodeDemand float64
+	// preference is the engine's rank among the prompt's preferred engines.
+	preference int
+	// cached is the part of the prompt that the engine has cached.
+	cached CachedPrefix
+	// recentPrefill is the prefill work sent to the engine within the gap objective, in
 	// milliseconds.
-	unseen float64
+	recentPrefill float64
+	// windowPrefill is the prefill work sent within recentWindow, in milliseconds.
+	windowPrefill float64
+	// unseenPrefill is a random estimate of the prefill work that other daemons have sent
+	// but not yet reported, in milliseconds.
+	unseenPrefill float64
 }
 
-// Cached returns what is believed to be in the engine's KV cache of a prompt.
+// Cached returns the estimated prefix of a prompt that the engine has cached.
 func (e *Engine) Cached(parts []Part) CachedPrefix {
-	if e.entry == nil || e.entry.cache == nil || len(parts) == 0 {
+	if e.tracked == nil || e.tracked.cache == nil || len(parts) == 0 {
 		return CachedPrefix{}
 	}
 	e.lock()
 	defer e.unlock()
-	return e.entry.cache.kept(parts, e.now)
+	return e.tracked.cache.cachedPrefix(parts, e.now)
 }
 
-// ReadLately returns the milliseconds of reading that were sent there within the last
-// time.
+// RecentPrefill returns the prefill work sent to the engine within the given last period,
+// in milliseconds.
 func (e *Engine) RecentPrefill(within time.Duration) float64 {
-	if e.entry == nil {
+	if e.tracked == nil {
 		return 0
 	}
 	e.lock()
 	defer e.unlock()
-	return e.entry.lately.within(e.now, within)
+	return e.tracked.recentPrefill.within(e.now, within)
 }
 
-// MovedLately returns the milliseconds for which its link moved KV caches within the
-// last time.
+// RecentTransfers returns the duration of the KV transfers assigned to the engine's link
+// within the given last period, in milliseconds.
 func (e *Engine) RecentTransfers(within time.Duration) float64 {
-	if e.entry == nil {
+	if e.tracked == nil {
 		return 0
 	}
 	e.lock()
 	defer e.unlock()
-	return e.entry.moved.within(e.now, within)
+	return e.tracked.recentTransfers.within(e.now, within)
 }
 
-// lock locks the books, unless they are for the whole of the decision.
+// lock locks the tracker, unless the caller holds the lock for the whole decision.
 func (e *Engine) lock() {
-	if e.books != nil {
-		e.books.mu.Lock()
+	if e.tracker != nil {
+		e.tracker.mu.Lock()
 	}
 }
 
 func (e *Engine) unlock() {
-	if e.books != nil {
-		e.books.mu.Unlock()
+	if e.tracker != nil {
+		e.tracker.mu.Unlock()
 	}
 }
 
-// Kept is how many tokens from the beginning of a prompt an engine keeps.
+// CachedPrefix is the length in tokens of a prompt's cached prefix on an engine.
 type CachedPrefix struct {
-	// Read have been read, and may be fetched by other engines.
+	// Ready tokens are computed and can be transferred to other engines.
 	Ready int
-	// Coming counts those too that are being read there: a request that is sent
-	// there waits until they are.
+	// Expected also includes tokens whose prefill is pending on the engine: a request sent
+	// there waits for them.
 	Expected int
 }
 
-// Plan is a decision.
+// Plan is the result of a placement decision.
 type Plan struct {
-	// Engine generates; it reads the prompt too unless Prefill is set.
+	// Engine decodes; it also prefills unless Prefill is set.
 	Engine string
-	// Prefill reads the prompt and hands its KV cache to Engine.
+	// Prefill is the engine that prefills and hands its KV cache over to Engine.
 	Prefill string
-	// Source is the engine from which whichever reads the prompt fetches what it
-	// lacks of the shared parts; empty if from none.
+	// Source is the engine from which the prefilling engine gets the shared parts it lacks
+	// by KV transfer; empty if none.
 	Source string
 	// FirstToken is the expected time to the first token.
 	FirstToken time.Duration
-	// Queue is the part of it that passes before the engine begins to read.
+	// QueueTime is the part of FirstToken before the prefill starts.
 	QueueTime time.Duration
-	// Reading is the part of it that the reading of the prompt takes.
+	// PrefillTime is the part of FirstToken that the prefill takes.
 	PrefillTime time.Duration
-	// Pause is the longest pause expected while the request generates.
+	// MaxGap is the longest expected gap between two events of the response.
 	MaxGap time.Duration
-	// Whole is the expected time to the last event. Beside is how many requests run on
-	// the engine that generates.
+	// Completion is the expected time to the last event. Concurrent is the number of
+	// requests already running on the decoding engine.
 	Completion time.Duration
 	Concurrent int
-	// Uncached is how many prompt tokens have to be read, Fetched how many the
-	// engine that reads it fetches.
+	// Uncached is the number of prompt tokens to prefill, Transferred the number whose KV
+	// cache is transferred first.
 	Uncached, Transferred int
-	// Reread says that Uncached has tokens that another engine keeps or is reading.
+	// Recomputes is set if Uncached includes tokens that another engine has cached or is
+	// prefilling.
 	Recomputes bool
-	// Ideal is the expected time to the first token on an engine that is idle and
-	// keeps the parts that any engine keeps.
+	// IdealFirstToken is the expected time to the first token on an idle engine that has
+	// every part cached that any engine has.
 	IdealFirstToken time.Duration
-	// Long says that it generates for long.
+	// LongStream is set if the response counts as a long stream.
 	LongStream bool
-	// Considered counts the engines that could take the request.
+	// Candidates counts the engines that could take the request.
 	Candidates int
 }
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -1,6 +1,5 @@
-// Package upstream holds the types and interfaces for what stands behind the
-// system: model engines and plain services. An adapter for a wire form
-// implements them.
+// Package upstream defines the types and interfaces of what the system calls: model engines
+// and plain services. Adapters for the wire formats implement the interfaces.
 package upstream
 
 import (
@@ -9,7 +8,7 @@
 	"time"
 )
 
-// Role is what an engine is set up for.
+// Role is the role of an engine.
 type Role string
 
 // The roles of an engine.
@@ -21,46 +20,46 @@
 
 // GenerateRequest asks an engine to produce tokens.
 type GenerateRequest struct {
-	// AttemptID is unique to this attempt. Cancel and resume name it.
+	// AttemptID is unique to this attempt; Cancel and Resume refer to it.
 	AttemptID string
 	Model     string
 	Adapter   string
 	Prompt    string
-	// Prior is the text already produced by an attempt elsewhere, PriorTokens
-	// its length in tokens. The first token of this attempt has that index.
+	// Prior is the text already produced by an earlier attempt elsewhere, PriorTokens its
+	// length in tokens and the index of the first token of this attempt.
 	Prior       string
 	PriorTokens int
 	MaxTokens   int
 	// Priority orders work within the engine: higher goes first.
 	Priority int
-	// KV names cache exported by another engine, which this one imports
-	// before it starts; nil if none.
+	// KV refers to a KV cache exported by another engine, which this one imports before it
+	// starts; nil if none.
 	KV *KVHandle
 }
 
-// Token is one token of an answer.
+// Token is one token of a response.
 type Token struct {
-	// Index counts from 0 over the whole answer, prior tokens included.
+	// Index counts from 0 over the whole response, prior tokens included.
 	Index int
 	Text  string
-	// Finish is "" until the last token, then the reason: "stop" or "length".
+	// Finish is empty except on the last token, where it is the reason: "stop" or "length".
 	Finish string
-	// PromptTokens is the engine's count of the prompt's tokens.
+	// PromptTokens is the number of tokens in the prompt as counted by the engine.
 	PromptTokens int
 	// CachedTokens is how many of them came from the prefix cache.
 	CachedTokens int
 }
 
-// TokenStream is a running answer.
+// TokenStream is a running response.
 type TokenStream interface {
-	// Next returns the next token, or io.EOF after the one with a Finish. Any
-	// other error means that the answer is broken off.
+	// Next returns the next token, or io.EOF after the one with a Finish. Any other error
+	// means that the response is broken off.
 	Next(ctx context.Context) (Token, error)
-	// Close ends the stream; the engine drops work not yet done.
+	// Close ends the stream; the engine drops the remaining work.
 	Close() error
 }
 
-// KVHandle names KV cache that an engine keeps for export.
+// KVHandle refers to a KV cache that an engine keeps for export.
 type KVHandle struct {
 	Engine string `json:"engine"` // address of the engine that holds it
 	ID     string `json:"id"`
@@ -68,25 +67,25 @@
 	Bytes  int64  `json:"bytes"`
 }
 
-// Engine is the data side of a model engine.
+// Engine is the data plane of a model engine.
 type Engine interface {
 	Generate(ctx context.Context, r GenerateRequest) (TokenStream, error)
-	// Resume takes up a stream of this engine again, from a token index.
+	// Resume continues a stream of this engine from a token index.
 	Resume(ctx context.Context, attemptID string, from int) (TokenStream, error)
-	// Prefill works through a prompt and keeps its KV cache for export.
+	// Prefill prefills a prompt and keeps its KV cache for export.
 	Prefill(ctx context.Context, r GenerateRequest) (KVHandle, error)
 	// Cancel drops an attempt; it is idempotent.
 	Cancel(ctx context.Context, attemptID string) error
-	// Load returns the engine's own report, which lags.
+	// Load returns the engine's own load report, which lags behind.
 	Load(ctx context.Context) (LoadReport, error)
-	// CacheEvents returns events after a sequence number, which may have gaps.
+	// CacheEvents returns the events after a sequence number, possibly with gaps.
 	CacheEvents(ctx context.Context, after uint64) ([]CacheEvent, error)
 }
 
-// LoadReport is what an engine says about itself.
+// LoadReport is the state that an engine reports about itself.
 type LoadReport struct {
-	// At is the engine's clock when it measured; AgeMillis how old the figures
-	// were when it answered.
+	// At is the engine's clock at the time of measurement, AgeMillis the age of the
+	// measurements when it responded.
 	At              time.Time `json:"at"`
 	AgeMillis       int64     `json:"age_ms"`
 	Role            Role      `json:"role"`
@@ -104,15 +103,15 @@
 	OrdersCompleted uint64    `json:"orders_completed"`
 }
 
-// CacheEvent says that an engine stored or dropped a prefix block.
+// CacheEvent reports that an engine has stored or evicted a prefix block.
 type CacheEvent struct {
 	Seq uint64 `json:"seq"`
-	// Block is the chained hash of the prefix up to and with this block.
+	// Block is the chained hash of the prefix up to and including this block.
 	Block  uint64 `json:"block"`
 	Stored bool   `json:"stored"`
 }
 
-// OrderKind says what an order changes.
+// OrderKind is the kind of change that an order makes.
 type OrderKind string
 
 // The kinds of order.
@@ -120,7 +119,7 @@
 	OrderRole    OrderKind = "role"
 	OrderModel   OrderKind = "model"
 	OrderAdapter OrderKind = "adapter"
-	// OrderFence only raises the fencing number.
+	// OrderFence only raises the fencing token.
 	OrderFence OrderKind = "fence"
 )
 
@@ -132,11 +131,11 @@
 	Model   string    `json:"model,omitempty" msgpack:"model"`
 	Version string    `json:"version,omitempty" msgpack:"version"`
 	Adapter string    `json:"adapter,omitempty" msgpack:"adapter"`
-	// Fence is the fencing number: the log offset of the sender's lease claim.
+	// FencingToken is the log offset of the sender's lease claim.
 	FencingToken uint64 `json:"fence" msgpack:"fence"`
 }
 
-// EngineState is what an engine answers when its state is read back.
+// EngineState is an engine's state as read back from it.
 type EngineState struct {
 	Role         Role   `json:"role"`
 	Model        string `json:"model"`
@@ -150,31 +149,30 @@
 	Incarnation string `json:"incarnation"`
 }
 
-// Controlled is the control side of an engine. Only controllers call it.
+// Controlled is the control plane of an engine. Only controllers use it.
 type Controlled interface {
-	// Order sends a command. It returns ErrFenced if the engine has seen a
-	// higher fencing number, ErrBusy while another order is carried out. Any
-	// other error leaves open whether the order was taken.
+	// Order sends a command. It returns ErrFenced if the engine has seen a higher fencing
+	// token, and ErrBusy while it carries out another order. After any other error it is
+	// unknown whether the order was accepted.
 	Order(ctx context.Context, o Order) error
 	State(ctx context.Context) (EngineState, error)
 }
 
-// The outcomes that an upstream's adapter tells apart.
+// Errors by which adapters distinguish outcomes.
 var (
-	// ErrFenced says that an order came with an outdated fencing number.
+	// ErrFenced: the order had an outdated fencing token.
 	ErrFenced = errors.New("upstream: order refused, fencing number is outdated")
-	// ErrBusy says that the engine is carrying out another order.
+	// ErrBusy: the engine is carrying out another order.
 	ErrBusy = errors.New("upstream: busy with another order")
-	// ErrNotSent says that no byte of the request reached the upstream: the
-	// connection could not be made. The call did not run.
-	ErrNotSent = errors.New("upstream: request was not sent")
-	// ErrRefused says that the upstream answered that it takes no work now.
+	// ErrNotSent: no byte of the request reached the upstream, as the connection failed.
 	// The call did not run.
+	ErrNotSent = errors.New("upstream: request was not sent")
+	// ErrRefused: the upstream responded that it accepts no work now. The call did not run.
 	ErrRefused = errors.New("upstream: refused before running")
-	// ErrBroken says that the upstream died or the connection broke after the
-	// request was sent. The call may have run.
+	// ErrBroken: the upstream died or the connection broke after the request was sent. The
+	// call may have run.
 	ErrBroken = errors.New("upstream: broken off after the request was sent")
-	// ErrGone says that a stream to be resumed is not known any more.
+	// ErrGone: the stream to be resumed is no longer known.
 	ErrGone = errors.New("upstream: stream is not known")
 )
 
@@ -182,7 +180,7 @@
 type ServiceRequest struct {
 	AttemptID string
 	Method    string
-	// Path carries the query string too.
+	// Path includes the query string.
 	Path    string
 	Headers []Header
 	Body    []byte
@@ -191,7 +189,7 @@
 // Header is one HTTP header line.
 type Header struct{ Name, Value string }
 
-// ServiceResponse is a plain service's answer.
+// ServiceResponse is the response of a plain service.
 type ServiceResponse struct {
 	Status  int
 	Headers []Header
