--- a/enginemodel/doc.go
+++ b/enginemodel/doc.go
@@ -1,7 +1,5 @@
-// Package enginemodel predicts the durations of an engine's work: the prefill of a prompt,
-// the handoff of a KV cache, and the interval between two events of a stream. All
-// parameters are learned from observations of the engines of one pool; the initial
-// assumptions are weak enough for one observation to override.
-//
-// The package is free of side effects: time and measurements are passed in.
+// Package enginemodel predicts the durations of an engine's work: prefill, KV handoff, and
+// the interval between two events of a stream. The parameters are learned from observations
+// of one pool's engines; the priors are weak enough for one observation to override. Time
+// and measurements are passed in by the caller.
 package enginemodel
--- a/enginemodel/fit.go
+++ b/enginemodel/fit.go
@@ -19,10 +19,9 @@
 	minOutlierCount = 8
 	outlierRatio    = 3.0
 	// An observation counts less the farther it is from the prediction: half at a log ratio
-	// of trustScale, and a further aboveWeight of that if it took longer. Cache hits take
-	// less; lost packets, stalled engines and unknown queues take longer, and are more
-	// frequent. Without aboveWeight a model trained in a crowd, as after a restart of all
-	// daemons, stayed several times too slow for ten seconds.
+	// of trustScale, times aboveWeight if it took longer, as lost packets, stalls and
+	// unknown queues are more frequent than cache hits. Otherwise a model trained in a
+	// crowd, as after a full restart, stays several times too slow for ten seconds.
 	aboveWeight = 0.5
 	trustScale  = 0.5
 	// minTime is the least prediction, in milliseconds, by which errors are divided.
--- a/enginemodel/model.go
+++ b/enginemodel/model.go
@@ -106,7 +106,7 @@
 	streams := m.allStreams()
 	return &Parameters{
 		prefill: prefill, decode: decode,
-		handoff: handoffOf(m.handoff), interval: lineOf(m.interval),
+		handoff: handoffOf(m.handoff), interval: linearOf(m.interval),
 		millisPerToken: streams.millisPerToken(), eventsPerToken: streams.eventsPerToken(), typicalPrefill: m.meanTypical(),
 		longTokens: streams.Answers.longTokens(), longMillis: streams.Answers.meanTimeLeft(),
 		known: map[upstream.Role]bool{
--- a/enginemodel/model_test.go
+++ b/enginemodel/model_test.go
@@ -12,16 +12,15 @@
 	"tamarackchute/upstream"
 )
 
-// truth is an engine as it is: what a reading takes, by figures that differ from site
-// to site.
+// trueCost is the actual prefill cost of a simulated engine.
 type trueCost struct{ start, token, pair float64 }
 
 func (e trueCost) prefillMillis(p Prompt) float64 {
 	return e.start + e.token*float64(p.Tokens) + e.pair*p.pairs()
 }
 
-// engines are a tenth as fast to ten times as fast as one that reads 60 tokens a
-// millisecond.
+// engines have a tenth, one and ten times the speed of an engine that prefills 60 tokens
+// per millisecond.
 var engines = map[string]trueCost{
 	"slow": {start: 80, token: 0.16, pair: 3},
 	"even": {start: 12, token: 0.016, pair: 0.3},
@@ -34,12 +33,12 @@
 
 func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// learn shows a model some readings with a tenth of noise, of which a share goes wrong.
-func train(m *Model, e trueCost, r *rand.Rand, n int, wrong float64) {
+// train adds n prefill observations with a noise of 10%, and a share of outliers.
+func train(m *Model, e trueCost, r *rand.Rand, n int, outliers float64) {
 	for range n {
 		p := randomPrompt(r)
 		took := e.prefillMillis(p) * (0.95 + 0.1*r.Float64())
-		if r.Float64() < wrong {
+		if r.Float64() < outliers {
 			took *= []float64{0.1, 5, 20}[r.IntN(3)]
 		}
 		m.LearnPrefill(PrefillSample{Role: upstream.RolePrefill, Prompt: p, Took: millis(took), QueueEmpty: true})
@@ -56,8 +55,8 @@
 	return worst
 }
 
-// Engines a tenth to ten times as fast as usual are known after some tens of prompts;
-// the estimate isn't fenced in around any engine's figures.
+// The parameters of engines with a tenth to ten times the usual speed are learned from some
+// tens of prompts; the estimate isn't bound to any engine's speed.
 func TestLearnsAnySpeed(t *testing.T) {
 	for name, e := range engines {
 		t.Run(name, func(t *testing.T) {
@@ -70,8 +69,9 @@
 	}
 }
 
-// One prompt in ten was kept already, or stood behind a stalled engine. A few such ones
-// made a daemon believe that all prompts take alike; it let everything in.
+// One prompt in ten is a cache hit or is queued behind a stalled engine. A few of these
+// must not make the model predict the same time for all prompts, with which everything
+// would be admitted.
 func TestOutliersCountLittle(t *testing.T) {
 	for name, e := range engines {
 		t.Run(name, func(t *testing.T) {
@@ -83,9 +83,9 @@
 	}
 }
 
-// All daemons start again at once and read in a crowd: the first readings take ten
-// times what they do afterwards. Predicted far too short, they outweighed all later
-// ones, and for ten seconds most requests were refused or late.
+// All daemons restart at once, so the first prefills take ten times as long as later ones.
+// As their predictions are far too short, they must not outweigh later ones: most requests
+// would be refused or late for ten seconds.
 func TestFirstSamplesAreSuperseded(t *testing.T) {
 	e := engines["even"]
 	r := rand.New(rand.NewPCG(5, 6))
@@ -97,8 +97,8 @@
 	require.Less(t, worstRatio(m, e, r), 1.6)
 }
 
-// A daemon that has just started has seen nothing. What the others have observed is
-// enough to know the engines; what it says of itself meanwhile takes nothing away.
+// A process that has just started learns the engines from the others' observations. If
+// another process restarts with few observations, these don't replace its earlier ones.
 func TestObservationsAreShared(t *testing.T) {
 	e := engines["even"]
 	r := rand.New(rand.NewPCG(7, 8))
@@ -117,13 +117,13 @@
 	require.InEpsilon(t, 2000, fresh.Parameters().LongResponseMillis(), 0.01)
 	require.InEpsilon(t, old.Parameters().HandoffMillis(10_000, 0), fresh.Parameters().HandoffMillis(10_000, 0), 0.01)
 
-	// The old daemon starts again and knows little: what it knew before stays.
+	// The old daemon restarts with few observations: the earlier ones are kept.
 	restarted := New()
 	train(restarted, e, r, 1, 1)
 	fresh.Merge("old", restarted.LocalObservations())
 	require.Less(t, worstRatio(fresh, e, r), 1.35)
 
-	// All are lost, but what they knew together was kept.
+	// All processes are lost, but their combined observations were stored.
 	stored, ok := fresh.AllObservations()
 	require.True(t, ok)
 	restored := New()
@@ -133,8 +133,8 @@
 	require.False(t, ok)
 }
 
-// All engines of a pool generate and are fast. Nobody has seen one that only reads: it
-// must not look slower than they are, or none is ever given that role.
+// All engines of a pool decode and are fast. The unobserved prefill role must not look
+// slower, or no engine is ever given that role.
 func TestUnobservedRole(t *testing.T) {
 	m := New()
 	for range 20 {
@@ -145,7 +145,7 @@
 	require.Less(t, f.PrefillMillis(upstream.RolePrefill, p), f.PrefillMillis(upstream.RoleDecode, p))
 }
 
-// Statistics of a process that models engines in another way are left out.
+// Statistics of a process with another model are ignored.
 func TestIncompatibleStatisticsAreIgnored(t *testing.T) {
 	m := New()
 	before := m.Parameters().Coefficients()
@@ -153,8 +153,8 @@
 	require.Equal(t, before, m.Parameters().Coefficients())
 }
 
-// Reading rates and attention are told apart: an engine reads a prompt slower the
-// longer the context behind which it stands.
+// Prefill time per token and attention are learned separately: a prefill takes longer after
+// a longer context.
 func TestContextSlowsPrefill(t *testing.T) {
 	e := trueCost{start: 10, token: 0.016, pair: 1}
 	r := rand.New(rand.NewPCG(9, 10))
@@ -165,7 +165,7 @@
 	require.Greater(t, long, 1.4*short, fmt.Sprint(m.Parameters().Coefficients()))
 }
 
-// BenchmarkLearn is the cost of one reading that was seen.
+// BenchmarkLearn measures one prefill observation.
 func BenchmarkLearn(b *testing.B) {
 	m := New()
 	r := rand.New(rand.NewPCG(1, 2))
@@ -174,7 +174,8 @@
 	}
 }
 
-// What the longest answers are is known from all processes' answers, each of which sees few.
+// The length of the longest responses is derived from the observations of all processes,
+// each of which sees few.
 func TestLongResponsesOfAllProcesses(t *testing.T) {
 	one, other, all := New(), New(), New()
 	require.Zero(t, all.Parameters().LongResponseTokens())
@@ -187,6 +188,6 @@
 	}
 	all.Merge("one", one.LocalObservations())
 	all.Merge("other", other.LocalObservations())
-	// The lengths are spread evenly from 0 to 2000; some hundred of them are remembered.
+	// The lengths are uniform from 0 to 2000; some hundred are remembered.
 	require.InEpsilon(t, 1000+longestDeviations*2000/math.Sqrt(12), all.Parameters().LongResponseTokens(), 0.1)
 }
--- a/enginemodel/parameters.go
+++ b/enginemodel/parameters.go
@@ -11,7 +11,7 @@
 type Parameters struct {
 	prefill, decode                prefillCost
 	handoff                        handoff
-	interval                       line
+	interval                       linear
 	known                          map[upstream.Role]bool
 	millisPerToken, eventsPerToken float64
 	typicalPrefill                 float64
@@ -33,14 +33,16 @@
 
 // handoff is the cost of a handoff: a constant, the transfer of a thousand tokens, and the
 // share of the pending prefill work that it waits for.
-type handoff struct{ base, move, queue float64 }
+type handoff struct{ base, transfer, queue float64 }
 
-func handoffOf(f *fit) handoff { return handoff{base: f.coef[0], move: f.coef[1], queue: f.coef[2]} }
+func handoffOf(f *fit) handoff {
+	return handoff{base: f.coef[0], transfer: f.coef[1], queue: f.coef[2]}
+}
 
-// line is a time that grows linearly with one variable.
-type line struct{ base, slope float64 }
+// linear is a time that grows linearly with one variable.
+type linear struct{ base, slope float64 }
 
-func lineOf(f *fit) line { return line{base: f.coef[0], slope: f.coef[1]} }
+func linearOf(f *fit) linear { return linear{base: f.coef[0], slope: f.coef[1]} }
 
 func (f *Parameters) of(role upstream.Role) prefillCost {
 	switch role {
@@ -76,19 +78,18 @@
 // HandoffMillis returns the time from the end of a prefill on one engine to the first event
 // of another one, on which queue milliseconds of prefill work are pending.
 func (f *Parameters) HandoffMillis(tokens int, queue float64) float64 {
-	return f.handoff.base + f.handoff.move*float64(tokens)/1000 + f.handoff.queue*queue
+	return f.handoff.base + f.handoff.transfer*float64(tokens)/1000 + f.handoff.queue*queue
 }
 
-// Coefficients returns the parameters as shown to operators, in milliseconds: for a prefill
-// the constant, per token and per million pairs; for a handoff the constant, per thousand
-// tokens and per millisecond of pending prefill; for the interval the constant and per
-// concurrent stream. Exceptions: "events" are events per token, "answers" the length of the
-// longest responses in tokens and then the time allowed for them.
+// Coefficients returns the parameters for display, in milliseconds: of a prefill the
+// constant, per token and per million pairs; of a handoff the constant, per thousand tokens
+// and per queued millisecond; of the interval the constant and per stream. "events" are per
+// token, "answers" the longest responses' tokens and the mean time allowed.
 func (f *Parameters) Coefficients() map[string][]float64 {
 	return map[string][]float64{
 		"prefill":  {f.prefill.start, f.prefill.token, f.prefill.pair},
 		"decode":   {f.decode.start, f.decode.token, f.decode.pair},
-		"takeover": {f.handoff.base, f.handoff.move, f.handoff.queue},
+		"takeover": {f.handoff.base, f.handoff.transfer, f.handoff.queue},
 		"interval": {f.interval.base, f.interval.slope},
 		"output":   {f.millisPerToken},
 		"events":   {f.eventsPerToken},
--- a/placement/batchreplay_test.go
+++ b/placement/batchreplay_test.go
@@ -11,22 +11,22 @@
 	"tamarackchute/upstream"
 )
 
-// A batchReplay plays streams and prompts against engines that generate for all their
-// streams in turn: each event takes longer the more streams there are, and none comes while
-// the engine reads. One daemon decides for all requests.
+// batchReplay simulates streams and prompts on engines that decode all their streams in a
+// batch: events take longer with more streams, and none is produced during a prefill. One
+// daemon places all requests.
 type batchReplay struct {
 	clock   *clock
 	tracker *Tracker
 	engines []*batchEngine
 	rand    *rand.Rand
-	// slow is how many times as long as the first engines' all times are.
-	speedFactor float64
+	// timeScale scales all times of the engines and callers.
+	timeScale float64
 
 	streams []*batchStream
-	prompts struct{ asked, inTime int }
+	prompts struct{ asked, onTime int }
 }
 
-// The figures of the engines, in milliseconds unless said otherwise.
+// The parameters of the engines and requests, in milliseconds unless noted otherwise.
 const (
 	eventTokens          = 70
 	baseEventMillis      = 42.0
@@ -34,18 +34,19 @@
 	tokensPerMs          = 490.0
 	maxEvents            = 170
 	shortEvents          = 2
-	// patience is the longest that callers wait, leastPatience the share of it that the
-	// least patient do.
+	// maxTimeout is the longest caller timeout, minTimeoutShare the shortest one's share of
+	// it.
 	maxTimeout      = 15 * time.Second
 	minTimeoutShare = 0.87
 	tick            = 5 * time.Millisecond
-	// mostRead is the share of its time that an engine with streams reads at most.
-	maxPrefillTime = 0.7
+	// maxPrefillTimeShare is the largest share of its time that an engine with streams
+	// spends on prefill.
+	maxPrefillTimeShare = 0.7
 )
 
 type batchEngine struct {
 	Member
-	// slower is how many times as long as at the first ones all takes there.
+	// slowdown scales the times of this engine.
 	slowdown float64
 	streams  []*batchStream
 	prefills []*batchPrefill
@@ -58,8 +59,7 @@
 	complete     bool
 }
 
-// playedRead is a prompt that an engine reads, and the short answer to it that follows at
-// the engine that generates.
+// batchPrefill is a prefill with the short response that follows on the decode engine.
 type batchPrefill struct {
 	remaining float64
 	deadline  time.Time
@@ -68,8 +68,8 @@
 	decode    *batchEngine
 }
 
-func newBatchReplay(engines int, speedFactor float64, seed uint64) *batchReplay {
-	p := &batchReplay{clock: &clock{time.Unix(1000, 0)}, rand: rand.New(rand.NewPCG(seed, 27)), speedFactor: speedFactor}
+func newBatchReplay(engines int, timeScale float64, seed uint64) *batchReplay {
+	p := &batchReplay{clock: &clock{time.Unix(1000, 0)}, rand: rand.New(rand.NewPCG(seed, 27)), timeScale: timeScale}
 	p.tracker = NewTracker(p.clock.now)
 	p.tracker.AssumeNewEnginesEmpty()
 	var members []Member
@@ -86,7 +86,7 @@
 	return p
 }
 
-// learn has the daemon know the engines from the start.
+// train lets the daemon learn the parameters of the engines before the replay.
 func (p *batchReplay) train() {
 	m := p.tracker.model("p")
 	for i := range 200 {
@@ -95,18 +95,18 @@
 		m.LearnStream(eventTokens*50, 50, millis(50*p.interval(12)))
 		tokens := 1000 + 100*(i%50)
 		for _, role := range []upstream.Role{upstream.RolePrefill, upstream.RoleDecode} {
-			m.LearnPrefill(enginemodel.PrefillSample{Role: role, Prompt: enginemodel.Prompt{Tokens: tokens}, Took: millis(10*p.speedFactor + p.prefillMillis(role, tokens)), QueueEmpty: true})
+			m.LearnPrefill(enginemodel.PrefillSample{Role: role, Prompt: enginemodel.Prompt{Tokens: tokens}, Took: millis(10*p.timeScale + p.prefillMillis(role, tokens)), QueueEmpty: true})
 		}
-		m.LearnHandoff(3000, 0, millis(5*p.speedFactor))
+		m.LearnHandoff(3000, 0, millis(5*p.timeScale))
 	}
 }
 
 func (p *batchReplay) interval(others int) float64 {
-	return p.speedFactor * (baseEventMillis + eventMillisPerStream*float64(others))
+	return p.timeScale * (baseEventMillis + eventMillisPerStream*float64(others))
 }
 
 func (p *batchReplay) prefillMillis(role upstream.Role, tokens int) float64 {
-	took := p.speedFactor * float64(tokens) / tokensPerMs
+	took := p.timeScale * float64(tokens) / tokensPerMs
 	if role == upstream.RoleDecode {
 		took *= 2
 	}
@@ -114,11 +114,11 @@
 }
 
 func (p *batchReplay) scaled(d time.Duration) time.Duration {
-	return time.Duration(p.speedFactor * float64(d))
+	return time.Duration(p.timeScale * float64(d))
 }
 
-// play has callers ask for a while; the rates are of streams and prompts a second on the
-// first engines. All streams are then played to their ends.
+// play sends requests for the given time, at rates of streams and prompts per second for a
+// timeScale of 1, and runs all streams to their ends.
 func (p *batchReplay) play(length time.Duration, rates func(at time.Duration) (streams, prompts float64)) {
 	for at := time.Duration(0); at < length+maxTimeout+time.Second; at += tick {
 		if at < length {
@@ -133,15 +133,15 @@
 	}
 }
 
-// times calls f for those that come at a rate within one tick.
+// times calls f for each request that arrives within one tick at the given rate.
 func (p *batchReplay) times(perSecond float64, f func()) {
 	for gap := p.rand.ExpFloat64(); gap < perSecond*tick.Seconds(); gap += p.rand.ExpFloat64() {
 		f()
 	}
 }
 
-// askStream asks for an answer of a length that callers guess within a factor of two, of
-// which they name only the bound.
+// requestStream requests a long response. The caller's estimate of its length is off by
+// about a factor of two; only the bound is exact.
 func (p *batchReplay) requestStream() {
 	events := min(maxEvents, 51*math.Exp(0.84*p.rand.NormFloat64()))
 	guess := events * math.Exp(0.5*p.rand.NormFloat64())
@@ -171,7 +171,7 @@
 	return p.engines[slices.IndexFunc(p.engines, func(e *batchEngine) bool { return e.ID == id })]
 }
 
-// askPrompt asks for a short answer to a long prompt.
+// requestPrompt requests a short response to a long prompt.
 func (p *batchReplay) requestPrompt() {
 	p.prompts.asked++
 	r := Request{
@@ -195,12 +195,12 @@
 	e.prefills = append(e.prefills, prefill)
 }
 
-// work has an engine work for one tick.
+// work advances an engine by one tick.
 func (p *batchReplay) work(e *batchEngine) {
-	left := p.speedFactor * enginemodel.Millis(tick)
+	left := p.timeScale * enginemodel.Millis(tick)
 	share := 1.0
 	if len(e.streams) > 0 {
-		share = maxPrefillTime
+		share = maxPrefillTimeShare
 	}
 	for budget := share * left; len(e.prefills) > 0 && budget > 0; {
 		took := min(budget, e.prefills[0].remaining)
@@ -235,16 +235,16 @@
 	}
 	prefill.decode.streams = append(prefill.decode.streams, prefill.response)
 	if !p.clock.at.After(prefill.deadline) {
-		p.prompts.inTime++
+		p.prompts.onTime++
 	}
 }
 
-// wholeByLength returns the shares of the longest tenth and of all other streams that were
-// whole, and of the prompts that were answered in time.
+// completeByLength returns the shares of the longest tenth and of all other streams that
+// were completed, and of the prompts that met their objective.
 func (p *batchReplay) completeByLength() (longest, others, prompts float64) {
 	slices.SortStableFunc(p.streams, func(a, b *batchStream) int { return int(a.events) - int(b.events) })
 	tenth := len(p.streams) - len(p.streams)/10
-	return completeShare(p.streams[tenth:]), completeShare(p.streams[:tenth]), float64(p.prompts.inTime) / float64(max(1, p.prompts.asked))
+	return completeShare(p.streams[tenth:]), completeShare(p.streams[:tenth]), float64(p.prompts.onTime) / float64(max(1, p.prompts.asked))
 }
 
 func completeShare(streams []*batchStream) float64 {
--- a/placement/completion_test.go
+++ b/placement/completion_test.go
@@ -13,12 +13,13 @@
 	"tamarackchute/upstream"
 )
 
-// playSeeds plays a pattern with some seeds, and returns the mean shares of the longest tenth
-// of the streams and of the others that were whole, and of the prompts answered in time.
-func averageOverSeeds(slow float64, set func(p *batchReplay), rates func(at time.Duration) (streams, prompts float64)) (longest, others, prompts float64) {
+// averageOverSeeds runs a load pattern with several seeds and returns the mean shares of
+// completed streams, for the longest tenth and the others, and of prompts that met their
+// objective.
+func averageOverSeeds(timeScale float64, set func(p *batchReplay), rates func(at time.Duration) (streams, prompts float64)) (longest, others, prompts float64) {
 	const seeds = 3
 	for seed := range uint64(seeds) {
-		p := newBatchReplay(12, slow, seed)
+		p := newBatchReplay(12, timeScale, seed)
 		set(p)
 		p.play(40*time.Second, rates)
 		l, o, r := p.completeByLength()
@@ -27,7 +28,7 @@
 	return longest, others, prompts
 }
 
-// turns is a mix that swings between long answers and long prompts every three seconds.
+// alternatingMix switches between long responses and long prompts every three seconds.
 func alternatingMix(at time.Duration) (streams, prompts float64) {
 	if at/(3*time.Second)%2 == 0 {
 		return 20, 250
@@ -35,46 +36,41 @@
 	return 8, 500
 }
 
-// Of the longest answers far fewer arrive whole than of the others: their callers see a
-// stream that runs at an even pace and is cut at their deadline. Bursts of long answers and
-// of long prompts take turns. Each stream begins in time and pauses no longer than it may,
-// so nothing kept it from an engine that was three quarters full of others, whose last places
-// short answers took, and which read beside them: an event then took 92 ms, and 170 of them
-// are due within 15 s. Attempts said "expected_gap_ms":84, "beside":31, "events":156,
-// "lasted_ms":14529, "left_ms":14528, and their engine, alone, makes an event in 42 ms.
+// Guards against cutting the longest responses at their deadline: a stream on an engine
+// three quarters full, which also prefills and serves short responses, keeps its
+// first-event and gap objectives but takes 92 ms per event rather than 42 ms, and 170
+// events are due within 15 s.
 func TestLongestResponsesComplete(t *testing.T) {
-	for _, slow := range []float64{0.3, 1, 5} {
-		longest, others, prompts := averageOverSeeds(slow, func(*batchReplay) {}, alternatingMix)
-		t.Logf("times %v: whole of the longest tenth %.3f, of the others %.3f; prompts in time %.3f", slow, longest, others, prompts)
+	for _, timeScale := range []float64{0.3, 1, 5} {
+		longest, others, prompts := averageOverSeeds(timeScale, func(*batchReplay) {}, alternatingMix)
+		t.Logf("time scale %v: complete of the longest tenth %.3f, of the others %.3f; prompts within the objective %.3f", timeScale, longest, others, prompts)
 		assert.GreaterOrEqual(t, longest, 0.95*others)
-		assert.GreaterOrEqual(t, others, 0.99, "no worse than where nothing asks when they are whole")
-		assert.GreaterOrEqual(t, prompts, 0.99, "no worse than where nothing asks when streams are whole")
+		assert.GreaterOrEqual(t, others, 0.99, "no worse than without regard to deadlines")
+		assert.GreaterOrEqual(t, prompts, 0.99, "no worse than without regard to deadlines")
 	}
 }
 
-// Some engines of a pool take longer for all than the others, and nobody knew: streams that
-// were cut at their deadline ran on these alone. An event took 42 to 44 ms there, 31 to 33
-// elsewhere, and the longest answers have 322 events, due within 13.3 s; engines taken for
-// alike got alike many streams.
+// Some engines of a pool are slower than the others: 42 to 44 ms per event rather than 31
+// to 33, with 322 events due within 13.3 s. If all get equally many streams, the slow
+// engines miss the deadlines.
 func TestLongestResponsesCompleteOnUnequalEngines(t *testing.T) {
-	slower := func(p *batchReplay) {
+	slowEngines := func(p *batchReplay) {
 		for i, e := range p.engines {
 			if i%4 == 1 {
 				e.slowdown = 1.6
 			}
 		}
 	}
-	longest, others, prompts := averageOverSeeds(1, slower, alternatingMix)
-	t.Logf("whole of the longest tenth %.3f, of the others %.3f; prompts in time %.3f", longest, others, prompts)
+	longest, others, prompts := averageOverSeeds(1, slowEngines, alternatingMix)
+	t.Logf("complete of the longest tenth %.3f, of the others %.3f; prompts within the objective %.3f", longest, others, prompts)
 	assert.GreaterOrEqual(t, longest, 0.95*others)
 	assert.GreaterOrEqual(t, others, 0.99)
 	assert.GreaterOrEqual(t, prompts, 0.99)
 }
 
-// The first of the engines that generate ran 26 streams on average and the sixth 10; thirteen
-// of the fifteen streams cut at their deadline ran on the first. Each next engine cost more, so
-// that the first ones were filled up until they were slower by as much: the more, the longer
-// the prompts that the engines read.
+// A cost that rises from one decode engine to the next fills the first ones until they are
+// slower by as much: the first ran 26 streams, the sixth 10, and thirteen of fifteen missed
+// deadlines were on the first. Long prompts increase the effect.
 func TestDedicatedEnginesShareLongStreams(t *testing.T) {
 	p := newBatchReplay(12, 1, 1)
 	for range 300 {
@@ -103,24 +99,25 @@
 	assert.LessOrEqual(t, slices.Max(running)-slices.Min(running), 1)
 }
 
-// Engines whose events hardly come later beside other streams, and too late for the longest
-// answers even alone: each counted as taken up by one stream. The leader then saw more
-// generating than there were engines ("generating":19.89 of 16), and left one engine to read
-// ("prefill":1) in a burst of long prompts.
+// If streams hardly slow each other, but even a single one is too slow for the longest
+// responses, one stream must not count as a full engine. The demand for decode engines then
+// exceeded their number (19.89 of 16) and left one prefill engine in a burst of long
+// prompts.
 func TestStreamCapacityWithoutSlowdown(t *testing.T) {
-	b := NewTracker((&clock{time.Unix(1000, 0)}).now)
-	b.Sync([]Member{{ID: "e", Pool: "p", Role: upstream.RoleDecode, Slots: 32}})
-	m := b.model("p")
+	tracker := NewTracker((&clock{time.Unix(1000, 0)}).now)
+	tracker.Sync([]Member{{ID: "e", Pool: "p", Role: upstream.RoleDecode, Slots: 32}})
+	m := tracker.model("p")
 	for i := range 100 {
 		m.LearnInterval(i%20, millis(30+0.1*float64(i%20)))
 		m.LearnStream(eventTokens*300, 300, 9*time.Second)
 		m.LearnLongResponse(eventTokens*300, 10*time.Second)
 	}
-	require.InDelta(t, LongSlots(32), longStreamCapacity(&b.Engines([]string{"e"})[0]), 0.01)
+	require.InDelta(t, LongSlots(32), longStreamCapacity(&tracker.Engines([]string{"e"})[0]), 0.01)
 }
 
-// An engine's pace is known from the streams of all daemons, as each sees only a few there; it
-// goes with what is told of the work, and is no news by itself: events are many.
+// Each daemon sees only a few of an engine's streams, so decode slowdown is derived from
+// the observations of all. They are reported with the load, but don't cause a report by
+// themselves, as there are too many events.
 func TestDecodeSlowdownIsReported(t *testing.T) {
 	c := &clock{time.Unix(1000, 0)}
 	one, other := NewTracker(c.now), NewTracker(c.now)
@@ -143,7 +140,8 @@
 	require.InDelta(t, 1, engines[1].DecodeSlowdown, 0.01)
 }
 
-// Engines of any speed: what one event says isn't lost in the unit in which it is told.
+// Observations of single events must not be lost to rounding in the reported unit, whatever
+// the engines' speed.
 func TestDecodeSlowdownAtAnySpeed(t *testing.T) {
 	for _, interval := range []float64{0.3, 4, 600} {
 		var l Load
@@ -151,6 +149,6 @@
 			l.recordEventTime(1.4*interval, interval)
 		}
 		require.InDelta(t, 1.4, l.decodeSlowdown(), 0.06, "%v ms between events", interval)
-		require.Less(t, float64(l.ExpectedEventTime)*2000, float64(math.MaxUint32), "two thousand daemons' sums")
+		require.Less(t, float64(l.ExpectedEventTime)*2000, float64(math.MaxUint32), "the sums of two thousand daemons must fit")
 	}
 }
--- a/placement/decode.go
+++ b/placement/decode.go
@@ -62,11 +62,10 @@
 	}
 }
 
-// markDedicatedDecode dedicates some decode engines to long streams and handed-over
-// requests. A handoff puts the whole prompt into an engine's memory, which evicts shared
-// parts, and prefill delays its streams; concentrating both leaves the other engines
-// undisturbed. All daemons mark the same engines: the first by rank, as many as the demand
-// requires.
+// markDedicatedDecode dedicates decode engines, the first by rank as the demand requires,
+// to long streams and handoffs. A handoff puts the whole prompt into an engine's memory,
+// which evicts shared parts, and prefill delays its streams; the other engines stay
+// undisturbed. All daemons mark the same engines.
 func markDedicatedDecode(engines []Engine) {
 	need := 0.0
 	for i := range engines {
--- a/placement/oracle_test.go
+++ b/placement/oracle_test.go
@@ -16,14 +16,14 @@
 	"tamarackchute/upstream"
 )
 
-// oracle is the search for the best plan written plainly: each figure is worked out
-// anew wherever it is needed, from what the books say of each engine.
+// referenceSearch is a straightforward search for the best plan: it computes each value
+// from the tracker's state wherever it is needed.
 type referenceSearch struct {
 	engines []Engine
 	r       Request
 }
 
-// pick returns the best plan, its cost and that of any other plan.
+// pick returns the best plan, its cost, and the costs of all plans.
 func (o referenceSearch) pick() (best Plan, least float64, costs map[string]float64) {
 	o.markEngines()
 	least = math.Inf(1)
@@ -46,7 +46,7 @@
 	return best, least, costs
 }
 
-// mark sets generators and homes.
+// markEngines determines the dedicated decode engines and the preferred engines.
 func (o referenceSearch) markEngines() {
 	var decode []*Engine
 	need := 0.0
@@ -92,8 +92,8 @@
 	}
 }
 
-// sources asks each engine what it keeps. The best source is that which keeps the most, and
-// of those the one whose link is the least busy, as is that of each data centre.
+// sources determines the best sources of KV transfers: the longest cached prefix, then the
+// least busy link; overall and for each data centre.
 func (o referenceSearch) sources() *cacheSources {
 	h := &cacheSources{tieBreak: o.r.tieBreak()}
 	for i := range o.engines {
@@ -125,16 +125,16 @@
 
 func (o referenceSearch) consider(e *Engine, sources *cacheSources) (p Plan, cost float64, fits bool) {
 	r := o.r
-	prompt, fetch := planPrefill(e, sources, r)
-	p = Plan{Engine: e.ID, LongStream: r.longStream(e), Uncached: prompt.Tokens, Transferred: fetch.tokens, Recomputes: sources.expected > prompt.Context}
-	if fetch.from != nil {
-		p.Source = fetch.from.ID
+	prompt, kvTransfer := planPrefill(e, sources, r)
+	p = Plan{Engine: e.ID, LongStream: r.longStream(e), Uncached: prompt.Tokens, Transferred: kvTransfer.tokens, Recomputes: sources.expected > prompt.Context}
+	if kvTransfer.from != nil {
+		p.Source = kvTransfer.from.ID
 	}
 	prefill := e.Model.PrefillMillis(e.Role, prompt) * e.PrefillSlowdown
-	first := max(e.QueueMillis, fetch.millis) + prefill + e.Model.StartMillis(e.Role)
+	first := max(e.QueueMillis, kvTransfer.millis) + prefill + e.Model.StartMillis(e.Role)
 	p.QueueTime, p.PrefillTime = millis(e.QueueMillis), millis(prefill)
 	at := e
-	cost = e.Model.MeanPrefillMillis(prompt) + crossCentreCost(e, r) + transferWeight*fetch.millis - preferenceBonus(e, r)
+	cost = e.Model.MeanPrefillMillis(prompt) + crossCentreCost(e, r) + transferWeight*kvTransfer.millis - preferenceBonus(e, r)
 	if e.Role == upstream.RolePrefill {
 		decode := cheapestDecodeEngine(o.engines, e.DataCentre, r)
 		if decode.engine == nil {
@@ -153,7 +153,7 @@
 	return p, cost + firstTokenCost(e, first, r), true
 }
 
-// state is books in some state, with the requests that come next.
+// trackerFixture is a tracker in a random state, and a source of random requests.
 type trackerFixture struct {
 	clock   *clock
 	tracker *Tracker
@@ -194,7 +194,7 @@
 	return s
 }
 
-// change has something happen, here or at another daemon.
+// change applies a random change, local or by another daemon.
 func (s *trackerFixture) change() {
 	id := s.ids[s.rand.IntN(len(s.ids))]
 	at := KeyOf(id, time.Time{})
@@ -202,8 +202,8 @@
 	case 0:
 		l := Load{Running: s.rand.IntN(20), LongStreams: s.rand.IntN(4), ReservedKVTokens: s.rand.IntN(60_000), PrefillSent: uint32(s.rand.IntN(200_000))}
 		l.PrefillDone = uint32(s.rand.IntN(int(l.PrefillSent) + 1))
-		read := PrefillEvent{Engine: at, State: prefillStates[s.rand.IntN(len(prefillStates))], LastShared: Part{ID: 1 + s.rand.Uint64N(8), Tokens: 5000}, UnsharedTokens: 1000}
-		s.tracker.ApplyPeerUpdate(fmt.Sprint("peer", s.rand.IntN(3)), []UpstreamLoad{{Upstream: at, Load: l}}, []PrefillEvent{read})
+		event := PrefillEvent{Engine: at, State: prefillStates[s.rand.IntN(len(prefillStates))], LastShared: Part{ID: 1 + s.rand.Uint64N(8), Tokens: 5000}, UnsharedTokens: 1000}
+		s.tracker.ApplyPeerUpdate(fmt.Sprint("peer", s.rand.IntN(3)), []UpstreamLoad{{Upstream: at, Load: l}}, []PrefillEvent{event})
 	case 1:
 		s.tracker.MarkUnavailable(at, "", time.Duration(s.rand.IntN(200))*time.Millisecond)
 	case 2:
@@ -227,12 +227,11 @@
 	return r
 }
 
-// A request goes to an engine that was worse by what the daemon knew: its decision used a
-// figure of an earlier one, or of another engine, as the room for one search is used
-// again for the next. The plan must be that of the plain search in 999 of 1,000
-// decisions, and cost as little within 1% in the rest.
+// Guards against stale values of an earlier search or another engine, as each search reuses
+// the memory of the last. The plan must equal that of the reference search in 999 of 1,000
+// decisions, and cost at most 1% more in the rest.
 func TestPickMatchesReferenceSearch(t *testing.T) {
-	decisions, other := 0, 0
+	decisions, differing := 0, 0
 	for seed := range uint64(100) {
 		s := newTrackerFixture(seed)
 		for range 100 {
@@ -247,11 +246,11 @@
 			if got.Candidates, got.IdealFirstToken = 0, 0; got == want {
 				continue
 			}
-			other++
+			differing++
 			cost, known := costs[got.Engine+" "+got.Prefill]
 			require.True(t, known, "seed %d", seed)
 			require.LessOrEqual(t, cost, least+0.01*math.Abs(least), "seed %d: %+v, %+v", seed, got, want)
 		}
 	}
-	require.LessOrEqual(t, other, decisions/1000, "of %d decisions", decisions)
+	require.LessOrEqual(t, differing, decisions/1000, "of %d decisions", decisions)
 }
--- a/placement/pick.go
+++ b/placement/pick.go
@@ -94,18 +94,18 @@
 // unseen work. fits is false if no engine can decode then.
 func (s *search) consider(e *Engine, r Request) (p Plan, cost, drawn float64, fits bool) {
 	p = Plan{Engine: e.ID, LongStream: r.longStream(e)}
-	prompt, fetch := planPrefill(e, &s.sources, r)
-	p.Uncached, p.Transferred = prompt.Tokens, fetch.tokens
-	if fetch.from != nil {
-		p.Source = fetch.from.ID
+	prompt, kvTransfer := planPrefill(e, &s.sources, r)
+	p.Uncached, p.Transferred = prompt.Tokens, kvTransfer.tokens
+	if kvTransfer.from != nil {
+		p.Source = kvTransfer.from.ID
 	}
 	p.Recomputes = s.sources.expected > prompt.Context
 	prefill := e.Model.PrefillMillis(e.Role, prompt) * e.PrefillSlowdown
-	first := max(e.QueueMillis, fetch.millis) + prefill + e.Model.StartMillis(e.Role)
+	first := max(e.QueueMillis, kvTransfer.millis) + prefill + e.Model.StartMillis(e.Role)
 	p.QueueTime, p.PrefillTime = millis(e.QueueMillis), millis(prefill)
 	at := e
 	work := e.Model.MeanPrefillMillis(prompt)
-	cost = work + crossCentreCost(e, r) + transferWeight*fetch.millis - preferenceBonus(e, r)
+	cost = work + crossCentreCost(e, r) + transferWeight*kvTransfer.millis - preferenceBonus(e, r)
 	if e.Role == upstream.RolePrefill {
 		decode := s.decodeEngineFor(e.DataCentre, r)
 		if decode.engine == nil {
--- a/placement/replay_test.go
+++ b/placement/replay_test.go
@@ -13,9 +13,8 @@
 	"tamarackchute/upstream"
 )
 
-// A replay plays a load pattern against the decisions in virtual time: engines are
-// twins that read one prompt after the other at their own speed and keep what they
-// have read. One daemon decides for all requests.
+// replay simulates a load pattern in virtual time. Engines do one prefill after the other
+// at their own speed and cache what they prefilled. One daemon places all requests.
 type replay struct {
 	clock   *clock
 	tracker *Tracker
@@ -26,19 +25,21 @@
 	rand    *rand.Rand
 
 	requests, onTime, late, refused int
-	// read and reread are the tokens read, and those of them that another engine kept.
+	// prefilled is the number of tokens prefilled, recomputed the number of those that
+	// another engine had cached.
 	prefilled, recomputed int
 }
 
-// twin is an engine as it is.
+// simulatedEngine is the actual state of an engine.
 type simulatedEngine struct {
 	idleAt time.Time
 	cached map[uint64]bool
-	// perToken is what a prompt token takes.
+	// perToken is the prefill time per token.
 	perToken time.Duration
 }
 
-// kindOf a request: the sizes of its shared and own parts, and its objective.
+// requestKind describes requests: the sizes of their shared and unshared parts, the output
+// length, the number of different shared parts, and the objective.
 type requestKind struct {
 	name                           string
 	shared, unshared, outputTokens int
@@ -67,9 +68,9 @@
 	return last
 }
 
-// newReplay returns a pool of engines, a third of which only read. speed is in prompt
-// tokens a millisecond.
-func newReplay(engines int, speed float64, fetch bool) *replay {
+// newReplay returns a replay with a pool of engines, a third of which only prefill. speed
+// is in prompt tokens per millisecond.
+func newReplay(engines int, speed float64, transfers bool) *replay {
 	p := &replay{clock: &clock{time.Unix(1000, 0)}, engines: make(map[string]*simulatedEngine), rand: rand.New(rand.NewPCG(11, 12))}
 	p.tracker = NewTracker(p.clock.now)
 	p.tracker.AssumeNewEnginesEmpty()
@@ -79,7 +80,7 @@
 		if i%3 == 0 {
 			m.Role, per = upstream.RolePrefill, per/2
 		}
-		if fetch {
+		if transfers {
 			m.TransferMillisPerToken = 0.1 / speed
 		}
 		p.members = append(p.members, m)
@@ -94,7 +95,7 @@
 	heap.Push(&p.events, event{t, p.seq, do})
 }
 
-// run plays all events.
+// run processes all events.
 func (p *replay) run() {
 	for p.events.Len() > 0 {
 		e := heap.Pop(&p.events).(event)
@@ -103,7 +104,7 @@
 	}
 }
 
-// load adds requests of a kind at a rate a second for a while.
+// load adds requests of a kind at a rate per second for some time.
 func (p *replay) load(k requestKind, from, length time.Duration, perSecond float64) {
 	start := p.clock.at
 	for t := from; t < from+length; {
@@ -123,7 +124,7 @@
 	r.RecomputeLimit = r.FirstTokenLimit
 	plan, ok := p.tracker.Pick("p", r)
 	if !ok || float64(plan.FirstToken) > 0.85*float64(k.objective) {
-		// It can't be in time: a late answer is worth more than none.
+		// It will miss its objective, but a late response is worth more than none.
 		r.Late, r.FirstTokenLimit, r.RecomputeLimit = true, 0, 0
 		if plan, ok = p.tracker.Pick("p", r); !ok {
 			p.refused++
@@ -133,7 +134,7 @@
 	p.send(k, r, plan)
 }
 
-// send has the prompt read by the twin that the plan names.
+// send runs the prefill on the engine that the plan names.
 func (p *replay) send(k requestKind, r Request, plan Plan) {
 	began := p.clock.at
 	work := Work{Prefill: plan.PrefillWork(r), TransferredTokens: plan.Transferred, Parts: r.Parts, ReservedKVTokens: r.PromptTokens, OutputTokens: k.outputTokens, Late: r.Late}
@@ -163,7 +164,8 @@
 	})
 }
 
-// noteRead counts a shared part that is read although another engine keeps it.
+// countRecomputed counts a shared part that is prefilled although another engine has it
+// cached.
 func (p *replay) countRecomputed(part Part) {
 	for _, e := range p.engines {
 		if e.cached[part.ID] {
@@ -176,11 +178,11 @@
 func (p *replay) onTimeShare() float64 { return float64(p.onTime) / float64(max(1, p.requests)) }
 
 func (p *replay) String() string {
-	return fmt.Sprintf("asked %d: %d in time, %d late, %d refused; %d tokens read, %d again", p.requests, p.onTime, p.late, p.refused, p.prefilled, p.recomputed)
+	return fmt.Sprintf("%d requests: %d on time, %d late, %d refused; %d tokens prefilled, %d of them cached elsewhere", p.requests, p.onTime, p.late, p.refused, p.prefilled, p.recomputed)
 }
 
-// The kinds of request, for engines that read so many tokens a millisecond: prompts take
-// a share of the objective, whatever the engines' speed.
+// kinds returns the kinds of requests for engines of the given speed in tokens per
+// millisecond. Their prefill takes the same share of the objective at any speed.
 func kinds(speed float64) (long, short requestKind) {
 	scale := func(tokens float64) int { return int(tokens * speed / 60) }
 	long = requestKind{"long one", scale(13_000), scale(3_700), 120, 100, 500 * time.Millisecond}
@@ -188,9 +190,9 @@
 	return long, short
 }
 
-// A swing of the mix every three seconds, at a load that engines can bear if shared
-// parts stay where they were read: a burst of long prompts takes turns with one of short
-// ones. Engines from a tenth to ten times as fast as the first must serve it alike.
+// Bursts of long and of short prompts alternate every three seconds, at a load that the
+// engines can handle if shared parts are reused where they are cached. It must work alike
+// for engines from a tenth to ten times the usual speed.
 func TestAlternatingMix(t *testing.T) {
 	for _, speed := range []float64{6, 60, 600} {
 		p := newReplay(12, speed, true)
@@ -208,24 +210,24 @@
 	}
 }
 
-// A long burst of the kind with the largest shared parts: where engines can't fetch
-// parts from each other, each has to read what another one keeps, or most are refused.
+// In a long burst with large shared parts, engines that can't transfer KV caches prefill
+// again what others have cached, and most requests are refused.
 func TestKVTransfersInBurst(t *testing.T) {
-	play := func(fetch bool) *replay {
-		p := newReplay(12, 60, fetch)
+	play := func(transfers bool) *replay {
+		p := newReplay(12, 60, transfers)
 		long, _ := kinds(60)
 		p.load(long, 0, 12*time.Second, 50)
 		p.run()
 		return p
 	}
 	with, without := play(true), play(false)
-	t.Logf("with fetching %v; without %v", with, without)
+	t.Logf("with KV transfers %v; without %v", with, without)
 	require.Greater(t, with.onTimeShare(), without.onTimeShare()+0.05)
 	require.Less(t, with.recomputed, without.recomputed/2)
 }
 
-// More is asked than the fleet can read. What is let in must still be in time: a queue
-// that is let grow makes all late.
+// Under overload the admitted requests must still meet their objective: if the queue may
+// grow, all of them are late.
 func TestOverloadRefusesRatherThanQueues(t *testing.T) {
 	p := newReplay(12, 60, true)
 	long, short := kinds(60)
@@ -233,12 +235,12 @@
 	p.load(short, 0, 10*time.Second, 100)
 	p.run()
 	t.Log(p)
-	require.Greater(t, p.refused, p.requests/10, "it is too much")
+	require.Greater(t, p.refused, p.requests/10, "not an overload")
 	require.Less(t, p.late, (p.onTime+p.late)/8, "%v", p)
 }
 
-// A third of the engines is lost in the middle of a burst. The others go on without a
-// lapse: what is known of them holds.
+// A third of the engines is lost during a burst. What is known of the others must stay
+// valid.
 func TestLossOfThirdOfEngines(t *testing.T) {
 	p := newReplay(12, 60, true)
 	long, short := kinds(60)
@@ -253,8 +255,8 @@
 	require.Greater(t, p.onTimeShare(), 0.75, "%v", p)
 }
 
-// Late answers take the engines for long. However many ask for one, most engines stay
-// with those that can be in time.
+// Late requests occupy an engine for long. However many there are, most engines must stay
+// available to requests that can meet their objective.
 func TestLateRequestsTakeFewEngines(t *testing.T) {
 	p := newReplay(12, 60, true)
 	large := Request{Parts: []Part{{ID: 7, Tokens: 40_000}}, PromptTokens: 40_000, DataCentre: "d", Objective: 500 * time.Millisecond, Late: true}
@@ -271,12 +273,12 @@
 	require.LessOrEqual(t, float64(len(taken)), 1+lateEngineShare*12)
 }
 
-// A part that most prompts of a burst share is kept by engines of two data centres, and
-// each prompt that is read elsewhere fetches it. From whichever came first in the list all
-// would come over one link, half of them across data centres.
+// A part shared by most prompts of a burst is cached on engines of two data centres. If the
+// first engine of the list were always the source, all transfers would use one link, half
+// of them between data centres.
 func TestTransferSources(t *testing.T) {
-	b := NewTracker((&clock{time.Unix(1000, 0)}).now)
-	b.AssumeNewEnginesEmpty()
+	tracker := NewTracker((&clock{time.Unix(1000, 0)}).now)
+	tracker.AssumeNewEnginesEmpty()
 	var members []Member
 	for i := range 12 {
 		members = append(members, Member{
@@ -284,24 +286,24 @@
 			Slots: 8, KVTokens: 100_000, TransferMillisPerToken: 0.0001,
 		})
 	}
-	b.Sync(members)
+	tracker.Sync(members)
 	r := prompt(2)
 	for _, m := range members[:6] {
-		t := b.Begin(m.ID, Work{Parts: r.Parts, Prefill: tokens(100)})
+		t := tracker.Begin(m.ID, Work{Parts: r.Parts, Prefill: tokens(100)})
 		t.PrefillDone()
 		t.End(Done)
-		b.SetCachedParts(m.ID, sharedParts(r.Parts))
+		tracker.SetCachedParts(m.ID, sharedParts(r.Parts))
 	}
 	for _, m := range members[:6] {
-		r.Exclude = append(r.Exclude, m.ID) // they have failed this request
+		r.Exclude = append(r.Exclude, m.ID) // these engines have failed the request
 	}
 	sources := make(map[string]int)
 	for i := range 24 {
 		r.Parts[2].ID = uint64(1000 + i)
-		plan, ok := b.Pick("p", r)
+		plan, ok := tracker.Pick("p", r)
 		require.True(t, ok)
 		require.NotEmpty(t, plan.Source)
-		require.Equal(t, plan.Engine[2]%2, plan.Source[2]%2, "of the same data centre")
+		require.Equal(t, plan.Engine[2]%2, plan.Source[2]%2, "the source must be in the same data centre")
 		sources[plan.Source]++
 	}
 	require.Greater(t, len(sources), 2, "%v", sources)
--- a/placement/site_test.go
+++ b/placement/site_test.go
@@ -8,29 +8,28 @@
 	"github.com/stretchr/testify/require"
 )
 
-// siteReplay has many daemons that decide, each of which hears of the others' work a while
-// late.
+// siteReplay is a replay with many daemons, which receive each other's updates with a
+// delay.
 type siteReplay struct {
 	*replay
 	daemons []*Tracker
-	// every and underway are how often a daemon tells of its work, and how long that takes
-	// to be known.
+	// interval is how often a daemon sends an update, delay how long it takes to arrive.
 	interval, delay time.Duration
 }
 
 func newSiteReplay(daemons, engines int, speed float64, interval, delay time.Duration) *siteReplay {
 	p := &siteReplay{replay: newReplay(engines, speed, true), interval: interval, delay: delay}
 	for range daemons {
-		b := NewTracker(p.clock.now)
-		b.AssumeNewEnginesEmpty()
-		b.Sync(p.members)
-		b.search.draw = p.rand.ExpFloat64
-		p.daemons = append(p.daemons, b)
+		tracker := NewTracker(p.clock.now)
+		tracker.AssumeNewEnginesEmpty()
+		tracker.Sync(p.members)
+		tracker.search.draw = p.rand.ExpFloat64
+		p.daemons = append(p.daemons, tracker)
 	}
 	return p
 }
 
-// load is as that of a replay, at any of the daemons.
+// load is like replay.load, with a random daemon for each request.
 func (p *siteReplay) load(k requestKind, from, length time.Duration, perSecond float64) {
 	start := p.clock.at
 	for t := from; t < from+length; {
@@ -43,7 +42,7 @@
 	}
 }
 
-// talk has the daemons tell each other of their work for a while.
+// exchange schedules the updates between daemons for the given time.
 func (p *siteReplay) exchange(length time.Duration) {
 	start := p.clock.at
 	for i, from := range p.daemons {
@@ -54,20 +53,20 @@
 }
 
 func (p *siteReplay) sendUpdate(from *Tracker, name string) {
-	loads, reads := from.LocalLoads(false), from.PrefillEvents()
-	if len(loads)+len(reads) == 0 {
+	loads, events := from.LocalLoads(false), from.PrefillEvents()
+	if len(loads)+len(events) == 0 {
 		return
 	}
 	p.at(p.clock.at.Add(p.delay), func() {
 		for _, b := range p.daemons {
 			if b != from {
-				b.ApplyPeerUpdate(name, loads, reads)
+				b.ApplyPeerUpdate(name, loads, events)
 			}
 		}
 	})
 }
 
-// learn has all daemons know the engines from the start.
+// train lets all daemons learn the parameters of the engines before the replay.
 func (p *siteReplay) train(k requestKind) {
 	p.load(k, 0, time.Second, 100)
 	p.run()
@@ -81,14 +80,14 @@
 	p.requests, p.onTime, p.late, p.refused = 0, 0, 0, 0
 }
 
-// burst plays three seconds in which callers press four times as hard as usual at a site of
-// forty daemons before sixteen engines.
-func burst(interval, delay, blind time.Duration) *siteReplay {
+// burst simulates three seconds of four times the usual load, on a site of forty daemons
+// and sixteen engines.
+func burst(interval, delay, updateDelay time.Duration) *siteReplay {
 	kind := requestKind{"brief", 6300, 2890, 2, 40, 120 * time.Millisecond}
 	p := newSiteReplay(40, 16, 600, interval, delay)
 	p.train(kind)
 	for _, b := range p.daemons {
-		b.SetUpdateDelay(blind)
+		b.SetUpdateDelay(updateDelay)
 	}
 	p.exchange(3200 * time.Millisecond)
 	p.load(kind, 0, 3*time.Second, 2000)
@@ -96,23 +95,23 @@
 	return p
 }
 
-// A burst comes to a site of many daemons, which hear of each other's work some 20 ms late.
-// Each sends its prompts to the engine that looks best, as do all others in that time: every
-// prompt there was expected in time, and many are late, while other engines have room.
+// Daemons of a large site receive each other's updates some 20 ms late. In a burst all of
+// them meanwhile choose the engine that looks best; many prompts sent there are late,
+// though each was expected to meet its objective, while other engines have capacity.
 func TestManyDaemonsSpreadBurst(t *testing.T) {
 	const interval, delay = 13 * time.Millisecond, 10 * time.Millisecond
-	without, with := burst(interval, delay, 0), burst(interval, delay, interval/2+delay)
-	t.Logf("drawn: %v; not drawn: %v", with, without)
-	require.Greater(t, with.onTimeShare(), without.onTimeShare()+0.05)
-	require.Less(t, with.late, without.late/2)
+	plain, estimated := burst(interval, delay, 0), burst(interval, delay, interval/2+delay)
+	t.Logf("with unseen work: %v; without: %v", estimated, plain)
+	require.Greater(t, estimated.onTimeShare(), plain.onTimeShare()+0.05)
+	require.Less(t, estimated.late, plain.late/2)
 }
 
-// The same burst, where daemons tell their work as it changes, and where each step waits for
-// the next report: what others have sent must be known sooner for fewer to be late.
+// Compares updates sent as the load changes with updates at fixed intervals on each hop:
+// earlier updates must reduce the number of late requests.
 func TestPromptUpdatesReduceLateRequests(t *testing.T) {
-	late := burst(13*time.Millisecond, 20*time.Millisecond, 0)
-	soon := burst(2*time.Millisecond, 7*time.Millisecond, 0)
-	t.Logf("as it changes: %v; with the next report: %v", soon, late)
-	require.Greater(t, soon.onTimeShare(), late.onTimeShare()+0.05)
-	require.Less(t, soon.late, late.late/2)
+	delayed := burst(13*time.Millisecond, 20*time.Millisecond, 0)
+	early := burst(2*time.Millisecond, 7*time.Millisecond, 0)
+	t.Logf("as the load changes: %v; at intervals: %v", early, delayed)
+	require.Greater(t, early.onTimeShare(), delayed.onTimeShare()+0.05)
+	require.Less(t, early.late, delayed.late/2)
 }
--- a/placement/snapshot_test.go
+++ b/placement/snapshot_test.go
@@ -9,32 +9,32 @@
 	"tamarackchute/upstream"
 )
 
-// All daemons have started again. The engines keep what they kept; the daemons took it
-// to be missing, had it read again, and took the engines for several times faster than
-// they are, as nothing had to be read.
+// After a restart of all daemons the engines still have their caches. Daemons that assumed
+// empty caches sent prompts again, took cache hits for fast prefill, and estimated the
+// engines to be several times faster than they are.
 func TestNoLearningWithUnknownCache(t *testing.T) {
 	c := &clock{time.Unix(1, 0)}
-	b := NewTracker(c.now)
+	tracker := NewTracker(c.now)
 	members := fleet(upstream.RolePrefill, upstream.RolePrefill)
-	b.Sync(members)
-	require.Len(t, b.UnknownCaches(), 2)
-	before := b.PrefillMillis("p", upstream.RolePrefill, tokens(10_000))
-	ticket := b.Begin("e0", Work{Prefill: tokens(10_000), Parts: prompt(2).Parts})
+	tracker.Sync(members)
+	require.Len(t, tracker.UnknownCaches(), 2)
+	before := tracker.PrefillMillis("p", upstream.RolePrefill, tokens(10_000))
+	ticket := tracker.Begin("e0", Work{Prefill: tokens(10_000), Parts: prompt(2).Parts})
 	c.pass(time.Millisecond)
 	ticket.PrefillDone()
-	require.InDelta(t, before, b.PrefillMillis("p", upstream.RolePrefill, tokens(10_000)), 0)
+	require.InDelta(t, before, tracker.PrefillMillis("p", upstream.RolePrefill, tokens(10_000)), 0)
 
-	b.SetCachedParts("e0", []Part{{ID: 3, Tokens: 4000}})
-	require.Equal(t, []Key{b.KeyOf("e1")}, b.UnknownCaches())
-	require.Equal(t, 5000, b.Engines(ids(members))[0].Cached(sharedParts(prompt(3).Parts)).Ready)
-	ticket = b.Begin("e0", Work{Prefill: tokens(10_000), Parts: prompt(2).Parts})
+	tracker.SetCachedParts("e0", []Part{{ID: 3, Tokens: 4000}})
+	require.Equal(t, []Key{tracker.KeyOf("e1")}, tracker.UnknownCaches())
+	require.Equal(t, 5000, tracker.Engines(ids(members))[0].Cached(sharedParts(prompt(3).Parts)).Ready)
+	ticket = tracker.Begin("e0", Work{Prefill: tokens(10_000), Parts: prompt(2).Parts})
 	c.pass(time.Second)
 	ticket.PrefillDone()
-	require.Greater(t, b.PrefillMillis("p", upstream.RolePrefill, tokens(10_000)), before)
+	require.Greater(t, tracker.PrefillMillis("p", upstream.RolePrefill, tokens(10_000)), before)
 }
 
-// A daemon that starts while others serve takes over what they believe: what engines
-// keep, whatever the order, and how fast they are.
+// A daemon that starts while others run takes over their learned state: the engines' cached
+// parts and speed.
 func TestSnapshotAndRestore(t *testing.T) {
 	members := fleet(upstream.RoleDecode, upstream.RolePrefill)
 	old := trainedTracker(&clock{time.Unix(1, 0)}, members)
@@ -54,19 +54,19 @@
 		require.InEpsilon(t, want, fresh.PrefillMillis("p", role, tokens(8000)), 0.05)
 	}
 
-	// One that knows nothing itself says nothing of engines.
+	// A daemon without observations reports no caches.
 	untrained := NewTracker(nil)
 	untrained.Sync(members)
 	require.Empty(t, untrained.Snapshot(missing).Cached)
 
-	// An engine that appears later has just started, and keeps nothing.
+	// An engine that appears later has just started with an empty cache.
 	fresh.AssumeNewEnginesEmpty()
 	fresh.Sync(fleet(upstream.RoleDecode, upstream.RolePrefill, upstream.RoleDecode))
 	require.Empty(t, fresh.UnknownCaches())
 }
 
-// A second daemon asks for a prompt while the first one's is being read at another
-// engine: it goes there too, and isn't read twice.
+// A second daemon places a prompt whose parts another daemon has just sent to an engine. It
+// must go to the same engine, so that the parts are prefilled once.
 func TestPendingPrefillCountsAsCached(t *testing.T) {
 	c := &clock{time.Unix(1, 0)}
 	members := fleet(upstream.RoleDecode, upstream.RoleDecode)
@@ -81,7 +81,7 @@
 	b.ApplyPeerUpdate("a", nil, a.PrefillEvents())
 	require.Zero(t, b.Engines(ids(members))[1].Cached(sharedParts(prompt(2).Parts)))
 
-	// The first daemon ends without a word.
+	// The first daemon stops without a further report.
 	a.Begin("e1", Work{Prefill: tokens(6000), Parts: prompt(3).Parts})
 	b.ApplyPeerUpdate("a", nil, a.PrefillEvents())
 	c.pass(inProgressTimeout + time.Millisecond)
--- a/placement/types.go
+++ b/placement/types.go
@@ -1,8 +1,7 @@
-// Package placement decides where a model request runs: on one engine that does both
-// prefill and decode, or on a prefill engine that hands the KV cache over to a decode
-// engine; and from which other engine cached prompt parts are transferred. A decision is a
-// pure function of the request and of the estimated state of the engines, which Tracker
-// maintains.
+// Package placement decides where a model request runs: on one engine for prefill and
+// decode, or on a prefill engine that hands its KV cache to a decode engine; and from which
+// engine cached parts are transferred. A decision is a pure function of the request and of
+// the estimated engine state that Tracker maintains.
 package placement
 
 import (
