--- a/enginemodel/model.go
+++ b/enginemodel/model.go
@@ -152,24 +152,24 @@
 const queuedWeight = 0.02
 
 // LearnPrefill records a prefill.
-func (m *Model) LearnPrefill(r PrefillSample) {
-	f := m.prefill[r.Role]
-	if f == nil || r.Tokens <= 0 {
+func (m *Model) LearnPrefill(sample PrefillSample) {
+	f := m.prefill[sample.Role]
+	if f == nil || sample.Tokens <= 0 {
 		return
 	}
-	took, queued := Millis(r.Took), Millis(r.QueueTime)
-	expected := m.Parameters().PrefillMillis(r.Role, r.Prompt)
-	m.errors[r.Role].record(took, queued+expected+f.coef[0])
+	took, queued := Millis(sample.Took), Millis(sample.QueueTime)
+	expected := m.Parameters().PrefillMillis(sample.Role, sample.Prompt)
+	m.errors[sample.Role].record(took, queued+expected+f.coef[0])
 	if m.typical == 0 {
 		m.typical = expected
 	}
 	m.typical += typicalStep * (expected - m.typical)
 	if net := took - queued; net > 0 {
 		weight := queuedWeight
-		if r.QueueEmpty {
+		if sample.QueueEmpty {
 			weight = 1
 		}
-		f.learn(net, weight, 1, float64(r.Tokens), r.pairs())
+		f.learn(net, weight, 1, float64(sample.Tokens), sample.pairs())
 	}
 	m.current = nil
 }
--- a/enginemodel/parameters.go
+++ b/enginemodel/parameters.go
@@ -27,8 +27,8 @@
 }
 
 // times scales the cost by n, except for the constant.
-func (r prefillCost) times(n float64) prefillCost {
-	return prefillCost{start: r.start, token: n * r.token, pair: n * r.pair}
+func (c prefillCost) times(n float64) prefillCost {
+	return prefillCost{start: c.start, token: n * c.token, pair: n * c.pair}
 }
 
 // handoff is the cost of a handoff: a constant, the transfer of a thousand tokens, and the
--- a/placement/cache.go
+++ b/placement/cache.go
@@ -60,16 +60,16 @@
 }
 
 // applyEvent applies a prefill event that another daemon has reported.
-func (c *cacheEstimate) applyEvent(r PrefillEvent, now time.Time) {
-	switch r.State {
+func (c *cacheEstimate) applyEvent(event PrefillEvent, now time.Time) {
+	switch event.State {
 	case PrefillStarted:
-		c.startPrefill(r.LastShared.ID, now)
+		c.startPrefill(event.LastShared.ID, now)
 	case PrefillAbandoned:
-		c.endPrefill(r.LastShared.ID)
+		c.endPrefill(event.LastShared.ID)
 	case PrefillFinished:
-		c.endPrefill(r.LastShared.ID)
+		c.endPrefill(event.LastShared.ID)
 		c.placeholders++
-		c.recordPrefill([]Part{r.LastShared, {ID: ^c.placeholders, Tokens: r.UnsharedTokens}})
+		c.recordPrefill([]Part{event.LastShared, {ID: ^c.placeholders, Tokens: event.UnsharedTokens}})
 	}
 }
 
--- a/placement/pool.go
+++ b/placement/pool.go
@@ -24,19 +24,19 @@
 		if e.Draining {
 			continue
 		}
-		r := pools[e.Pool]
-		if r == nil {
-			r = &enginePool{}
-			pools[e.Pool] = r
+		p := pools[e.Pool]
+		if p == nil {
+			p = &enginePool{}
+			pools[e.Pool] = p
 		}
-		r.all = append(r.all, e)
+		p.all = append(p.all, e)
 		if e.Role == upstream.RoleDecode {
-			r.decode = append(r.decode, e)
+			p.decode = append(p.decode, e)
 		}
 	}
-	for _, r := range pools {
-		slices.SortFunc(r.all, func(a, b *trackedUpstream) int { return cmp.Compare(a.ID, b.ID) })
-		slices.SortFunc(r.decode, func(a, b *trackedUpstream) int { return cmp.Compare(a.hash, b.hash) })
+	for _, p := range pools {
+		slices.SortFunc(p.all, func(a, b *trackedUpstream) int { return cmp.Compare(a.ID, b.ID) })
+		slices.SortFunc(p.decode, func(a, b *trackedUpstream) int { return cmp.Compare(a.hash, b.hash) })
 	}
 	return pools
 }
@@ -70,17 +70,17 @@
 func (tr *Tracker) searchIn(pool string) *search {
 	s := &tr.search
 	s.engines = s.engines[:0]
-	r := tr.pools[pool]
-	if r == nil {
+	p := tr.pools[pool]
+	if p == nil {
 		return s
 	}
 	now := tr.now()
-	s.engines = slices.Grow(s.engines, len(r.all))
-	for _, e := range r.all {
+	s.engines = slices.Grow(s.engines, len(p.all))
+	for _, e := range p.all {
 		s.add(e, now)
 	}
 	rank := 0
-	for _, e := range r.decode {
+	for _, e := range p.decode {
 		if e.searchIndex >= 0 {
 			s.engines[e.searchIndex].decodeRank = rank
 			rank++
--- a/placement/preferred.go
+++ b/placement/preferred.go
@@ -36,14 +36,14 @@
 	for i := range engines {
 		e := &engines[i]
 		e.preference = len(preferenceShares)
-		h := scored{engine: e, score: math.Inf(-1)}
+		candidate := scored{engine: e, score: math.Inf(-1)}
 		if !e.dedicatedDecode {
-			h.score = rendezvous(key, e)
+			candidate.score = rendezvous(key, e)
 		}
-		found = h.insert(best[:], found)
+		found = candidate.insert(best[:], found)
 	}
-	for i, h := range best[:found] {
-		h.engine.preference = i
+	for i, candidate := range best[:found] {
+		candidate.engine.preference = i
 	}
 }
 
--- a/placement/ticket.go
+++ b/placement/ticket.go
@@ -111,22 +111,22 @@
 // reportPrefill applies a prefill event to the cache estimate and queues it for the peers.
 // For parts that were cached already only the end is reported, to limit the traffic: most
 // prompts are like that.
-func (t *Ticket) reportPrefill(s PrefillState) {
+func (t *Ticket) reportPrefill(state PrefillState) {
 	shared := sharedParts(t.work.Parts)
 	if len(shared) == 0 {
 		return
 	}
 	last := shared[len(shared)-1]
-	if s == PrefillStarted {
+	if state == PrefillStarted {
 		t.wasCached = t.tracked.cache.parts.Contains(last.ID)
 	}
-	if t.wasCached && s != PrefillFinished {
+	if t.wasCached && state != PrefillFinished {
 		return
 	}
 	last.Tokens = sumTokens(shared)
-	r := PrefillEvent{Engine: t.tracked.key(), State: s, LastShared: last, UnsharedTokens: t.work.Parts[len(shared)].Tokens}
-	t.tracker.prefillEvents = append(t.tracker.prefillEvents, r)
-	switch s {
+	event := PrefillEvent{Engine: t.tracked.key(), State: state, LastShared: last, UnsharedTokens: t.work.Parts[len(shared)].Tokens}
+	t.tracker.prefillEvents = append(t.tracker.prefillEvents, event)
+	switch state {
 	case PrefillStarted:
 		t.tracked.cache.startPrefill(last.ID, t.tracker.now())
 	default:
