--- a/enginemodel/parameters.go
+++ b/enginemodel/parameters.go
@@ -44,12 +44,12 @@
 
 func linearOf(f *fit) linear { return linear{base: f.coef[0], slope: f.coef[1]} }
 
-func (f *Parameters) of(role upstream.Role) prefillCost {
+func (p *Parameters) of(role upstream.Role) prefillCost {
 	switch role {
 	case upstream.RolePrefill:
-		return f.prefill
+		return p.prefill
 	case upstream.RoleDecode:
-		return f.decode
+		return p.decode
 	default:
 		return prefillCost{}
 	}
@@ -57,84 +57,84 @@
 
 // PrefillMillis returns how long a prefill occupies an engine of a role, without
 // StartMillis.
-func (f *Parameters) PrefillMillis(role upstream.Role, p Prompt) float64 {
-	if p.Tokens <= 0 {
+func (p *Parameters) PrefillMillis(role upstream.Role, prompt Prompt) float64 {
+	if prompt.Tokens <= 0 {
 		return 0
 	}
-	r := f.of(role)
-	return r.token*float64(p.Tokens) + r.pair*p.pairs()
+	cost := p.of(role)
+	return cost.token*float64(prompt.Tokens) + cost.pair*prompt.pairs()
 }
 
 // StartMillis returns the time besides the prefill until the engine responds. It doesn't
 // delay the next prefill.
-func (f *Parameters) StartMillis(role upstream.Role) float64 { return f.of(role).start }
+func (p *Parameters) StartMillis(role upstream.Role) float64 { return p.of(role).start }
 
 // MeanPrefillMillis returns the prefill time averaged over the roles: the cost to the pool,
 // whichever engine does it.
-func (f *Parameters) MeanPrefillMillis(p Prompt) float64 {
-	return (f.PrefillMillis(upstream.RolePrefill, p) + f.PrefillMillis(upstream.RoleDecode, p)) / 2
+func (p *Parameters) MeanPrefillMillis(prompt Prompt) float64 {
+	return (p.PrefillMillis(upstream.RolePrefill, prompt) + p.PrefillMillis(upstream.RoleDecode, prompt)) / 2
 }
 
 // HandoffMillis returns the time from the end of a prefill on one engine to the first event
 // of another one, on which queue milliseconds of prefill work are pending.
-func (f *Parameters) HandoffMillis(tokens int, queue float64) float64 {
-	return f.handoff.base + f.handoff.transfer*float64(tokens)/1000 + f.handoff.queue*queue
+func (p *Parameters) HandoffMillis(tokens int, queue float64) float64 {
+	return p.handoff.base + p.handoff.transfer*float64(tokens)/1000 + p.handoff.queue*queue
 }
 
 // Coefficients returns the parameters for display, in milliseconds: of a prefill the
 // constant, per token and per million pairs; of a handoff the constant, per thousand tokens
 // and per queued millisecond; of the interval the constant and per stream. "events" are per
 // token, "answers" the longest responses' tokens and the mean time allowed.
-func (f *Parameters) Coefficients() map[string][]float64 {
+func (p *Parameters) Coefficients() map[string][]float64 {
 	return map[string][]float64{
-		"prefill":  {f.prefill.start, f.prefill.token, f.prefill.pair},
-		"decode":   {f.decode.start, f.decode.token, f.decode.pair},
-		"takeover": {f.handoff.base, f.handoff.transfer, f.handoff.queue},
-		"interval": {f.interval.base, f.interval.slope},
-		"output":   {f.millisPerToken},
-		"events":   {f.eventsPerToken},
-		"answers":  {f.longTokens, f.longMillis},
-		"typical":  {f.typicalPrefill},
+		"prefill":  {p.prefill.start, p.prefill.token, p.prefill.pair},
+		"decode":   {p.decode.start, p.decode.token, p.decode.pair},
+		"takeover": {p.handoff.base, p.handoff.transfer, p.handoff.queue},
+		"interval": {p.interval.base, p.interval.slope},
+		"output":   {p.millisPerToken},
+		"events":   {p.eventsPerToken},
+		"answers":  {p.longTokens, p.longMillis},
+		"typical":  {p.typicalPrefill},
 	}
 }
 
 // Known reports whether a prefill by an engine of a role has been observed. Until then its
 // predictions are mere assumptions.
-func (f *Parameters) Known(role upstream.Role) bool { return f.known[role] }
+func (p *Parameters) Known(role upstream.Role) bool { return p.known[role] }
 
 // IntervalMillis returns the time between two events of a stream with others concurrent
 // streams, while its engine does no prefill.
-func (f *Parameters) IntervalMillis(others int) float64 {
-	return f.interval.base + f.interval.slope*float64(max(0, others))
+func (p *Parameters) IntervalMillis(others int) float64 {
+	return p.interval.base + p.interval.slope*float64(max(0, others))
 }
 
 // DecodeMillis returns the time to decode the given number of tokens.
-func (f *Parameters) DecodeMillis(tokens int) float64 { return float64(tokens) * f.millisPerToken }
+func (p *Parameters) DecodeMillis(tokens int) float64 { return float64(tokens) * p.millisPerToken }
 
 // Events returns the number of events for the given number of tokens; 0 if no complete
 // stream has been observed yet.
-func (f *Parameters) Events(tokens int) float64 { return float64(tokens) * f.eventsPerToken }
+func (p *Parameters) Events(tokens int) float64 { return float64(tokens) * p.eventsPerToken }
 
 // LongResponseTokens returns the length that only the longest of the long responses exceed,
 // in tokens; 0 if none was requested yet.
-func (f *Parameters) LongResponseTokens() float64 { return f.longTokens }
+func (p *Parameters) LongResponseTokens() float64 { return p.longTokens }
 
 // LongResponseMillis returns the mean time that callers allow for long responses, in
 // milliseconds.
-func (f *Parameters) LongResponseMillis() float64 { return f.longMillis }
+func (p *Parameters) LongResponseMillis() float64 { return p.longMillis }
 
 // MaxConcurrent returns with how many concurrent streams the interval between events stays
 // within the given milliseconds, without prefill; infinity if streams don't slow each
 // other.
-func (f *Parameters) MaxConcurrent(interval float64) float64 {
-	if interval < f.interval.base {
+func (p *Parameters) MaxConcurrent(interval float64) float64 {
+	if interval < p.interval.base {
 		return 0
 	}
-	if f.interval.slope <= 0 {
+	if p.interval.slope <= 0 {
 		return math.Inf(1)
 	}
-	return (interval - f.interval.base) / f.interval.slope
+	return (interval - p.interval.base) / p.interval.slope
 }
 
 // TypicalPrefillMillis returns the smoothed prefill time of a prompt.
-func (f *Parameters) TypicalPrefillMillis() float64 { return f.typicalPrefill }
+func (p *Parameters) TypicalPrefillMillis() float64 { return p.typicalPrefill }
