--- a/placement/pool.go
+++ b/placement/pool.go
@@ -57,8 +57,8 @@
 	return tr.searchIn(pool).pickDecode(dataCentre, r)
 }
 
-// PickService returns the upstream of a pool with the lowest load relative to its slots,
-// and whether all its slots are taken.
+// PickService returns the plain upstream of a pool with the lowest cost, mainly its load
+// relative to its slots. full is set if its slots and queue are taken.
 func (tr *Tracker) PickService(pool string, r Request) (id string, full, ok bool) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
--- a/placement/service.go
+++ b/placement/service.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// PickService returns the plain upstream with the lowest load relative to its slots, and
-// whether all its slots are taken.
+// PickService returns the plain upstream with the lowest cost, mainly its load relative to
+// its slots. full is set if its slots and queue are taken.
 func PickService(upstreams []Engine, r Request) (id string, full, ok bool) {
 	best := math.Inf(1)
 	for i := range upstreams {
--- a/placement/tracker.go
+++ b/placement/tracker.go
@@ -248,7 +248,8 @@
 	}
 }
 
-// Unavailable reports whether an engine is excluded by MarkUnavailable or after refusals.
+// Unavailable reports whether an upstream takes no work for now: by MarkUnavailable, or
+// after it refused or was replaced.
 func (tr *Tracker) Unavailable(id string) bool {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
