--- a/enginemodel/doc.go
+++ b/enginemodel/doc.go
@@ -1,7 +1,5 @@
-// Package enginemodel predicts what a model engine takes for its work: to read a
-// prompt, to take a KV cache over, and between two events of a stream. Each figure
-// is learnt from what was seen of the engines of one pool; nothing is assumed of an
-// engine that one observation couldn't leave behind.
-//
-// It is pure code: time and measurements are handed in.
+// Package enginemodel predicts the durations of an engine's work: prefill, KV handoff, and
+// the interval between two events of a stream. The parameters are learned from observations
+// of one pool's engines; the priors are weak enough for one observation to override. Time
+// and measurements are passed in by the caller.
 package enginemodel
