--- a/claim/buckets.go
+++ b/claim/buckets.go
@@ -16,7 +16,7 @@
 	// phaseBrokenOff: it may have run; its answer will never be known.
 	phaseBrokenOff phase = 3
 	// phaseSpent stands in checkpoints for an attempt that was decided against.
-	phaseSpent phase = 4
+	phaseRetired phase = 4
 )
 
 // row is what is kept of a key for as long as it is known.
@@ -30,7 +30,7 @@
 // and no list of single expiries is needed.
 type buckets struct {
 	width  time.Duration
-	keep   time.Duration
+	ttl    time.Duration
 	byTime map[int64]*bucket
 	size   int
 }
@@ -40,16 +40,16 @@
 	rows map[KeyID]row
 	// spent holds the attempts that lost or were withdrawn. A late copy of
 	// such a claim must not win: nobody would run it.
-	spent map[AttemptID]struct{}
+	retired map[AttemptID]struct{}
 }
 
 // bucketsPerKeep sets how finely keys expire.
-const bucketsPerKeep = 16
+const bucketsPerTTL = 16
 
 func newBuckets(keep time.Duration) *buckets {
 	return &buckets{
-		width:  max(keep/bucketsPerKeep, time.Millisecond),
-		keep:   keep,
+		width:  max(keep/bucketsPerTTL, time.Millisecond),
+		ttl:    keep,
 		byTime: map[int64]*bucket{},
 	}
 }
@@ -62,7 +62,7 @@
 	if ok {
 		return k
 	}
-	k = &bucket{rows: map[KeyID]row{}, spent: map[AttemptID]struct{}{}}
+	k = &bucket{rows: map[KeyID]row{}, retired: map[AttemptID]struct{}{}}
 	b.byTime[index] = k
 	return k
 }
@@ -89,17 +89,17 @@
 	}
 }
 
-func (b *buckets) spend(index int64, a AttemptID) {
-	if b.isSpent(a) {
+func (b *buckets) retire(index int64, a AttemptID) {
+	if b.isRetired(a) {
 		return
 	}
-	b.at(index).spent[a] = struct{}{}
+	b.at(index).retired[a] = struct{}{}
 	b.size++
 }
 
-func (b *buckets) isSpent(a AttemptID) bool {
+func (b *buckets) isRetired(a AttemptID) bool {
 	for _, k := range b.byTime {
-		if _, ok := k.spent[a]; ok {
+		if _, ok := k.retired[a]; ok {
 			return true
 		}
 	}
@@ -109,7 +109,7 @@
 // expire drops the buckets whose last moment is longer ago than keep, and
 // calls dropped for each of their keys.
 func (b *buckets) expire(now time.Time, dropped func(KeyID, row)) {
-	limit := b.index(now.Add(-b.keep))
+	limit := b.index(now.Add(-b.ttl))
 	for index, k := range b.byTime {
 		if index >= limit {
 			continue
@@ -117,7 +117,7 @@
 		for key, r := range k.rows {
 			dropped(key, r)
 		}
-		b.size -= len(k.rows) + len(k.spent)
+		b.size -= len(k.rows) + len(k.retired)
 		delete(b.byTime, index)
 	}
 }
--- a/claim/call.go
+++ b/claim/call.go
@@ -76,10 +76,10 @@
 	k := c.calls[id]
 	step := c.decide(env, k)
 	if _, waits := step.(WaitStep); waits && timeUp {
-		if _, own := c.latched[c.ledger.live[k.key.ID].attempt]; own {
+		if _, own := c.blocked[c.ledger.holders[k.key.ID].attempt]; own {
 			return c.notRun(k, ReasonClaimUnclear, ScopeRequest)
 		}
-		return c.answer(k, MayHaveRun{ReasonRunning})
+		return c.finish(k, MayHaveRun{ReasonRunning})
 	}
 	if _, claims := step.(ClaimStep); claims && timeUp {
 		return c.notRun(k, ReasonCallerGone, ScopeRequest)
@@ -90,32 +90,32 @@
 // decide looks at what is known of the key.
 func (c *Core) decide(env Env, k *call) Step {
 	v := c.view(k.key)
-	_, withdrawn := c.latched[v.holder.attempt]
+	_, withdrawn := c.blocked[v.holder.attempt]
 	if v.phase != phaseFree && v.digest != k.digest && !withdrawn {
-		return c.answer(k, KeyReused{})
+		return c.finish(k, KeyReused{})
 	}
 	switch v.phase {
 	case phaseDone:
-		return c.answer(k, replay(v))
+		return c.finish(k, replay(v))
 	case phaseBrokenOff:
-		return c.answer(k, MayHaveRun{ReasonBrokenOff})
+		return c.finish(k, MayHaveRun{ReasonBrokenOff})
 	case phaseClaimed:
-		return c.await(env, k, v, withdrawn)
+		return c.awaitHolder(env, k, v, withdrawn)
 	default:
 		return c.claim(env, k, v)
 	}
 }
 
-func replay(v view) Done {
-	if v.answer == nil {
+func replay(v keyView) Done {
+	if v.response == nil {
 		return Done{Response: Response{Status: int(v.status)}, Replayed: true}
 	}
-	return Done{Response: v.answer.recorded(), Replayed: true, ResponseComplete: v.answer.Kept}
+	return Done{Response: v.response.response(), Replayed: true, ResponseComplete: v.response.Complete}
 }
 
 // await deals with a claim that stands. If it is this process's own, given up
 // and to be withdrawn, no run can come of it.
-func (c *Core) await(env Env, k *call, v view, withdrawn bool) Step {
+func (c *Core) awaitHolder(env Env, k *call, v keyView, withdrawn bool) Step {
 	c.withdraw(k.key.ID, v.holder.attempt)
 	if withdrawn && !env.LogUp {
 		return c.notRun(k, ReasonLogDown, ScopeRequest)
@@ -125,24 +125,24 @@
 		left = c.cfg.ClaimTimeout
 	}
 	if left <= 0 {
-		return c.answer(k, MayHaveRun{ReasonNoOutcome})
+		return c.finish(k, MayHaveRun{ReasonNoOutcome})
 	}
 	k.state = stateWaiting
 	return WaitStep{Until: env.Now.Add(left)}
 }
 
 // claim asks for the right to run a free key.
-func (c *Core) claim(env Env, k *call, v view) Step {
+func (c *Core) claim(env Env, k *call, v keyView) Step {
 	switch {
 	case k.key.Timed() && c.ledger.tooOld(k.key.CreatedAt):
-		return c.answer(k, KeyTooOld{})
+		return c.finish(k, KeyTooOld{})
 	case k.claims > 0 && k.key.CreatedAt.After(c.ledger.now.Add(c.cfg.KeySkew)):
 		return c.notRun(k, ReasonKeyFromFuture, ScopeRequest)
 	case !v.exact:
 		return c.notRun(k, ReasonHistoryUnknown, ScopeRequest)
 	case !env.LogUp:
 		return c.notRun(k, ReasonLogDown, ScopeRequest)
-	case c.ledger.Len() >= c.cfg.MaxKeys || len(c.latched) >= maxLatched:
+	case c.ledger.Len() >= c.cfg.MaxKeys || len(c.blocked) >= maxBlocked:
 		return c.notRun(k, ReasonTooManyKeys, ScopeRequest)
 	case k.claims >= maxClaims:
 		return c.notRun(k, ReasonContended, ScopeRequest)
@@ -153,9 +153,9 @@
 	// Counted from before the append: a pause in between makes the claim look
 	// older, never younger.
 	k.claimSent = env.Now
-	m := claimed{Key: k.key.ID, Attempt: k.attempt, Digest: k.digest}
+	m := claimRequest{Key: k.key.ID, Attempt: k.attempt, Digest: k.digest}
 	if k.key.Timed() {
-		m.MadeMillis = k.key.CreatedAt.UnixMilli()
+		m.CreatedAtMillis = k.key.CreatedAt.UnixMilli()
 	}
 	return ClaimStep{Entry: m.entry()}
 }
@@ -176,7 +176,7 @@
 	case r != NotAppended:
 		// The reply was lost, or what was read can't be trusted. The claim may
 		// win by the others' books, now or later, so it is never dispatched.
-		c.latch(env, k.key.ID, k.attempt)
+		c.block(env, k.key.ID, k.attempt)
 	}
 	if v.phase != phaseFree && !won {
 		return c.decide(env, k)
@@ -198,7 +198,7 @@
 		reason = ReasonCallerGone
 	}
 	if timeUp || env.Now.Sub(k.claimSent) > c.cfg.MaxClaimAge {
-		return c.withdrawn(env, k, reason)
+		return c.withdrawCall(env, k, reason)
 	}
 	k.state = stateDispatching
 	return nil
@@ -209,23 +209,23 @@
 	k := c.calls[id]
 	switch e {
 	case DispatchNotRun:
-		return c.withdrawn(env, k, ReasonUpstream)
+		return c.withdrawCall(env, k, ReasonUpstream)
 	case DispatchCompleted:
 		m := newOutcome(k.key.ID, k.attempt, k.digest, r, c.cfg.MaxRecordedBytes)
 		c.record(k, m.entry(), row{digest: k.digest, status: m.Status, phase: phaseDone}, &m)
-		return c.answer(k, Done{Response: r, ResponseComplete: true})
+		return c.finish(k, Done{Response: r, ResponseComplete: true})
 	default:
 		m := brokenOff{Key: k.key.ID, Attempt: k.attempt, Digest: k.digest}
 		c.record(k, m.entry(), row{digest: k.digest, phase: phaseBrokenOff}, nil)
-		return c.answer(k, MayHaveRun{ReasonBrokenOff})
+		return c.finish(k, MayHaveRun{ReasonBrokenOff})
 	}
 }
 
 // withdrawn ends a call that had won its claim and did not run. After a pause
 // of about Remember the claim may be forgotten and somebody else may have the
 // key; then no more is said than what is known.
-func (c *Core) withdrawn(env Env, k *call, reason NotRunReason) Step {
-	c.latch(env, k.key.ID, k.attempt)
+func (c *Core) withdrawCall(env Env, k *call, reason NotRunReason) Step {
+	c.block(env, k.key.ID, k.attempt)
 	if env.Now.Sub(k.claimSent) < c.cfg.KeyTTL/2 {
 		return c.notRun(k, reason, ScopeKey)
 	}
@@ -238,25 +238,25 @@
 
 // record notes a run's outcome here, and for the log.
 func (c *Core) record(k *call, e journal.Entry, r row, answer *outcome) {
-	c.local[k.key.ID] = &localOutcome{attempt: k.attempt, row: r, answer: answer}
+	c.local[k.key.ID] = &localOutcome{attempt: k.attempt, row: r, response: answer}
 	c.outbox = append(c.outbox, Message{Entry: e, key: k.key.ID, attempt: k.attempt})
-	c.notify(k.key.ID)
+	c.markChanged(k.key.ID)
 }
 
 // view is the ledger's, with the outcomes of this process on top.
-func (c *Core) view(key Key) view {
+func (c *Core) view(key Key) keyView {
 	v := c.ledger.view(key)
 	if l, ok := c.local[key.ID]; ok && v.phase != phaseDone {
-		v.row, v.answer = l.row, l.answer
+		v.row, v.response = l.row, l.response
 	}
 	return v
 }
 
 func (c *Core) notRun(k *call, reason NotRunReason, scope Scope) Step {
-	return c.answer(k, NotRun{Reason: reason, Scope: scope, RetryAfter: c.cfg.RetryAfter})
+	return c.finish(k, NotRun{Reason: reason, Scope: scope, RetryAfter: c.cfg.RetryAfter})
 }
 
-func (c *Core) answer(k *call, r Result) Step {
+func (c *Core) finish(k *call, r Result) Step {
 	delete(c.calls, k.id)
 	delete(c.changed, k.id)
 	return ResultStep{Result: r}
--- a/claim/checkpoint.go
+++ b/claim/checkpoint.go
@@ -17,10 +17,10 @@
 const maxTail = 200_000
 
 // maxSets bounds the checkpoints that are collected at once.
-const maxSets = 8
+const maxPartialCheckpoints = 8
 
 // checkpointBytes is about the size of a checkpoint's part.
-const checkpointBytes = 32 << 10
+const checkpointPartBytes = 32 << 10
 
 // gap is what a ledger keeps from the moment that records expired unread until
 // a checkpoint tells what they said. The checkpoint must cover all that
@@ -30,28 +30,28 @@
 type gap struct {
 	oldest infra.Offset
 	// since is the log's time of the first entry read behind the gap.
-	since time.Time
-	tail  []event
-	sets  map[AttemptID]*checkpointSet
-	order []AttemptID
+	since       time.Time
+	tail        []event
+	checkpoints map[AttemptID]*partialCheckpoint
+	order       []AttemptID
 }
 
 // checkpointSet collects the parts of one checkpoint.
-type checkpointSet struct {
+type partialCheckpoint struct {
 	upTo  journal.Position
 	now   int64
 	parts map[uint32][]byte
 }
 
 func newGap(oldest infra.Offset) *gap {
-	return &gap{oldest: oldest, sets: map[AttemptID]*checkpointSet{}}
+	return &gap{oldest: oldest, checkpoints: map[AttemptID]*partialCheckpoint{}}
 }
 
-func (g *gap) begun() bool { return !g.since.IsZero() }
+func (g *gap) started() bool { return !g.since.IsZero() }
 
 // remember keeps an entry for the time when the gap is closed, without the
 // answer that an outcome holds.
-func (l *Ledger) remember(e event) {
+func (l *Ledger) appendTail(e event) {
 	if l.gap == nil {
 		return
 	}
@@ -60,7 +60,7 @@
 		l.Trimmed(e.position.Offset + 1)
 	}
 	g := l.gap
-	if !g.begun() {
+	if !g.started() {
 		g.since = e.at
 	}
 	if m, ok := e.message.(*outcome); ok {
@@ -73,7 +73,7 @@
 // than its time.
 func (l *Ledger) applyCheckpoint(e event, c *checkpoint) {
 	e.message = nil
-	l.remember(e)
+	l.appendTail(e)
 	l.apply(e)
 	if l.checkpoints.note(c) {
 		l.checkpoints.last, l.checkpoints.lastRead = e.at, e.readAt
@@ -87,14 +87,14 @@
 }
 
 // add takes a part in and returns its set if that is whole.
-func (g *gap) add(c *checkpoint) *checkpointSet {
-	s, ok := g.sets[c.Set]
+func (g *gap) add(c *checkpoint) *partialCheckpoint {
+	s, ok := g.checkpoints[c.Set]
 	if !ok {
-		s = &checkpointSet{upTo: c.UpTo, now: c.NowMillis, parts: map[uint32][]byte{}}
-		g.sets[c.Set] = s
+		s = &partialCheckpoint{upTo: c.UpTo, now: c.NowMillis, parts: map[uint32][]byte{}}
+		g.checkpoints[c.Set] = s
 		g.order = append(g.order, c.Set)
-		if len(g.order) > maxSets {
-			delete(g.sets, g.order[0])
+		if len(g.order) > maxPartialCheckpoints {
+			delete(g.checkpoints, g.order[0])
 			g.order = g.order[1:]
 		}
 	}
@@ -108,14 +108,14 @@
 // closeGap rebuilds the ledger from a checkpoint and the entries behind it.
 // Entries that the checkpoint covers are left out: they are in its rows. The
 // answers read so far stay, as rows have none.
-func (l *Ledger) closeGap(s *checkpointSet) {
-	now, tail, answers := l.now, l.gap.tail, l.answers
+func (l *Ledger) closeGap(s *partialCheckpoint) {
+	now, tail, answers := l.now, l.gap.tail, l.responses
 	l.clear()
 	l.gap = nil
-	l.answers = answers
+	l.responses = answers
 	l.now = time.UnixMilli(s.now)
 	for _, part := range s.parts {
-		l.load(part)
+		l.loadRows(part)
 	}
 	for _, e := range tail {
 		if s.upTo.Less(e.position) {
@@ -126,7 +126,7 @@
 }
 
 // load takes the rows of one part.
-func (l *Ledger) load(part []byte) {
+func (l *Ledger) loadRows(part []byte) {
 	for len(part) > 0 {
 		var r checkpointRow
 		var err error
@@ -134,13 +134,13 @@
 			l.corrupt++
 			return
 		}
-		if r.Phase == phaseSpent {
-			l.keys.spend(r.Bucket, r.Attempt)
+		if r.Phase == phaseRetired {
+			l.keys.retire(r.Bucket, r.Attempt)
 			continue
 		}
 		l.keys.put(r.Bucket, r.Key, row{digest: r.Digest, status: r.Status, phase: r.Phase})
 		if r.Phase == phaseClaimed {
-			l.live[r.Key] = holder{attempt: r.Attempt, writer: r.Writer}
+			l.holders[r.Key] = holder{attempt: r.Attempt, writer: r.Writer}
 		}
 	}
 }
@@ -152,13 +152,13 @@
 		for key, r := range b.rows {
 			c := checkpointRow{Bucket: index, Phase: r.phase, Key: key, Digest: r.digest, Status: r.status}
 			if r.phase == phaseClaimed {
-				h := l.live[key]
+				h := l.holders[key]
 				c.Attempt, c.Writer = h.attempt, h.writer
 			}
 			f(&c)
 		}
-		for a := range b.spent {
-			f(&checkpointRow{Bucket: index, Phase: phaseSpent, Attempt: a})
+		for a := range b.retired {
+			f(&checkpointRow{Bucket: index, Phase: phaseRetired, Attempt: a})
 		}
 	}
 }
@@ -185,7 +185,7 @@
 	var part bytes.Buffer
 	l.rows(func(r *checkpointRow) {
 		part.Write(encodeRow(r))
-		if part.Len() >= checkpointBytes {
+		if part.Len() >= checkpointPartBytes {
 			parts = append(parts, bytes.Clone(part.Bytes()))
 			part.Reset()
 		}
@@ -221,15 +221,15 @@
 }
 
 // checkpointWatch tells when a whole checkpoint was read last.
-type checkpointWatch struct {
+type checkpointTracker struct {
 	parts map[AttemptID]uint32
 	// last is the log's time of its last part, lastRead the reader's.
 	last, lastRead time.Time
 }
 
 // note counts a part and reports whether its checkpoint is whole.
-func (w *checkpointWatch) note(c *checkpoint) bool {
-	if w.parts == nil || len(w.parts) >= maxSets {
+func (w *checkpointTracker) note(c *checkpoint) bool {
+	if w.parts == nil || len(w.parts) >= maxPartialCheckpoints {
 		w.parts = map[AttemptID]uint32{}
 	}
 	w.parts[c.Set]++
--- a/claim/config.go
+++ b/claim/config.go
@@ -9,24 +9,24 @@
 
 // Defaults of Config.
 const (
-	defaultClaimTimeout     = 2 * time.Second
-	defaultMaxDispatch      = 30 * time.Second
-	defaultRemember         = 24 * time.Hour
-	defaultRetention        = time.Hour
-	defaultKeySkew          = 5 * time.Minute
-	defaultMaxRecordedBytes = 16 << 10
-	defaultMaxKeys          = 500_000
-	defaultMaxAnswerBytes   = 16 << 20
-	defaultMaxOutbox        = 4096
-	defaultRecordFor        = 2 * time.Minute
-	defaultRetryAfter       = time.Second
-	defaultDrainTimeout     = 5 * time.Second
+	defaultClaimTimeout       = 2 * time.Second
+	defaultMaxDispatch        = 30 * time.Second
+	defaultKeyTTL             = 24 * time.Hour
+	defaultRetention          = time.Hour
+	defaultKeySkew            = 5 * time.Minute
+	defaultMaxRecordedBytes   = 16 << 10
+	defaultMaxKeys            = 500_000
+	defaultResponseCacheBytes = 16 << 20
+	defaultMaxOutbox          = 4096
+	defaultRecordTimeout      = 2 * time.Minute
+	defaultRetryAfter         = time.Second
+	defaultDrainTimeout       = 5 * time.Second
 )
 
 // rememberFactor is the least ratio of the time that a key is known to the
 // time that a call may take. A claim's holder that was paused for longer than
 // it may take gives up, long before others could forget the claim.
-const rememberFactor = 4
+const minTTLFactor = 4
 
 // Config sets the claims up. Every process of a deployment needs the same
 // Remember, KeySkew and Retention, as their folds must agree. Zero values
@@ -77,13 +77,13 @@
 	setDefault(&c.ClaimTimeout, defaultClaimTimeout)
 	setDefault(&c.MaxClaimAge, c.ClaimTimeout+5*time.Second)
 	setDefault(&c.MaxDispatch, defaultMaxDispatch)
-	setDefault(&c.KeyTTL, defaultRemember)
+	setDefault(&c.KeyTTL, defaultKeyTTL)
 	setDefault(&c.Retention, defaultRetention)
 	setDefault(&c.KeySkew, min(defaultKeySkew, c.KeyTTL/8))
 	setDefault(&c.MaxKeys, defaultMaxKeys)
-	setDefault(&c.ResponseCacheBytes, defaultMaxAnswerBytes)
+	setDefault(&c.ResponseCacheBytes, defaultResponseCacheBytes)
 	setDefault(&c.MaxOutbox, defaultMaxOutbox)
-	setDefault(&c.RecordTimeout, defaultRecordFor)
+	setDefault(&c.RecordTimeout, defaultRecordTimeout)
 	setDefault(&c.RetryAfter, defaultRetryAfter)
 	setDefault(&c.DrainTimeout, defaultDrainTimeout)
 	if c.MaxRecordedBytes == 0 {
@@ -101,11 +101,11 @@
 // Validate returns an error if the times don't fit together.
 func (c Config) Validate() error {
 	c = c.withDefaults()
-	if c.KeyTTL < rememberFactor*c.staleAfter() {
+	if c.KeyTTL < minTTLFactor*c.staleAfter() {
 		return eris.Errorf("claim: keys are remembered for %v, which is less than %d times the %v that a call may take",
-			c.KeyTTL, rememberFactor, c.staleAfter())
+			c.KeyTTL, minTTLFactor, c.staleAfter())
 	}
-	if c.KeySkew > c.KeyTTL/rememberFactor {
+	if c.KeySkew > c.KeyTTL/minTTLFactor {
 		return eris.Errorf("claim: the clocks of keys may differ by %v, more than a quarter of the %v that a key is known",
 			c.KeySkew, c.KeyTTL)
 	}
--- a/claim/core.go
+++ b/claim/core.go
@@ -23,7 +23,7 @@
 	// latched holds the attempts that must never be dispatched, although their
 	// claims may have reached the log or may still do: their callers were told
 	// "not run". When such a claim is read it is withdrawn.
-	latched map[AttemptID]time.Time
+	blocked map[AttemptID]time.Time
 	// withdrawing holds those of them whose withdrawal is under way.
 	withdrawing map[AttemptID]struct{}
 	// local holds the outcomes of this process that it has not read back yet.
@@ -57,16 +57,16 @@
 
 // localOutcome is an outcome that other processes may not know yet.
 type localOutcome struct {
-	attempt AttemptID
-	row     row
-	answer  *outcome
+	attempt  AttemptID
+	row      row
+	response *outcome
 }
 
 // Bounds of the core.
 const (
 	// maxLatched bounds the attempts with unclear claims; beyond it no call is
 	// claimed.
-	maxLatched = 1 << 16
+	maxBlocked = 1 << 16
 	// maxClaims is how often one call claims its key.
 	maxClaims = 4
 )
@@ -78,7 +78,7 @@
 		cfg:         cfg,
 		ledger:      NewLedger(cfg),
 		calls:       map[CallID]*call{},
-		latched:     map[AttemptID]time.Time{},
+		blocked:     map[AttemptID]time.Time{},
 		withdrawing: map[AttemptID]struct{}{},
 		local:       map[KeyID]*localOutcome{},
 		changed:     map[CallID]struct{}{},
@@ -92,8 +92,8 @@
 
 // Apply folds an entry.
 func (c *Core) Apply(p journal.Placed) {
-	c.touched(c.ledger.fold(p))
-	c.pruneLatched()
+	c.handleMessage(c.ledger.fold(p))
+	c.pruneBlocked()
 }
 
 // Trimmed says that records expired before they were read.
@@ -107,65 +107,65 @@
 }
 
 // touched looks at what a message means to this process's own calls.
-func (c *Core) touched(m any) {
+func (c *Core) handleMessage(m any) {
 	switch m := m.(type) {
-	case *claimed:
+	case *claimRequest:
 		c.withdraw(m.Key, m.Attempt)
-	case *abandoned:
-		c.notify(m.Key)
+	case *withdrawal:
+		c.markChanged(m.Key)
 	case *outcome:
-		c.settled(m.Key)
+		c.outcomeRead(m.Key)
 	case *brokenOff:
-		c.settled(m.Key)
+		c.outcomeRead(m.Key)
 	}
 }
 
 // withdraw appends the withdrawal of a claim that has won although its call
 // was given up, so that a resend can run.
 func (c *Core) withdraw(key KeyID, attempt AttemptID) {
-	_, latched := c.latched[attempt]
+	_, latched := c.blocked[attempt]
 	_, underWay := c.withdrawing[attempt]
-	if !latched || underWay || c.ledger.live[key].attempt != attempt {
+	if !latched || underWay || c.ledger.holders[key].attempt != attempt {
 		return
 	}
 	c.withdrawing[attempt] = struct{}{}
-	m := abandoned{Key: key, Attempt: attempt}
+	m := withdrawal{Key: key, Attempt: attempt}
 	c.outbox = append(c.outbox, Message{Entry: m.entry(), key: key, attempt: attempt})
 }
 
 // latch makes sure that an attempt is never dispatched.
-func (c *Core) latch(env Env, key KeyID, attempt AttemptID) {
-	c.latched[attempt] = env.Now
+func (c *Core) block(env Env, key KeyID, attempt AttemptID) {
+	c.blocked[attempt] = env.Now
 	c.withdraw(key, attempt)
 }
 
 // pruneLatched forgets attempts whose records would have expired unread.
-func (c *Core) pruneLatched() {
-	if len(c.latched) < maxLatched/2 {
+func (c *Core) pruneBlocked() {
+	if len(c.blocked) < maxBlocked/2 {
 		return
 	}
 	var newest time.Time
-	for _, at := range c.latched {
+	for _, at := range c.blocked {
 		if at.After(newest) {
 			newest = at
 		}
 	}
-	for a, at := range c.latched {
+	for a, at := range c.blocked {
 		if newest.Sub(at) > 2*c.cfg.Retention {
-			delete(c.latched, a)
+			delete(c.blocked, a)
 		}
 	}
 }
 
 // settled notes that a key's outcome was read.
-func (c *Core) settled(key KeyID) {
-	if l, ok := c.local[key]; ok && c.ledger.live[key].attempt != l.attempt {
+func (c *Core) outcomeRead(key KeyID) {
+	if l, ok := c.local[key]; ok && c.ledger.holders[key].attempt != l.attempt {
 		delete(c.local, key)
 	}
-	c.notify(key)
+	c.markChanged(key)
 }
 
-func (c *Core) notify(key KeyID) {
+func (c *Core) markChanged(key KeyID) {
 	for id, call := range c.calls {
 		if call.state == stateWaiting && call.key.ID == key {
 			c.changed[id] = struct{}{}
--- a/claim/guard.go
+++ b/claim/guard.go
@@ -42,7 +42,7 @@
 	cancel     context.CancelFunc
 	appends    conc.WaitGroup
 	// left has room for one signal that a call or an append has ended.
-	left chan struct{}
+	ended chan struct{}
 
 	mu       sync.Mutex
 	core     *Core
@@ -71,7 +71,7 @@
 		journal:    j,
 		background: ctx,
 		cancel:     cancel,
-		left:       make(chan struct{}, 1),
+		ended:      make(chan struct{}, 1),
 		core:       NewCore(cfg, time.Now()),
 		waiters:    map[CallID]chan struct{}{},
 	}, nil
@@ -79,12 +79,12 @@
 
 // Apply implements journal.Folder.
 func (g *Guard) Apply(p journal.Placed) {
-	g.locked(func() { g.core.Apply(p) })
+	g.withCore(func() { g.core.Apply(p) })
 }
 
 // Trimmed implements journal.Trimmer.
 func (g *Guard) Trimmed(oldest infra.Offset) {
-	g.locked(func() { g.core.Trimmed(oldest) })
+	g.withCore(func() { g.core.Trimmed(oldest) })
 }
 
 // Do runs the call with this idempotency key unless it was run before, at any
@@ -94,10 +94,10 @@
 // resends. Keys of different organisations must be made different by the
 // caller of Do.
 func (g *Guard) Do(ctx context.Context, key string, digest uint64, dispatch Dispatch) Result {
-	if !g.enter() {
+	if !g.begin() {
 		return NotRun{Reason: ReasonStopping, RetryAfter: g.cfg.RetryAfter}
 	}
-	defer g.leave()
+	defer g.end()
 	var id CallID
 	changed := make(chan struct{}, 1)
 	step := g.step(func(env Env) (s Step) {
@@ -106,7 +106,7 @@
 		g.waiters[id] = changed
 		return s
 	})
-	defer g.forget(id)
+	defer g.removeWaiter(id)
 	for {
 		switch s := step.(type) {
 		case ResultStep:
@@ -163,12 +163,12 @@
 	}
 	ended := make(chan Step, 1)
 	var caught panics.Catcher
-	g.locked(func() { g.active++ })
+	g.withCore(func() { g.active++ })
 	g.appends.Go(func() {
-		defer g.leave()
+		defer g.end()
 		// A dispatch that panics may have run.
 		r, e := Response{}, DispatchMayHaveRun
-		caught.Try(func() { r, e = bounded(ctx, deadline, dispatch) })
+		caught.Try(func() { r, e = dispatchWithDeadline(ctx, deadline, dispatch) })
 		ended <- g.step(func(env Env) Step { return g.core.Dispatched(env, id, r, e) })
 		if p := caught.Recovered(); p != nil {
 			slog.Error("a protected call's dispatch panicked", "err", p.AsError())
@@ -186,7 +186,7 @@
 // bounded runs the dispatch, which the caller's leaving doesn't break off. The
 // deadline was set before the last look at the clock: after a pause behind
 // that look nothing is sent any more.
-func bounded(ctx context.Context, deadline time.Time, dispatch Dispatch) (Response, DispatchResult) {
+func dispatchWithDeadline(ctx context.Context, deadline time.Time, dispatch Dispatch) (Response, DispatchResult) {
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), deadline)
 	defer cancel()
 	if ctx.Err() != nil {
@@ -199,7 +199,7 @@
 func (g *Guard) step(f func(Env) Step) Step {
 	h := g.journal.Health()
 	var s Step
-	g.locked(func() {
+	g.withCore(func() {
 		// A claim may still make it through a failure that is shorter than it
 		// may take.
 		now := time.Now()
@@ -211,7 +211,7 @@
 
 // locked calls f with the core locked, wakes the calls that f changed, and
 // starts the appends that it asked for.
-func (g *Guard) locked(f func()) {
+func (g *Guard) withCore(f func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	f()
@@ -225,13 +225,13 @@
 	}
 }
 
-func (g *Guard) forget(id CallID) {
+func (g *Guard) removeWaiter(id CallID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.waiters, id)
 }
 
-func (g *Guard) enter() bool {
+func (g *Guard) begin() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.stopping {
@@ -241,11 +241,11 @@
 	return true
 }
 
-func (g *Guard) leave() {
+func (g *Guard) end() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.active--
-	signal(g.left)
+	signal(g.ended)
 }
 
 func signal(c chan struct{}) {
--- a/claim/ledger.go
+++ b/claim/ledger.go
@@ -22,13 +22,13 @@
 	// now is the latest of the log's times that were read.
 	now time.Time
 	// position is that of the last entry read.
-	position journal.Position
-	keys     *buckets
-	live     map[KeyID]holder
-	answers  *answers
-	gap      *gap
+	position  journal.Position
+	keys      *buckets
+	holders   map[KeyID]holder
+	responses *responseCache
+	gap       *gap
 	// checkpoints tells when the last whole checkpoint was read.
-	checkpoints checkpointWatch
+	checkpoints checkpointTracker
 	corrupt     int
 }
 
@@ -58,8 +58,8 @@
 
 func (l *Ledger) clear() {
 	l.keys = newBuckets(l.cfg.KeyTTL)
-	l.live = map[KeyID]holder{}
-	l.answers = newAnswers(l.cfg.ResponseCacheBytes)
+	l.holders = map[KeyID]holder{}
+	l.responses = newResponseCache(l.cfg.ResponseCacheBytes)
 	l.now = time.Time{}
 }
 
@@ -86,7 +86,7 @@
 		l.applyCheckpoint(e, c)
 		return m
 	}
-	l.remember(e)
+	l.appendTail(e)
 	l.apply(e)
 	return m
 }
@@ -110,10 +110,10 @@
 func (l *Ledger) apply(e event) {
 	l.advance(e.at)
 	switch m := e.message.(type) {
-	case *claimed:
+	case *claimRequest:
 		l.applyClaim(e, m)
-	case *abandoned:
-		l.applyAbandoned(e, m)
+	case *withdrawal:
+		l.applyWithdrawal(e, m)
 	case *outcome:
 		l.applyOutcome(e, m)
 	case *brokenOff:
@@ -127,24 +127,24 @@
 		return
 	}
 	l.now = at
-	l.keys.expire(at, func(key KeyID, _ row) { delete(l.live, key) })
-	l.answers.expire(at.Add(-l.cfg.Retention))
+	l.keys.expire(at, func(key KeyID, _ row) { delete(l.holders, key) })
+	l.responses.expire(at.Add(-l.cfg.Retention))
 }
 
 // applyClaim decides on a claim. An attempt is decided once, by its first
 // record: a late second copy must not win after the first lost or was
 // withdrawn, as its claimant doesn't wait for it any more.
-func (l *Ledger) applyClaim(e event, m *claimed) {
-	if l.keys.isSpent(m.Attempt) || l.live[m.Key].attempt == m.Attempt {
+func (l *Ledger) applyClaim(e event, m *claimRequest) {
+	if l.keys.isRetired(m.Attempt) || l.holders[m.Key].attempt == m.Attempt {
 		return
 	}
 	index := l.keys.index(l.now)
-	if _, taken := l.keys.find(m.Key); taken != nil || l.outOfTime(m.MadeMillis) {
-		l.keys.spend(index, m.Attempt)
+	if _, taken := l.keys.find(m.Key); taken != nil || l.outOfTime(m.CreatedAtMillis) {
+		l.keys.retire(index, m.Attempt)
 		return
 	}
 	l.keys.put(index, m.Key, row{digest: m.Digest, phase: phaseClaimed})
-	l.live[m.Key] = holder{attempt: m.Attempt, writer: e.writer, at: e.at, readAt: e.readAt}
+	l.holders[m.Key] = holder{attempt: m.Attempt, writer: e.writer, at: e.at, readAt: e.readAt}
 }
 
 // outOfTime reports whether a timed key may not be claimed at the ledger's
@@ -166,22 +166,22 @@
 }
 
 func (l *Ledger) holds(e event, key KeyID, attempt AttemptID) bool {
-	h, ok := l.live[key]
+	h, ok := l.holders[key]
 	return ok && h.attempt == attempt && h.writer == e.writer
 }
 
-func (l *Ledger) applyAbandoned(e event, m *abandoned) {
+func (l *Ledger) applyWithdrawal(e event, m *withdrawal) {
 	if !l.holds(e, m.Key, m.Attempt) {
 		return
 	}
-	delete(l.live, m.Key)
+	delete(l.holders, m.Key)
 	l.keys.remove(m.Key)
-	l.keys.spend(l.keys.index(l.now), m.Attempt)
+	l.keys.retire(l.keys.index(l.now), m.Attempt)
 }
 
 func (l *Ledger) applyOutcome(e event, m *outcome) {
-	if l.settle(e, m.Key, m.Attempt, row{digest: m.Digest, status: m.Status, phase: phaseDone}) && m.Kept {
-		l.answers.put(m.Key, l.now, m)
+	if l.settle(e, m.Key, m.Attempt, row{digest: m.Digest, status: m.Status, phase: phaseDone}) && m.Complete {
+		l.responses.put(m.Key, l.now, m)
 	}
 }
 
@@ -200,27 +200,27 @@
 	if !l.holds(e, key, attempt) {
 		return false
 	}
-	delete(l.live, key)
+	delete(l.holders, key)
 	known.rows[key] = r
 	return true
 }
 
 // view is what the ledger tells of one key.
-type view struct {
+type keyView struct {
 	row
 	holder holder
 	// answer is the recorded answer, if it is still kept.
-	answer *outcome
+	response *outcome
 	// exact is whether the ledger knows every claim of the key.
 	exact bool
 }
 
-func (l *Ledger) view(key Key) view {
-	v := view{exact: l.exact(key)}
+func (l *Ledger) view(key Key) keyView {
+	v := keyView{exact: l.exact(key)}
 	v.row, _ = l.keys.find(key.ID)
-	v.holder = l.live[key.ID]
+	v.holder = l.holders[key.ID]
 	if v.phase == phaseDone {
-		v.answer = l.answers.get(key.ID)
+		v.response = l.responses.get(key.ID)
 	}
 	return v
 }
@@ -259,7 +259,7 @@
 	if l.gap == nil {
 		return true
 	}
-	return key.Timed() && l.gap.begun() && !key.CreatedAt.Before(l.gap.since.Add(l.cfg.KeySkew))
+	return key.Timed() && l.gap.started() && !key.CreatedAt.Before(l.gap.since.Add(l.cfg.KeySkew))
 }
 
 // Len returns the number of keys and decided attempts that are known.
--- a/claim/ledger_test.go
+++ b/claim/ledger_test.go
@@ -42,16 +42,16 @@
 	digest := uint64(a[15])
 	switch rapid.IntRange(0, 5).Draw(t, "type") {
 	case 0:
-		return abandoned{Key: key, Attempt: a}.entry()
+		return withdrawal{Key: key, Attempt: a}.entry()
 	case 1:
 		return outcome{Key: key, Attempt: a, Digest: digest, Status: 200}.entry()
 	case 2:
 		return brokenOff{Key: key, Attempt: a, Digest: digest}.entry()
 	case 3:
 		made := at.Add(time.Duration(rapid.IntRange(-11*60, 30).Draw(t, "made")) * time.Second)
-		return claimed{Key: key, Attempt: a, Digest: digest, MadeMillis: made.UnixMilli()}.entry()
+		return claimRequest{Key: key, Attempt: a, Digest: digest, CreatedAtMillis: made.UnixMilli()}.entry()
 	default:
-		return claimed{Key: key, Attempt: a, Digest: digest}.entry()
+		return claimRequest{Key: key, Attempt: a, Digest: digest}.entry()
 	}
 }
 
@@ -98,8 +98,8 @@
 // readers disagreed (an interleaving showed it).
 func TestTimeClosesNoGap(t *testing.T) {
 	var h history
-	h.add(testStart, claimed{Key: KeyID{1}, Attempt: attempt(1)}.entry(), "a")
-	h.add(testStart.Add(3*testConfig.KeyTTL), claimed{Key: KeyID{2}, Attempt: attempt(2)}.entry(), "a")
+	h.add(testStart, claimRequest{Key: KeyID{1}, Attempt: attempt(1)}.entry(), "a")
+	h.add(testStart.Add(3*testConfig.KeyTTL), claimRequest{Key: KeyID{2}, Attempt: attempt(2)}.entry(), "a")
 	l := NewLedger(testConfig)
 	l.Trimmed(1)
 	h.fold(l)
@@ -140,7 +140,7 @@
 }
 
 func FuzzDecodeEntry(f *testing.F) {
-	f.Add(claimed{Key: KeyID{1}, Attempt: attempt(1)}.entry().Body)
+	f.Add(claimRequest{Key: KeyID{1}, Attempt: attempt(1)}.entry().Body)
 	f.Add(outcome{Key: KeyID{1}, Headers: []string{"a", "b"}, Body: []byte("x")}.entry().Body)
 	f.Add([]byte{byte(typeOutcome), 0x97, 0xc4, 1, 1, 0xc4, 1, 1, 1, 200, 0xc3, 0xdd, 0xff, 0xff, 0xff, 0xff})
 	f.Add([]byte{byte(typeCheckpoint), 0x96, 0xc6, 0xff, 0xff, 0xff, 0xff})
@@ -160,10 +160,10 @@
 	for name, body := range map[string][]byte{
 		"60,000 levels":         append(append([]byte{byte(typeCheckpoint), 0x96, 0xc0, 0, 1, 0x81, 0xa1, 'z'}, deep...), 0, 0xc0),
 		"60,000 levels in rows": checkpointOf(append([]byte{0x98, 0, 0, 0xc0, 0, 0, 0xc0, 0}, deep...)),
-		"4 G members":           {byte(typeAbandoned), 0x93, 0xc0, 0xc0, 0xdf, 0xff, 0xff, 0xff, 0xff},
+		"4 G members":           {byte(typeWithdrawal), 0x93, 0xc0, 0xc0, 0xdf, 0xff, 0xff, 0xff, 0xff},
 		"4 G elements in rows":  checkpointOf([]byte{0xdd, 0xff, 0xff, 0xff, 0xff}),
 		"4 G bytes":             {byte(typeCheckpoint), 0x96, 0xc6, 0xff, 0xff, 0xff, 0xff},
-		"bytes after the end":   append(claimed{Key: KeyID{1}}.entry().Body, 0xc0),
+		"bytes after the end":   append(claimRequest{Key: KeyID{1}}.entry().Body, 0xc0),
 		"no message":            {byte(typeClaim)},
 		"unknown type":          {99, 0x90},
 		"nothing":               nil,
--- a/claim/messages.go
+++ b/claim/messages.go
@@ -19,14 +19,14 @@
 
 const (
 	typeClaim      messageType = 1
-	typeAbandoned  messageType = 2
+	typeWithdrawal messageType = 2
 	typeOutcome    messageType = 3
 	typeBrokenOff  messageType = 4
 	typeCheckpoint messageType = 5
 )
 
 // claimed asks for the right to run a key's call.
-type claimed struct {
+type claimRequest struct {
 	//lint:ignore U1000 read by msgpack
 	_msgpack struct{} `msgpack:",as_array"`
 
@@ -34,11 +34,11 @@
 	Attempt AttemptID
 	Digest  uint64
 	// MadeMillis is Key.Made as Unix milliseconds, 0 if not known.
-	MadeMillis int64
+	CreatedAtMillis int64
 }
 
 // abandoned withdraws a claim that was never dispatched and never will be.
-type abandoned struct {
+type withdrawal struct {
 	//lint:ignore U1000 read by msgpack
 	_msgpack struct{} `msgpack:",as_array"`
 
@@ -56,7 +56,7 @@
 	Digest  uint64
 	Status  uint16
 	// Kept is whether Headers and Body are the whole answer.
-	Kept bool
+	Complete bool
 	// Headers holds names and values in turn.
 	Headers []string
 	Body    []byte
@@ -118,12 +118,12 @@
 	}
 }
 
-func (m claimed) entry() journal.Entry {
+func (m claimRequest) entry() journal.Entry {
 	return encodeEntry(typeClaim, m.Attempt, "c", &m)
 }
 
-func (m abandoned) entry() journal.Entry {
-	return encodeEntry(typeAbandoned, m.Attempt, "a", &m)
+func (m withdrawal) entry() journal.Entry {
+	return encodeEntry(typeWithdrawal, m.Attempt, "a", &m)
 }
 
 func (m outcome) entry() journal.Entry {
@@ -143,9 +143,9 @@
 	var m any
 	switch messageType(body[0]) {
 	case typeClaim:
-		m = new(claimed)
-	case typeAbandoned:
-		m = new(abandoned)
+		m = new(claimRequest)
+	case typeWithdrawal:
+		m = new(withdrawal)
 	case typeOutcome:
 		m = new(outcome)
 	case typeBrokenOff:
@@ -162,7 +162,7 @@
 }
 
 // recorded is the answer that the outcome holds.
-func (m *outcome) recorded() Response {
+func (m *outcome) response() Response {
 	r := Response{Status: int(m.Status), Body: m.Body}
 	for i := 0; i+1 < len(m.Headers); i += 2 {
 		r.Headers = append(r.Headers, upstream.Header{Name: m.Headers[i], Value: m.Headers[i+1]})
@@ -177,7 +177,7 @@
 	if r.size() > maxBytes {
 		return m
 	}
-	m.Kept = true
+	m.Complete = true
 	// The caller's HTTP library may use the answer's memory again.
 	m.Body = bytes.Clone(r.Body)
 	for _, h := range r.Headers {
--- a/claim/outbox.go
+++ b/claim/outbox.go
@@ -17,9 +17,9 @@
 	g.sending++
 	g.active++
 	g.appends.Go(func() {
-		defer g.leave()
-		sent := g.keepAppending(m.Entry)
-		g.locked(func() {
+		defer g.end()
+		sent := g.appendWithRetry(m.Entry)
+		g.withCore(func() {
 			g.sending--
 			if !sent {
 				g.dropped++
@@ -31,33 +31,33 @@
 
 // Bounds of one background append and the wait before the next try.
 const (
-	recordTimeout = 10 * time.Second
-	recordPause   = 500 * time.Millisecond
+	appendTimeout    = 10 * time.Second
+	appendRetryDelay = 500 * time.Millisecond
 )
 
 // keepAppending appends an entry, again and again for RecordFor.
-func (g *Guard) keepAppending(e journal.Entry) bool {
+func (g *Guard) appendWithRetry(e journal.Entry) bool {
 	ctx, cancel := context.WithTimeout(g.background, g.cfg.RecordTimeout)
 	defer cancel()
 	for {
 		if g.appendOnce(ctx, e) {
 			return true
 		}
-		if !pause(ctx, recordPause) {
+		if !sleep(ctx, appendRetryDelay) {
 			return false
 		}
 	}
 }
 
 func (g *Guard) appendOnce(ctx context.Context, e journal.Entry) bool {
-	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
+	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
 	_, err := g.journal.Append(ctx, e)
 	return err == nil
 }
 
 // pause waits for d; it returns false if ctx ends first.
-func pause(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/claim/serve.go
+++ b/claim/serve.go
@@ -26,13 +26,13 @@
 
 // checkpointLooks is how often per retention a Guard looks whether a
 // checkpoint is due.
-const checkpointLooks = 120
+const checkpointChecksPerRetention = 120
 
 // Serve writes checkpoints when they are due, until ctx ends. Then it takes no
 // more calls, waits up to DrainTimeout for those under way and their outcomes,
 // and returns.
 func (g *Guard) Serve(ctx context.Context) error {
-	tick := time.NewTicker(max(g.cfg.Retention/checkpointLooks, time.Millisecond))
+	tick := time.NewTicker(max(g.cfg.Retention/checkpointChecksPerRetention, time.Millisecond))
 	defer tick.Stop()
 	for ctx.Err() == nil {
 		select {
@@ -51,7 +51,7 @@
 	// Asked before the ledger is looked at: all up to here is in the ledger.
 	applied := g.journal.Applied()
 	var parts []journal.Entry
-	g.locked(func() {
+	g.withCore(func() {
 		now := time.Now()
 		if g.core.CheckpointDue(now, now.Round(0)) {
 			parts = g.core.Checkpoint(applied)
@@ -74,7 +74,7 @@
 	defer g.cancel()
 	for g.Stats().Active > 0 {
 		select {
-		case <-g.left:
+		case <-g.ended:
 		case <-timeout.C:
 			return
 		}
@@ -91,7 +91,7 @@
 // that started later is wider than the one accepted.
 func (g *Guard) AcceptGap(ctx context.Context) error {
 	var parts []journal.Entry
-	g.locked(func() { parts = g.core.AcceptGap() })
+	g.withCore(func() { parts = g.core.AcceptGap() })
 	if len(parts) == 0 {
 		return nil
 	}
@@ -100,7 +100,7 @@
 	}
 	applied := g.journal.Applied()
 	parts = nil
-	g.locked(func() {
+	g.withCore(func() {
 		// Not if more has expired meanwhile: it would tell of too little.
 		if g.core.Ledger().Complete() {
 			parts = g.core.Checkpoint(applied)
--- a/lease/chain_test.go
+++ b/lease/chain_test.go
@@ -11,17 +11,17 @@
 	"tamarackchute/journal"
 )
 
-// history is a log of one scope with the states that a reader of all of it
-// went through.
+// history is a log of one scope with the states that a reader of the whole log
+// goes through.
 type history struct {
 	records []journal.Placed
 	states  []ScopeState
-	// accepted tells which records were.
+	// accepted says for each record whether it was accepted.
 	accepted []bool
 }
 
-// add appends a record that its writer made when it had read up to a place;
-// what was written since may make it lose.
+// add appends a record. It is rejected if its writer had not read a record that
+// was accepted meanwhile.
 func (h *history) add(r Record) {
 	at := journal.Position{Offset: infra.Offset(len(h.records) + 1)}
 	p := journal.Placed{Position: at, Entry: journal.Entry{Kind: journal.KindLease, Body: r.Encode()}}
@@ -35,7 +35,7 @@
 	h.accepted = append(h.accepted, ok)
 }
 
-// record is what an honest process writes that has read up to a state.
+// record returns what a correct process writes that has read up to a state.
 func record(t *rapid.T, s ScopeState) Record {
 	who := rapid.SampledFrom([]string{"i1", "i2", "i3"}).Draw(t, "who")
 	r := Record{Scope: "s", Holder: who, Incarnation: "1", Term: time.Second, After: s.Last}
@@ -51,16 +51,16 @@
 	return r
 }
 
-// An instance starts after the log's oldest records have expired. The first
-// record it meets may be one that lost against an expired one; were it to go on
-// believing that, it could hold itself for the leader beside another.
-func TestReaderOfATrimmedLogAgrees(t *testing.T) {
+// Guards against a second leader on an instance that starts after the log's
+// oldest records have expired: the first record it reads may have been rejected
+// against an expired one.
+func TestTrimmedLogReaderConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := &history{}
 		for range rapid.IntRange(1, 40).Draw(t, "records") {
 			known := ScopeState{}
 			if n := len(h.states); n > 0 {
-				// Writers lag behind, some by a lot.
+				// Writers may lag behind the log's end.
 				lag := rapid.SampledFrom([]int{0, 0, 0, 1, 2, 10}).Draw(t, "lag")
 				known = h.states[max(0, n-1-lag)]
 			}
--- a/lease/example_test.go
+++ b/lease/example_test.go
@@ -11,14 +11,14 @@
 	"tamarackchute/lease"
 )
 
-// listed is a platform's list that names every instance.
-type listed struct{}
+// allListed is an instance list that has every instance.
+type allListed struct{}
 
-func (listed) Gone(string, time.Time) bool { return false }
-func (listed) Listed(string) bool          { return true }
+func (allListed) Gone(string, time.Time) bool { return false }
+func (allListed) Listed(string) bool          { return true }
 
-// A process takes part in the lease of a scope, and gives an order while it
-// leads.
+// A process becomes the leader of a scope, gives an order and releases the
+// scope.
 func ExampleKeeper() {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -30,7 +30,7 @@
 		Scope: "cesis-a/fenced", Instance: "i1", Incarnation: "1",
 		Term: 200 * time.Millisecond, Renew: 50 * time.Millisecond,
 	}}
-	keeper := lease.NewKeeper(cfg, j, view, listed{}, log)
+	keeper := lease.NewKeeper(cfg, j, view, allListed{}, log)
 	go func() { _ = j.Serve(ctx) }()
 	go func() { _ = keeper.Serve(ctx) }()
 
@@ -40,17 +40,17 @@
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		fmt.Println("order within", authority.Scope, "with number", authority.FencingToken)
+		fmt.Println("order within", authority.Scope, "with token", authority.FencingToken)
 		done()
 		break
 	}
 	fmt.Println("released:", keeper.Release(ctx) == nil)
 	// Output:
-	// order within cesis-a/fenced with number 1
+	// order within cesis-a/fenced with token 1
 	// released: true
 }
 
-// Two processes claim after the same record. The log's order decides, alike
+// Two processes claim after the same record. The log's order decides, the same
 // for every reader.
 func ExampleState() {
 	var state lease.State
@@ -63,15 +63,15 @@
 		_, accepted := state.Apply(p)
 		fmt.Println(holder, accepted)
 	}
-	fmt.Println("leader:", state.Scope("s").Holder, "number:", state.Scope("s").FencingToken)
+	fmt.Println("leader:", state.Scope("s").Holder, "token:", state.Scope("s").FencingToken)
 	// Output:
 	// i1 true
 	// i2 false
-	// leader: i1 number: 1
+	// leader: i1 token: 1
 }
 
-// The pure machine tells what to append next: a claim, once the holder's term,
-// drift added, has passed since its last record was read.
+// The machine returns what to append next: a claim, once the holder's term plus
+// clock drift has passed since its last record was read.
 func ExampleMachine() {
 	start := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	m := lease.NewMachine(lease.Config{
--- a/lease/keeper.go
+++ b/lease/keeper.go
@@ -14,27 +14,27 @@
 	"tamarackchute/journal"
 )
 
-// Presence tells a keeper about other instances, from the platform's list.
+// Presence tells which instances the platform's list has.
 type Presence interface {
-	// Gone reports that the list hasn't named the instance in any answer that
-	// was asked for after a time, over at least the time by which it may lag.
+	// Gone reports that no response of the list that was requested after a time
+	// has the instance, over at least the time by which the list may lag.
 	Gone(instance string, after time.Time) bool
-	// Listed reports that the last answer names the instance.
+	// Listed reports that the list's last response has the instance.
 	Listed(instance string) bool
 }
 
-// KeeperConfig sets a Keeper.
+// KeeperConfig configures a Keeper.
 type KeeperConfig struct {
 	Config
 	// Writer names this process in journal entries.
 	Writer string
-	// AddressBound says that the process holds its instance's exclusive
-	// listening address, and keeps it until it ends.
+	// AddressBound says that the process has bound its instance's exclusive
+	// listening address and keeps it until it ends.
 	AddressBound bool
 }
 
-// Keeper keeps this process's part in the lease of one scope: it claims,
-// renews and releases. It is a suture service.
+// Keeper claims, renews and releases the lease of one scope for this process.
+// It is a suture service.
 type Keeper struct {
 	cfg      KeeperConfig
 	journal  journal.Writer
@@ -44,27 +44,28 @@
 
 	mu      sync.Mutex
 	machine *Machine
-	// closing stops new uses of the authority, inHand counts the running ones.
-	closing int
-	inHand  int
+	// closers counts the releases under way, which refuse new uses of the
+	// authority; active counts the uses that have not ended.
+	closers int
+	active  int
 	idle    chan struct{}
-	nudge   chan struct{}
+	wake    chan struct{}
 }
 
-// NewKeeper returns a keeper that writes to a journal and reads a view which
-// is folded from the same journal.
+// NewKeeper returns a keeper that writes to a journal and reads a view folded
+// from the same journal.
 func NewKeeper(cfg KeeperConfig, w journal.Writer, v *View, p Presence, log *slog.Logger) *Keeper {
 	return &Keeper{
 		cfg: cfg, journal: w, view: v, presence: p, log: log.With("scope", cfg.Scope),
 		machine: NewMachine(cfg.Config, time.Now()),
-		nudge:   make(chan struct{}, 1),
+		wake:    make(chan struct{}, 1),
 	}
 }
 
 // Scope returns the keeper's scope.
 func (k *Keeper) Scope() string { return k.cfg.Scope }
 
-// String names the service for the supervisor's log.
+// String returns the service's name for the supervisor's log.
 func (k *Keeper) String() string { return "lease " + k.cfg.Scope }
 
 // Serve claims and renews until the context ends. It doesn't release.
@@ -83,26 +84,26 @@
 
 func (k *Keeper) step() Step {
 	s := k.view.Scope(k.cfg.Scope)
-	see := k.sight(s)
+	obs := k.observation(s)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
-	if k.closing > 0 {
+	if k.closers > 0 {
 		return Step{WakeAt: now.Add(k.cfg.Renew)}
 	}
-	return k.machine.Step(s, see, now)
+	return k.machine.Step(s, obs, now)
 }
 
-func (k *Keeper) sight(s ScopeState) Observation {
-	see := Observation{AddressBound: k.cfg.AddressBound, SelfListed: k.presence.Listed(k.cfg.Instance)}
+func (k *Keeper) observation(s ScopeState) Observation {
+	obs := Observation{AddressBound: k.cfg.AddressBound, SelfListed: k.presence.Listed(k.cfg.Instance)}
 	if s.Held && s.Holder != k.cfg.Instance {
-		see.HolderGone = k.presence.Gone(s.Holder, s.LastReadAt)
+		obs.HolderGone = k.presence.Gone(s.Holder, s.LastReadAt)
 	}
-	return see
+	return obs
 }
 
-// append sends one record and takes its verdict in. A release first waits
-// until no order is in hand.
+// append sends a record and observes whether it was accepted. A release first
+// waits until no use of the authority is active.
 func (k *Keeper) append(ctx context.Context, r Record) {
 	if r.Op == OpRelease {
 		if !k.quiesce(ctx) {
@@ -110,13 +111,13 @@
 		}
 		defer k.reopen()
 	}
-	id := k.sending(r)
+	id := k.beginSend(r)
 	sendCtx, cancel := context.WithTimeout(ctx, k.cfg.Term)
 	_, err := k.journal.Append(sendCtx, journal.Entry{
 		Kind: journal.KindLease, ID: id, Writer: k.cfg.Writer, Body: r.Encode(),
 	})
 	cancel()
-	accepted := k.appended(id, err)
+	accepted := k.observeAppend(id, err)
 	if accepted || ctx.Err() != nil {
 		return
 	}
@@ -124,7 +125,7 @@
 	k.sleep(ctx, nil, time.Now().Add(k.cfg.Renew/2))
 }
 
-func (k *Keeper) sending(r Record) (id string) {
+func (k *Keeper) beginSend(r Record) (id string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	id = k.machine.PendingID(r)
@@ -135,9 +136,9 @@
 	return id
 }
 
-// appended takes in what became of an append, and reports whether the record
-// is the scope's last accepted one.
-func (k *Keeper) appended(id string, err error) bool {
+// observeAppend passes the outcome of an append to the machine, and reports
+// whether the record is the scope's last accepted one.
+func (k *Keeper) observeAppend(id string, err error) bool {
 	s := k.view.Scope(k.cfg.Scope)
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -148,75 +149,77 @@
 	return s.LastID == id
 }
 
-// sleep waits until a time, a change of the view or the context's end.
+// sleep waits until a time, a change of the view, a call of Renumber or the
+// context's end.
 func (k *Keeper) sleep(ctx context.Context, changed <-chan struct{}, until time.Time) {
 	t := time.NewTimer(time.Until(until))
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
 	case <-changed:
-	case <-k.nudge:
+	case <-k.wake:
 	case <-t.C:
 	}
 }
 
-// Authority returns the right to give orders in the scope now, if this
+// Authority returns the current right to give orders in the scope, if this
 // process has it.
 func (k *Keeper) Authority() (Authority, bool) {
 	s := k.view.Scope(k.cfg.Scope)
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.closing > 0 {
+	if k.closers > 0 {
 		return Authority{}, false
 	}
 	return k.machine.Authority(s, time.Now())
 }
 
 // Use begins an action under the authority and returns a function that ends
-// it. A release waits for the end, so an order in hand is always finished
-// before another process may take the scope by this one's release.
+// it. A release waits for the end, so an order in progress is finished before
+// another process can claim the scope after this one's release.
 func (k *Keeper) Use() (Authority, func(), bool) {
 	s := k.view.Scope(k.cfg.Scope)
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.closing > 0 {
+	if k.closers > 0 {
 		return Authority{}, nil, false
 	}
 	a, ok := k.machine.Authority(s, time.Now())
 	if !ok {
 		return Authority{}, nil, false
 	}
-	k.inHand++
-	return a, sync.OnceFunc(k.done), true
+	k.active++
+	return a, sync.OnceFunc(k.endUse), true
 }
 
-func (k *Keeper) done() {
+func (k *Keeper) endUse() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.inHand--
-	if k.inHand == 0 && k.idle != nil {
+	k.active--
+	if k.active == 0 && k.idle != nil {
 		close(k.idle)
 		k.idle = nil
 	}
 }
 
-// Renumber begins a new term with a higher fencing number, which outdates
-// every order that this process has sent before.
+// Renumber begins a new term with a higher fencing token, which outdates every
+// order that this process has sent before.
 func (k *Keeper) Renumber() {
 	k.mu.Lock()
 	k.machine.Renumber()
 	k.mu.Unlock()
 	select {
-	case k.nudge <- struct{}{}:
+	case k.wake <- struct{}{}:
 	default:
 	}
 }
 
-// quiesce stops new uses of the authority and waits for the running ones.
+// quiesce refuses new uses of the authority and waits for the active ones. It
+// returns false if the context ends first.
 func (k *Keeper) quiesce(ctx context.Context) bool {
 	k.mu.Lock()
-	k.closing++
-	if k.inHand == 0 {
+	k.closers++
+	if k.active == 0 {
 		k.mu.Unlock()
 		return true
 	}
@@ -234,28 +237,29 @@
 	}
 }
 
+// reopen undoes a quiesce.
 func (k *Keeper) reopen() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.closing--
+	k.closers--
 }
 
-// Release gives the scope up for good, after the actions in hand have ended,
-// and returns once the journal shows it. The keeper gives no authority from
-// the call on. Its error means that the release may not be in the log.
+// Release releases the scope for good, after the active uses have ended, and
+// returns once the journal shows it. From the call on the keeper gives no
+// authority. An error means that the release may not be in the log.
 func (k *Keeper) Release(ctx context.Context) error {
 	k.mu.Lock()
-	k.closing++
+	k.closers++
 	k.mu.Unlock()
 	if !k.quiesce(ctx) {
-		return eris.Wrap(ctx.Err(), "lease: an order is still in hand")
+		return eris.Wrap(ctx.Err(), "lease: an order is still in progress")
 	}
 	for {
 		changed := k.view.Changed()
 		s := k.view.Scope(k.cfg.Scope)
 		k.mu.Lock()
 		r, held := k.machine.Release(s)
-		claiming, until := k.machine.claiming(s, time.Now())
+		claiming, until := k.machine.pendingClaim(s, time.Now())
 		k.mu.Unlock()
 		if !held && !claiming {
 			return nil
@@ -267,7 +271,7 @@
 			k.append(ctx, r)
 			continue
 		}
-		k.log.Info("lease claim under way; the release waits for it", "until", until)
+		k.log.Info("lease release waits for a pending claim", "until", until)
 		k.sleep(ctx, changed, until)
 	}
 }
--- a/lease/keeper_test.go
+++ b/lease/keeper_test.go
@@ -17,55 +17,54 @@
 	"tamarackchute/journal/journaltest"
 )
 
-// everywhere is a list that names every instance.
-type everywhere struct{}
+// allListed is an instance list that has every instance.
+type allListed struct{}
 
-func (everywhere) Gone(string, time.Time) bool { return false }
-func (everywhere) Listed(string) bool          { return true }
+func (allListed) Gone(string, time.Time) bool { return false }
+func (allListed) Listed(string) bool          { return true }
 
-// member is one process: a journal, a view and a keeper.
-type member struct {
+// process is one process: a journal, a view and a keeper.
+type process struct {
 	*Keeper
 	view   *View
 	cancel context.CancelFunc
 	done   conc.WaitGroup
 }
 
-func join(log *journaltest.Log, instance string, delay time.Duration) *member {
+func startProcess(log *journaltest.Log, instance string, delay time.Duration) *process {
 	quiet := slog.New(slog.DiscardHandler)
-	m := &member{view: NewView()}
+	p := &process{view: NewView()}
 	j := journal.New(log, journal.Config{Writer: instance, Logger: quiet})
-	j.Register(journal.KindLease, m.view)
+	j.Register(journal.KindLease, p.view)
 	cfg := KeeperConfig{Writer: instance, AddressBound: true, Config: Config{
 		Scope: "s", Instance: instance, Incarnation: "1", Term: 3 * time.Second, Renew: time.Second,
 		Drift: 0.01, ClaimDelay: delay, Retention: time.Hour,
 	}}
-	m.Keeper = NewKeeper(cfg, j, m.view, everywhere{}, quiet)
+	p.Keeper = NewKeeper(cfg, j, p.view, allListed{}, quiet)
 	ctx, cancel := context.WithCancel(context.Background())
-	m.cancel = cancel
-	m.done.Go(func() { _ = j.Serve(ctx) })
-	m.done.Go(func() { _ = m.Serve(ctx) })
-	return m
+	p.cancel = cancel
+	p.done.Go(func() { _ = j.Serve(ctx) })
+	p.done.Go(func() { _ = p.Serve(ctx) })
+	return p
 }
 
-func (m *member) leave() {
-	m.cancel()
-	m.done.Wait()
+func (p *process) stop() {
+	p.cancel()
+	p.done.Wait()
 }
 
-func leaders(members []*member) (n int) {
-	for _, m := range members {
-		if _, ok := m.Authority(); ok {
+func countLeaders(processes []*process) (n int) {
+	for _, p := range processes {
+		if _, ok := p.Authority(); ok {
 			n++
 		}
 	}
 	return n
 }
 
-// The log loses replies and appends, takes some late, and is down for a while.
-// Whatever happens there must never be two leaders, and afterwards there must
-// be one again.
-func TestKeepersOverAFaultyLog(t *testing.T) {
+// Guards against two leaders at a time, and against none after the faults, while
+// the log loses replies and appends, stores some appends late and has outages.
+func TestKeepersOnFaultyLog(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { faultyLog(t, rand.New(rand.NewPCG(seed, 1))) })
@@ -77,16 +76,16 @@
 	log := journaltest.NewLog()
 	log.SetLatency(10 * time.Millisecond)
 	log.SetLateAfter(4 * time.Second)
-	var members []*member
+	var processes []*process
 	for i := range 3 {
-		members = append(members, join(log, fmt.Sprint("i", i), time.Duration(i)*50*time.Millisecond))
+		processes = append(processes, startProcess(log, fmt.Sprint("i", i), time.Duration(i)*50*time.Millisecond))
 	}
 	faults := []journaltest.Fault{
 		journaltest.FaultNone, journaltest.FaultNone, journaltest.FaultNotWritten, journaltest.FaultReplyLost,
 		journaltest.FaultLost, journaltest.FaultLate, journaltest.FaultHang,
 	}
 	appends := -1
-	for tick := range 6000 { // a minute
+	for tick := range 6000 { // one minute
 		if n := log.Appends(); n != appends {
 			log.Fail(faults[rng.IntN(len(faults))])
 			appends = n
@@ -98,69 +97,69 @@
 			log.Outage(false)
 		}
 		time.Sleep(10 * time.Millisecond)
-		require.LessOrEqual(t, leaders(members), 1)
+		require.LessOrEqual(t, countLeaders(processes), 1)
 	}
-	time.Sleep(2 * time.Minute) // the faults left over are used up by then
-	assert.Equal(t, 1, leaders(members))
-	for _, m := range members {
-		m.leave()
+	time.Sleep(2 * time.Minute) // by then the remaining faults are used up
+	assert.Equal(t, 1, countLeaders(processes))
+	for _, p := range processes {
+		p.stop()
 	}
 }
 
-// A controller is being stopped while an order is on its way. Were the scope
-// released before the order's end, the next leader could send its own first.
-func TestReleaseWaitsForTheOrderInHand(t *testing.T) {
+// Guards against a release while an order is in flight: the next leader could
+// send an order that arrives first.
+func TestReleaseWaitsForActiveOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := journaltest.NewLog()
-		m := join(log, "i1", 0)
+		p := startProcess(log, "i1", 0)
 		time.Sleep(5 * time.Second)
-		_, done, ok := m.Use()
+		_, done, ok := p.Use()
 		require.True(t, ok)
 		released := make(chan error, 1)
-		go func() { released <- m.Release(t.Context()) }()
+		go func() { released <- p.Release(t.Context()) }()
 		time.Sleep(10 * time.Second)
-		assert.True(t, m.view.Scope("s").Held)
-		_, _, ok = m.Use()
+		assert.True(t, p.view.Scope("s").Held)
+		_, _, ok = p.Use()
 		assert.False(t, ok, "no new order")
 		done()
 		require.NoError(t, <-released)
-		assert.False(t, m.view.Scope("s").Held)
-		m.leave()
+		assert.False(t, p.view.Scope("s").Held)
+		p.stop()
 	})
 }
 
-// Guards against a process that stops without releasing what it has just claimed, as its own
-// reader hasn't shown it the claim yet: nobody would lead for a term.
-func TestReleaseWaitsForTheClaimUnderWay(t *testing.T) {
+// Guards against a process that stops without releasing a claim that it has sent
+// but not yet read back: the scope would have no leader for a term.
+func TestReleaseWaitsForPendingClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := journaltest.NewLog()
 		log.SetLateAfter(time.Second)
 		log.Fail(journaltest.FaultHang)
-		m := join(log, "i1", 0)
+		p := startProcess(log, "i1", 0)
 		time.Sleep(3500 * time.Millisecond)
 		require.Equal(t, 1, log.Appends())
-		require.False(t, m.view.Scope("s").Known)
-		require.NoError(t, m.Release(t.Context()))
+		require.False(t, p.view.Scope("s").Known)
+		require.NoError(t, p.Release(t.Context()))
 		time.Sleep(10 * time.Second)
-		assert.True(t, m.view.Scope("s").Known)
-		assert.False(t, m.view.Scope("s").Held)
-		m.leave()
+		assert.True(t, p.view.Scope("s").Known)
+		assert.False(t, p.view.Scope("s").Held)
+		p.stop()
 	})
 }
 
-// An order got no reply. Its sender asks for a higher number, so that the
-// engine refuses the copy that may still be under way.
-func TestRenumberBeginsATermWithAHigherNumber(t *testing.T) {
+// After an order without a reply, its sender needs a higher fencing token, so
+// that the engine refuses a copy that may still be in flight.
+func TestRenumberRaisesFencingToken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := join(journaltest.NewLog(), "i1", 0)
+		p := startProcess(journaltest.NewLog(), "i1", 0)
 		time.Sleep(5 * time.Second)
-		before, ok := m.Authority()
+		before, ok := p.Authority()
 		require.True(t, ok)
-		m.Renumber()
+		p.Renumber()
 		time.Sleep(2 * time.Second)
-		after, ok := m.Authority()
+		after, ok := p.Authority()
 		require.True(t, ok)
 		assert.Greater(t, after.FencingToken, before.FencingToken)
-		m.leave()
+		p.stop()
 	})
 }
--- a/lease/record.go
+++ b/lease/record.go
@@ -13,69 +13,70 @@
 // Op says what a record does to its scope.
 type Op uint8
 
-// The operations. Their numbers stand in the log: never reuse one.
+// The operations. Their numbers are stored in the log: never reuse one.
 const (
 	OpClaim   Op = 1
 	OpRenewal Op = 2
 	OpRelease Op = 3
-	// OpCheckpoint repeats a scope's state unchanged, so that the log's
-	// retention doesn't take the only record that tells who held it.
+	// OpCheckpoint repeats a scope's state unchanged, so that the only record
+	// that names the holder doesn't expire from the log.
 	OpCheckpoint Op = 4
 )
 
-// Ground says why a claimant may take a scope.
+// Basis says why a claimant may take a scope.
 type Basis uint8
 
-// The grounds. Their numbers stand in the log: never reuse one.
+// The bases of a claim. Their numbers are stored in the log: never reuse one.
 const (
-	// GroundFirst: no record of the scope is known.
+	// BasisFirst: no record of the scope is known.
 	BasisFirst Basis = 1
-	// GroundReleased: the holder gave the scope up.
+	// BasisReleased: the holder released the scope.
 	BasisReleased Basis = 2
-	// GroundExpired: the holder's term, drift added, has passed since its
-	// last record was read. No ground for a scope that passes by proof.
+	// BasisExpired: the holder's term plus clock drift has passed since its
+	// last record was read. Not valid for an unfenced scope.
 	BasisExpired Basis = 3
-	// GroundSuccessor: the claimant runs on the holder's instance and has
+	// BasisSuccessor: the claimant runs on the holder's instance and has
 	// bound the instance's exclusive address, so the former process is dead.
 	BasisSuccessor Basis = 4
-	// GroundGone: the platform's list no longer names the holder's instance.
+	// BasisGone: the platform's instance list no longer has the holder's
+	// instance.
 	BasisGone Basis = 5
-	// GroundRenumber: the holder itself begins a new term, to get a higher
-	// fencing number than any of its orders still under way.
+	// BasisRenumber: the holder begins a new term, to get a higher fencing
+	// token than that of any of its orders in flight.
 	BasisRenumber Basis = 6
 )
 
-// String names the ground for logs and the audit trail.
-func (g Basis) String() string {
+// String returns the name used in logs, metrics and the audit trail.
+func (b Basis) String() string {
 	names := [...]string{"none", "first", "released", "expired", "successor", "gone", "renumber"}
-	if int(g) < len(names) {
-		return names[g]
+	if int(b) < len(names) {
+		return names[b]
 	}
 	return "unknown"
 }
 
 // Record is the body of a journal entry of kind KindLease. Every record but a
-// claim repeats the term's number and beginning, so that a reader can start
-// at any of them after the claim itself has expired from the log.
+// claim repeats the term's fencing token and start, so that a reader can start
+// at any of them after the claim has expired from the log.
 type Record struct {
 	Op    Op     `msgpack:"op"`
 	Scope string `msgpack:"s"`
-	// Holder is the instance, Incarnation the process on it.
+	// Holder is the holder's instance, Incarnation the process on it.
 	Holder      string `msgpack:"h"`
 	Incarnation string `msgpack:"n"`
 	// Term is how long the holder may act on this record.
 	Term time.Duration `msgpack:"t"`
 	// After is the scope's last accepted record as the writer knew it.
 	After journal.Position `msgpack:"a"`
-	// ByProof marks a scope that never passes on by time alone.
+	// Unfenced marks a scope whose lease never changes hands by expiry alone.
 	Unfenced bool `msgpack:"p,omitempty"`
-	// Ground is set on claims.
+	// Basis is set on claims only.
 	Basis Basis `msgpack:"g,omitempty"`
-	// Fence, Since and Released repeat the state; unset on claims.
+	// FencingToken, Since and Released repeat the scope's state; unset on claims.
 	FencingToken uint64    `msgpack:"f,omitempty"`
 	Since        time.Time `msgpack:"b"`
 	Released     bool      `msgpack:"r,omitempty"`
-	// Era is the log's, as the writer knew it.
+	// Era is the log's era as the writer knew it.
 	Era uint64 `msgpack:"e,omitempty"`
 }
 
@@ -83,13 +84,13 @@
 func (r Record) Encode() []byte {
 	b, err := msgpack.Marshal(&r)
 	if err != nil {
-		panic(eris.Wrap(err, "lease: a record of plain fields must encode"))
+		panic(eris.Wrap(err, "lease: encode record"))
 	}
 	return b
 }
 
-// DecodeRecord reads the body of a journal entry. Its error means that the
-// entry is no lease record and changes nothing.
+// DecodeRecord decodes the body of a journal entry. An error means that the
+// entry is not a lease record and must be ignored.
 func DecodeRecord(body []byte) (Record, error) {
 	var r Record
 	if err := codec.Unmarshal(body, &r); err != nil {
--- a/lease/restore_test.go
+++ b/lease/restore_test.go
@@ -13,7 +13,7 @@
 	"tamarackchute/journal"
 )
 
-// restoredLog is a log that may come back from an older copy.
+// restoredLog is a log that can be restored from an older copy.
 type restoredLog struct {
 	era     uint64
 	records []journal.Placed
@@ -24,7 +24,7 @@
 	l.records = append(l.records, journal.Placed{Position: at, Entry: journal.Entry{Kind: journal.KindLease, ID: id, Body: r.Encode()}})
 }
 
-// restore loses the newest records. Those that are left have places in the new era.
+// restore drops the newest records. The others get offsets in the new era.
 func (l *restoredLog) restore(lost int) {
 	l.era++
 	l.records = l.records[:max(0, len(l.records)-lost)]
@@ -48,7 +48,7 @@
 	return &claimant{name: name, machine: NewMachine(cfg, now), seen: make(map[string]bool)}
 }
 
-// read folds up to a number of records, after a restore from the oldest on.
+// read folds up to most records, beginning at the oldest one after a restore.
 func (c *claimant) read(l *restoredLog, most int, now time.Time) {
 	if c.next == 0 {
 		c.next = infra.NewOffset(l.era, 1)
@@ -78,7 +78,7 @@
 
 // write returns what the claimant appends next, if anything.
 func (c *claimant) write(now time.Time) (id string, r Record, ok bool) {
-	step := c.machine.Step(c.state.Scope("s"), here, now)
+	step := c.machine.Step(c.state.Scope("s"), present, now)
 	if step.Record == nil {
 		return "", Record{}, false
 	}
@@ -91,9 +91,9 @@
 	return id, *step.Record, true
 }
 
-// Guards against two processes that give orders at a time, or under fencing numbers that go
-// back, when the log comes back from an older copy.
-func TestOneHolderOverRestores(t *testing.T) {
+// Guards against two processes with authority at a time, and against fencing
+// tokens that decrease, when the log is restored from an older copy.
+func TestOneHolderAcrossRestores(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		log := &restoredLog{}
 		now := testStart
@@ -102,11 +102,11 @@
 			id string
 			r  Record
 		}
-		var underWay []late
-		newest, newestOf := uint64(0), ""
-		var story []string
-		tell := func(format string, args ...any) {
-			story = append(story, now.Sub(testStart).String()+" "+fmt.Sprintf(format, args...))
+		var delayed []late
+		highest, highestOf := uint64(0), ""
+		var trace []string
+		logf := func(format string, args ...any) {
+			trace = append(trace, now.Sub(testStart).String()+" "+fmt.Sprintf(format, args...))
 		}
 		for range rapid.IntRange(20, 300).Draw(t, "steps") {
 			c := rapid.SampledFrom(all).Draw(t, "who")
@@ -114,27 +114,27 @@
 			case 0:
 				lost := rapid.IntRange(0, 6).Draw(t, "lost")
 				log.restore(lost)
-				tell("restored to era %d, %d lost, %d left", log.era, lost, len(log.records))
+				logf("restored to era %d, %d lost, %d left", log.era, lost, len(log.records))
 			case 1:
-				if len(underWay) > 0 {
-					i := rapid.IntRange(0, len(underWay)-1).Draw(t, "which")
-					log.append(underWay[i].id, underWay[i].r)
-					tell("%s arrives as %d", underWay[i].id, len(log.records))
-					underWay = append(underWay[:i], underWay[i+1:]...)
+				if len(delayed) > 0 {
+					i := rapid.IntRange(0, len(delayed)-1).Draw(t, "which")
+					log.append(delayed[i].id, delayed[i].r)
+					logf("%s is appended late at index %d", delayed[i].id, len(log.records))
+					delayed = append(delayed[:i], delayed[i+1:]...)
 				}
 			case 2, 3, 4, 5, 6:
 				now = now.Add(time.Duration(rapid.IntRange(1, 1500).Draw(t, "ms")) * time.Millisecond)
 			case 7, 8, 9, 10, 11, 12:
 				c.read(log, rapid.IntRange(1, 8).Draw(t, "most"), now)
-				tell("%s has read up to %v: %s %s by %v", c.name, c.next, c.state.Scope("s").Holder, c.state.Scope("s").LastID, infra.Offset(c.state.Scope("s").FencingToken))
+				logf("%s has read up to %v: holder %s, record %s, token %v", c.name, c.next, c.state.Scope("s").Holder, c.state.Scope("s").LastID, infra.Offset(c.state.Scope("s").FencingToken))
 			default:
 				id, r, ok := c.write(now)
 				if ok && rapid.IntRange(0, 5).Draw(t, "delayed") == 0 {
-					underWay = append(underWay, late{id, r})
-					tell("%s sends %s late: op %d ground %v after %v era %d", c.name, id, r.Op, r.Basis, r.After.Offset, r.Era)
+					delayed = append(delayed, late{id, r})
+					logf("%s sends %s late: op %d basis %v after %v era %d", c.name, id, r.Op, r.Basis, r.After.Offset, r.Era)
 				} else if ok {
 					log.append(id, r)
-					tell("%s appends %s: op %d ground %v after %v era %d", c.name, id, r.Op, r.Basis, r.After.Offset, r.Era)
+					logf("%s appends %s: op %d basis %v after %v era %d", c.name, id, r.Op, r.Basis, r.After.Offset, r.Era)
 				}
 			}
 			var holders []string
@@ -144,19 +144,20 @@
 					continue
 				}
 				holders = append(holders, c.name)
-				if a.FencingToken < newest || a.FencingToken == newest && newestOf != c.name {
-					t.Fatalf("%s holds by %v after %s did by %v:\n%s", c.name, infra.Offset(a.FencingToken), newestOf, infra.Offset(newest), strings.Join(story, "\n"))
+				if a.FencingToken < highest || a.FencingToken == highest && highestOf != c.name {
+					t.Fatalf("%s has authority by token %v after %s had it by %v:\n%s", c.name, infra.Offset(a.FencingToken), highestOf, infra.Offset(highest), strings.Join(trace, "\n"))
 				}
-				newest, newestOf = a.FencingToken, c.name
+				highest, highestOf = a.FencingToken, c.name
 			}
-			require.LessOrEqual(t, len(holders), 1, "%v:\n%s", holders, strings.Join(story, "\n"))
+			require.LessOrEqual(t, len(holders), 1, "%v:\n%s", holders, strings.Join(trace, "\n"))
 		}
 	})
 }
 
-// Guards against a scope that goes back to its former holder, by a renewal that was sent before
-// its writer knew of the restore and arrives after another's claim.
-func TestRecordFromBeforeARestoreComesTooLate(t *testing.T) {
+// Guards against a scope that returns to its earlier holder, by a renewal that
+// was sent before its writer knew of the restore and arrives after another
+// process's claim.
+func TestRenewalFromBeforeRestoreIsRejected(t *testing.T) {
 	var s State
 	apply := func(index uint64, id string, r Record) bool {
 		r.Scope, r.Incarnation, r.Term = "s", "1", time.Second
@@ -170,7 +171,7 @@
 	renewal := Record{Op: OpRenewal, Holder: "former", FencingToken: 90, After: lost}
 
 	s.Restored(testStart, infra.NewOffset(1, 1))
-	require.True(t, apply(1, "a", renewal), "nobody has claimed: its holder goes on")
+	require.True(t, apply(1, "a", renewal), "without another claim the holder goes on")
 
 	s.Restored(testStart, infra.NewOffset(1, 1))
 	require.True(t, apply(1, "b", Record{Op: OpClaim, Holder: "new", Basis: BasisFirst, Era: 1}))
--- a/lease/state.go
+++ b/lease/state.go
@@ -7,11 +7,12 @@
 	"tamarackchute/journal"
 )
 
-// ScopeState is what the accepted records say about a scope. All fields but
-// LastReadAt are alike in every process that has read as far.
+// ScopeState is the fold of a scope's accepted records. LastReadAt, RestoredAt
+// and Provisional are this process's own; the other fields are equal in every
+// process that has read up to the same position.
 type ScopeState struct {
 	Scope string
-	// Known is false until a record of the scope has been accepted.
+	// Known is set once a record of the scope has been accepted.
 	Known bool
 	// Held is false once the holder has released the scope.
 	Held        bool
@@ -19,53 +20,54 @@
 	Incarnation string
 	Term        time.Duration
 	Unfenced    bool
-	// Fence is the fencing number: the offset of the claim of this term.
+	// FencingToken is the offset of the claim that began this term.
 	FencingToken uint64
-	// Since is the log's wall clock when it took that claim.
+	// Since is the log's wall clock at that claim.
 	Since time.Time
-	// Ground is why the claim was allowed; zero if the claim had expired from
+	// Basis is why the claim was allowed; zero if the claim had expired from
 	// the log before this process started.
 	Basis Basis
-	// Last and LastID name the last accepted record.
+	// Last and LastID are the position and entry ID of the last accepted record.
 	Last   journal.Position
 	LastID string
-	// LastAt is the log's wall clock when it took that record.
+	// LastAt is the log's wall clock at that record.
 	LastAt time.Time
-	// LastReadAt is this process's own clock just after it read that record.
+	// LastReadAt is this process's clock just after it read that record.
 	LastReadAt time.Time
 
-	// RestoredAt is when this process learnt that the log had come back from an older
-	// copy; zero if it never did.
+	// RestoredAt is when this process learned that the log had been restored from
+	// an older copy; zero if it never was.
 	RestoredAt time.Time
 
-	// Era is the log's, as far as this process knows.
+	// Era is the log's era, as far as this process knows.
 	Era uint64
 
-	// Uncertain is true if the last accepted record is all that this process
-	// knows of the scope, and earlier ones have expired: it may yet prove to
-	// have lost.
+	// Provisional is set if the last accepted record is all that this process
+	// knows of the scope, and earlier ones have expired: later records may
+	// still show that it had been rejected.
 	Provisional bool
 
 	chain Chain
-	// own says that a record was accepted whose writer knew of the log's present era.
-	// Those of the copy, and of writers that don't know of the restore yet, count until
-	// then only.
-	own bool
+	// currentEra is set once a record was accepted whose writer knew the log's
+	// current era. Only until then are records accepted that were restored with
+	// the copy, or whose writers don't know of the restore.
+	currentEra bool
 }
 
-// HeldBy reports whether that process holds the scope, as far as records say.
+// HeldBy reports whether that process holds the scope by the accepted records.
+// Whether its term still runs is not considered.
 func (s ScopeState) HeldBy(instance, incarnation string) bool {
 	return s.Held && s.Holder == instance && s.Incarnation == incarnation
 }
 
-// formerFence reports whether the fencing number is of an earlier era than the log's. A
-// higher one may have been given out since, by a record that is lost.
-func (s ScopeState) formerFence() bool { return infra.Offset(s.FencingToken).Era() < s.Era }
+// hasStaleToken reports whether the fencing token is of an earlier era than the
+// log's. A record that the restore lost may have issued a higher one.
+func (s ScopeState) hasStaleToken() bool { return infra.Offset(s.FencingToken).Era() < s.Era }
 
-// Apply returns the state after a record, and whether it was accepted.
+// Apply returns the state after a record and whether the record was accepted.
 func (s ScopeState) Apply(p journal.Placed, r Record) (ScopeState, bool) {
 	era := p.Position.Offset.Era()
-	if s.own && r.Era < era {
+	if s.currentEra && r.Era < era {
 		return s, false
 	}
 	link := s.chain.Classify(r.After, p.Position)
@@ -78,7 +80,7 @@
 	next := s.with(p, r)
 	next.chain.Accept(link, r.After, p.Position)
 	next.Era = era
-	next.own = s.own || r.Era == era
+	next.currentEra = s.currentEra || r.Era == era
 	next.Last = p.Position
 	next.LastID = p.Entry.ID
 	next.LastAt = p.At
@@ -86,7 +88,7 @@
 	return next, true
 }
 
-// allows reports whether the operation fits the state it follows.
+// allows reports whether the state permits the record's operation.
 func (s ScopeState) allows(r Record) bool {
 	if r.Op == OpClaim {
 		return s.allowsClaim(r)
@@ -98,9 +100,9 @@
 	return same && s.Held
 }
 
-// allowsClaim checks what the records can show of a claim's ground. That a
-// term has run out on the claimant's clock, or that the list no longer names
-// an instance, the claimant alone knows.
+// allowsClaim checks as much of a claim's basis as the records can show. Only
+// the claimant knows whether a term has expired by its clock, or whether the
+// instance list no longer has an instance.
 func (s ScopeState) allowsClaim(r Record) bool {
 	switch r.Basis {
 	case BasisReleased:
@@ -143,18 +145,18 @@
 // State is the pure fold over all scopes. The zero value is empty.
 type State struct {
 	scopes map[string]ScopeState
-	// gapAt is when this reader last learnt that it had missed records, or that they
-	// were lost.
-	gapAt time.Time
-	// restoredAt is when it learnt that the log had come back from an older copy, era
-	// the one that it is in since.
+	// trimmedAt is when this reader last learned that it had missed records, or
+	// that a restore had lost some.
+	trimmedAt time.Time
+	// restoredAt is when it learned that the log had been restored from an older
+	// copy, era the log's era since then.
 	restoredAt time.Time
 	era        uint64
 }
 
 // Apply folds one journal entry and reports whether it was an accepted record.
 func (s *State) Apply(p journal.Placed) (ScopeState, bool) {
-	s.noteEra(p)
+	s.observeEra(p)
 	if p.Entry.Kind != journal.KindLease {
 		return ScopeState{}, false
 	}
@@ -166,7 +168,7 @@
 	if !ok {
 		return ScopeState{}, false
 	}
-	next.Provisional = !s.gapAt.IsZero() && next.chain.Provisional()
+	next.Provisional = !s.trimmedAt.IsZero() && next.chain.Provisional()
 	next.RestoredAt = s.restoredAt
 	if s.scopes == nil {
 		s.scopes = make(map[string]ScopeState)
@@ -175,19 +177,19 @@
 	return next, true
 }
 
-// noteEra takes the first record of an era for the news of a restore: a reader that begins
-// then can't know how long ago it was.
-func (s *State) noteEra(p journal.Placed) {
+// observeEra treats the first record of a new era as a restore at this time: a
+// reader that starts with it can't know how long ago the restore was.
+func (s *State) observeEra(p journal.Placed) {
 	if era := p.Position.Offset.Era(); era > s.era {
 		s.era, s.restoredAt = era, p.ReadAt
 	}
 }
 
-// Gap takes note that records have expired before they were read. What was
-// known is kept, but the next record of a scope may follow one that was
-// missed, and nobody may conclude from silence before a whole term from now.
+// Trimmed notes that records expired before they were read. The known state is
+// kept, but the next record of a scope may follow a missed one, and the time
+// without records counts from now, so no claim is made before a full term.
 func (s *State) Trimmed(now time.Time) {
-	s.gapAt = now
+	s.trimmedAt = now
 	for name, scope := range s.scopes {
 		scope.chain.Reset()
 		scope.LastReadAt = now
@@ -204,14 +206,14 @@
 	return scope
 }
 
-// unknown is the state of a scope without a record.
+// unknown returns the state of a scope without records.
 func (s *State) unknown() ScopeState {
-	return ScopeState{LastReadAt: s.gapAt, RestoredAt: s.restoredAt, Era: s.era}
+	return ScopeState{LastReadAt: s.trimmedAt, RestoredAt: s.restoredAt, Era: s.era}
 }
 
-// Restored takes note that the log has come back from an older copy. All records are read
-// again, in the order that the copy has; whoever held a scope by a record that is lost may
-// go on until it learns of that, for a term at most.
+// Restored notes that the log was restored from an older copy. All records are
+// read again in the copy's order. A holder whose record was lost may go on
+// until it learns of the restore, for a term at most.
 func (s *State) Restored(now time.Time, oldest infra.Offset) {
-	*s = State{gapAt: now, restoredAt: now, era: oldest.Era()}
+	*s = State{trimmedAt: now, restoredAt: now, era: oldest.Era()}
 }
--- a/lease/view.go
+++ b/lease/view.go
@@ -10,9 +10,9 @@
 	"tamarackchute/journal"
 )
 
-// Snapshot is a state of all scopes that doesn't change any more.
+// Snapshot is an immutable state of all scopes.
 type Snapshot struct {
-	// Position is the last journal entry that it takes account of.
+	// Position is that of the last journal entry it includes.
 	Position journal.Position
 	// Scopes is read-only.
 	Scopes map[string]ScopeState
@@ -29,8 +29,9 @@
 	return scope
 }
 
-// View folds the journal's lease records and shows who leads which scope. It
-// implements journal.Folder, journal.Trimmer and journal.Restorer; its other methods may be called from anywhere.
+// View folds the journal's lease records into the leader of each scope. It
+// implements journal.Folder, journal.Trimmer and journal.Restorer; its other
+// methods are safe for concurrent use.
 type View struct {
 	state   State
 	current atomic.Pointer[Snapshot]
@@ -60,16 +61,17 @@
 // Trimmed implements journal.Trimmer.
 func (v *View) Trimmed(infra.Offset) {
 	v.state.Trimmed(time.Now())
-	v.show(v.current.Load().Position)
+	v.publish(v.current.Load().Position)
 }
 
 // Restored implements journal.Restorer.
 func (v *View) Restored(oldest infra.Offset) {
 	v.state.Restored(time.Now(), oldest)
-	v.show(journal.Position{Offset: oldest - 1})
+	v.publish(journal.Position{Offset: oldest - 1})
 }
 
-func (v *View) show(at journal.Position) {
+// publish makes the current state visible at a position and wakes waiters.
+func (v *View) publish(at journal.Position) {
 	v.current.Store(&Snapshot{Position: at, Scopes: maps.Clone(v.state.scopes), unknown: v.state.unknown()})
 	v.changes.Wake()
 }
@@ -80,6 +82,6 @@
 // Scope returns the current state of a scope.
 func (v *View) Scope(name string) ScopeState { return v.current.Load().Scope(name) }
 
-// Changed returns a channel that closes with the next accepted record. Take
-// the channel before the snapshot, so that no change falls between the two.
+// Changed returns a channel that is closed with the next accepted record. Get
+// the channel before the snapshot, so that no change is missed in between.
 func (v *View) Changed() <-chan struct{} { return v.changes.Changed() }
