--- a/claim/bench_test.go
+++ b/claim/bench_test.go
@@ -18,13 +18,13 @@
 	"tamarackchute/journal/journaltest"
 )
 
-// The log of the benchmarks.
+// The parameters of the benchmarks' log.
 const (
 	benchAppendsPerSecond = 300
 	benchLogLatency       = 2 * time.Millisecond
 )
 
-// fleet is some instances over one log, in real time.
+// fleet is a number of instances that share one log, in real time.
 type fleet struct {
 	log    *journaltest.Log
 	guards []*claim.Guard
@@ -55,8 +55,8 @@
 	return f
 }
 
-// call makes the i-th call, whose dispatch takes no time: all of its time is
-// added latency.
+// call makes the i-th call. Its dispatch takes no time, so all of the measured
+// time is added latency.
 func (f *fleet) call(b *testing.B, i int) {
 	s := &service{}
 	start := time.Now()
@@ -87,7 +87,7 @@
 	{"batched, linger 5 ms", journal.Config{Linger: 5 * time.Millisecond}},
 }
 
-// BenchmarkSustained lets 64 callers per instance call without a pause.
+// BenchmarkSustained measures calls from 64 concurrent callers per instance.
 func BenchmarkSustained(b *testing.B) {
 	for _, n := range []int{1, 7} {
 		for _, c := range commits {
@@ -106,7 +106,7 @@
 	}
 }
 
-// BenchmarkOffered lets calls come at a steady rate, as bookings would.
+// BenchmarkOffered measures calls that arrive at a steady rate.
 func BenchmarkOffered(b *testing.B) {
 	for _, rate := range []int{20, 100, 1000} {
 		for _, n := range []int{1, 7} {
@@ -133,8 +133,8 @@
 	}
 }
 
-// settledCalls returns the claims and outcomes of n calls, in turn.
-func settledCalls(env claim.Env, n int) []journal.Entry {
+// completedCalls returns the claim and the outcome of each of n calls.
+func completedCalls(env claim.Env, n int) []journal.Entry {
 	entries := make([]journal.Entry, 0, 2*n)
 	for i := range n {
 		core := claim.NewCore(claim.Config{}, env.Now)
@@ -149,12 +149,12 @@
 	return entries
 }
 
-// BenchmarkFold measures how fast claims and their outcomes are folded, and
-// what a key takes in memory with its answer and once that has expired.
+// BenchmarkFold measures how fast claims and their outcomes are folded, and the
+// memory that a key takes with its response and after the response has expired.
 func BenchmarkFold(b *testing.B) {
 	const keys = 200_000
 	env := claim.Env{Now: time.Unix(1_700_000_000, 0), LogUp: true}
-	entries := settledCalls(env, keys)
+	entries := completedCalls(env, keys)
 	for b.Loop() {
 		before := heap()
 		l := claim.NewLedger(claim.Config{})
@@ -164,7 +164,7 @@
 		}
 		took := time.Since(start)
 		full := heap() - before
-		l.Apply(journal.Placed{At: env.Now.Add(2 * time.Hour), Entry: entries[0]}) // answers expire
+		l.Apply(journal.Placed{At: env.Now.Add(2 * time.Hour), Entry: entries[0]}) // responses expire
 		b.ReportMetric(float64(len(entries))/took.Seconds(), "entries/s")
 		b.ReportMetric(float64(full)/keys, "B/key-with-answer")
 		b.ReportMetric(float64(heap()-before)/keys, "B/key")
@@ -173,12 +173,12 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkCatchUp measures how long an instance with empty memory takes to
-// know all calls of a log that holds 100,000 records of two entries each.
+// BenchmarkCatchUp measures how long a new instance takes to read a log of
+// 100,000 records with two entries each.
 func BenchmarkCatchUp(b *testing.B) {
 	const records = 100_000
 	env := claim.Env{Now: time.Now(), LogUp: true}
-	entries := settledCalls(env, records)
+	entries := completedCalls(env, records)
 	log := journaltest.NewLog()
 	log.SetLatency(benchLogLatency)
 	for i := range records {
--- a/claim/buckets.go
+++ b/claim/buckets.go
@@ -2,32 +2,33 @@
 
 import "time"
 
-// phase is what the ledger knows of a key.
+// phase is the state of a key in the ledger.
 type phase uint8
 
-// The phases. Their numbers stand in checkpoints.
+// The phases. Their numbers are stored in checkpoints.
 const (
-	// phaseFree: no claim stands.
+	// phaseFree: the key has no accepted claim.
 	phaseFree phase = 0
-	// phaseClaimed: an attempt may run, or runs.
+	// phaseClaimed: an attempt may be running.
 	phaseClaimed phase = 1
-	// phaseDone: it ran and its answer was recorded, whole or not.
+	// phaseDone: it ran, and its response or only its status was recorded.
 	phaseDone phase = 2
-	// phaseBrokenOff: it may have run; its answer will never be known.
+	// phaseBrokenOff: it may have run; its outcome will never be known.
 	phaseBrokenOff phase = 3
-	// phaseSpent stands in checkpoints for an attempt that was decided against.
+	// phaseRetired marks an attempt in a checkpoint whose claim was rejected or
+	// withdrawn.
 	phaseRetired phase = 4
 )
 
-// row is what is kept of a key for as long as it is known.
+// row is what the ledger keeps of a key until the key expires.
 type row struct {
 	digest uint64
 	status uint16
 	phase  phase
 }
 
-// buckets keeps rows by the time of their claim, so that whole buckets expire
-// and no list of single expiries is needed.
+// buckets groups rows by the time of their claim, so that whole buckets expire
+// and no expiry per key is needed.
 type buckets struct {
 	width  time.Duration
 	ttl    time.Duration
@@ -35,15 +36,16 @@
 	size   int
 }
 
-// bucket holds the keys that were claimed within its time.
+// bucket holds the keys that were claimed within its interval.
 type bucket struct {
 	rows map[KeyID]row
-	// spent holds the attempts that lost or were withdrawn. A late copy of
-	// such a claim must not win: nobody would run it.
+	// retired holds the attempts whose claims were rejected or withdrawn. A late
+	// copy of such a claim must not be accepted: nobody would run it.
 	retired map[AttemptID]struct{}
 }
 
-// bucketsPerKeep sets how finely keys expire.
+// bucketsPerTTL sets the granularity of expiry: a key is kept for up to 1/16 of
+// the TTL longer.
 const bucketsPerTTL = 16
 
 func newBuckets(keep time.Duration) *buckets {
@@ -56,7 +58,7 @@
 
 func (b *buckets) index(at time.Time) int64 { return at.UnixMilli() / b.width.Milliseconds() }
 
-// at returns the bucket with that index, made if need be.
+// at returns the bucket with an index and creates it if there is none.
 func (b *buckets) at(index int64) *bucket {
 	k, ok := b.byTime[index]
 	if ok {
@@ -106,8 +108,8 @@
 	return false
 }
 
-// expire drops the buckets whose last moment is longer ago than keep, and
-// calls dropped for each of their keys.
+// expire drops the buckets whose interval ended more than ttl ago, and calls
+// dropped for each of their keys.
 func (b *buckets) expire(now time.Time, dropped func(KeyID, row)) {
 	limit := b.index(now.Add(-b.ttl))
 	for index, k := range b.byTime {
--- a/claim/call.go
+++ b/claim/call.go
@@ -6,7 +6,7 @@
 	"tamarackchute/journal"
 )
 
-// callState says how far a call has come.
+// callState is the progress of a call.
 type callState uint8
 
 const (
@@ -22,27 +22,29 @@
 	key    Key
 	digest uint64
 	state  callState
-	// attempt is the claim under way or won, claimSent when it was handed over
-	// for the log, claims how many there were.
+	// attempt is the pending or accepted claim, claimSent when it was handed over
+	// for the append, claims the number of claims so far.
 	attempt   AttemptID
 	claimSent time.Time
 	claims    int
 }
 
 // Step is what the runtime does next for a call: ClaimStep, DispatchStep,
-// WaitStep or AnswerStep.
+// WaitStep or ResultStep.
 type Step interface{ isStep() }
 
-// ClaimStep asks for an append, bounded by ClaimTimeout, and then for Claimed.
+// ClaimStep requests an append, bounded by ClaimTimeout, and then a call of
+// Claimed.
 type ClaimStep struct{ Entry journal.Entry }
 
-// DispatchStep asks for Confirm, then for the dispatch, then for Dispatched.
+// DispatchStep requests a call of Confirm, then the dispatch, then a call of
+// Dispatched.
 type DispatchStep struct{}
 
-// WaitStep asks for Resume when the call has Changed or at the latest at Until.
+// WaitStep requests a call of Resume once Changed returns the call, or at Until.
 type WaitStep struct{ Until time.Time }
 
-// AnswerStep ends the call.
+// ResultStep ends the call.
 type ResultStep struct{ Result Result }
 
 func (ClaimStep) isStep()    {}
@@ -50,16 +52,16 @@
 func (WaitStep) isStep()     {}
 func (ResultStep) isStep()   {}
 
-// AppendResult says what became of a claim's append.
+// AppendResult is the result of a claim's append.
 type AppendResult uint8
 
 // The results of an append.
 const (
 	// Appended: the record is in the log and was folded.
 	Appended AppendResult = iota
-	// NotAppended: it is not there and never will be.
+	// NotAppended: the record is not in the log and never will be.
 	NotAppended
-	// AppendUnclear: it may be there, or may still arrive.
+	// AppendUnclear: the record may be in the log, or may still arrive.
 	AppendUnclear
 )
 
@@ -71,12 +73,12 @@
 	return k.id, c.decide(env, k)
 }
 
-// Resume goes on with a waiting call. If its time is up it is answered.
+// Resume continues a waiting call. If timeUp is set, it ends the call.
 func (c *Core) Resume(env Env, id CallID, timeUp bool) Step {
 	k := c.calls[id]
 	step := c.decide(env, k)
 	if _, waits := step.(WaitStep); waits && timeUp {
-		if _, own := c.blocked[c.ledger.holders[k.key.ID].attempt]; own {
+		if _, blocked := c.blocked[c.ledger.holders[k.key.ID].attempt]; blocked {
 			return c.notRun(k, ReasonClaimUnclear, ScopeRequest)
 		}
 		return c.finish(k, MayHaveRun{ReasonRunning})
@@ -87,11 +89,11 @@
 	return step
 }
 
-// decide looks at what is known of the key.
+// decide returns the next step by the known state of the key.
 func (c *Core) decide(env Env, k *call) Step {
 	v := c.view(k.key)
-	_, withdrawn := c.blocked[v.holder.attempt]
-	if v.phase != phaseFree && v.digest != k.digest && !withdrawn {
+	_, blocked := c.blocked[v.holder.attempt]
+	if v.phase != phaseFree && v.digest != k.digest && !blocked {
 		return c.finish(k, KeyReused{})
 	}
 	switch v.phase {
@@ -100,28 +102,28 @@
 	case phaseBrokenOff:
 		return c.finish(k, MayHaveRun{ReasonBrokenOff})
 	case phaseClaimed:
-		return c.awaitHolder(env, k, v, withdrawn)
+		return c.awaitHolder(env, k, v, blocked)
 	default:
 		return c.claim(env, k, v)
 	}
 }
 
 func replay(v keyView) Done {
-	if v.response == nil {
+	if v.outcome == nil {
 		return Done{Response: Response{Status: int(v.status)}, Replayed: true}
 	}
-	return Done{Response: v.response.response(), Replayed: true, ResponseComplete: v.response.Complete}
+	return Done{Response: v.outcome.response(), Replayed: true, ResponseComplete: v.outcome.Complete}
 }
 
-// await deals with a claim that stands. If it is this process's own, given up
-// and to be withdrawn, no run can come of it.
-func (c *Core) awaitHolder(env Env, k *call, v keyView, withdrawn bool) Step {
+// awaitHolder waits for the outcome of the key's accepted claim. A claim that
+// this process has given up can't run; then it waits for the withdrawal.
+func (c *Core) awaitHolder(env Env, k *call, v keyView, blocked bool) Step {
 	c.withdraw(k.key.ID, v.holder.attempt)
-	if withdrawn && !env.LogUp {
+	if blocked && !env.LogUp {
 		return c.notRun(k, ReasonLogDown, ScopeRequest)
 	}
 	left := c.cfg.staleAfter() - c.ledger.age(v.holder, env.Now)
-	if withdrawn {
+	if blocked {
 		left = c.cfg.ClaimTimeout
 	}
 	if left <= 0 {
@@ -131,7 +133,7 @@
 	return WaitStep{Until: env.Now.Add(left)}
 }
 
-// claim asks for the right to run a free key.
+// claim requests the right to run a free key's call.
 func (c *Core) claim(env Env, k *call, v keyView) Step {
 	switch {
 	case k.key.Timed() && c.ledger.tooOld(k.key.CreatedAt):
@@ -150,7 +152,7 @@
 	k.claims++
 	k.state = stateClaiming
 	k.attempt = c.NewAttempt()
-	// Counted from before the append: a pause in between makes the claim look
+	// Taken before the append, so that a pause in between makes the claim look
 	// older, never younger.
 	k.claimSent = env.Now
 	m := claimRequest{Key: k.key.ID, Attempt: k.attempt, Digest: k.digest}
@@ -160,22 +162,22 @@
 	return ClaimStep{Entry: m.entry()}
 }
 
-// Claimed goes on when a claim's append has ended.
+// Claimed continues a call after its claim's append has ended.
 func (c *Core) Claimed(env Env, id CallID, r AppendResult) Step {
 	k := c.calls[id]
 	v := c.view(k.key)
 	won := v.phase == phaseClaimed && v.holder.attempt == k.attempt
 	switch {
 	case won && v.exact:
-		// Also when the reply was lost: reading has settled it.
+		// Also when the reply was lost: the claim was read from the log.
 		k.state = stateWon
 		return DispatchStep{}
 	case r == Appended && v.exact:
-		// Decided against: somebody else has the key, or it is out of time.
+		// Rejected: another attempt has the key, or its time is out of range.
 		return c.decide(env, k)
 	case r != NotAppended:
-		// The reply was lost, or what was read can't be trusted. The claim may
-		// win by the others' books, now or later, so it is never dispatched.
+		// The reply was lost, or this process's history is incomplete. Other
+		// processes may accept the claim now or later, so it is never dispatched.
 		c.block(env, k.key.ID, k.attempt)
 	}
 	if v.phase != phaseFree && !won {
@@ -187,10 +189,10 @@
 	return c.notRun(k, ReasonClaimUnclear, ScopeRequest)
 }
 
-// Confirm is the last look before the dispatch. It returns nil if the call may
-// be dispatched, else its answer. The claim is exclusive, so a pause before or
-// after this look lets nobody else run; the bound on the claim's age keeps it
-// far below the time after which the claim is forgotten.
+// Confirm is the last check before the dispatch. It returns nil if the call may
+// be dispatched, else its result. The claim is exclusive, so a pause before or
+// after this check lets no other attempt run; the bound on the claim's age keeps
+// it far below the time after which the claim is forgotten.
 func (c *Core) Confirm(env Env, id CallID, timeUp bool) Step {
 	k := c.calls[id]
 	reason := ReasonPaused
@@ -204,7 +206,7 @@
 	return nil
 }
 
-// Dispatched ends a call whose dispatch has returned.
+// Dispatched ends a call after its dispatch has returned.
 func (c *Core) Dispatched(env Env, id CallID, r Response, e DispatchResult) Step {
 	k := c.calls[id]
 	switch e {
@@ -221,9 +223,9 @@
 	}
 }
 
-// withdrawn ends a call that had won its claim and did not run. After a pause
-// of about Remember the claim may be forgotten and somebody else may have the
-// key; then no more is said than what is known.
+// withdrawCall ends a call whose claim was accepted and that did not run. After
+// a pause of about KeyTTL the claim may be forgotten and another attempt may have
+// run the key; then the result says nothing about other requests.
 func (c *Core) withdrawCall(env Env, k *call, reason NotRunReason) Step {
 	c.block(env, k.key.ID, k.attempt)
 	if env.Now.Sub(k.claimSent) < c.cfg.KeyTTL/2 {
@@ -236,18 +238,19 @@
 	return c.notRun(k, reason, ScopeRequest)
 }
 
-// record notes a run's outcome here, and for the log.
-func (c *Core) record(k *call, e journal.Entry, r row, answer *outcome) {
-	c.local[k.key.ID] = &localOutcome{attempt: k.attempt, row: r, response: answer}
+// record stores a call's outcome locally and puts it into the outbox.
+func (c *Core) record(k *call, e journal.Entry, r row, o *outcome) {
+	c.local[k.key.ID] = &localOutcome{attempt: k.attempt, row: r, outcome: o}
 	c.outbox = append(c.outbox, Message{Entry: e, key: k.key.ID, attempt: k.attempt})
 	c.markChanged(k.key.ID)
 }
 
-// view is the ledger's, with the outcomes of this process on top.
+// view returns the ledger's view of a key, overlaid with a local outcome that
+// was not read back yet.
 func (c *Core) view(key Key) keyView {
 	v := c.ledger.view(key)
 	if l, ok := c.local[key.ID]; ok && v.phase != phaseDone {
-		v.row, v.response = l.row, l.response
+		v.row, v.outcome = l.row, l.outcome
 	}
 	return v
 }
--- a/claim/checkpoint.go
+++ b/claim/checkpoint.go
@@ -13,30 +13,29 @@
 	"tamarackchute/journal"
 )
 
-// maxTail bounds the entries kept behind a gap until a checkpoint closes it.
+// maxTail bounds the entries kept after a gap until a checkpoint closes it.
 const maxTail = 200_000
 
-// maxSets bounds the checkpoints that are collected at once.
+// maxPartialCheckpoints bounds the checkpoints collected at once.
 const maxPartialCheckpoints = 8
 
-// checkpointBytes is about the size of a checkpoint's part.
+// checkpointPartBytes is the approximate size of a checkpoint's part.
 const checkpointPartBytes = 32 << 10
 
-// gap is what a ledger keeps from the moment that records expired unread until
-// a checkpoint tells what they said. The checkpoint must cover all that
-// expired; the entries behind it are then folded again, on top of it. Time
-// alone closes no gap: a claim that lost to an unknown one, and so seems to
-// stand, makes later verdicts on its key wrong for as long as it is used.
+// gap collects entries after records expired unread, until a checkpoint that
+// covers them is read; the entries after it are then folded on top. Time alone
+// closes no gap: a claim that was rejected for an unknown one seems accepted
+// here, and makes later verdicts on its key wrong for as long as it is used.
 type gap struct {
 	oldest infra.Offset
-	// since is the log's time of the first entry read behind the gap.
+	// since is the log's time of the first entry read after the gap.
 	since       time.Time
 	tail        []event
 	checkpoints map[AttemptID]*partialCheckpoint
 	order       []AttemptID
 }
 
-// checkpointSet collects the parts of one checkpoint.
+// partialCheckpoint collects the parts of one checkpoint.
 type partialCheckpoint struct {
 	upTo  journal.Position
 	now   int64
@@ -49,14 +48,14 @@
 
 func (g *gap) started() bool { return !g.since.IsZero() }
 
-// remember keeps an entry for the time when the gap is closed, without the
-// answer that an outcome holds.
+// appendTail keeps an entry until the gap is closed, without the response that
+// an outcome holds.
 func (l *Ledger) appendTail(e event) {
 	if l.gap == nil {
 		return
 	}
 	if len(l.gap.tail) >= maxTail {
-		// Too much to keep: as if all up to here had expired.
+		// Too many entries: treat all up to here as expired.
 		l.Trimmed(e.position.Offset + 1)
 	}
 	g := l.gap
@@ -69,8 +68,8 @@
 	g.tail = append(g.tail, e)
 }
 
-// applyCheckpoint notes a part. A ledger without a gap needs no more of it
-// than its time.
+// applyCheckpoint folds a part of a checkpoint. A ledger without a gap only notes
+// its time.
 func (l *Ledger) applyCheckpoint(e event, c *checkpoint) {
 	e.message = nil
 	l.appendTail(e)
@@ -86,7 +85,7 @@
 	}
 }
 
-// add takes a part in and returns its set if that is whole.
+// add adds a part and returns its checkpoint if that is complete.
 func (g *gap) add(c *checkpoint) *partialCheckpoint {
 	s, ok := g.checkpoints[c.Set]
 	if !ok {
@@ -105,14 +104,14 @@
 	return s
 }
 
-// closeGap rebuilds the ledger from a checkpoint and the entries behind it.
-// Entries that the checkpoint covers are left out: they are in its rows. The
-// answers read so far stay, as rows have none.
+// closeGap rebuilds the ledger from a checkpoint and the entries after it. Entries
+// that the checkpoint covers are skipped: they are in its rows. The responses
+// read so far are kept, as rows have none.
 func (l *Ledger) closeGap(s *partialCheckpoint) {
-	now, tail, answers := l.now, l.gap.tail, l.responses
+	now, tail, responses := l.now, l.gap.tail, l.responses
 	l.clear()
 	l.gap = nil
-	l.responses = answers
+	l.responses = responses
 	l.now = time.UnixMilli(s.now)
 	for _, part := range s.parts {
 		l.loadRows(part)
@@ -125,7 +124,7 @@
 	l.advance(now)
 }
 
-// load takes the rows of one part.
+// loadRows adds the rows of one part to the ledger.
 func (l *Ledger) loadRows(part []byte) {
 	for len(part) > 0 {
 		var r checkpointRow
@@ -145,8 +144,8 @@
 	}
 }
 
-// rows calls f for each row of a checkpoint. The row is valid only during the
-// call.
+// rows calls f for each row of a checkpoint of the ledger. The row is valid only
+// during the call.
 func (l *Ledger) rows(f func(*checkpointRow)) {
 	for index, b := range l.keys.byTime {
 		for key, r := range b.rows {
@@ -174,9 +173,9 @@
 }
 
 // checkpoint returns the entries of a new checkpoint. The journal must have
-// applied everything up to applied before the ledger is looked at.
+// applied all entries up to applied before the call.
 func (l *Ledger) checkpoint(applied journal.Position) []journal.Entry {
-	// Between the ledger's last entry and applied there was none for it.
+	// No entry between the ledger's last one and applied is a claim entry.
 	upTo := applied
 	if upTo.Less(l.position) {
 		upTo = l.position
@@ -196,8 +195,8 @@
 	return checkpointEntries(upTo, l.now, parts)
 }
 
-// acceptGap returns a checkpoint that says that nothing was claimed before the
-// ledger's gap.
+// acceptGap returns an empty checkpoint up to the oldest retained record, which
+// says that nothing was claimed before it.
 func (l *Ledger) acceptGap() []journal.Entry {
 	before := journal.Position{Offset: l.gap.oldest - 1, Index: math.MaxUint16}
 	return checkpointEntries(before, time.Time{}, [][]byte{nil})
@@ -220,14 +219,15 @@
 	return entries
 }
 
-// checkpointWatch tells when a whole checkpoint was read last.
+// checkpointTracker notes when a complete checkpoint was last read.
 type checkpointTracker struct {
 	parts map[AttemptID]uint32
-	// last is the log's time of its last part, lastRead the reader's.
+	// last is the log's time of that checkpoint's last part, lastRead the
+	// reader's.
 	last, lastRead time.Time
 }
 
-// note counts a part and reports whether its checkpoint is whole.
+// note counts a part and reports whether its checkpoint is complete.
 func (w *checkpointTracker) note(c *checkpoint) bool {
 	if w.parts == nil || len(w.parts) >= maxPartialCheckpoints {
 		w.parts = map[AttemptID]uint32{}
--- a/claim/config.go
+++ b/claim/config.go
@@ -23,53 +23,55 @@
 	defaultDrainTimeout       = 5 * time.Second
 )
 
-// rememberFactor is the least ratio of the time that a key is known to the
-// time that a call may take. A claim's holder that was paused for longer than
-// it may take gives up, long before others could forget the claim.
+// minTTLFactor is the smallest ratio of KeyTTL to the longest time of a call. A
+// claim's holder that was paused for longer than a call may take gives up long
+// before others could forget the claim.
 const minTTLFactor = 4
 
-// Config sets the claims up. Every process of a deployment needs the same
-// Remember, KeySkew and Retention, as their folds must agree. Zero values
-// stand for the defaults.
+// Config configures a Guard. Every process of a deployment needs the same KeyTTL,
+// KeySkew and Retention, as their folds must agree. Zero values select the
+// defaults.
 type Config struct {
-	// Writer names this process as its journal does.
+	// Writer is the journal's name of this process.
 	Writer string
-	// ClaimTimeout bounds the wait for a claim; then the call is refused as not
+	// ClaimTimeout bounds a claim's append; after it the call is refused as not
 	// run. Two seconds by default.
 	ClaimTimeout time.Duration
 	// MaxClaimAge is the longest time between sending a claim and dispatching;
 	// a call that was paused for longer is not dispatched. ClaimTimeout plus
 	// five seconds by default.
 	MaxClaimAge time.Duration
-	// MaxDispatch bounds a dispatch. A claim without an outcome after this time
-	// and MaxClaimAge is taken as broken off. 30 s by default.
+	// MaxDispatch bounds a dispatch. A claim that has no outcome after this time
+	// plus MaxClaimAge is treated as broken off. 30 s by default.
 	MaxDispatch time.Duration
-	// Remember is how long a key is known. 24 h by default.
+	// KeyTTL is how long a key is known after its claim. 24 h by default.
 	KeyTTL time.Duration
 	// Retention is how long the log keeps a record. One hour by default.
 	Retention time.Duration
-	// KeySkew is the most by which the clock that made a timed key may differ
-	// from the log's. Five minutes by default.
+	// KeySkew is the largest difference between the log's clock and that of a
+	// timed key's creator. Five minutes or an eighth of KeyTTL by default,
+	// whichever is less.
 	KeySkew time.Duration
-	// MaxRecordedBytes is the largest answer, headers included, that is
-	// recorded whole for resends. 16 KiB by default; negative for none.
+	// MaxRecordedBytes is the largest response, headers included, that is
+	// recorded completely for retries. 16 KiB by default; negative for none.
 	MaxRecordedBytes int
 	// MaxKeys bounds the keys known at once; beyond it new keys are refused as
 	// not run. 500,000 by default.
 	MaxKeys int
-	// MaxAnswerBytes bounds the recorded answers in memory. 16 MiB by default.
+	// ResponseCacheBytes bounds the recorded responses in memory. 16 MiB by
+	// default.
 	ResponseCacheBytes int
 	// MaxOutbox bounds the outcomes and withdrawals that wait for the log.
 	// 4096 by default.
 	MaxOutbox int
-	// RecordFor is how long the append of an outcome is tried again. Two
-	// minutes by default.
+	// RecordTimeout is how long the append of an outcome or a withdrawal is
+	// retried. Two minutes by default.
 	RecordTimeout time.Duration
-	// RetryAfter is what a refused caller is told to wait. One second by
-	// default.
+	// RetryAfter is the wait before a retry that a refused caller is given. One
+	// second by default.
 	RetryAfter time.Duration
-	// DrainTimeout is how long a stopping Guard waits for calls and outcomes
-	// under way. Five seconds by default.
+	// DrainTimeout is how long a Guard that shuts down waits for active calls
+	// and appends. Five seconds by default.
 	DrainTimeout time.Duration
 }
 
@@ -98,28 +100,28 @@
 	}
 }
 
-// Validate returns an error if the times don't fit together.
+// Validate returns an error if the durations are inconsistent.
 func (c Config) Validate() error {
 	c = c.withDefaults()
 	if c.KeyTTL < minTTLFactor*c.staleAfter() {
-		return eris.Errorf("claim: keys are remembered for %v, which is less than %d times the %v that a call may take",
+		return eris.Errorf("claim: the key TTL is %v, which is less than %d times the %v that a call may take",
 			c.KeyTTL, minTTLFactor, c.staleAfter())
 	}
 	if c.KeySkew > c.KeyTTL/minTTLFactor {
-		return eris.Errorf("claim: the clocks of keys may differ by %v, more than a quarter of the %v that a key is known",
+		return eris.Errorf("claim: the key clock skew is %v, which is more than a quarter of the key TTL of %v",
 			c.KeySkew, c.KeyTTL)
 	}
 	return nil
 }
 
-// staleAfter is the age at which a claim without an outcome has none to come.
+// staleAfter is the age after which no outcome of a claim is expected any more.
 func (c Config) staleAfter() time.Duration { return c.MaxClaimAge + c.MaxDispatch }
 
-// checkpointsPerRetention leaves room for two checkpoints to fail.
+// checkpointsPerRetention allows for two failed checkpoints in a row.
 const checkpointsPerRetention = 3
 
-// checkpointEvery is the time between checkpoints. It differs by up to a
-// quarter between processes.
+// checkpointEvery is the time between checkpoints. It differs by up to a quarter
+// between processes, so that they don't all write one.
 func (c Config) checkpointEvery() time.Duration {
 	every := c.Retention / checkpointsPerRetention
 	share := xxhash.Sum64String(c.Writer) % 1000
--- a/claim/core.go
+++ b/claim/core.go
@@ -10,45 +10,46 @@
 )
 
 // Core is the decision logic of one process's protected calls: a state machine
-// without I/O, over the process's Ledger. Guard runs it; other runtimes, and
-// the proofs, can too. It isn't safe for concurrent use.
+// without I/O, over the process's Ledger. Guard runs it, and so can simulations.
+// It isn't safe for concurrent use.
 //
 // A call goes through Start, then Claimed, Confirm and Dispatched as its steps
-// ask. While it waits, Changed says when to call Resume.
+// request. While it waits, Changed says when to call Resume.
 type Core struct {
 	cfg    Config
 	ledger *Ledger
 	calls  map[CallID]*call
 	lastID CallID
-	// latched holds the attempts that must never be dispatched, although their
-	// claims may have reached the log or may still do: their callers were told
-	// "not run". When such a claim is read it is withdrawn.
+	// blocked holds the attempts that must never be dispatched, although their
+	// claims may reach the log: their callers got NotRun. Such a claim is
+	// withdrawn once it is read.
 	blocked map[AttemptID]time.Time
-	// withdrawing holds those of them whose withdrawal is under way.
+	// withdrawing holds the blocked attempts whose withdrawal is pending.
 	withdrawing map[AttemptID]struct{}
-	// local holds the outcomes of this process that it has not read back yet.
+	// local holds this process's outcomes that it has not read back yet.
 	local   map[KeyID]*localOutcome
 	outbox  []Message
 	changed map[CallID]struct{}
 	started time.Time
-	// NewAttempt makes the ids of attempts; they must be unique for good. It is
-	// random unless replaced, as by tests that must repeat themselves.
+	// NewAttempt returns attempt IDs, which must be unique forever. It is random
+	// unless replaced, as by deterministic tests.
 	NewAttempt func() AttemptID
 }
 
-// CallID names a call within its Core.
+// CallID identifies a call within its Core.
 type CallID uint64
 
-// Env is what a step needs to know of its surroundings.
+// Env is the environment of a step.
 type Env struct {
 	// Now is the process's own clock, with its monotonic part.
 	Now time.Time
-	// LogUp is whether the log answers, as far as is known.
+	// LogUp says whether the log is believed to be available.
 	LogUp bool
 }
 
-// Message is an entry that the runtime appends in the background, and again
-// until it is known to be there or RecordFor is over. Then it calls Sent.
+// Message is an entry that the runtime appends in the background. It retries until
+// the entry is known to be in the log or RecordTimeout has passed, then calls
+// Sent.
 type Message struct {
 	Entry   journal.Entry
 	key     KeyID
@@ -57,17 +58,17 @@
 
 // localOutcome is an outcome that other processes may not know yet.
 type localOutcome struct {
-	attempt  AttemptID
-	row      row
-	response *outcome
+	attempt AttemptID
+	row     row
+	outcome *outcome
 }
 
 // Bounds of the core.
 const (
-	// maxLatched bounds the attempts with unclear claims; beyond it no call is
+	// maxBlocked bounds the attempts with unclear claims; beyond it no call is
 	// claimed.
 	maxBlocked = 1 << 16
-	// maxClaims is how often one call claims its key.
+	// maxClaims bounds how often one call claims its key.
 	maxClaims = 4
 )
 
@@ -87,16 +88,16 @@
 	}
 }
 
-// Ledger returns the core's ledger, for reading only.
+// Ledger returns the core's ledger, which must not be changed.
 func (c *Core) Ledger() *Ledger { return c.ledger }
 
-// Apply folds an entry.
+// Apply folds a journal entry.
 func (c *Core) Apply(p journal.Placed) {
 	c.handleMessage(c.ledger.fold(p))
 	c.pruneBlocked()
 }
 
-// Trimmed says that records expired before they were read.
+// Trimmed notes that records expired before they were read.
 func (c *Core) Trimmed(oldest infra.Offset) {
 	c.ledger.Trimmed(oldest)
 	for id, k := range c.calls {
@@ -106,7 +107,7 @@
 	}
 }
 
-// touched looks at what a message means to this process's own calls.
+// handleMessage applies a folded message to this process's calls.
 func (c *Core) handleMessage(m any) {
 	switch m := m.(type) {
 	case *claimRequest:
@@ -120,12 +121,12 @@
 	}
 }
 
-// withdraw appends the withdrawal of a claim that has won although its call
-// was given up, so that a resend can run.
+// withdraw appends the withdrawal of a claim that was accepted although its
+// attempt is blocked, so that a retry can run.
 func (c *Core) withdraw(key KeyID, attempt AttemptID) {
-	_, latched := c.blocked[attempt]
-	_, underWay := c.withdrawing[attempt]
-	if !latched || underWay || c.ledger.holders[key].attempt != attempt {
+	_, blocked := c.blocked[attempt]
+	_, pending := c.withdrawing[attempt]
+	if !blocked || pending || c.ledger.holders[key].attempt != attempt {
 		return
 	}
 	c.withdrawing[attempt] = struct{}{}
@@ -133,13 +134,14 @@
 	c.outbox = append(c.outbox, Message{Entry: m.entry(), key: key, attempt: attempt})
 }
 
-// latch makes sure that an attempt is never dispatched.
+// block makes sure that an attempt is never dispatched.
 func (c *Core) block(env Env, key KeyID, attempt AttemptID) {
 	c.blocked[attempt] = env.Now
 	c.withdraw(key, attempt)
 }
 
-// pruneLatched forgets attempts whose records would have expired unread.
+// pruneBlocked forgets attempts that are so old that their claims would have
+// expired from the log.
 func (c *Core) pruneBlocked() {
 	if len(c.blocked) < maxBlocked/2 {
 		return
@@ -157,7 +159,7 @@
 	}
 }
 
-// settled notes that a key's outcome was read.
+// outcomeRead notes that a key's outcome was read from the log.
 func (c *Core) outcomeRead(key KeyID) {
 	if l, ok := c.local[key]; ok && c.ledger.holders[key].attempt != l.attempt {
 		delete(c.local, key)
@@ -165,6 +167,7 @@
 	c.markChanged(key)
 }
 
+// markChanged marks the calls that wait for a key.
 func (c *Core) markChanged(key KeyID) {
 	for id, call := range c.calls {
 		if call.state == stateWaiting && call.key.ID == key {
@@ -173,8 +176,8 @@
 	}
 }
 
-// Changed returns the waiting calls for which something changed, and forgets
-// them.
+// Changed returns the waiting calls whose key changed since the last call of
+// Changed.
 func (c *Core) Changed() []CallID {
 	if len(c.changed) == 0 {
 		return nil
@@ -184,15 +187,15 @@
 	return ids
 }
 
-// Outbox returns the messages to append, and empties the list.
+// Outbox returns the messages to append and clears the list.
 func (c *Core) Outbox() []Message {
 	out := c.outbox
 	c.outbox = nil
 	return out
 }
 
-// Sent says that a message was appended, or was given up. After that other
-// processes can learn no more of its call.
+// Sent notes that a message was appended or given up. Other processes learn
+// nothing more about its call after that.
 func (c *Core) Sent(m Message) {
 	delete(c.withdrawing, m.attempt)
 	if l, ok := c.local[m.key]; ok && l.attempt == m.attempt {
@@ -201,8 +204,8 @@
 }
 
 // CheckpointDue reports whether this process should append a checkpoint, so
-// that what the log lets expire stays known. Each process has its own moment,
-// by its name, so that one of them comes first.
+// that keys outlive the log's retention. The interval depends on the process's
+// name, so that one of the processes comes first.
 func (c *Core) CheckpointDue(now, wall time.Time) bool {
 	if !c.ledger.Complete() {
 		return false
@@ -217,13 +220,13 @@
 	if idle >= due {
 		return true
 	}
-	// A process that has just started reads checkpoints that may be old. Its
-	// wall clock may be wrong, so it doesn't go by it alone.
+	// A process that has just started may read an old checkpoint, whose age it
+	// can only tell by its wall clock. That may be wrong, so idle counts too.
 	return idle >= due/4 && wall.Sub(w.last) >= due
 }
 
 // Checkpoint returns the entries of a new checkpoint. The journal must have
-// applied all up to applied before the call.
+// applied all entries up to applied before the call.
 func (c *Core) Checkpoint(applied journal.Position) []journal.Entry {
 	return c.ledger.checkpoint(applied)
 }
--- a/claim/example_test.go
+++ b/claim/example_test.go
@@ -9,8 +9,8 @@
 	"tamarackchute/journal/journaltest"
 )
 
-// An embedder gives the Guard a journal over its own log, and tells by the
-// result what became of a call.
+// A Guard over a journal runs a call once and returns the recorded response to
+// a second request with the same key.
 func ExampleGuard_Do() {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -25,7 +25,7 @@
 	<-j.CaughtUp()
 
 	book := func(context.Context) (claim.Response, claim.DispatchResult) {
-		fmt.Println("the booking runs")
+		fmt.Println("the booking is made")
 		return claim.Response{Status: 201, Body: []byte("spreader 4, 6:30")}, claim.DispatchCompleted
 	}
 	const digest = 0x5eed // of the request's method, path and body
@@ -34,15 +34,15 @@
 		case claim.Done:
 			fmt.Printf("%d %s, replayed %v\n", r.Response.Status, r.Response.Body, r.Replayed)
 		case claim.NotRun:
-			fmt.Println("not run:", r.Reason, "ask again in", r.RetryAfter)
+			fmt.Println("not run:", r.Reason, "retry after", r.RetryAfter)
 		case claim.MayHaveRun:
 			fmt.Println("may have run:", r.Reason)
 		case claim.KeyReused, claim.KeyTooOld:
-			fmt.Println("make a new key")
+			fmt.Println("a new key is needed")
 		}
 	}
 	// Output:
-	// the booking runs
+	// the booking is made
 	// 201 spreader 4, 6:30, replayed false
 	// 201 spreader 4, 6:30, replayed true
 }
--- a/claim/guard.go
+++ b/claim/guard.go
@@ -14,34 +14,34 @@
 	"tamarackchute/journal"
 )
 
-// Journal is what a Guard needs of a journal.Journal.
+// Journal is the part of journal.Journal that a Guard uses.
 type Journal interface {
 	journal.Writer
-	// Applied is the position up to which all entries were given to folders.
+	// Applied returns the position up to which all entries were passed to the
+	// folders.
 	Applied() journal.Position
 	Health() journal.Health
 }
 
-// Dispatch sends a protected call to its upstream, at most once. It may try
-// several upstreams as long as each before certainly did not run the call. It
-// must send nothing once ctx has ended, and then say DispatchNotRun if it had
-// sent nothing. It may go on running after Do has returned, so it must not hold memory that the
-// caller's HTTP library uses again.
+// Dispatch sends a protected call, to another upstream only if those before did
+// not run it. After the end of ctx it must send nothing, and return
+// DispatchNotRun if it had sent nothing. It may run on after Do has returned, so
+// it must not hold memory that the caller's HTTP library reuses.
 type Dispatch func(ctx context.Context) (Response, DispatchResult)
 
-// Guard runs protected calls at most once. It is registered with the journal
-// as the folder of journal.KindClaim, and its Serve runs below a supervisor
-// for as long as calls may come. The journal must be served longer than the
-// Guard, so that a stopping Guard can still record outcomes.
+// Guard runs protected calls at most once. It must be registered with the journal
+// as the folder of journal.KindClaim, and Serve must run under a supervisor while
+// calls may arrive. The journal must be served longer than the Guard, so that a
+// Guard that shuts down can still record outcomes.
 type Guard struct {
 	cfg     Config
 	journal Journal
 
-	// background is the context of appends that outlive their calls.
+	// background is the context of appends, which may outlive their calls.
 	background context.Context
 	cancel     context.CancelFunc
 	appends    conc.WaitGroup
-	// left has room for one signal that a call or an append has ended.
+	// ended holds at most one signal that a call or an append has ended.
 	ended chan struct{}
 
 	mu       sync.Mutex
@@ -58,8 +58,8 @@
 	_ journal.Trimmer = (*Guard)(nil)
 )
 
-// NewGuard returns a Guard over a journal. It fails if the times in cfg don't
-// fit together.
+// NewGuard returns a Guard over a journal. It fails if the durations in cfg are
+// inconsistent.
 func NewGuard(j Journal, cfg Config) (*Guard, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
@@ -87,12 +87,10 @@
 	g.withCore(func() { g.core.Trimmed(oldest) })
 }
 
-// Do runs the call with this idempotency key unless it was run before, at any
-// instance, and tells what became of it. The digest tells requests apart that
-// wrongly share a key. The end of ctx is the caller's deadline: Do then returns
-// at once, while a dispatch under way goes on and its outcome is recorded for
-// resends. Keys of different organisations must be made different by the
-// caller of Do.
+// Do runs the call with this idempotency key unless any instance ran it before.
+// The digest detects different requests with the same key; the caller of Do must
+// make the keys of different organisations distinct. At the end of ctx Do
+// returns at once, while an active dispatch goes on and its outcome is recorded.
 func (g *Guard) Do(ctx context.Context, key string, digest uint64, dispatch Dispatch) Result {
 	if !g.begin() {
 		return NotRun{Reason: ReasonStopping, RetryAfter: g.cfg.RetryAfter}
@@ -102,7 +100,7 @@
 	changed := make(chan struct{}, 1)
 	step := g.step(func(env Env) (s Step) {
 		id, s = g.core.Start(env, ParseKey(key), digest)
-		// Under the lock of the first step: no change after it is missed.
+		// Under the lock of the first step, so that no later change is missed.
 		g.waiters[id] = changed
 		return s
 	})
@@ -123,7 +121,7 @@
 	}
 }
 
-// claim appends a claim and tells how that ended.
+// claim appends a claim and returns the result.
 func (g *Guard) claim(ctx context.Context, e journal.Entry) AppendResult {
 	ctx, cancel := context.WithTimeout(ctx, g.cfg.ClaimTimeout)
 	defer cancel()
@@ -139,7 +137,7 @@
 }
 
 // wait waits for a change of the call's key, and reports whether the time is
-// up.
+// up by until or ctx.
 func wait(ctx context.Context, changed <-chan struct{}, until time.Time) bool {
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
@@ -153,8 +151,8 @@
 	}
 }
 
-// dispatch runs the dispatch in a goroutine of its own, so that a caller whose
-// time is up gets its answer, and the upstream's answer still gets recorded.
+// dispatch runs the dispatch in its own goroutine, so that a caller whose
+// deadline passes gets a result, and the upstream's response is still recorded.
 func (g *Guard) dispatch(ctx context.Context, id CallID, dispatch Dispatch) Step {
 	timeUp := ctx.Err() != nil
 	deadline := time.Now().Add(g.cfg.MaxDispatch)
@@ -171,7 +169,7 @@
 		caught.Try(func() { r, e = dispatchWithDeadline(ctx, deadline, dispatch) })
 		ended <- g.step(func(env Env) Step { return g.core.Dispatched(env, id, r, e) })
 		if p := caught.Recovered(); p != nil {
-			slog.Error("a protected call's dispatch panicked", "err", p.AsError())
+			slog.Error("dispatch of a protected call panicked", "err", p.AsError())
 		}
 	})
 	select {
@@ -183,9 +181,9 @@
 	}
 }
 
-// bounded runs the dispatch, which the caller's leaving doesn't break off. The
-// deadline was set before the last look at the clock: after a pause behind
-// that look nothing is sent any more.
+// dispatchWithDeadline runs the dispatch, which goes on if the caller gives up.
+// The deadline was set before Confirm checked the clock, so after a pause that
+// follows that check nothing is sent.
 func dispatchWithDeadline(ctx context.Context, deadline time.Time, dispatch Dispatch) (Response, DispatchResult) {
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), deadline)
 	defer cancel()
@@ -195,13 +193,13 @@
 	return dispatch(ctx)
 }
 
-// step runs one step of the core and then what it asks for.
+// step runs one step of the core under the lock.
 func (g *Guard) step(f func(Env) Step) Step {
 	h := g.journal.Health()
 	var s Step
 	g.withCore(func() {
-		// A claim may still make it through a failure that is shorter than it
-		// may take.
+		// A failure of the log that is shorter than ClaimTimeout may end before
+		// the claim's append does.
 		now := time.Now()
 		up := h.LogUp || now.Sub(h.LastContact) < g.cfg.ClaimTimeout
 		s = f(Env{Now: now, LogUp: up})
@@ -209,8 +207,8 @@
 	return s
 }
 
-// locked calls f with the core locked, wakes the calls that f changed, and
-// starts the appends that it asked for.
+// withCore calls f with the core locked, wakes the calls that f changed, and
+// starts the appends that it put into the outbox.
 func (g *Guard) withCore(f func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -231,6 +229,7 @@
 	delete(g.waiters, id)
 }
 
+// begin counts a new call; it returns false if the Guard is shutting down.
 func (g *Guard) begin() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -241,6 +240,7 @@
 	return true
 }
 
+// end counts the end of a call or an append.
 func (g *Guard) end() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -248,6 +248,7 @@
 	signal(g.ended)
 }
 
+// signal sends to c without blocking.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/claim/guard_test.go
+++ b/claim/guard_test.go
@@ -52,7 +52,7 @@
 	return in
 }
 
-// service counts the runs of a booking and answers each with its number.
+// service is an upstream that counts the calls it runs.
 type service struct{ runs atomic.Int64 }
 
 func (s *service) book(context.Context) (claim.Response, claim.DispatchResult) {
@@ -71,7 +71,7 @@
 	return in.Do(ctx, key, 1, d)
 }
 
-func TestResendAtAnotherInstanceGetsTheRecordedAnswer(t *testing.T) {
+func TestRetryAtAnotherInstanceGetsRecordedResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log, s := journaltest.NewLog(), &service{}
 		a, b := start(t, log, "a", claim.Config{}), start(t, log, "b", claim.Config{})
@@ -88,10 +88,10 @@
 	})
 }
 
-// A driver's phone sends a booking twice, to two instances, within a
-// millisecond. Both claim it. Only the claim that stands first in the log may
-// run; the other request waits for that run's answer.
-func TestSameKeyAtTwoInstancesRunsOnce(t *testing.T) {
+// Guards against two runs of one key when several instances claim it within
+// milliseconds: only the claim that is first in the log may run, and the other
+// requests wait for its response.
+func TestSameKeyAtSeveralInstancesRunsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log, s := journaltest.NewLog(), &service{}
 		log.SetLatency(2 * time.Millisecond)
@@ -111,20 +111,20 @@
 	})
 }
 
-// call is a dispatch with a given end; it counts as a run unless refused.
-func (s *service) call(after time.Duration, body string, end claim.DispatchResult) claim.Dispatch {
+// call returns a dispatch with a given result, counted as a run unless refused.
+func (s *service) call(after time.Duration, body string, result claim.DispatchResult) claim.Dispatch {
 	return func(ctx context.Context) (claim.Response, claim.DispatchResult) {
-		if end != claim.DispatchNotRun {
+		if result != claim.DispatchNotRun {
 			s.runs.Add(1)
 		}
 		time.Sleep(after)
-		return claim.Response{Status: 201, Body: []byte(body)}, end
+		return claim.Response{Status: 201, Body: []byte(body)}, result
 	}
 }
 
-// Each case: what the first request is told while something goes wrong, and
-// what a resend at another instance is told a minute after it went well again.
-func TestFailuresGetHonestAnswers(t *testing.T) {
+// Each case gives the result of the first request during a failure, and that of
+// a retry at another instance a minute after the failure has ended.
+func TestResultsDuringFailures(t *testing.T) {
 	const big = 1 << 12
 	done := claim.Done{Response: claim.Response{Status: 201, Body: []byte("booked")}, ResponseComplete: true}
 	replayed := done
@@ -133,34 +133,34 @@
 		return claim.NotRun{Reason: r, Scope: s, RetryAfter: time.Second}
 	}
 	for _, c := range []struct {
-		name          string
-		faults        []journaltest.Fault
-		outage        bool
-		after         time.Duration
-		body          string
-		end           claim.DispatchResult
-		first, resend claim.Result
-		runs          int
+		name         string
+		faults       []journaltest.Fault
+		outage       bool
+		after        time.Duration
+		body         string
+		dispatch     claim.DispatchResult
+		first, retry claim.Result
+		runs         int
 	}{
-		{name: "reply of the claim lost", faults: []journaltest.Fault{journaltest.FaultReplyLost}, first: done, resend: replayed, runs: 1},
-		// The claim lands 30 s late, after the caller was told "not run". It must
-		// not run then; it is withdrawn, and the resend runs.
-		{name: "claim lands late", faults: []journaltest.Fault{journaltest.FaultHang},
-			first: refused(claim.ReasonClaimUnclear, claim.ScopeRequest), resend: done, runs: 1},
+		{name: "reply of the claim lost", faults: []journaltest.Fault{journaltest.FaultReplyLost}, first: done, retry: replayed, runs: 1},
+		// The claim reaches the log after 30 s, when the caller has got NotRun. It
+		// must not run then; it is withdrawn, and the retry runs.
+		{name: "claim reaches the log late", faults: []journaltest.Fault{journaltest.FaultHang},
+			first: refused(claim.ReasonClaimUnclear, claim.ScopeRequest), retry: done, runs: 1},
 		{name: "claim refused by the log", faults: []journaltest.Fault{
 			journaltest.FaultNotWritten, journaltest.FaultNotWritten, journaltest.FaultNotWritten,
 			journaltest.FaultNotWritten, journaltest.FaultNotWritten, journaltest.FaultNotWritten},
-			first: refused(claim.ReasonLogDown, claim.ScopeRequest), resend: done, runs: 1},
-		{name: "log down", outage: true, first: refused(claim.ReasonLogDown, claim.ScopeRequest), resend: done, runs: 1},
-		// The answer reaches the caller although its record doesn't reach the log.
-		{name: "reply of the outcome lost", faults: []journaltest.Fault{journaltest.FaultNone, journaltest.FaultLost}, first: done, resend: replayed, runs: 1},
-		{name: "upstream refuses", end: claim.DispatchNotRun, first: refused(claim.ReasonUpstream, claim.ScopeKey), resend: done, runs: 1},
-		{name: "upstream breaks off", end: claim.DispatchMayHaveRun, first: claim.MayHaveRun{Reason: claim.ReasonBrokenOff},
-			resend: claim.MayHaveRun{Reason: claim.ReasonBrokenOff}, runs: 1},
-		{name: "caller's time is up first", after: 20 * time.Second, first: claim.MayHaveRun{Reason: claim.ReasonRunning}, resend: replayed, runs: 1},
-		{name: "large answer", body: string(make([]byte, big)),
-			first:  claim.Done{Response: claim.Response{Status: 201, Body: make([]byte, big)}, ResponseComplete: true},
-			resend: claim.Done{Response: claim.Response{Status: 201}, Replayed: true}, runs: 1},
+			first: refused(claim.ReasonLogDown, claim.ScopeRequest), retry: done, runs: 1},
+		{name: "log down", outage: true, first: refused(claim.ReasonLogDown, claim.ScopeRequest), retry: done, runs: 1},
+		// The caller gets the response although no reply confirms its record.
+		{name: "reply of the outcome lost", faults: []journaltest.Fault{journaltest.FaultNone, journaltest.FaultLost}, first: done, retry: replayed, runs: 1},
+		{name: "upstream refuses", dispatch: claim.DispatchNotRun, first: refused(claim.ReasonUpstream, claim.ScopeKey), retry: done, runs: 1},
+		{name: "upstream connection breaks", dispatch: claim.DispatchMayHaveRun, first: claim.MayHaveRun{Reason: claim.ReasonBrokenOff},
+			retry: claim.MayHaveRun{Reason: claim.ReasonBrokenOff}, runs: 1},
+		{name: "caller's deadline passes first", after: 20 * time.Second, first: claim.MayHaveRun{Reason: claim.ReasonRunning}, retry: replayed, runs: 1},
+		{name: "large response", body: string(make([]byte, big)),
+			first: claim.Done{Response: claim.Response{Status: 201, Body: make([]byte, big)}, ResponseComplete: true},
+			retry: claim.Done{Response: claim.Response{Status: 201}, Replayed: true}, runs: 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -175,19 +175,19 @@
 				if body == "" {
 					body = "booked"
 				}
-				require.Equal(t, c.first, a.do("k", s.call(c.after, body, c.end)))
+				require.Equal(t, c.first, a.do("k", s.call(c.after, body, c.dispatch)))
 				log.Outage(false)
 				time.Sleep(time.Minute)
-				require.Equal(t, c.resend, b.do("k", s.call(0, body, claim.DispatchCompleted)))
+				require.Equal(t, c.retry, b.do("k", s.call(0, body, claim.DispatchCompleted)))
 				require.EqualValues(t, c.runs, s.runs.Load())
 			})
 		})
 	}
 }
 
-// An instance dies between its claim and the outcome. Whether the booking was
-// made is not known; a resend elsewhere must not run it and must say so, at
-// once when no outcome can come any more.
+// Guards against a second run after an instance died between its claim and the
+// outcome. A retry at another instance must return MayHaveRun, and without a wait
+// once no outcome is expected any more.
 func TestClaimantDies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log, s := journaltest.NewLog(), &service{}
@@ -198,19 +198,18 @@
 		a.stop()
 		require.Equal(t, claim.MayHaveRun{Reason: claim.ReasonRunning}, b.do("k", s.book))
 		time.Sleep(time.Minute)
-		asked := time.Now()
+		started := time.Now()
 		require.Equal(t, claim.MayHaveRun{Reason: claim.ReasonNoOutcome}, b.do("k", s.book))
-		require.Equal(t, asked, time.Now())
+		require.Equal(t, started, time.Now())
 		require.EqualValues(t, 1, s.runs.Load())
 		wg.Wait()
 	})
 }
 
-// A booking is sent again six hours later, to an instance that was started
-// after its records had expired from the log. The checkpoints that running
-// instances write keep the key known; a timed key beyond that is refused
-// without a claim about the past.
-func TestKeysOutliveTheLog(t *testing.T) {
+// Guards against a second run by an instance that started after the call's
+// records had expired from the log: checkpoints must keep the key known for its
+// TTL, and a timed key past the TTL must be refused as too old.
+func TestKeysOutliveLogRetention(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log, s := journaltest.NewLog(), &service{}
 		a := start(t, log, "a", claim.Config{})
@@ -218,12 +217,12 @@
 		require.NoError(t, err)
 		require.IsType(t, claim.Done{}, a.do("plain", s.book))
 		require.IsType(t, claim.Done{}, a.do(old.String(), s.book))
-		letTimePass(log, 6*time.Hour)
+		sleepAndTrim(log, 6*time.Hour)
 		b := start(t, log, "b", claim.Config{})
 		for _, key := range []string{"plain", old.String()} {
 			require.Equal(t, claim.Done{Response: claim.Response{Status: 201}, Replayed: true}, b.do(key, s.book))
 		}
-		letTimePass(log, 24*time.Hour)
+		sleepAndTrim(log, 24*time.Hour)
 		require.Equal(t, claim.KeyTooOld{}, b.do(old.String(), s.book))
 		require.EqualValues(t, 2, s.runs.Load())
 		a.stop()
@@ -231,19 +230,18 @@
 	})
 }
 
-// letTimePass lets time pass on a log that keeps records for an hour.
-func letTimePass(log *journaltest.Log, d time.Duration) {
+// sleepAndTrim sleeps for d and trims the log to an hour of retention.
+func sleepAndTrim(log *journaltest.Log, d time.Duration) {
 	for range int(d / (10 * time.Minute)) {
 		time.Sleep(10 * time.Minute)
 		log.TrimBefore(time.Now().Add(-time.Hour))
 	}
 }
 
-// After a failure of all instances the log has let everything expire. Instance b
-// started a little later than a, so more was gone for it. The operator accepts
-// the gap at a; b must not refuse plain keys until the next regular checkpoint,
-// and must know what a has run since.
-func TestAcceptedGapClosesWiderOnesAtOnce(t *testing.T) {
+// All records have expired, and instance b started later than a, so its gap is
+// wider. Once the operator accepts the gap at a, b must not refuse untimed keys
+// until the next regular checkpoint, and must know the calls that a ran since.
+func TestAcceptGapClosesWiderGaps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log, s := journaltest.NewLog(), &service{}
 		log.Put([]byte("expired"))
@@ -263,6 +261,6 @@
 		require.True(t, b.do("k", s.book).(claim.Done).Replayed)
 		appends := log.Appends()
 		require.NoError(t, a.AcceptGap(t.Context()))
-		require.Equal(t, appends, log.Appends(), "nothing to accept any more")
+		require.Equal(t, appends, log.Appends(), "no gap is left to accept")
 	})
 }
--- a/claim/key.go
+++ b/claim/key.go
@@ -7,25 +7,25 @@
 	"github.com/google/uuid"
 )
 
-// KeyID stands for an idempotency key: the first half of its SHA-256.
+// KeyID identifies an idempotency key: the first half of its SHA-256 hash.
 type KeyID [16]byte
 
-// AttemptID names one claim. An attempt is claimed once and dispatched at most
-// once; a call that claims again takes a new one.
+// AttemptID identifies one claim. An attempt is claimed once and dispatched at
+// most once; a call that claims again uses a new one.
 type AttemptID [16]byte
 
-// Key is an idempotency key as the ledger handles it.
+// Key is an idempotency key in the ledger's form.
 type Key struct {
 	ID KeyID
-	// Made is when the key was made, by its maker's clock. It is known for
-	// keys that are UUIDs of version 7, else zero.
+	// CreatedAt is when the key was created, by its creator's clock. It is known
+	// for keys that are UUIDs of version 7, else zero.
 	CreatedAt time.Time
 }
 
-// uuidVersionWithTime is the UUID version that begins with the time.
+// uuidVersionWithTime is the UUID version that begins with a timestamp.
 const uuidVersionWithTime = 7
 
-// ParseKey reads a caller's key. Any string is a key.
+// ParseKey parses a caller's key. Any string is a valid key.
 func ParseKey(s string) Key {
 	sum := sha256.Sum256([]byte(s))
 	k := Key{ID: KeyID(sum[:len(KeyID{})])}
@@ -36,7 +36,7 @@
 	return k
 }
 
-// Timed reports whether the key carries its time.
+// Timed reports whether the key carries its creation time.
 func (k Key) Timed() bool { return !k.CreatedAt.IsZero() }
 
 func newAttempt() AttemptID { return AttemptID(uuid.New()) }
--- a/claim/ledger.go
+++ b/claim/ledger.go
@@ -9,36 +9,35 @@
 	"tamarackchute/journal"
 )
 
-// Ledger is the state that all claims, withdrawals and outcomes in the journal
-// add up to. It is a pure fold: ledgers that have read all records up to the
-// same position are equal, and so agree who may run a key's call. It isn't
-// safe for concurrent use.
+// Ledger is the fold of all claims, withdrawals and outcomes in the journal.
+// Ledgers that have read all records up to the same position are equal, and so
+// agree on which attempt may run a key's call. It isn't safe for concurrent use.
 //
 // The first claim of a key, by position, may run. The key is free again only
 // after the claimant itself has withdrawn the claim, or when it is forgotten:
-// Remember after the claim, by the log's clock.
+// KeyTTL after the claim, by the log's clock.
 type Ledger struct {
 	cfg Config
-	// now is the latest of the log's times that were read.
+	// now is the latest log time that was read.
 	now time.Time
-	// position is that of the last entry read.
+	// position is the position of the last entry read.
 	position  journal.Position
 	keys      *buckets
 	holders   map[KeyID]holder
 	responses *responseCache
 	gap       *gap
-	// checkpoints tells when the last whole checkpoint was read.
+	// checkpoints notes when the last complete checkpoint was read.
 	checkpoints checkpointTracker
 	corrupt     int
 }
 
-// holder is the attempt whose claim of a key stands.
+// holder is the attempt whose claim of a key was accepted.
 type holder struct {
 	attempt AttemptID
-	// writer is the hash of the claimant's name: only it may withdraw.
+	// writer is the hash of the claimant's name: only the claimant may withdraw.
 	writer uint64
-	// at is the log's time of the claim; readAt is when this process read it,
-	// by its own clock. Both are zero if the claim is known from a checkpoint.
+	// at is the log's time of the claim, readAt this process's time when it read
+	// the claim. Both are zero if the claim is known from a checkpoint.
 	at, readAt time.Time
 }
 
@@ -47,8 +46,8 @@
 	_ journal.Trimmer = (*Ledger)(nil)
 )
 
-// NewLedger returns a ledger that has read nothing. It takes the history as
-// complete until it is told of expired records.
+// NewLedger returns an empty ledger. It assumes a complete history until Trimmed
+// is called.
 func NewLedger(cfg Config) *Ledger {
 	cfg = cfg.withDefaults()
 	l := &Ledger{cfg: cfg}
@@ -64,10 +63,10 @@
 }
 
 // Apply implements journal.Folder. An entry that can't be decoded is counted
-// and skipped, alike by every reader.
+// and skipped, by every reader alike.
 func (l *Ledger) Apply(p journal.Placed) { l.fold(p) }
 
-// fold applies an entry and returns its message, nil if it can't be decoded.
+// fold applies an entry and returns its message, or nil if it can't be decoded.
 func (l *Ledger) fold(p journal.Placed) any {
 	l.position = p.Position
 	m, err := decodeEntry(p.Entry.Body)
@@ -91,14 +90,14 @@
 	return m
 }
 
-// Trimmed implements journal.Trimmer. What was known may be out of date from
-// here on, so the ledger starts anew, behind a gap that a checkpoint closes.
+// Trimmed implements journal.Trimmer. The known state may be out of date, so the
+// ledger starts from scratch, after a gap that a checkpoint closes.
 func (l *Ledger) Trimmed(oldest infra.Offset) {
 	l.clear()
 	l.gap = newGap(oldest)
 }
 
-// event is one decoded entry.
+// event is a decoded entry.
 type event struct {
 	position journal.Position
 	at       time.Time
@@ -121,7 +120,7 @@
 	}
 }
 
-// advance moves the ledger's time on and forgets what is older than Remember.
+// advance moves the ledger's time forward and forgets what has expired by then.
 func (l *Ledger) advance(at time.Time) {
 	if !at.After(l.now) {
 		return
@@ -131,9 +130,9 @@
 	l.responses.expire(at.Add(-l.cfg.Retention))
 }
 
-// applyClaim decides on a claim. An attempt is decided once, by its first
-// record: a late second copy must not win after the first lost or was
-// withdrawn, as its claimant doesn't wait for it any more.
+// applyClaim accepts or rejects a claim. An attempt is decided once, by its first
+// record: a late second copy must not be accepted after the first was rejected
+// or withdrawn, as its claimant no longer waits for it.
 func (l *Ledger) applyClaim(e event, m *claimRequest) {
 	if l.keys.isRetired(m.Attempt) || l.holders[m.Key].attempt == m.Attempt {
 		return
@@ -147,24 +146,25 @@
 	l.holders[m.Key] = holder{attempt: m.Attempt, writer: e.writer, at: e.at, readAt: e.readAt}
 }
 
-// outOfTime reports whether a timed key may not be claimed at the ledger's
-// time: it could have been known and forgotten by now, or it would be
-// forgotten before it counts as old.
-func (l *Ledger) outOfTime(madeMillis int64) bool {
-	if madeMillis == 0 {
+// outOfTime reports whether a timed key must not be claimed at the ledger's time:
+// either it could have been claimed and forgotten by now, or it is so far ahead
+// that it would be forgotten before tooOld holds for it.
+func (l *Ledger) outOfTime(createdMillis int64) bool {
+	if createdMillis == 0 {
 		return false
 	}
-	made := time.UnixMilli(madeMillis)
-	return l.tooOld(made) || made.After(l.now.Add(l.cfg.KeySkew))
+	created := time.UnixMilli(createdMillis)
+	return l.tooOld(created) || created.After(l.now.Add(l.cfg.KeySkew))
 }
 
-// tooOld reports whether a key made then may have been forgotten by now. Its
-// first claim was taken no earlier than KeySkew before it was made, so up to
-// here it is still known.
-func (l *Ledger) tooOld(made time.Time) bool {
-	return l.now.After(made.Add(l.cfg.KeyTTL - l.cfg.KeySkew))
+// tooOld reports whether a key that was created at that time may have been
+// forgotten by now. No claim is accepted more than KeySkew before the creation
+// time, so until then the key is still known.
+func (l *Ledger) tooOld(created time.Time) bool {
+	return l.now.After(created.Add(l.cfg.KeyTTL - l.cfg.KeySkew))
 }
 
+// holds reports whether the event's writer holds the key by that attempt.
 func (l *Ledger) holds(e event, key KeyID, attempt AttemptID) bool {
 	h, ok := l.holders[key]
 	return ok && h.attempt == attempt && h.writer == e.writer
@@ -189,8 +189,8 @@
 	l.settle(e, m.Key, m.Attempt, row{digest: m.Digest, phase: phaseBrokenOff})
 }
 
-// settle ends a claim. Behind a gap the claim itself may be unknown; that it
-// was settled still says that it had won.
+// settle replaces a claim by its outcome. After a gap the claim itself may be
+// unknown; its outcome shows that it had been accepted.
 func (l *Ledger) settle(e event, key KeyID, attempt AttemptID, r row) bool {
 	_, known := l.keys.find(key)
 	if known == nil && l.gap != nil {
@@ -205,13 +205,13 @@
 	return true
 }
 
-// view is what the ledger tells of one key.
+// keyView is the ledger's state of one key.
 type keyView struct {
 	row
 	holder holder
-	// answer is the recorded answer, if it is still kept.
-	response *outcome
-	// exact is whether the ledger knows every claim of the key.
+	// outcome holds the recorded response, if it is still cached.
+	outcome *outcome
+	// exact says that the ledger knows every claim of the key.
 	exact bool
 }
 
@@ -220,41 +220,41 @@
 	v.row, _ = l.keys.find(key.ID)
 	v.holder = l.holders[key.ID]
 	if v.phase == phaseDone {
-		v.response = l.responses.get(key.ID)
+		v.outcome = l.responses.get(key.ID)
 	}
 	return v
 }
 
-// KeyState is what a ledger knows of a key.
+// KeyState is the state of a key in a ledger.
 type KeyState uint8
 
 // The states of a key.
 const (
-	// KeyFree: no claim is known.
+	// KeyFree: no accepted claim is known.
 	KeyFree = KeyState(phaseFree)
-	// KeyClaimed: an attempt may run, or runs.
+	// KeyClaimed: an attempt may be running.
 	KeyClaimed = KeyState(phaseClaimed)
-	// KeyDone: it ran, and its answer was recorded, whole or not.
+	// KeyDone: it ran, and its response or only its status was recorded.
 	KeyDone = KeyState(phaseDone)
-	// KeyBrokenOff: it may have run, and its answer will never be known.
+	// KeyBrokenOff: it may have run; its outcome will never be known.
 	KeyBrokenOff = KeyState(phaseBrokenOff)
 )
 
-// Lookup tells what is known of a key, and the attempt that holds it if it is
+// Lookup returns the state of a key, and the attempt that holds it if it is
 // claimed.
 func (l *Ledger) Lookup(k Key) (KeyState, AttemptID) {
 	v := l.view(k)
 	return KeyState(v.phase), v.holder.attempt
 }
 
-// age is how long ago a claim was made, at least.
+// age returns a lower bound of a claim's age.
 func (l *Ledger) age(h holder, now time.Time) time.Duration {
 	return max(now.Sub(h.readAt), l.now.Sub(h.at))
 }
 
-// exact reports whether no claim of the key can be missing. Behind a gap that
-// holds for timed keys that were made after it, as none is claimed more than
-// KeySkew before it was made.
+// exact reports whether the ledger knows every claim of the key. After a gap this
+// holds only for timed keys created after it, as no claim is accepted more than
+// KeySkew before the key's creation time.
 func (l *Ledger) exact(key Key) bool {
 	if l.gap == nil {
 		return true
@@ -262,17 +262,17 @@
 	return key.Timed() && l.gap.started() && !key.CreatedAt.Before(l.gap.since.Add(l.cfg.KeySkew))
 }
 
-// Len returns the number of keys and decided attempts that are known.
+// Len returns the number of known keys and of rejected or withdrawn attempts.
 func (l *Ledger) Len() int { return l.keys.size }
 
-// Complete reports whether the ledger knows every claim of the last Remember.
+// Complete reports whether the ledger knows every claim of the last KeyTTL.
 func (l *Ledger) Complete() bool { return l.gap == nil }
 
-// Corrupt returns the number of entries that could not be decoded.
+// Corrupt returns the number of entries that couldn't be decoded.
 func (l *Ledger) Corrupt() int { return l.corrupt }
 
-// Fingerprint is a hash over the keys and attempts that are known. It is equal
-// for complete ledgers at equal positions.
+// Fingerprint returns a hash of the known keys and attempts. It is equal for
+// complete ledgers at equal positions.
 func (l *Ledger) Fingerprint() uint64 {
 	var sum uint64
 	l.rows(func(r *checkpointRow) { sum ^= xxhash.Sum64(encodeRow(r)) })
--- a/claim/ledger_test.go
+++ b/claim/ledger_test.go
@@ -16,7 +16,7 @@
 
 var testStart = time.Unix(1_700_000_000, 0)
 
-// history is a log of claims, built by a test.
+// history is a log of claim entries.
 type history []journal.Placed
 
 func (h *history) add(at time.Time, e journal.Entry, writer string) {
@@ -34,8 +34,8 @@
 
 func attempt(n int) AttemptID { return AttemptID{15: byte(n)} }
 
-// drawMessage makes any message about few keys and attempts, so that copies,
-// strangers' withdrawals and outcomes out of order are common.
+// drawMessage draws a message about few keys and attempts, so that copies,
+// withdrawals by other writers and outcomes out of order are common.
 func drawMessage(t *rapid.T, at time.Time) journal.Entry {
 	key := KeyID{rapid.Byte().Draw(t, "key") % 3}
 	a := attempt(rapid.IntRange(1, 6).Draw(t, "attempt"))
@@ -48,17 +48,17 @@
 	case 2:
 		return brokenOff{Key: key, Attempt: a, Digest: digest}.entry()
 	case 3:
-		made := at.Add(time.Duration(rapid.IntRange(-11*60, 30).Draw(t, "made")) * time.Second)
-		return claimRequest{Key: key, Attempt: a, Digest: digest, CreatedAtMillis: made.UnixMilli()}.entry()
+		created := at.Add(time.Duration(rapid.IntRange(-11*60, 30).Draw(t, "made")) * time.Second)
+		return claimRequest{Key: key, Attempt: a, Digest: digest, CreatedAtMillis: created.UnixMilli()}.entry()
 	default:
 		return claimRequest{Key: key, Attempt: a, Digest: digest}.entry()
 	}
 }
 
-// An instance is replaced after the log has let the first claims expire. If it
-// learned other things from a checkpoint than the others have read, a key
-// would be free for it that has run. The checkpoint's writer may lag behind
-// the log's end, so the records behind it are folded on top.
+// Guards against a new instance that runs a key again because the first claims
+// have expired and a checkpoint gives it another state than the log gave the
+// others. The checkpoint's writer may lag behind the log's end, so the records
+// after the checkpoint's position are folded on top.
 func TestCheckpointTellsWhatExpired(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h history
@@ -93,9 +93,9 @@
 	})
 }
 
-// All instances were down for longer than the log keeps records. A claim that
-// lost to an expired one seems to stand; when time alone closed the gap,
-// readers disagreed (an interleaving showed it).
+// Guards against a gap that time alone closes, after all instances were down for
+// longer than the log's retention: a claim that was rejected for an expired one
+// seems accepted, so readers would disagree.
 func TestTimeClosesNoGap(t *testing.T) {
 	var h history
 	h.add(testStart, claimRequest{Key: KeyID{1}, Attempt: attempt(1)}.entry(), "a")
@@ -105,20 +105,20 @@
 	h.fold(l)
 	require.False(t, l.Complete())
 	require.False(t, l.exact(Key{ID: KeyID{3}}))
-	made := testStart.Add(testConfig.KeySkew)
-	require.True(t, l.exact(Key{ID: KeyID{3}, CreatedAt: made}), "a timed key from behind the gap is known in full")
+	created := testStart.Add(testConfig.KeySkew)
+	require.True(t, l.exact(Key{ID: KeyID{3}, CreatedAt: created}), "every claim of a timed key created after the gap is known")
 
 	for _, e := range l.acceptGap() {
 		h.add(testStart.Add(3*testConfig.KeyTTL), e, "a")
 	}
 	h[2:].fold(l)
-	require.True(t, l.Complete(), "the operator has accepted the gap")
+	require.True(t, l.Complete(), "complete after the operator accepted the gap")
 }
 
-// An instance wins a claim and is paused for about as long as keys are
-// remembered. Its claim is forgotten and another instance runs the key. It
-// then said that no request with the key had run (an interleaving showed it).
-func TestPausedHolderSaysNoMoreThanItKnows(t *testing.T) {
+// Guards against the result that no request with the key has run, from an
+// instance that was paused for about KeyTTL after its claim: the claim is
+// forgotten by then, and another instance may have run the key.
+func TestPausedHolderReturnsRequestScope(t *testing.T) {
 	for _, c := range []struct {
 		pause time.Duration
 		scope Scope
@@ -132,9 +132,9 @@
 		core.Apply(journal.Placed{Position: journal.Position{Offset: 1}, At: testStart, Entry: step.(ClaimStep).Entry})
 		require.Equal(t, DispatchStep{}, core.Claimed(env, id, Appended))
 		env.Now = testStart.Add(c.pause)
-		answer := core.Confirm(env, id, false).(ResultStep).Result.(NotRun)
-		require.Equal(t, ReasonPaused, answer.Reason)
-		require.Equal(t, c.scope, answer.Scope)
+		result := core.Confirm(env, id, false).(ResultStep).Result.(NotRun)
+		require.Equal(t, ReasonPaused, result.Reason)
+		require.Equal(t, c.scope, result.Scope)
 		require.Len(t, core.Outbox(), 1, "the claim is withdrawn")
 	}
 }
@@ -152,10 +152,10 @@
 	})
 }
 
-// A record that other software, or a broken writer, put into the log must cost
-// no reader more than its own size: each instance reads it at each start, so one
-// that ends the process ends them all, again and again.
-func TestHarmfulBytesAreSkipped(t *testing.T) {
+// Guards against a malformed entry that takes more memory or stack than its own
+// size: each instance reads it at each start, so an entry that crashes the
+// process would crash all of them at every start.
+func TestMalformedEntriesAreSkipped(t *testing.T) {
 	deep := append(bytes.Repeat([]byte{0x91}, 60_000), 0xc0)
 	for name, body := range map[string][]byte{
 		"60,000 levels":         append(append([]byte{byte(typeCheckpoint), 0x96, 0xc0, 0, 1, 0x81, 0xa1, 'z'}, deep...), 0, 0xc0),
@@ -164,9 +164,9 @@
 		"4 G elements in rows":  checkpointOf([]byte{0xdd, 0xff, 0xff, 0xff, 0xff}),
 		"4 G bytes":             {byte(typeCheckpoint), 0x96, 0xc6, 0xff, 0xff, 0xff, 0xff},
 		"bytes after the end":   append(claimRequest{Key: KeyID{1}}.entry().Body, 0xc0),
-		"no message":            {byte(typeClaim)},
+		"type without message":  {byte(typeClaim)},
 		"unknown type":          {99, 0x90},
-		"nothing":               nil,
+		"empty body":            nil,
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := NewLedger(testConfig)
@@ -177,7 +177,7 @@
 	}
 }
 
-// checkpointOf is the body of a whole checkpoint with these rows.
+// checkpointOf returns the body of a complete checkpoint with these rows.
 func checkpointOf(rows []byte) []byte {
 	return checkpointEntries(journal.Position{Offset: 1}, testStart, [][]byte{rows})[0].Body
 }
--- a/claim/messages.go
+++ b/claim/messages.go
@@ -13,8 +13,8 @@
 	"tamarackchute/upstream"
 )
 
-// messageType stands first in an entry's body. The numbers stand in the log:
-// never reuse one.
+// messageType is the first byte of an entry's body. The numbers are stored in
+// the log: never reuse one.
 type messageType uint8
 
 const (
@@ -25,7 +25,7 @@
 	typeCheckpoint messageType = 5
 )
 
-// claimed asks for the right to run a key's call.
+// claimRequest asks for the right to run a key's call.
 type claimRequest struct {
 	//lint:ignore U1000 read by msgpack
 	_msgpack struct{} `msgpack:",as_array"`
@@ -33,11 +33,11 @@
 	Key     KeyID
 	Attempt AttemptID
 	Digest  uint64
-	// MadeMillis is Key.Made as Unix milliseconds, 0 if not known.
+	// CreatedAtMillis is Key.CreatedAt in Unix milliseconds, 0 if not known.
 	CreatedAtMillis int64
 }
 
-// abandoned withdraws a claim that was never dispatched and never will be.
+// withdrawal withdraws a claim that was never dispatched and never will be.
 type withdrawal struct {
 	//lint:ignore U1000 read by msgpack
 	_msgpack struct{} `msgpack:",as_array"`
@@ -46,7 +46,7 @@
 	Attempt AttemptID
 }
 
-// outcome records the answer of a run.
+// outcome records the response of a call that ran.
 type outcome struct {
 	//lint:ignore U1000 read by msgpack
 	_msgpack struct{} `msgpack:",as_array"`
@@ -55,14 +55,14 @@
 	Attempt AttemptID
 	Digest  uint64
 	Status  uint16
-	// Kept is whether Headers and Body are the whole answer.
+	// Complete says that Headers and Body are the complete response.
 	Complete bool
-	// Headers holds names and values in turn.
+	// Headers holds names and values alternately.
 	Headers []string
 	Body    []byte
 }
 
-// brokenOff records that a run's outcome will never be known.
+// brokenOff records that a dispatch's outcome will never be known.
 type brokenOff struct {
 	//lint:ignore U1000 read by msgpack
 	_msgpack struct{} `msgpack:",as_array"`
@@ -72,8 +72,8 @@
 	Digest  uint64
 }
 
-// checkpoint repeats what a ledger knew at UpTo, in several parts, so that a
-// reader that starts behind expired records learns it.
+// checkpoint is one part of a ledger's snapshot at UpTo, for readers that start
+// after records have expired.
 type checkpoint struct {
 	//lint:ignore U1000 read by msgpack
 	_msgpack struct{} `msgpack:",as_array"`
@@ -81,13 +81,13 @@
 	Set         AttemptID
 	Part, Parts uint32
 	UpTo        journal.Position
-	// NowMillis is the ledger's time at UpTo.
+	// NowMillis is the ledger's time at UpTo in Unix milliseconds.
 	NowMillis int64
-	// Rows holds checkpointRow values, one after the other.
+	// Rows holds concatenated checkpointRow values.
 	Rows []byte
 }
 
-// checkpointRow is a key, or an attempt that was decided against.
+// checkpointRow is a key, or an attempt whose claim was rejected or withdrawn.
 type checkpointRow struct {
 	//lint:ignore U1000 read by msgpack
 	_msgpack struct{} `msgpack:",as_array"`
@@ -101,9 +101,10 @@
 	Writer  uint64
 }
 
-var errCorrupt = eris.New("claim: entry can't be decoded")
+var errCorrupt = eris.New("claim: malformed entry")
 
-// encodeEntry builds a journal entry. The id must be unique to the message.
+// encodeEntry builds a journal entry. The id and the suffix together must be
+// unique to the message.
 func encodeEntry(t messageType, id AttemptID, suffix string, m any) journal.Entry {
 	var b bytes.Buffer
 	enc := msgpack.NewEncoder(&b)
@@ -136,7 +137,7 @@
 
 // decodeEntry returns a pointer to one of the message types.
 func decodeEntry(body []byte) (any, error) {
-	// The type is below 128, so it is its own msgpack form.
+	// A type below 128 is encoded as one byte of the same value in msgpack.
 	if len(body) == 0 {
 		return nil, errCorrupt
 	}
@@ -161,7 +162,7 @@
 	return m, nil
 }
 
-// recorded is the answer that the outcome holds.
+// response returns the response that the outcome holds.
 func (m *outcome) response() Response {
 	r := Response{Status: int(m.Status), Body: m.Body}
 	for i := 0; i+1 < len(m.Headers); i += 2 {
@@ -170,15 +171,15 @@
 	return r
 }
 
-// newOutcome records an answer, without headers and body if it is larger than
-// maxBytes.
+// newOutcome returns the record of a response, without headers and body if it
+// is larger than maxBytes.
 func newOutcome(key KeyID, attempt AttemptID, digest uint64, r Response, maxBytes int) outcome {
 	m := outcome{Key: key, Attempt: attempt, Digest: digest, Status: uint16(r.Status)}
 	if r.size() > maxBytes {
 		return m
 	}
 	m.Complete = true
-	// The caller's HTTP library may use the answer's memory again.
+	// The caller's HTTP library may reuse the response's memory.
 	m.Body = bytes.Clone(r.Body)
 	for _, h := range r.Headers {
 		m.Headers = append(m.Headers, strings.Clone(h.Name), strings.Clone(h.Value))
--- a/claim/outbox.go
+++ b/claim/outbox.go
@@ -7,7 +7,7 @@
 	"tamarackchute/journal"
 )
 
-// send appends a message in the background. Called with the lock held.
+// send appends a message in the background. The caller holds the lock.
 func (g *Guard) send(m Message) {
 	if g.sending >= g.cfg.MaxOutbox {
 		g.dropped++
@@ -29,13 +29,13 @@
 	})
 }
 
-// Bounds of one background append and the wait before the next try.
+// The timeout of one background append and the delay before the next attempt.
 const (
 	appendTimeout    = 10 * time.Second
 	appendRetryDelay = 500 * time.Millisecond
 )
 
-// keepAppending appends an entry, again and again for RecordFor.
+// appendWithRetry appends an entry, with retries for up to RecordTimeout.
 func (g *Guard) appendWithRetry(e journal.Entry) bool {
 	ctx, cancel := context.WithTimeout(g.background, g.cfg.RecordTimeout)
 	defer cancel()
@@ -56,7 +56,7 @@
 	return err == nil
 }
 
-// pause waits for d; it returns false if ctx ends first.
+// sleep waits for d; it returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/claim/responses.go
+++ b/claim/responses.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// answers keeps recorded answers, within a bound of bytes; beyond it the
-// oldest go first.
+// responseCache keeps recorded responses within a bound of bytes, beyond which
+// it evicts the oldest.
 type responseCache struct {
 	maxBytes int
 	bytes    int
@@ -21,45 +21,46 @@
 	size    int
 }
 
-// answerOverhead is what a kept answer takes beside its content, in bytes.
+// responseOverhead is the memory in bytes that a cached response takes besides
+// its content.
 const responseOverhead = 256
 
 func newResponseCache(maxBytes int) *responseCache {
 	return &responseCache{maxBytes: maxBytes, byKey: map[KeyID]*list.Element{}, order: list.New()}
 }
 
-func (a *responseCache) put(key KeyID, at time.Time, m *outcome) {
+func (c *responseCache) put(key KeyID, at time.Time, m *outcome) {
 	size := len(m.Body) + responseOverhead
 	for _, h := range m.Headers {
 		size += len(h)
 	}
-	a.byKey[key] = a.order.PushBack(cachedResponse{key: key, at: at, outcome: m, size: size})
-	a.bytes += size
-	for a.bytes > a.maxBytes {
-		a.dropOldest()
+	c.byKey[key] = c.order.PushBack(cachedResponse{key: key, at: at, outcome: m, size: size})
+	c.bytes += size
+	for c.bytes > c.maxBytes {
+		c.dropOldest()
 	}
 }
 
-func (a *responseCache) get(key KeyID) *outcome {
-	e, ok := a.byKey[key]
+func (c *responseCache) get(key KeyID) *outcome {
+	e, ok := c.byKey[key]
 	if !ok {
 		return nil
 	}
 	return e.Value.(cachedResponse).outcome
 }
 
-// expire drops the answers that were recorded before then.
-func (a *responseCache) expire(before time.Time) {
-	for e := a.order.Front(); e != nil && e.Value.(cachedResponse).at.Before(before); e = a.order.Front() {
-		a.dropOldest()
+// expire drops the responses that were recorded before a time.
+func (c *responseCache) expire(before time.Time) {
+	for e := c.order.Front(); e != nil && e.Value.(cachedResponse).at.Before(before); e = c.order.Front() {
+		c.dropOldest()
 	}
 }
 
-func (a *responseCache) dropOldest() {
-	e := a.order.Front()
-	old := a.order.Remove(e).(cachedResponse)
-	a.bytes -= old.size
-	if a.byKey[old.key] == e {
-		delete(a.byKey, old.key)
+func (c *responseCache) dropOldest() {
+	e := c.order.Front()
+	old := c.order.Remove(e).(cachedResponse)
+	c.bytes -= old.size
+	if c.byKey[old.key] == e {
+		delete(c.byKey, old.key)
 	}
 }
--- a/claim/result.go
+++ b/claim/result.go
@@ -6,14 +6,14 @@
 	"tamarackchute/upstream"
 )
 
-// Recorded is the answer of a protected call's run.
+// Response is the response of a protected call.
 type Response struct {
 	Status  int
 	Headers []upstream.Header
 	Body    []byte
 }
 
-// size is what the answer takes up.
+// size returns the bytes of the headers and the body.
 func (r Response) size() int {
 	n := len(r.Body)
 	for _, h := range r.Headers {
@@ -22,53 +22,53 @@
 	return n
 }
 
-// DispatchError says what is known of a dispatch.
+// DispatchResult says what is known of a dispatch.
 type DispatchResult uint8
 
-// The outcomes of a dispatch.
+// The results of a dispatch.
 const (
-	// DispatchAnswered: the call ran, and here is its answer.
+	// DispatchCompleted: the call ran and its response is known.
 	DispatchCompleted DispatchResult = iota
-	// DispatchNotRun: the call certainly did not run and never will: it was not
-	// sent, or the upstream refused it before running.
+	// DispatchNotRun: the call did not run and never will: it was not sent, or
+	// the upstream refused it before running it.
 	DispatchNotRun
-	// DispatchMayHaveRun: the connection broke or the time ran out after the
+	// DispatchMayHaveRun: the connection failed or the deadline passed after the
 	// call was sent.
 	DispatchMayHaveRun
 )
 
-// Result is what a caller may be told: Done, NotRun, MayHaveRun, KeyReused or
+// Result is the result of a call: Done, NotRun, MayHaveRun, KeyReused or
 // KeyTooOld.
 type Result interface{ isResult() }
 
-// Done says that the call ran, once.
+// Done says that the call ran exactly once.
 type Done struct {
 	Response Response
 	// Replayed is set if an earlier request with the key ran it.
 	Replayed bool
-	// AnswerKept is whether Recorded is the whole answer. If not, it was too
-	// large or too long ago, and only Recorded.Status is known.
+	// ResponseComplete says that Response is the complete response. If unset,
+	// the response was too large or is too old, and only its Status is known.
 	ResponseComplete bool
 }
 
 // NotRun says that this request did not run and never will.
 type NotRun struct {
 	Reason NotRunReason
-	// Scope tells what else is known about the key.
+	// Scope says what is known about other requests with the key.
 	Scope Scope
-	// RetryAfter is when to ask again, with the same key.
+	// RetryAfter is the time after which to retry with the same key.
 	RetryAfter time.Duration
 }
 
-// Scope says how far a NotRun reaches.
+// Scope says which requests a NotRun applies to.
 type Scope uint8
 
 // The scopes.
 const (
-	// ScopeRequest: this request. Whether another request with the same key
-	// ran earlier is not known now.
+	// ScopeRequest: this request only. Whether an earlier request with the same
+	// key ran is not known now.
 	ScopeRequest Scope = iota
-	// ScopeKey: no request with this key had run when the answer was given.
+	// ScopeKey: no request with this key had run when the result was returned.
 	ScopeKey
 )
 
@@ -77,41 +77,42 @@
 
 // The reasons for not running a request.
 const (
-	ReasonLogDown        NotRunReason = "log_down"         // the log doesn't answer
+	ReasonLogDown        NotRunReason = "log_down"         // the log is unavailable
 	ReasonClaimUnclear   NotRunReason = "claim_unclear"    // the claim was not confirmed in time
-	ReasonHistoryUnknown NotRunReason = "history_unknown"  // earlier claims expired before they were read
-	ReasonTooManyKeys    NotRunReason = "too_many_keys"    // no memory for another key
-	ReasonContended      NotRunReason = "contended"        // others claimed and withdrew again and again
+	ReasonHistoryUnknown NotRunReason = "history_unknown"  // claims expired from the log before they were read
+	ReasonTooManyKeys    NotRunReason = "too_many_keys"    // the bound on keys or unclear claims is reached
+	ReasonContended      NotRunReason = "contended"        // other attempts claimed the key again and again
 	ReasonPaused         NotRunReason = "paused"           // too long between claim and dispatch
-	ReasonCallerGone     NotRunReason = "caller_gone"      // the caller's time was up before dispatch
+	ReasonCallerGone     NotRunReason = "caller_gone"      // the caller's deadline passed before the dispatch
 	ReasonUpstream       NotRunReason = "upstream_refused" // not sent, or refused by the upstream
-	ReasonKeyFromFuture  NotRunReason = "key_from_future"  // a timed key from a clock that is ahead
-	ReasonStopping       NotRunReason = "stopping"         // this process is stopping
+	ReasonKeyFromFuture  NotRunReason = "key_from_future"  // a timed key whose creator's clock is ahead
+	ReasonStopping       NotRunReason = "stopping"         // this process is shutting down
 )
 
-// MayHaveRun says that the call may have run, and that its answer isn't known.
+// MayHaveRun says that the call may have run, but its outcome is not known.
 type MayHaveRun struct{ Reason MayHaveRunReason }
 
-// MayHaveRunReason says why the outcome isn't known.
+// MayHaveRunReason says why the outcome is not known.
 type MayHaveRunReason string
 
-// The reasons for not knowing.
+// The reasons for an unknown outcome.
 const (
 	// ReasonRunning: a request with this key was claimed and may be running;
-	// a resend may get its answer.
+	// a retry may get its response.
 	ReasonRunning MayHaveRunReason = "running"
-	// ReasonBrokenOff: the run broke off after it was sent.
+	// ReasonBrokenOff: the dispatch failed after the call was sent.
 	ReasonBrokenOff MayHaveRunReason = "broken_off"
-	// ReasonNoOutcome: it was claimed long ago and no outcome was recorded.
+	// ReasonNoOutcome: the claim is older than a call may take, and no outcome was
+	// recorded.
 	ReasonNoOutcome MayHaveRunReason = "no_outcome"
 )
 
-// KeyReused says that the key belongs to a different request. This request did
-// not run and never will.
+// KeyReused says that the key was used for a different request. This request
+// did not run and never will.
 type KeyReused struct{}
 
-// KeyTooOld says that the key is older than keys are known. This request did
-// not run; whether an earlier one with the key ran is not known any more.
+// KeyTooOld says that the key's time is past the TTL of keys. This request did
+// not run; whether an earlier one with the key ran is no longer known.
 type KeyTooOld struct{}
 
 func (Done) isResult()       {}
--- a/claim/serve.go
+++ b/claim/serve.go
@@ -9,28 +9,28 @@
 	"tamarackchute/journal"
 )
 
-// Stats is what a Guard knows of itself.
+// Stats holds statistics of a Guard.
 type Stats struct {
-	// Keys is the number of keys and decided attempts known.
+	// Keys is the number of known keys and of rejected or withdrawn attempts.
 	Keys int
-	// Complete is whether every claim of the last Remember is known.
+	// Complete says that every claim of the last KeyTTL is known.
 	Complete bool
-	// Active is the number of calls and background appends under way.
+	// Active is the number of active calls and background appends.
 	Active int
-	// Dropped counts outcomes and withdrawals that were given up; their resends
-	// are told that the call may have run.
+	// Dropped counts outcomes and withdrawals that were given up; retries of
+	// their calls get MayHaveRun.
 	Dropped int
-	// Corrupt counts entries that could not be decoded.
+	// Corrupt counts entries that couldn't be decoded.
 	Corrupt int
 }
 
-// checkpointLooks is how often per retention a Guard looks whether a
-// checkpoint is due.
+// checkpointChecksPerRetention is how often per retention a Guard checks whether
+// a checkpoint is due.
 const checkpointChecksPerRetention = 120
 
-// Serve writes checkpoints when they are due, until ctx ends. Then it takes no
-// more calls, waits up to DrainTimeout for those under way and their outcomes,
-// and returns.
+// Serve writes checkpoints when they are due, until ctx ends. Then it refuses new
+// calls, waits up to DrainTimeout for active calls and their outcomes, and
+// returns.
 func (g *Guard) Serve(ctx context.Context) error {
 	tick := time.NewTicker(max(g.cfg.Retention/checkpointChecksPerRetention, time.Millisecond))
 	defer tick.Stop()
@@ -45,10 +45,11 @@
 	return ctx.Err()
 }
 
-// checkpoint writes a checkpoint if one is due. If a part can't be appended
-// the rest is left; the next look starts a new one.
+// checkpoint writes a checkpoint if one is due. If a part can't be appended the
+// others are skipped; the next check starts a new checkpoint.
 func (g *Guard) checkpoint(ctx context.Context) {
-	// Asked before the ledger is looked at: all up to here is in the ledger.
+	// Called before the ledger is read, so that the ledger includes all entries
+	// up to this position.
 	applied := g.journal.Applied()
 	var parts []journal.Entry
 	g.withCore(func() {
@@ -64,7 +65,7 @@
 	}
 }
 
-// drain lets calls and appends end, for DrainTimeout at most.
+// drain waits for calls and appends to end, for DrainTimeout at most.
 func (g *Guard) drain() {
 	g.mu.Lock()
 	g.stopping = true
@@ -81,14 +82,14 @@
 	}
 }
 
-// AcceptGap is an operator's act. Earlier records expired before this process
-// read them, and no checkpoint tells what they said, as at the first start on
-// a log that is already in use. The operator accepts that calls with plain
-// keys from before are forgotten. It does nothing if the history is complete.
+// AcceptGap lets an operator accept that earlier calls with untimed keys are
+// forgotten: records expired before this process read them and no checkpoint
+// covers them, as at the first start on a log in use. It does nothing if the
+// history is complete.
 //
-// No process may have the complete history then: it would still hold keys that
-// this one takes as free. A checkpoint follows at once, as the gap of a process
-// that started later is wider than the one accepted.
+// It must not be called while any process has the complete history, as that one
+// still holds keys which this one treats as free. A checkpoint follows at once,
+// as a process that started later has a wider gap than the accepted one.
 func (g *Guard) AcceptGap(ctx context.Context) error {
 	var parts []journal.Entry
 	g.withCore(func() { parts = g.core.AcceptGap() })
@@ -101,7 +102,7 @@
 	applied := g.journal.Applied()
 	parts = nil
 	g.withCore(func() {
-		// Not if more has expired meanwhile: it would tell of too little.
+		// Not if more records have expired meanwhile: it would lack them.
 		if g.core.Ledger().Complete() {
 			parts = g.core.Checkpoint(applied)
 		}
@@ -118,7 +119,7 @@
 	return nil
 }
 
-// Stats returns counts for a metrics page.
+// Stats returns the current statistics.
 func (g *Guard) Stats() Stats {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/lease/keeper.go
+++ b/lease/keeper.go
@@ -44,7 +44,7 @@
 
 	mu      sync.Mutex
 	machine *Machine
-	// closers counts the releases under way, which refuse new uses of the
+	// closers counts the releases in progress, which refuse new uses of the
 	// authority; active counts the uses that have not ended.
 	closers int
 	active  int
--- a/lease/state.go
+++ b/lease/state.go
@@ -7,9 +7,10 @@
 	"tamarackchute/journal"
 )
 
-// ScopeState is the fold of a scope's accepted records. LastReadAt, RestoredAt
-// and Provisional are this process's own; the other fields are equal in every
-// process that has read up to the same position.
+// ScopeState is the fold of a scope's accepted records. Basis, LastReadAt,
+// RestoredAt and Provisional also depend on when this process started to read;
+// the other fields are equal in every process that has read up to the same
+// position.
 type ScopeState struct {
 	Scope string
 	// Known is set once a record of the scope has been accepted.
