--- a/claim/buckets.go
+++ b/claim/buckets.go
@@ -48,10 +48,10 @@
 // the TTL longer.
 const bucketsPerTTL = 16
 
-func newBuckets(keep time.Duration) *buckets {
+func newBuckets(ttl time.Duration) *buckets {
 	return &buckets{
-		width:  max(keep/bucketsPerTTL, time.Millisecond),
-		ttl:    keep,
+		width:  max(ttl/bucketsPerTTL, time.Millisecond),
+		ttl:    ttl,
 		byTime: map[int64]*bucket{},
 	}
 }
--- a/claim/call.go
+++ b/claim/call.go
@@ -11,7 +11,7 @@
 
 const (
 	stateClaiming callState = iota
-	stateWon
+	stateAccepted
 	stateDispatching
 	stateWaiting
 )
@@ -166,11 +166,11 @@
 func (c *Core) Claimed(env Env, id CallID, r AppendResult) Step {
 	k := c.calls[id]
 	v := c.view(k.key)
-	won := v.phase == phaseClaimed && v.holder.attempt == k.attempt
+	accepted := v.phase == phaseClaimed && v.holder.attempt == k.attempt
 	switch {
-	case won && v.exact:
+	case accepted && v.exact:
 		// Also when the reply was lost: the claim was read from the log.
-		k.state = stateWon
+		k.state = stateAccepted
 		return DispatchStep{}
 	case r == Appended && v.exact:
 		// Rejected: another attempt has the key, or its time is out of range.
@@ -180,7 +180,7 @@
 		// processes may accept the claim now or later, so it is never dispatched.
 		c.block(env, k.key.ID, k.attempt)
 	}
-	if v.phase != phaseFree && !won {
+	if v.phase != phaseFree && !accepted {
 		return c.decide(env, k)
 	}
 	if r == NotAppended {
@@ -207,9 +207,9 @@
 }
 
 // Dispatched ends a call after its dispatch has returned.
-func (c *Core) Dispatched(env Env, id CallID, r Response, e DispatchResult) Step {
+func (c *Core) Dispatched(env Env, id CallID, r Response, result DispatchResult) Step {
 	k := c.calls[id]
-	switch e {
+	switch result {
 	case DispatchNotRun:
 		return c.withdrawCall(env, k, ReasonUpstream)
 	case DispatchCompleted:
--- a/claim/core.go
+++ b/claim/core.go
@@ -41,7 +41,7 @@
 
 // Env is the environment of a step.
 type Env struct {
-	// Now is the process's own clock, with its monotonic part.
+	// Now is the process's clock, with its monotonic reading.
 	Now time.Time
 	// LogUp says whether the log is believed to be available.
 	LogUp bool
@@ -167,7 +167,7 @@
 	c.markChanged(key)
 }
 
-// markChanged marks the calls that wait for a key.
+// markChanged marks the calls that wait for a change of a key.
 func (c *Core) markChanged(key KeyID) {
 	for id, call := range c.calls {
 		if call.state == stateWaiting && call.key.ID == key {
@@ -232,7 +232,7 @@
 }
 
 // AcceptGap returns the entries by which an operator accepts that calls with
-// plain keys from before the gap are forgotten. It returns none if there is no
+// untimed keys from before the gap are forgotten. It returns none if there is no
 // gap.
 func (c *Core) AcceptGap() []journal.Entry {
 	if c.ledger.Complete() {
--- a/claim/guard.go
+++ b/claim/guard.go
@@ -1,3 +1,7 @@
+// Package claim runs calls with an idempotency key at most once across all
+// instances. An instance claims the key in the journal before it dispatches the
+// call. The first claim in log order may run, and its outcome is recorded for
+// retries.
 package claim
 
 import (
--- a/infra/infra.go
+++ b/infra/infra.go
@@ -14,7 +14,7 @@
 // one with each record; 0 means "before the first record".
 //
 // A log that is restored from an older copy begins a new era and assigns its
-// offsets again. The era is in the upper bits, so that all offsets of a later era
+// indices again. The era is in the upper bits, so that all offsets of a later era
 // are greater than those of an earlier one, whatever was lost.
 type Offset uint64
 
--- a/lease/chain.go
+++ b/lease/chain.go
@@ -30,7 +30,7 @@
 	base, first, last journal.Position
 }
 
-// Judge returns the verdict on a record at a position; it changes nothing.
+// Classify returns the verdict on a record at a position; it changes nothing.
 func (c Chain) Classify(after, at journal.Position) Link {
 	switch {
 	case !after.Less(at):
@@ -40,9 +40,9 @@
 	case after == c.last:
 		return LinkFollows
 	case c.base.Less(after) && after.Less(c.first):
-		// A rejected record names an older predecessor than the accepted record
-		// that it lost to. So the reader's first record had been rejected, and
-		// from here on the reader agrees with those that read everything.
+		// A rejected record names an older predecessor than the next accepted
+		// record does. So the reader's first record had been rejected, and from
+		// here on the reader agrees with those that read everything.
 		return LinkRestarts
 	default:
 		return LinkStale
--- a/lease/keeper_test.go
+++ b/lease/keeper_test.go
@@ -23,7 +23,7 @@
 func (allListed) Gone(string, time.Time) bool { return false }
 func (allListed) Listed(string) bool          { return true }
 
-// process is one process: a journal, a view and a keeper.
+// process is the journal, the view and the keeper of one process.
 type process struct {
 	*Keeper
 	view   *View
--- a/lease/state.go
+++ b/lease/state.go
@@ -50,8 +50,8 @@
 
 	chain Chain
 	// currentEra is set once a record was accepted whose writer knew the log's
-	// current era. Only until then are records accepted that were restored with
-	// the copy, or whose writers don't know of the restore.
+	// current era. Until then records of earlier eras are accepted too: those
+	// restored with the copy, and those of writers unaware of the restore.
 	currentEra bool
 }
 
