--- a/claim/guard.go
+++ b/claim/guard.go
@@ -140,8 +140,8 @@
 	}
 }
 
-// wait waits for a change of the call's key, and reports whether the time is
-// up by until or ctx.
+// wait waits for a change of the call's key, and reports whether until has
+// passed or ctx has ended.
 func wait(ctx context.Context, changed <-chan struct{}, until time.Time) bool {
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
@@ -169,9 +169,9 @@
 	g.appends.Go(func() {
 		defer g.end()
 		// A dispatch that panics may have run.
-		r, e := Response{}, DispatchMayHaveRun
-		caught.Try(func() { r, e = dispatchWithDeadline(ctx, deadline, dispatch) })
-		ended <- g.step(func(env Env) Step { return g.core.Dispatched(env, id, r, e) })
+		r, result := Response{}, DispatchMayHaveRun
+		caught.Try(func() { r, result = dispatchWithDeadline(ctx, deadline, dispatch) })
+		ended <- g.step(func(env Env) Step { return g.core.Dispatched(env, id, r, result) })
 		if p := caught.Recovered(); p != nil {
 			slog.Error("dispatch of a protected call panicked", "err", p.AsError())
 		}
@@ -203,7 +203,7 @@
 	var s Step
 	g.withCore(func() {
 		// A failure of the log that is shorter than ClaimTimeout may end before
-		// the claim's append does.
+		// the claim's append does, so the log still counts as up.
 		now := time.Now()
 		up := h.LogUp || now.Sub(h.LastContact) < g.cfg.ClaimTimeout
 		s = f(Env{Now: now, LogUp: up})
