--- /dev/null
+++ b/internal/relay/assign.go
@@ -0,0 +1,284 @@
+package relay
+
+import (
+	"context"
+	"time"
+
+	"tamarackchute/enginemodel"
+	"tamarackchute/internal/fleet"
+	"tamarackchute/placement"
+	"tamarackchute/upstream"
+)
+
+const (
+	// onTimeShare is the share of the objective within which the first event must be
+	// expected for a plan to be acceptable; the rest covers errors of the estimate.
+	onTimeShare = 0.85
+	// recomputeShare replaces onTimeShare where shared prompt parts would be computed
+	// although another engine has them cached: where engines are busy, two other
+	// requests can be served in that time.
+	recomputeShare = 0.5
+	// waitShare is the share of the objective that a model request is queued for. One
+	// without capacity by then would be late: it is refused at once, as a late response
+	// takes as much engine time as one within the objective and is worth less.
+	waitShare = 0.1
+	// serviceWaitShare replaces waitShare for plain services: their upstreams get no
+	// more requests than they run at a time, so requests are queued here.
+	serviceWaitShare = 0.5
+	// lateWaitShare is the share of the remaining time for which a late request waits
+	// for capacity that no other request uses.
+	lateWaitShare = 0.01
+	// retriedShare is the share of a common caller timeout below which a timeout counts
+	// as the remainder of it, so that the request is a caller retry.
+	retriedShare = 0.85
+	// defaultOutputTokens is the expected output of a request that states neither an
+	// estimate nor a limit.
+	defaultOutputTokens = 64
+)
+
+// assignment is where an attempt goes, with the work recorded for it in the tracker.
+type assignment struct {
+	target *fleet.Upstream
+	// prefill is the engine that does the prefill, nil if it is the target.
+	prefill *fleet.Upstream
+	// source is the engine from which shared prompt parts are transferred, nil if none.
+	source *fleet.Upstream
+	plan   placement.Plan
+	// ticket is the target's, prefillTicket that of the prefill engine.
+	ticket, prefillTicket *placement.Ticket
+	waited                time.Duration
+	sentAt                time.Time
+	// resumedAfter is the id of the event after which the attempt's stream begins.
+	resumedAfter int
+	// prefillTime is the time from the sending to the end of the prefill, as seen by the
+	// prefill engine's response or the first event, firstEventTime that to the first
+	// event. Zero if it wasn't reached.
+	prefillTime, firstEventTime time.Duration
+}
+
+// assign waits for an upstream that can take the request.
+func (c *call) assign(ctx context.Context) (*assignment, *failure) {
+	began := time.Now()
+	if refresh := c.relay.cfg.Refresh; refresh != nil {
+		refresh(ctx)
+	}
+	if c.cannotComplete() {
+		return nil, c.fail(reasonCannotComplete, "no upstream can end the answer in the time left")
+	}
+	late := c.isLate(began)
+	var found *assignment
+	try := func() bool {
+		found = c.tryAssign(late)
+		return found != nil
+	}
+	until := began.Add(c.maxWait(late))
+	got := c.relay.queue(c.rule.Name).await(ctx, late, until, try)
+	if !got && !late && c.Generation != nil && c.contextFailure(ctx) == nil {
+		// No upstream can meet the objective. A late response is worth more than none.
+		late = true
+		got = try()
+	}
+	if !got {
+		if f := c.contextFailure(ctx); f != nil {
+			return nil, f
+		}
+		return nil, c.fail(reasonNoCapacity, "no upstream has a free place")
+	}
+	found.waited = time.Since(began)
+	return found, nil
+}
+
+// cannotComplete reports whether no engine can complete the response before the deadline.
+// If sent, it would be cut off there and have slowed the concurrent streams. A request
+// that may have run or whose stream has begun isn't refused for this.
+func (c *call) cannotComplete() bool {
+	if c.Generation == nil || c.stream != nil || c.attempts.MayHaveRun() {
+		return false
+	}
+	r := c.placementRequest()
+	return c.relay.cfg.Tracker.Shortest(c.pool, r) > max(0, r.Left)
+}
+
+// isLate reports whether the request can't meet its objective any more: too much time has
+// passed, or it is the caller's retry after a refusal.
+func (c *call) isLate(now time.Time) bool {
+	if c.rule.Objective == 0 {
+		return false
+	}
+	return c.retried || now.Sub(c.arrived) > time.Duration(onTimeShare*float64(c.rule.Objective))
+}
+
+// maxWait returns how long the request is queued. One that may have run, or whose stream
+// has begun, is queued until its deadline.
+func (c *call) maxWait(late bool) time.Duration {
+	switch {
+	case c.stream != nil, c.attempts.MayHaveRun():
+		return time.Until(c.deadline)
+	case late || c.rule.Objective == 0:
+		return time.Duration(lateWaitShare * float64(time.Until(c.deadline)))
+	case c.Generation == nil:
+		return time.Duration(serviceWaitShare * float64(c.rule.Objective))
+	default:
+		return time.Duration(waitShare * float64(c.rule.Objective))
+	}
+}
+
+// tryAssign looks for an upstream with capacity and reserves it; nil if there is none.
+func (c *call) tryAssign(late bool) *assignment {
+	s := c.relay.cfg.State.Snapshot()
+	if c.Generation == nil {
+		return c.tryService(s)
+	}
+	req := c.placementRequest()
+	if c.handoff.Handle != "" {
+		return c.tryDecodeEngine(s, req)
+	}
+	plan, late, ok := c.choosePlan(&req, late)
+	if !ok || s.Upstreams[plan.Engine] == nil || !c.acceptable(plan, req, late) {
+		return nil
+	}
+	return c.reserve(s, plan, req)
+}
+
+// choosePlan picks a plan: one for a late response if the request is late already, or if
+// no engine could meet the objective.
+func (c *call) choosePlan(req *placement.Request, late bool) (plan placement.Plan, planLate, ok bool) {
+	tracker := c.relay.cfg.Tracker
+	req.Behind = late
+	if !late {
+		c.setObjectiveLimits(req)
+	}
+	plan, ok = tracker.Pick(c.pool, *req)
+	if !late && c.cannotMeetObjective(plan, *req) {
+		req.Behind, req.Within, req.WithinReread = true, 0, 0
+		plan, ok = tracker.Pick(c.pool, *req)
+	}
+	c.late = req.Behind
+	if ok || c.lastPlan.Considered == 0 {
+		c.lastPlan = plan
+	}
+	c.recordDemand(plan, ok, *req)
+	return plan, req.Behind, ok
+}
+
+// reserve records the work of a plan in the tracker.
+func (c *call) reserve(s *fleet.Snapshot, plan placement.Plan, req placement.Request) *assignment {
+	p := &assignment{target: s.Upstreams[plan.Engine], source: s.Upstreams[plan.Source], plan: plan}
+	tracker := c.relay.cfg.Tracker
+	work := decodeWork(plan, req)
+	if plan.Prefill == "" {
+		work.Read, work.Fetched = plan.PromptAt(req), plan.Fetched
+		p.ticket = tracker.Begin(plan.Engine, work)
+		return p
+	}
+	work.Fetched = req.PromptTokens
+	p.prefill = s.Upstreams[plan.Prefill]
+	p.ticket = tracker.Begin(plan.Engine, work)
+	p.prefillTicket = tracker.Begin(plan.Prefill, placement.Work{
+		Read: plan.PromptAt(req), Fetched: plan.Fetched, Parts: req.Parts, Held: req.PromptTokens, Behind: req.Behind,
+	})
+	return p
+}
+
+// decodeWork returns the decode engine's work, without the prefill or KV transfer.
+func decodeWork(plan placement.Plan, req placement.Request) placement.Work {
+	return placement.Work{
+		Parts: req.Parts, Held: req.PromptTokens + req.OutputTokens, Output: req.OutputTokens, Long: plan.Long, Left: req.Left, Behind: req.Behind,
+	}
+}
+
+// tryDecodeEngine looks for a decode engine for a prompt whose prefill is done. A refusal
+// by one engine doesn't make another prefill necessary.
+func (c *call) tryDecodeEngine(s *fleet.Snapshot, req placement.Request) *assignment {
+	plan, ok := c.relay.cfg.Tracker.PickGenerator(c.pool, c.handoffFrom.DataCentre, req)
+	if !ok || s.Upstreams[plan.Engine] == nil {
+		return nil
+	}
+	work := decodeWork(plan, req)
+	work.Fetched = req.PromptTokens
+	ticket := c.relay.cfg.Tracker.Begin(plan.Engine, work)
+	return &assignment{target: s.Upstreams[plan.Engine], plan: plan, ticket: ticket}
+}
+
+// recordDemand adds a request's prefill work to the measured demand, once per request.
+func (c *call) recordDemand(plan placement.Plan, ok bool, req placement.Request) {
+	if c.demandCounted || c.retried {
+		return
+	}
+	c.demandCounted = true
+	prompt := enginemodel.Prompt{Tokens: req.PromptTokens}
+	if ok {
+		prompt = plan.PromptAt(req)
+	}
+	work := c.relay.cfg.Tracker.Reading(c.pool, upstream.RolePrefill, prompt)
+	c.relay.demand.add(c.pool, work, time.Now())
+}
+
+// acceptable reports whether a plan is expected to meet the objective, or, for a late
+// request, to give the first event before the deadline.
+func (c *call) acceptable(plan placement.Plan, req placement.Request, late bool) bool {
+	if c.rule.Objective == 0 {
+		return true
+	}
+	if late {
+		return time.Until(c.deadline) > plan.FirstToken
+	}
+	return plan.InTime(req)
+}
+
+// setObjectiveLimits sets the time within which the first event must be expected. It is 1 ns
+// once that time has passed, since 0 means no limit.
+func (c *call) setObjectiveLimits(r *placement.Request) {
+	if c.rule.Objective == 0 {
+		return
+	}
+	left := func(share float64) time.Duration {
+		return max(1, time.Duration(share*float64(c.rule.Objective))-r.Spent)
+	}
+	r.Within, r.WithinReread = left(onTimeShare), left(recomputeShare)
+}
+
+// cannotMeetObjective reports whether not even an idle engine could meet the objective.
+func (c *call) cannotMeetObjective(plan placement.Plan, req placement.Request) bool {
+	limit := time.Duration(onTimeShare * float64(c.rule.Objective))
+	return c.rule.Objective > 0 && plan.Ideal > limit-req.Spent
+}
+
+func (c *call) tryService(s *fleet.Snapshot) *assignment {
+	id, full, ok := c.relay.cfg.Tracker.PickService(c.pool, c.placementRequest())
+	if !ok || full || s.Upstreams[id] == nil {
+		return nil
+	}
+	return &assignment{target: s.Upstreams[id], ticket: c.relay.cfg.Tracker.Begin(id, placement.Work{})}
+}
+
+func (c *call) placementRequest() placement.Request {
+	r := placement.Request{
+		DataCentre: c.relay.cfg.DataCentre,
+		Exclude:    c.excluded,
+	}
+	if g := c.Generation; g != nil {
+		r.Parts = g.Parts
+		r.PromptTokens = g.PromptTokens
+		r.BodyBytes = len(c.body)
+		r.Objective = c.rule.Objective
+		r.OutputTokens, r.MaxOutput = expectedOutput(g), g.MaxOutput
+		r.Left = time.Until(c.deadline)
+		r.PauseObjective = c.rule.PauseObjective
+		r.Spent = time.Since(c.arrived)
+	}
+	return r
+}
+
+func expectedOutput(g *Generation) int {
+	switch {
+	case g.ExpectedOutput > 0 && g.MaxOutput > 0:
+		return min(g.ExpectedOutput, g.MaxOutput)
+	case g.ExpectedOutput > 0:
+		return g.ExpectedOutput
+	case g.MaxOutput > 0:
+		return g.MaxOutput
+	default:
+		return defaultOutputTokens
+	}
+}
--- a/internal/relay/place_test.go
+++ b/internal/relay/assign_test.go
@@ -6,11 +6,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Callers guess six times the tokens that they allow. Engines seemed full of answers which
-// could never be that long, and memory was held for them.
-func TestExpectedOutputIsWithinItsBound(t *testing.T) {
+// Callers may estimate six times the output that they allow. Without the limit, engines
+// would seem full, and KV memory would be reserved for output that can't occur.
+func TestExpectedOutputIsLimitedByMaxOutput(t *testing.T) {
 	for _, c := range []struct{ expected, most, want int }{
-		{expected: 0, most: 0, want: assumedOutput},
+		{expected: 0, most: 0, want: defaultOutputTokens},
 		{expected: 0, most: 700, want: 700},
 		{expected: 300, most: 700, want: 300},
 		{expected: 4200, most: 700, want: 700},
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -15,45 +15,46 @@
 	"tamarackchute/rules/pathset"
 )
 
-// maxAnswer bounds the answer of a plain call, in bytes.
-const maxAnswer = 8 << 20
+// maxResponseBytes limits the body of a response that isn't streamed.
+const maxResponseBytes = 8 << 20
 
-// result is how an attempt ended.
+// result is the result of an attempt.
 type result struct {
-	// done says that the caller has its answer.
-	done bool
-	fate dispatch.Execution
-	// arrived says that an upstream got the request.
-	arrived bool
-	outcome placement.Outcome
-	status  int
-	err     error
+	// done says that the response has been sent to the caller.
+	done      bool
+	execution dispatch.Execution
+	// reachedUpstream says that an upstream received the request.
+	reachedUpstream bool
+	outcome         placement.Outcome
+	status          int
+	err             error
 }
 
-// attempt sends the request to a place.
-func (c *call) attempt(ctx context.Context, p *place) result {
+// attempt sends the request to the assigned engines and ends their tickets.
+func (c *call) attempt(ctx context.Context, p *assignment) result {
 	p.sentAt = time.Now()
-	p.after = c.resumeAfter()
+	p.resumedAfter = c.resumeAfter()
 	if p.prefill != nil {
 		handle, res := c.prefill(ctx, p)
 		if res.err != nil {
 			p.ticket.End(placement.Cancelled)
 			return res
 		}
-		c.kept, c.keptBy, c.keptTries = Handoff{Address: p.prefill.Address, Handle: handle}, p.prefill, 0
+		c.handoff, c.handoffFrom, c.handoffRefusals = Handoff{Address: p.prefill.Address, Handle: handle}, p.prefill, 0
 	}
-	if c.kept.Handle != "" {
+	if c.handoff.Handle != "" {
 		p.ticket.HandedOver()
 	}
-	res := c.send(ctx, p, c.kept)
+	res := c.send(ctx, p, c.handoff)
 	p.ticket.End(res.outcome)
-	c.noteKept(res)
+	c.updateHandoff(res)
 	c.relay.WakeWaiting()
 	return res
 }
 
-// sending is what the sending to the generating engine adds to the request's head.
-func (c *call) sending(p *place, handoff Handoff) Attempt {
+// decodeAttempt returns the attempt at the upstream that answers: where it transfers
+// KV caches from, if anywhere.
+func (c *call) decodeAttempt(p *assignment, handoff Handoff) Attempt {
 	a := Attempt{Handoff: handoff}
 	if p.prefill == nil {
 		a.KVSource = p.sourceAddress()
@@ -61,15 +62,15 @@
 	return a
 }
 
-// sourceAddress is where shared parts are fetched from, empty if nowhere.
-func (p *place) sourceAddress() string {
+// sourceAddress returns the address to transfer shared prompt parts from, empty if none.
+func (p *assignment) sourceAddress() string {
 	if p.source == nil {
 		return ""
 	}
 	return p.source.Address
 }
 
-func (c *call) request(u *fleet.Upstream, p *place, a Attempt) *exchange.Request {
+func (c *call) newRequest(u *fleet.Upstream, p *assignment, a Attempt) *exchange.Request {
 	d := c.relay.cfg.Dialect
 	h := d.RequestHeaders(c.in.Header)
 	a.Upstream = u.ID
@@ -95,54 +96,54 @@
 }
 
 const (
-	// leastUrgent is the urgency of requests that others go before.
-	leastUrgent = 9
-	// briefShare is the share of the objective within which a prompt is read that goes
-	// before all others: it delays them by no more than that, while behind a steady
-	// flow of more urgent ones it would wait without end.
-	briefShare = 0.05
+	// lowestUrgency is the urgency of late requests, which all others precede.
+	lowestUrgency = 9
+	// shortPromptShare is the share of the objective that a prefill may take to get the
+	// highest urgency. It delays others by no more than that, while behind a steady flow
+	// of more urgent requests it would starve.
+	shortPromptShare = 0.05
 )
 
-// urgency follows the rule's priority, but for prompts that are read in no time, which
-// go first, and answers that will be late, which come last.
-func (c *call) urgency(p *place) int {
-	brief := time.Duration(briefShare * float64(c.rule.Objective))
+// urgency returns the urgency of a model request. It follows the rule's priority, but
+// short prompts go first and late requests last.
+func (c *call) urgency(p *assignment) int {
+	short := time.Duration(shortPromptShare * float64(c.rule.Objective))
 	switch {
-	case c.behind:
-		return leastUrgent
-	case p.plan.Reading <= brief:
+	case c.late:
+		return lowestUrgency
+	case p.plan.Reading <= short:
 		return 0
 	default:
-		return min(leastUrgent-1, c.rule.Priority+1)
+		return min(lowestUrgency-1, c.rule.Priority+1)
 	}
 }
 
 func (c *call) resumeAfter() int {
 	if c.stream != nil {
-		return c.stream.last
+		return c.stream.lastEvent
 	}
 	return c.ResumeAfter
 }
 
-func sent(err error) bool {
+func mayHaveReached(err error) bool {
 	var lost *exchange.NoResponseError
 	return errors.As(err, &lost)
 }
 
-func brokenOutcome(ctx context.Context) placement.Outcome {
+func outcomeOfError(ctx context.Context) placement.Outcome {
 	switch {
-	case errors.Is(context.Cause(ctx), errSilent):
+	case errors.Is(context.Cause(ctx), errStalled):
 		return placement.Unreachable
 	case errors.Is(ctx.Err(), context.Canceled):
 		return placement.Cancelled
 	case ctx.Err() != nil:
-		return placement.Failed // too slow
+		return placement.Failed // the deadline passed
 	default:
 		return placement.Unreachable
 	}
 }
 
-func refusalOutcome(status int) placement.Outcome {
+func outcomeOfRefusal(status int) placement.Outcome {
 	switch {
 	case status == http.StatusMisdirectedRequest:
 		return placement.Replaced
@@ -153,110 +154,111 @@
 	}
 }
 
-// send sends the request and brings the answer to the caller.
-func (c *call) send(ctx context.Context, p *place, handoff Handoff) result {
-	if f := c.ended(ctx); f != nil {
-		return result{fate: dispatch.NotSent, outcome: placement.Cancelled, err: errors.New(f.message)}
+// send sends the request and relays the response to the caller.
+func (c *call) send(ctx context.Context, p *assignment, handoff Handoff) result {
+	if f := c.contextFailure(ctx); f != nil {
+		return result{execution: dispatch.NotSent, outcome: placement.Cancelled, err: errors.New(f.message)}
 	}
-	ctx, watch := c.watchSilence(ctx, p)
-	defer watch.end()
-	resp, err := c.relay.connections(p.target).Do(ctx, c.request(p.target, p, c.sending(p, handoff)))
+	ctx, watch := c.watchForStall(ctx, p)
+	defer watch.stop()
+	resp, err := c.relay.connsTo(p.target).Do(ctx, c.newRequest(p.target, p, c.decodeAttempt(p, handoff)))
 	if err != nil {
 		return c.sendFailed(ctx, p, err)
 	}
 	defer resp.Close()
-	switch verdict := c.relay.cfg.Dialect.Classify(resp.Status, resp.Header); verdict {
+	switch class := c.relay.cfg.Dialect.Classify(resp.Status, resp.Header); class {
 	case NotRun, WrongUpstream:
-		c.exclude = append(c.exclude, p.target.ID)
-		_, _ = io.Copy(io.Discard, io.LimitReader(resp, maxAnswer)) // frees the connection
-		res := result{fate: dispatch.NotRun, arrived: true, outcome: refusalOutcome(resp.Status), status: resp.Status, err: errNotRun}
-		if verdict == NotRun {
+		c.excluded = append(c.excluded, p.target.ID)
+		_, _ = io.Copy(io.Discard, io.LimitReader(resp, maxResponseBytes)) // frees the connection
+		res := result{execution: dispatch.NotRun, reachedUpstream: true, outcome: outcomeOfRefusal(resp.Status), status: resp.Status, err: errNotRun}
+		if class == NotRun {
 			res.outcome = placement.Refused
 		} else if c.relay.cfg.OnReplaced != nil {
 			c.relay.cfg.OnReplaced(p.target.ID)
 		}
 		return res
 	case Unsigned:
-		c.noteRun()
-		return c.lost(p, placement.Failed, errUnsigned)
+		c.recordRun()
+		return c.lostResult(p, placement.Failed, errUnsigned)
 	}
-	c.noteRun()
+	c.recordRun()
 	if c.rule.Stream && resp.Status == http.StatusOK {
 		return c.relayStream(ctx, p, resp, watch)
 	}
-	watch.heard()
-	return c.relayPlain(ctx, p, resp)
+	watch.disarm()
+	return c.relayResponse(ctx, p, resp)
 }
 
 var (
-	errNotRun   = errors.New("the upstream did not run the request")
-	errUnsigned = errors.New("the answer isn't the upstream's own")
-	errStatus   = errors.New("the upstream failed")
+	errNotRun         = errors.New("the upstream did not run the request")
+	errUnsigned       = errors.New("the response lacks the upstream's signature")
+	errUpstreamFailed = errors.New("the upstream failed")
 )
 
-func (c *call) sendFailed(ctx context.Context, p *place, err error) result {
-	outcome := brokenOutcome(ctx)
-	err = tellSilence(ctx, err)
-	if !sent(err) {
-		c.exclude = append(c.exclude, p.target.ID)
-		return result{fate: dispatch.NotSent, outcome: outcome, err: err}
+func (c *call) sendFailed(ctx context.Context, p *assignment, err error) result {
+	outcome := outcomeOfError(ctx)
+	err = withStallError(ctx, err)
+	if !mayHaveReached(err) {
+		c.excluded = append(c.excluded, p.target.ID)
+		return result{execution: dispatch.NotSent, outcome: outcome, err: err}
 	}
-	c.noteRun()
-	return c.lost(p, outcome, err)
+	c.recordRun()
+	return c.lostResult(p, outcome, err)
 }
 
-// noteRun counts an attempt that may have run.
-func (c *call) noteRun() {
-	c.tries.RecordAttempt()
-	c.tries.RecordRun()
+// recordRun counts an attempt that may have run.
+func (c *call) recordRun() {
+	c.attempts.RecordAttempt()
+	c.attempts.RecordRun()
 }
 
-// lost is the result of an attempt that may have run without a usable answer.
-func (c *call) lost(p *place, o placement.Outcome, err error) result {
-	c.exclude = append(c.exclude, p.target.ID)
-	return result{fate: dispatch.MayHaveRun, arrived: true, outcome: o, err: err}
+// lostResult returns the result of an attempt that may have run but gave no usable
+// response, and excludes its upstream from retries.
+func (c *call) lostResult(p *assignment, o placement.Outcome, err error) result {
+	c.excluded = append(c.excluded, p.target.ID)
+	return result{execution: dispatch.MayHaveRun, reachedUpstream: true, outcome: o, err: err}
 }
 
-// relayPlain reads the whole answer before the caller gets any of it: one that
-// is cut short must not look complete, and may be asked for again.
-func (c *call) relayPlain(ctx context.Context, p *place, resp *exchange.Response) result {
-	body, err := resp.ReadAll(maxAnswer)
+// relayResponse reads the complete response before sending any of it to the caller: a
+// truncated one must not look complete, and may be retried.
+func (c *call) relayResponse(ctx context.Context, p *assignment, resp *exchange.Response) result {
+	body, err := resp.ReadAll(maxResponseBytes)
 	if err != nil {
-		return c.lost(p, brokenOutcome(ctx), err)
+		return c.lostResult(p, outcomeOfError(ctx), err)
 	}
-	// A stream that has begun goes on event by event or not at all: behind its events
-	// another answer's body would end it as if it were whole.
-	if c.stream != nil || c.worthAnother(resp.Status) {
-		res := c.lost(p, placement.Failed, errStatus)
+	// A stream that has begun may only go on with events: the body of another response
+	// after them would end it as if it were complete.
+	if c.stream != nil || c.worthRetrying(resp.Status) {
+		res := c.lostResult(p, placement.Failed, errUpstreamFailed)
 		res.status = resp.Status
 		return res
 	}
-	if isPromise(resp.Status) {
-		// The upstream has run the request, and these statuses would tell the
-		// caller that nobody has.
-		return c.lost(p, placement.Failed, errStatus)
+	if assertsNotRun(resp.Status) {
+		// The upstream has run the request, but these statuses would tell the
+		// caller that it hasn't run.
+		return c.lostResult(p, placement.Failed, errUpstreamFailed)
 	}
 	c.relay.cfg.Dialect.CopyResponseHeaders(c.out.Header(), resp.Header)
 	c.out.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	c.out.WriteHeader(resp.Status)
-	_, _ = c.out.Write(body) // a caller that has gone needs no answer
+	_, _ = c.out.Write(body) // fails only if the caller has gone
 	outcome := placement.Done
 	if resp.Status >= http.StatusInternalServerError {
 		outcome = placement.Failed
 	}
-	return result{done: true, outcome: outcome, status: resp.Status, arrived: true}
+	return result{done: true, outcome: outcome, status: resp.Status, reachedUpstream: true}
 }
 
-// worthAnother reports whether an upstream's failure is better answered by
-// another upstream.
-func (c *call) worthAnother(status int) bool {
+// worthRetrying reports whether a response with this status should be dropped in favour
+// of a retry at another upstream.
+func (c *call) worthRetrying(status int) bool {
 	return status >= http.StatusInternalServerError &&
-		c.tries.MayRetry(0) &&
-		time.Until(c.deadline) > leastLeft
+		c.attempts.MayRetry(0) &&
+		time.Until(c.deadline) > minAttemptTime
 }
 
-// isPromise reports whether a status says that a request has not run.
-func isPromise(status int) bool {
+// assertsNotRun reports whether a status guarantees that the request has not run.
+func assertsNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable,
 		http.StatusRequestTimeout, http.StatusMisdirectedRequest:
--- a/internal/relay/budget.go
+++ b/internal/relay/budget.go
@@ -7,113 +7,114 @@
 	"time"
 )
 
-// budgetSlots is the number of pieces that a budget's window is counted in.
-const budgetSlots = 20
+// windowBuckets is the number of buckets of a budget's sliding window.
+const windowBuckets = 20
 
-// RetryBudget bounds the repeats of one daemon towards each pool. All daemons
-// together may repeat a share of the pool's requests and a little more in any
-// window; each keeps to that share of its own requests and to its part of the
-// little more, so that the sum holds whoever else is running.
+// RetryBudget limits the retries of one daemon towards each pool. In any window all
+// daemons together may retry a ratio of the pool's requests plus a fixed slack. Each
+// daemon keeps to that ratio of its own requests and to its share of the slack, so the
+// sum holds without coordination.
 type RetryBudget struct {
-	slack func() float64
-	slot  time.Duration
-	now   func() time.Time
+	slack  func() float64
+	bucket time.Duration
+	now    func() time.Time
 
 	mu    sync.Mutex
 	ratio float64
 	pools map[string]*window
 }
 
-// RetryBudgetState is what a pool's window holds at the moment.
+// RetryBudgetState is the current state of a pool's window.
 type RetryBudgetState struct {
 	Pool string
-	// Requests and Retries are this daemon's in the window, Allowed is how many
-	// repeats it may make.
+	// Requests and Retries count those of this daemon in the window; Allowed is the
+	// limit of Retries.
 	Requests, Retries, Allowed float64
 }
 
 type window struct {
-	slots [budgetSlots]struct{ requests, repeats float64 }
-	at    int64
+	buckets [windowBuckets]struct{ requests, retries float64 }
+	current int64
 }
 
-// NewRetryBudget returns a budget: ratio of the requests of a window, and slack
-// repeats beside them, this daemon's part at the moment. now nil means time.Now.
+// NewRetryBudget returns a budget that allows ratio of a window's requests to be retried
+// and slack retries more, where slack returns this daemon's current share. now is the
+// clock, nil means time.Now.
 func NewRetryBudget(ratio float64, slack func() float64, length time.Duration, now func() time.Time) *RetryBudget {
 	if now == nil {
 		now = time.Now
 	}
-	return &RetryBudget{ratio: ratio, slack: slack, slot: length / budgetSlots, now: now, pools: make(map[string]*window)}
+	return &RetryBudget{ratio: ratio, slack: slack, bucket: length / windowBuckets, now: now, pools: make(map[string]*window)}
 }
 
-// RecordRequest counts a request to a pool.
+// RecordRequest counts a request to a pool, retries not included.
 func (b *RetryBudget) RecordRequest(pool string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.window(pool)
-	w.slots[w.at%budgetSlots].requests++
+	w.buckets[w.current%windowBuckets].requests++
 }
 
-// AllowRetry counts one more repeat towards a pool, and reports whether it may be
-// made.
+// AllowRetry reports whether one more retry towards a pool is within the budget, and
+// counts it if so.
 func (b *RetryBudget) AllowRetry(pool string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.window(pool)
-	requests, repeats := w.sum()
-	if repeats+1 > b.allowed(requests) {
+	requests, retries := w.sum()
+	if retries+1 > b.allowed(requests) {
 		return false
 	}
-	w.slots[w.at%budgetSlots].repeats++
+	w.buckets[w.current%windowBuckets].retries++
 	return true
 }
 
-// allowed returns the bound of repeats beside some requests. b.mu is held.
+// allowed returns the limit of retries for a number of requests. The caller holds b.mu.
 func (b *RetryBudget) allowed(requests float64) float64 { return b.ratio*requests + b.slack() }
 
-// SetRatio changes the share of requests that may be repeated.
+// SetRatio changes the ratio of requests that may be retried.
 func (b *RetryBudget) SetRatio(ratio float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.ratio = ratio
 }
 
-// State returns the windows of all pools, ordered by name.
+// State returns the state of all pools, ordered by name.
 func (b *RetryBudget) State() []RetryBudgetState {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	all := make([]RetryBudgetState, 0, len(b.pools))
 	for pool := range b.pools {
-		requests, repeats := b.window(pool).sum()
-		all = append(all, RetryBudgetState{Pool: pool, Requests: requests, Retries: repeats, Allowed: b.allowed(requests)})
+		requests, retries := b.window(pool).sum()
+		all = append(all, RetryBudgetState{Pool: pool, Requests: requests, Retries: retries, Allowed: b.allowed(requests)})
 	}
 	slices.SortFunc(all, func(a, b RetryBudgetState) int { return strings.Compare(a.Pool, b.Pool) })
 	return all
 }
 
-// sum adds up the window's slots.
-func (w *window) sum() (requests, repeats float64) {
-	for _, s := range w.slots {
+// sum adds up the window's buckets.
+func (w *window) sum() (requests, retries float64) {
+	for _, s := range w.buckets {
 		requests += s.requests
-		repeats += s.repeats
+		retries += s.retries
 	}
-	return requests, repeats
+	return requests, retries
 }
 
-// window returns a pool's window, moved on to the present.
+// window returns a pool's window, advanced to the present. The caller holds b.mu.
 func (b *RetryBudget) window(pool string) *window {
 	w := b.pools[pool]
 	if w == nil {
-		w = &window{at: b.now().UnixNano() / int64(b.slot)}
+		w = &window{current: b.now().UnixNano() / int64(b.bucket)}
 		b.pools[pool] = w
 	}
-	at := b.now().UnixNano() / int64(b.slot)
-	for w.at < at {
-		if at-w.at > budgetSlots {
-			w.at = at - budgetSlots
+	at := b.now().UnixNano() / int64(b.bucket)
+	for w.current < at {
+		if at-w.current > windowBuckets {
+			w.current = at - windowBuckets
 		}
-		w.at++
-		w.slots[w.at%budgetSlots] = struct{ requests, repeats float64 }{}
+		w.current++
+		w.buckets[w.current%windowBuckets] = struct{ requests, retries float64 }{}
 	}
 	return w
 }
--- a/internal/relay/budget_test.go
+++ b/internal/relay/budget_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever comes when, in no span of a window's length are there more repeats than
-// the share of the requests in it and in the window before, and the slack.
+// Whatever the timing of requests, no span of a window's length has more retries than
+// the ratio of the requests in it and in the window before, plus the slack.
 func TestBudgetHoldsInEveryWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const window = 10 * time.Second
@@ -19,17 +19,17 @@
 		slack := rapid.Float64Range(0, 20).Draw(t, "slack")
 		ratio := rapid.Float64Range(0, 0.5).Draw(t, "ratio")
 		b := NewRetryBudget(ratio, func() float64 { return slack }, window, func() time.Time { return now })
-		var requests, repeats []time.Time
+		var requests, retries []time.Time
 		for range rapid.IntRange(1, 300).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 700).Draw(t, "ms")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "request") {
 				b.RecordRequest("p")
 				requests = append(requests, now)
 			} else if b.AllowRetry("p") {
-				repeats = append(repeats, now)
+				retries = append(retries, now)
 			}
 		}
-		for _, end := range repeats {
+		for _, end := range retries {
 			inWindow := func(times []time.Time, length time.Duration) float64 {
 				n := 0.0
 				for _, at := range times {
@@ -39,51 +39,51 @@
 				}
 				return n
 			}
-			// A window counted in pieces can be short by one piece.
-			short := window - window/budgetSlots
-			require.LessOrEqual(t, inWindow(repeats, short), ratio*inWindow(requests, 2*window)+slack)
+			// The oldest bucket is dropped whole, so a window can be short by one bucket.
+			short := window - window/windowBuckets
+			require.LessOrEqual(t, inWindow(retries, short), ratio*inWindow(requests, 2*window)+slack)
 		}
 	})
 }
 
-func TestBudgetsOfPoolsAreApart(t *testing.T) {
+func TestBudgetsArePerPool(t *testing.T) {
 	b := NewRetryBudget(0, func() float64 { return 1 }, time.Second, nil)
 	require.True(t, b.AllowRetry("a"))
 	require.False(t, b.AllowRetry("a"))
 	require.True(t, b.AllowRetry("b"))
 }
 
-// turns is a try that succeeds as often as there are places.
-type turns struct {
-	mu     sync.Mutex
-	places int
-	order  []string
+// slots is a counting semaphore that records who acquired it in which order.
+type slots struct {
+	mu    sync.Mutex
+	free  int
+	order []string
 }
 
-func (p *turns) try(name string) func() bool {
+func (s *slots) acquire(name string) func() bool {
 	return func() bool {
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		if p.places == 0 {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		if s.free == 0 {
 			return false
 		}
-		p.places--
-		p.order = append(p.order, name)
+		s.free--
+		s.order = append(s.order, name)
 		return true
 	}
 }
 
-func (p *turns) free(q *queue, n int) {
-	p.mu.Lock()
-	p.places += n
-	p.mu.Unlock()
+func (s *slots) release(q *queue, n int) {
+	s.mu.Lock()
+	s.free += n
+	s.mu.Unlock()
 	q.wake()
 }
 
-// Requests that can be in time go before late ones, and otherwise who came first
-// goes first, also past a newcomer that finds a place free at that moment.
+// Requests that can meet their objective go before late ones; among equals the queue is
+// first in, first out.
 func TestQueueOrder(t *testing.T) {
-	q, p := &queue{}, &turns{}
+	q, s := &queue{}, &slots{}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	until := time.Now().Add(time.Minute)
@@ -93,16 +93,16 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			require.True(t, q.await(ctx, late, until, p.try(name)))
+			require.True(t, q.await(ctx, late, until, s.acquire(name)))
 		}()
 		require.Eventually(t, func() bool { return waitingIn(q) == before+1 }, 10*time.Second, time.Millisecond)
 	}
 	join("late", true)
 	join("first", false)
 	join("second", false)
-	p.free(q, 3)
+	s.release(q, 3)
 	wg.Wait()
-	require.Equal(t, []string{"first", "second", "late"}, p.order)
+	require.Equal(t, []string{"first", "second", "late"}, s.order)
 	require.Zero(t, waitingIn(q))
 }
 
@@ -112,64 +112,63 @@
 	return len(q.waiting)
 }
 
-// A request that gives up, or whose time has come, leaves the line and doesn't
-// hold up the one behind it.
-func TestLeavingTheQueue(t *testing.T) {
-	q, p := &queue{}, &turns{}
-	gone, leave := context.WithCancel(context.Background())
-	leave()
-	require.False(t, q.await(gone, false, time.Now().Add(time.Minute), p.try("gone")))
-	require.False(t, q.await(context.Background(), false, time.Now().Add(time.Millisecond), p.try("late")))
+// A waiter that is cancelled or times out is removed from the queue and doesn't block
+// the next one.
+func TestAbandonedWaiterIsRemoved(t *testing.T) {
+	q, s := &queue{}, &slots{}
+	cancelled, cancel := context.WithCancel(context.Background())
+	cancel()
+	require.False(t, q.await(cancelled, false, time.Now().Add(time.Minute), s.acquire("cancelled")))
+	require.False(t, q.await(context.Background(), false, time.Now().Add(time.Millisecond), s.acquire("timed out")))
 	require.Zero(t, waitingIn(q))
-	p.free(q, 1)
-	require.True(t, q.await(context.Background(), false, time.Now(), p.try("next")))
-	require.Equal(t, []string{"next"}, p.order)
+	s.release(q, 1)
+	require.True(t, q.await(context.Background(), false, time.Now(), s.acquire("next")))
+	require.Equal(t, []string{"next"}, s.order)
 }
 
-func TestComebacksAreKnown(t *testing.T) {
-	var b patienceBook
+func TestCallerRetriesAreDetected(t *testing.T) {
+	var b timeoutStats
 	for range 20 {
-		require.False(t, b.comeback("r", 2*time.Second))
-		require.False(t, b.comeback("r", 1990*time.Millisecond), "about as long")
+		require.False(t, b.isRetry("r", 2*time.Second))
+		require.False(t, b.isRetry("r", 1990*time.Millisecond), "nearly the same timeout")
 	}
 	for i := range 10 {
-		require.True(t, b.comeback("r", time.Duration(1600-40*i)*time.Millisecond))
+		require.True(t, b.isRetry("r", time.Duration(1600-40*i)*time.Millisecond))
 	}
-	require.False(t, b.comeback("r", 2*time.Second))
-	require.False(t, b.comeback("other", 1400*time.Millisecond))
-	require.False(t, b.comeback("r", 0), "a caller that doesn't say how long it waits")
+	require.False(t, b.isRetry("r", 2*time.Second))
+	require.False(t, b.isRetry("other", 1400*time.Millisecond))
+	require.False(t, b.isRetry("r", 0), "a caller that states no timeout")
 }
 
-// The callers of one service wait for 2 s, those of another for 15 s, under the
-// same rule. The former must not be put behind the latter as if they came back;
-// nor must anybody where each caller waits for a time of its own.
-func TestCallersMayDifferInPatience(t *testing.T) {
-	var b patienceBook
+// Under one rule some callers have a timeout of 2 s, others of 15 s. The former must not
+// be taken for retries of the latter, nor may callers whose timeouts all differ.
+func TestCallersMayDifferInTimeout(t *testing.T) {
+	var b timeoutStats
 	for range 300 {
-		b.comeback("two", 15*time.Second)
-		b.comeback("two", 2*time.Second)
+		b.isRetry("two", 15*time.Second)
+		b.isRetry("two", 2*time.Second)
 	}
-	require.False(t, b.comeback("two", 2*time.Second))
-	require.False(t, b.comeback("two", 15*time.Second))
-	require.True(t, b.comeback("two", 11*time.Second))
+	require.False(t, b.isRetry("two", 2*time.Second))
+	require.False(t, b.isRetry("two", 15*time.Second))
+	require.True(t, b.isRetry("two", 11*time.Second))
 
-	back := 0
+	retries := 0
 	for i := range 1000 {
-		if b.comeback("each", time.Duration(1000+(i*7919)%9000)*time.Millisecond) {
-			back++
+		if b.isRetry("each", time.Duration(1000+(i*7919)%9000)*time.Millisecond) {
+			retries++
 		}
 	}
-	require.Less(t, back, 20)
+	require.Less(t, retries, 20)
 }
 
-// One caller in a hundred waits for a minute. The others must not be taken for
-// callers that come back.
-func TestOnePatientCallerChangesNothing(t *testing.T) {
-	var b patienceBook
+// One caller in a hundred has a timeout of a minute. The others must not be taken for
+// callers that retry.
+func TestRareLongTimeoutIsIgnored(t *testing.T) {
+	var b timeoutStats
 	for i := range 1000 {
 		if i%100 == 0 {
-			b.comeback("r", time.Minute)
+			b.isRetry("r", time.Minute)
 		}
-		require.False(t, b.comeback("r", 2*time.Second) && i > 10)
+		require.False(t, b.isRetry("r", 2*time.Second) && i > 10)
 	}
 }
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -16,18 +16,16 @@
 )
 
 const (
-	// answerSlack is how long an answer may arrive after the deadline that its
-	// upstream was given: it crosses the network, and the upstream's own word
-	// on a missed deadline is better than none.
-	answerSlack = 80 * time.Millisecond
-	// defaultPatience bounds a request that names no deadline under a rule
-	// that has none.
-	defaultPatience = 60 * time.Second
-	// leastLeft is the shortest time that is worth an attempt.
-	leastLeft = 5 * time.Millisecond
+	// deadlineGrace is how long after the deadline a response may still arrive. It covers
+	// the network, so that an upstream's own response on a missed deadline gets through.
+	deadlineGrace = 80 * time.Millisecond
+	// defaultCallerTimeout applies where neither the request nor its rule has a timeout.
+	defaultCallerTimeout = 60 * time.Second
+	// minAttemptTime is the least remaining time for which another attempt is made.
+	minAttemptTime = 5 * time.Millisecond
 )
 
-// call is one caller's request on its way.
+// call is one caller's request in progress.
 type call struct {
 	Call
 	relay   *Relay
@@ -35,41 +33,41 @@
 	in      *http.Request
 	log     *slog.Logger
 	arrived time.Time
-	// deadline is when the caller or the rule gives up.
+	// deadline follows from the caller's or the rule's timeout, whichever ends first.
 	deadline time.Time
 	version  uint64
 	rule     *pathset.Rule
 	pool     string
 	body     []byte
 
-	// prepaid says that the next repeat has been counted against the budget.
-	prepaid atomic.Bool
-	// tries counts the sendings that may have run.
-	tries dispatch.State
-	// exclude names upstreams that won't be tried again.
-	exclude []string
-	// stream is set once the head of a streamed answer has gone out.
+	// retryReserved says that the next retry has already been counted against the budget.
+	retryReserved atomic.Bool
+	// attempts counts the attempts that may have run.
+	attempts dispatch.State
+	// excluded names upstreams that won't be tried again.
+	excluded []string
+	// stream is set once the headers of a streamed response have been sent.
 	stream *streamState
-	// comeback says that the caller asks again after an earlier attempt.
-	comeback bool
-	// kept is the KV cache of the prompt, where one was made and no engine has
-	// taken it over; keptBy is the engine that holds it, keptTries the engines
-	// that turned it away.
-	kept      Handoff
-	keptBy    *fleet.Upstream
-	keptTries int
-	// prefills counts the engines that have read the prompt for others.
+	// retried says that the caller retries after an earlier refusal.
+	retried bool
+	// handoff is the prompt's KV cache after a prefill, until a decode engine has
+	// transferred it; handoffFrom is the engine that holds it, handoffRefusals the
+	// number of engines that refused it.
+	handoff         Handoff
+	handoffFrom     *fleet.Upstream
+	handoffRefusals int
+	// prefills counts the prefills done at engines other than the decode engine.
 	prefills int
-	// looked is the best plan of the last look for a place that found any, whether
-	// taken or not: of a refused request it says what was expected.
-	looked placement.Plan
-	// behind says that the last look was for a place to answer late.
-	behind bool
-	// counted says that the request is part of the demand measured.
-	counted bool
+	// lastPlan is the plan that placement found last, whether it was used or not. Of a
+	// refused request it says what was expected.
+	lastPlan placement.Plan
+	// late says that the last plan was sought for a response beyond the objective.
+	late bool
+	// demandCounted says that the request has been added to the measured demand.
+	demandCounted bool
 }
 
-// readBody reads the whole body: it may have to be sent more than once, and a
+// readBody reads the complete body: it may have to be sent more than once, and a
 // caller that stops halfway must not leave half a request at an upstream.
 func (c *call) readBody(l fleet.Limits) *failure {
 	limit := int64(l.BodyBytes)
@@ -77,15 +75,15 @@
 		limit = 4 << 20
 	}
 	if c.in.ContentLength > limit {
-		return refused(http.StatusRequestEntityTooLarge, reasonTooLarge, "the body is too large")
+		return newFailure(http.StatusRequestEntityTooLarge, reasonTooLarge, "the body is too large")
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(c.out, c.in.Body, limit))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return refused(http.StatusRequestEntityTooLarge, reasonTooLarge, "the body is too large")
+		return newFailure(http.StatusRequestEntityTooLarge, reasonTooLarge, "the body is too large")
 	case err != nil:
-		return refused(http.StatusBadRequest, reasonBadBody, "the body can't be read: "+err.Error())
+		return newFailure(http.StatusBadRequest, reasonBadBody, "the body can't be read: "+err.Error())
 	}
 	c.body = body
 	return nil
@@ -93,36 +91,36 @@
 
 // serve runs the request to its end.
 func (c *call) serve() {
-	c.deadline = c.arrived.Add(c.patience())
-	if f := c.leaving(); f != nil {
-		c.relay.refuse(c.out, c.in, c, f)
+	c.deadline = c.arrived.Add(c.callerTimeout())
+	if f := c.checkShutdown(); f != nil {
+		c.relay.writeFailure(c.out, c.in, c, f)
 		return
 	}
-	ctx, cancel := context.WithDeadline(c.in.Context(), c.deadline.Add(answerSlack))
+	ctx, cancel := context.WithDeadline(c.in.Context(), c.deadline.Add(deadlineGrace))
 	defer cancel()
-	c.comeback = c.relay.patience.comeback(c.rule.Name, c.Timeout)
+	c.retried = c.relay.timeouts.isRetry(c.rule.Name, c.Timeout)
 	c.relay.cfg.RetryBudget.RecordRequest(c.pool)
-	c.tries = dispatch.New(c.policy())
+	c.attempts = dispatch.New(c.retryPolicy())
 	f := c.run(ctx)
-	c.releaseKept()
+	c.dropHandoff()
 	switch {
 	case f == nil:
 	case c.stream != nil:
 		c.logEnd(f)
-		// The answer has begun: only a broken connection tells the caller that
-		// it isn't whole.
+		// The response has begun: only a broken connection tells the caller that
+		// it is incomplete.
 		panic(http.ErrAbortHandler)
 	default:
-		c.relay.refuse(c.out, c.in, c, f)
+		c.relay.writeFailure(c.out, c.in, c, f)
 	}
 }
 
-// policy is what the rule allows. An attempt that did not run isn't one of those
-// that the rule counts; one that reached an upstream draws on the budget.
-func (c *call) policy() dispatch.Policy {
+// retryPolicy returns the policy of the rule. Attempts that did not run don't count
+// towards its limit, but a retry of one that reached an upstream uses the retry budget.
+func (c *call) retryPolicy() dispatch.Policy {
 	p := dispatch.Policy{
 		Mode: dispatch.RetryAlways, MaxAttempts: c.rule.MaxAttempts,
-		AllowRetry: func() bool { return c.prepaid.Swap(false) || c.relay.cfg.RetryBudget.AllowRetry(c.pool) },
+		AllowRetry: func() bool { return c.retryReserved.Swap(false) || c.relay.cfg.RetryBudget.AllowRetry(c.pool) },
 	}
 	if c.rule.Repeat == pathset.Once {
 		p.Mode = dispatch.RetryIfNotRun
@@ -130,10 +128,10 @@
 	return p
 }
 
-func (c *call) patience() time.Duration {
+func (c *call) callerTimeout() time.Duration {
 	p := c.Timeout
 	if p == 0 {
-		p = defaultPatience
+		p = defaultCallerTimeout
 	}
 	if c.rule.Timeout > 0 {
 		p = min(p, c.rule.Timeout)
@@ -141,59 +139,58 @@
 	return p
 }
 
-// run places and sends the request until it is answered or can't be sent again.
+// run makes attempts until one is answered or no retry is allowed.
 func (c *call) run(ctx context.Context) *failure {
 	for {
-		place, f := c.place(ctx)
+		p, f := c.assign(ctx)
 		if f != nil {
 			return f
 		}
-		res := c.attempt(ctx, place)
-		c.logAttempt(place, res)
+		res := c.attempt(ctx, p)
+		c.logAttempt(p, res)
 		if res.done {
 			c.logEnd(nil)
 			return nil
 		}
-		if f := c.again(ctx, res); f != nil {
+		if f := c.checkRetry(ctx, res); f != nil {
 			return f
 		}
 	}
 }
 
-// again decides whether the request may be sent once more after a failed
-// attempt; nil says yes.
-func (c *call) again(ctx context.Context, res result) *failure {
-	if f := c.ended(ctx); f != nil {
+// checkRetry returns nil if the request may be retried after a failed attempt.
+func (c *call) checkRetry(ctx context.Context, res result) *failure {
+	if f := c.contextFailure(ctx); f != nil {
 		return f
 	}
 	if errors.Is(res.err, errNoBudget) {
-		return c.failAs(dispatch.BudgetExhausted)
+		return c.failDecision(dispatch.BudgetExhausted)
 	}
-	if verdict := c.tries.Next(res.fate, res.arrived); verdict != dispatch.Retry {
-		return c.failAs(verdict)
+	if decision := c.attempts.Next(res.execution, res.reachedUpstream); decision != dispatch.Retry {
+		return c.failDecision(decision)
 	}
-	if time.Until(c.deadline) < leastLeft {
+	if time.Until(c.deadline) < minAttemptTime {
 		return c.fail(reasonDeadline, "the deadline has passed")
 	}
 	return nil
 }
 
-// failAs returns the failure of a request that may not be sent again.
-func (c *call) failAs(v dispatch.Decision) *failure {
-	switch v {
+// failDecision returns the failure of a request that may not be retried.
+func (c *call) failDecision(d dispatch.Decision) *failure {
+	switch d {
 	case dispatch.NotRetryable:
-		return c.fail(reasonLost, "the upstream's answer was lost; the request may have run")
+		return c.fail(reasonResponseLost, "the upstream's answer was lost; the request may have run")
 	case dispatch.AttemptsExhausted:
-		return c.fail(reasonAttempts, "all attempts have failed")
+		return c.fail(reasonNoAttempts, "all attempts have failed")
 	default:
 		return c.fail(reasonNoBudget, "too many requests are being repeated")
 	}
 }
 
-// ended returns the failure of a call whose context is over.
-func (c *call) ended(ctx context.Context) *failure {
+// contextFailure returns the failure of a call whose context has ended, or nil.
+func (c *call) contextFailure(ctx context.Context) *failure {
 	if c.in.Context().Err() != nil {
-		return c.fail(reasonGone, "the caller has gone")
+		return c.fail(reasonCallerGone, "the caller has gone")
 	}
 	if ctx.Err() != nil {
 		return c.fail(reasonDeadline, "the deadline has passed")
@@ -201,21 +198,21 @@
 	return nil
 }
 
-// fail returns the failure that tells the truth about what has run: 503 is a
-// promise that nothing has, 502 and 504 promise nothing.
+// fail returns a failure whose status is right about execution: 503 guarantees that
+// the request has not run, 502 and 504 guarantee nothing.
 func (c *call) fail(why reason, message string) *failure {
 	switch {
-	case !c.tries.MayHaveRun():
-		return refused(http.StatusServiceUnavailable, why, message).after(c.retryAfter())
+	case !c.attempts.MayHaveRun():
+		return newFailure(http.StatusServiceUnavailable, why, message).withRetryAfter(c.retryAfter())
 	case why == reasonDeadline:
-		return refused(http.StatusGatewayTimeout, why, message)
+		return newFailure(http.StatusGatewayTimeout, why, message)
 	default:
-		return refused(http.StatusBadGateway, why, message)
+		return newFailure(http.StatusBadGateway, why, message)
 	}
 }
 
-// retryAfter is when the caller should come back: not at once, and within a
-// third of the time that it has left, beyond which callers don't wait.
+// retryAfter returns the delay after which the caller should retry. It stays below a
+// third of the caller's remaining time, since callers don't wait longer than that.
 func (c *call) retryAfter() time.Duration {
 	left := time.Until(c.deadline)
 	return max(0, min(c.relay.cfg.MinRetryAfter, left/4))
--- a/internal/relay/demand.go
+++ b/internal/relay/demand.go
@@ -8,24 +8,24 @@
 	"tamarackchute/internal/telemetry"
 )
 
-// demandSpan is the time over which demand is smoothed: long against single
-// requests, short against the seconds that a shift of the load lasts.
-const demandSpan = 1500 * time.Millisecond
+// demandTimeConstant is the time constant of the exponential smoothing of demand: long
+// compared to single requests, short compared to load shifts, which last seconds.
+const demandTimeConstant = 1500 * time.Millisecond
 
-// Demand is what callers ask of a pool of engines, refused requests included.
+// Demand is the load that callers offer to a pool of engines, refused requests included.
 type Demand struct {
-	// PrefillEngines are the engines that the prompts keep busy: the time that an engine
-	// which only reads takes for them, in seconds a second.
+	// PrefillEngines is how many prefill engines the prompts keep busy: the seconds of
+	// prefill that arrive per second.
 	PrefillEngines float64
 }
 
 // demandMeter smooths the demand on each pool.
 type demandMeter struct {
 	mu    sync.Mutex
-	pools map[string]*measured
+	pools map[string]*smoothedDemand
 }
 
-type measured struct {
+type smoothedDemand struct {
 	Demand
 	at time.Time
 }
@@ -34,24 +34,24 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.pools == nil {
-		m.pools = make(map[string]*measured)
+		m.pools = make(map[string]*smoothedDemand)
 	}
 	p := m.pools[pool]
 	if p == nil {
-		p = &measured{at: now}
+		p = &smoothedDemand{at: now}
 		m.pools[pool] = p
 	}
 	p.decay(now)
-	p.PrefillEngines += millis / telemetry.Millis(demandSpan)
+	p.PrefillEngines += millis / telemetry.Millis(demandTimeConstant)
 }
 
-func (p *measured) decay(now time.Time) {
-	keep := math.Exp(-float64(now.Sub(p.at)) / float64(demandSpan))
-	p.PrefillEngines *= keep
+func (p *smoothedDemand) decay(now time.Time) {
+	factor := math.Exp(-float64(now.Sub(p.at)) / float64(demandTimeConstant))
+	p.PrefillEngines *= factor
 	p.at = now
 }
 
-// Demand returns the demand on each pool of engines now.
+// Demand returns the current demand on each pool of engines.
 func (r *Relay) Demand() map[string]Demand {
 	r.demand.mu.Lock()
 	defer r.demand.mu.Unlock()
--- a/internal/relay/events.go
+++ b/internal/relay/events.go
@@ -9,22 +9,22 @@
 	"strconv"
 )
 
-// maxEvent bounds one event of a stream, in bytes.
-const maxEvent = 1 << 20
+// maxEventBytes limits the size of one event of a stream.
+const maxEventBytes = 1 << 20
 
-// errCutEvent says that a stream ended in the middle of an event.
-var errCutEvent = errors.New("the stream ended in the middle of an event")
+// errTruncatedEvent is returned for a stream that ended in the middle of an event.
+var errTruncatedEvent = errors.New("the stream ended in the middle of an event")
 
-// event is one event of a stream, as it came.
+// event is one event of a stream, byte for byte as received.
 type event struct {
 	raw []byte
-	// id is its number, 0 if it has none.
+	// id is the event's id, 0 if it has none.
 	id int
 }
 
-// eventReader takes a stream apart into whole events: an upstream that breaks
-// off may do so in the middle of one, and a part of an event must not reach the
-// caller, who would join it to the next upstream's.
+// eventReader splits a stream into complete events. An upstream may fail in the middle
+// of one, and a partial event must not reach the caller, who would join it to the next
+// upstream's first event.
 type eventReader struct {
 	in *bufio.Reader
 }
@@ -33,20 +33,20 @@
 	return &eventReader{in: bufio.NewReaderSize(r, 4<<10)}
 }
 
-// next returns the next whole event, or io.EOF after the last.
+// next returns the next complete event, or io.EOF after the last one.
 func (r *eventReader) next() (event, error) {
 	var e event
 	for {
 		line, err := r.in.ReadSlice('\n')
 		e.raw = append(e.raw, line...)
-		if len(e.raw) > maxEvent {
-			return event{}, fmt.Errorf("an event has more than %d bytes", maxEvent)
+		if len(e.raw) > maxEventBytes {
+			return event{}, fmt.Errorf("an event has more than %d bytes", maxEventBytes)
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
 			continue
 		}
 		if err == io.EOF && len(e.raw) > 0 {
-			return event{}, errCutEvent
+			return event{}, errTruncatedEvent
 		}
 		if err != nil {
 			return event{}, err
--- a/internal/relay/failure.go
+++ b/internal/relay/failure.go
@@ -5,27 +5,26 @@
 	"time"
 )
 
-// reason says in a word why a request failed; it stands in logs and metrics.
+// reason says why a request failed. It is a value in logs and metrics.
 type reason string
 
-// The reasons.
 const (
-	reasonBadHead  reason = "bad head"
-	reasonBadBody  reason = "bad body"
-	reasonTooLarge reason = "too large"
-	reasonNoConfig reason = "no configuration"
-	reasonNoRule   reason = "no rule"
-	reasonNoPlace  reason = "no place"
-	reasonTooLate  reason = "too late to be whole"
-	reasonNoBudget reason = "no retry budget"
-	reasonAttempts reason = "no attempts left"
-	reasonDeadline reason = "deadline"
-	reasonLost     reason = "answer lost"
-	reasonGone     reason = "caller gone"
-	reasonLeaving  reason = "leaving"
+	reasonBadHeaders     reason = "bad head"
+	reasonBadBody        reason = "bad body"
+	reasonTooLarge       reason = "too large"
+	reasonNoConfig       reason = "no configuration"
+	reasonNoRule         reason = "no rule"
+	reasonNoCapacity     reason = "no place"
+	reasonCannotComplete reason = "too late to be whole"
+	reasonNoBudget       reason = "no retry budget"
+	reasonNoAttempts     reason = "no attempts left"
+	reasonDeadline       reason = "deadline"
+	reasonResponseLost   reason = "answer lost"
+	reasonCallerGone     reason = "caller gone"
+	reasonShuttingDown   reason = "leaving"
 )
 
-// failure is the end of a request without an upstream's answer.
+// failure describes a request that ends without an upstream's response.
 type failure struct {
 	status     int
 	reason     reason
@@ -33,20 +32,20 @@
 	retryAfter time.Duration
 }
 
-func refused(status int, why reason, message string) *failure {
+func newFailure(status int, why reason, message string) *failure {
 	return &failure{status: status, reason: why, message: message}
 }
 
-func (f *failure) after(d time.Duration) *failure {
+func (f *failure) withRetryAfter(d time.Duration) *failure {
 	f.retryAfter = d
 	return f
 }
 
-// refuse answers with a failure of the system's own.
-func (r *Relay) refuse(w http.ResponseWriter, in *http.Request, c *call, f *failure) {
+// writeFailure logs a failure and sends it to the caller as the relay's own response.
+func (r *Relay) writeFailure(w http.ResponseWriter, in *http.Request, c *call, f *failure) {
 	c.logEnd(f)
 	if in.Context().Err() != nil {
-		return // nobody reads the answer
+		return // the caller has gone
 	}
 	r.cfg.Dialect.WriteError(w, f.status, f.retryAfter, f.message)
 }
--- a/internal/relay/log.go
+++ b/internal/relay/log.go
@@ -7,10 +7,10 @@
 	"tamarackchute/internal/telemetry"
 )
 
-// logAttempt counts an attempt and writes one line on it: where it went, by which figures,
-// and how it ended.
-func (c *call) logAttempt(p *place, res result) {
-	c.relay.metrics.attempt(c, p, res)
+// logAttempt counts an attempt and logs where it went, by which estimates, and how it
+// ended.
+func (c *call) logAttempt(p *assignment, res result) {
+	c.relay.metrics.recordAttempt(c, p, res)
 	level := slog.LevelInfo
 	if !res.done {
 		level = slog.LevelWarn
@@ -21,55 +21,55 @@
 		"prompt", c.promptTokens(), "output", c.outputTokens(), "max_output", c.maxOutput(),
 		"uncached", p.plan.Uncached, "fetched", p.plan.Fetched, "reread", p.plan.Reread,
 		"queue_ms", telemetry.Millis(p.plan.Queue), "ideal_ms", telemetry.Millis(p.plan.Ideal),
-		"expected_gap_ms", telemetry.Millis(p.plan.Pause), "behind", c.behind, "considered", p.plan.Considered,
-		"read_ms", telemetry.Millis(p.read), "first_ms", telemetry.Millis(p.first),
+		"expected_gap_ms", telemetry.Millis(p.plan.Pause), "behind", c.late, "considered", p.plan.Considered,
+		"read_ms", telemetry.Millis(p.prefillTime), "first_ms", telemetry.Millis(p.firstEventTime),
 		"lasted_ms", telemetry.Millis(time.Since(p.sentAt)), "done", res.done, "status", res.status,
 	}
 	if p.plan.Long {
-		attrs = append(attrs, c.wholeAttrs(p)...)
+		attrs = append(attrs, c.completionAttrs(p)...)
 	}
 	if p.prefill != nil {
 		attrs = append(attrs, "prefill", p.prefill.ID)
 	}
 	if res.err != nil {
-		attrs = append(attrs, "fate", res.fate.String(), "err", res.err)
+		attrs = append(attrs, "fate", res.execution.String(), "err", res.err)
 	}
 	c.log.Log(c.in.Context(), level, "attempt", attrs...)
 }
 
-// wholeAttrs tells whether a long answer was expected whole in time, and how far it came.
-func (c *call) wholeAttrs(p *place) []any {
+// completionAttrs returns the attributes of a long response: whether it was expected to
+// complete within the deadline, and how far it came.
+func (c *call) completionAttrs(p *assignment) []any {
 	return []any{
 		"beside", p.plan.Beside, "expected_whole_ms", telemetry.Millis(p.plan.Whole),
 		"left_ms", telemetry.Millis(c.deadline.Sub(p.sentAt)), "events", c.eventsOf(p),
 	}
 }
 
-// logEnd counts a request and writes the line on its end; nil says that it was answered by an
-// upstream.
+// logEnd counts a request and logs its end; a nil failure means that an upstream answered.
 func (c *call) logEnd(f *failure) {
-	c.relay.metrics.ended(c, f)
-	attrs := []any{"request", c.ID, "took_ms", telemetry.Millis(time.Since(c.arrived)), "attempts", c.tries.Attempts(), "config", c.version}
+	c.relay.metrics.recordRequest(c, f)
+	attrs := []any{"request", c.ID, "took_ms", telemetry.Millis(time.Since(c.arrived)), "attempts", c.attempts.Attempts(), "config", c.version}
 	if c.rule != nil {
 		attrs = append(attrs, "rule", c.rule.Name, "pool", c.pool)
 	}
 	if c.stream != nil {
 		attrs = append(attrs, "first_ms", telemetry.Millis(c.stream.started.Sub(c.arrived)), "objective_ms", telemetry.Millis(c.rule.Objective),
-			"gap_ms", telemetry.Millis(c.stream.gap), "gap_objective_ms", telemetry.Millis(c.rule.PauseObjective), "last_event", c.stream.last)
+			"gap_ms", telemetry.Millis(c.stream.longestGap), "gap_objective_ms", telemetry.Millis(c.rule.PauseObjective), "last_event", c.stream.lastEvent)
 	}
 	if f == nil {
 		c.log.Info("answered", attrs...)
 		return
 	}
-	if f.reason == reasonNoPlace {
-		attrs = append(attrs, "expected_ms", telemetry.Millis(c.looked.FirstToken), "queue_ms", telemetry.Millis(c.looked.Queue),
-			"ideal_ms", telemetry.Millis(c.looked.Ideal), "uncached", c.looked.Uncached, "reread", c.looked.Reread,
-			"considered", c.looked.Considered, "objective_ms", telemetry.Millis(c.rule.Objective), "comeback", c.comeback)
+	if f.reason == reasonNoCapacity {
+		attrs = append(attrs, "expected_ms", telemetry.Millis(c.lastPlan.FirstToken), "queue_ms", telemetry.Millis(c.lastPlan.Queue),
+			"ideal_ms", telemetry.Millis(c.lastPlan.Ideal), "uncached", c.lastPlan.Uncached, "reread", c.lastPlan.Reread,
+			"considered", c.lastPlan.Considered, "objective_ms", telemetry.Millis(c.rule.Objective), "comeback", c.retried)
 	}
 	if f.reason == reasonNoRule {
 		attrs = append(attrs, "host", c.in.Host, "path", pathOf(c.in.RequestURI))
 	}
-	attrs = append(attrs, "status", f.status, "reason", string(f.reason), "ran", c.tries.MayHaveRun(), "retry_after_ms", telemetry.Millis(f.retryAfter))
+	attrs = append(attrs, "status", f.status, "reason", string(f.reason), "ran", c.attempts.MayHaveRun(), "retry_after_ms", telemetry.Millis(f.retryAfter))
 	c.log.Warn("failed", attrs...)
 }
 
@@ -87,12 +87,12 @@
 	return c.Generation.MaxOutput
 }
 
-// eventsOf returns how many events of an attempt's stream the caller has got.
-func (c *call) eventsOf(p *place) int {
+// eventsOf returns how many events of an attempt's stream were sent to the caller.
+func (c *call) eventsOf(p *assignment) int {
 	if c.stream == nil {
 		return 0
 	}
-	return c.stream.last - p.after
+	return c.stream.lastEvent - p.resumedAfter
 }
 
 func (c *call) outputTokens() int {
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -7,8 +7,8 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// metrics are the relay's figures, by rule. Scopes and counters are kept by the
-// library, so that asking for one again is a lookup.
+// metrics records the relay's metrics by rule. The library caches scopes and counters,
+// so getting one again is a lookup.
 type metrics struct {
 	scope   tally.Scope
 	buckets tally.DurationBuckets
@@ -21,36 +21,36 @@
 	return &metrics{scope: s, buckets: tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 15)}
 }
 
-func (m *metrics) ofRule(rule string) tally.Scope {
+func (m *metrics) forRule(rule string) tally.Scope {
 	return m.scope.Tagged(map[string]string{"rule": rule})
 }
 
-// ended counts a request by its outcome.
-func (m *metrics) ended(c *call, f *failure) {
+// recordRequest counts a request by its outcome; a nil failure means that it was answered.
+func (m *metrics) recordRequest(c *call, f *failure) {
 	rule := ""
 	if c.rule != nil {
 		rule = c.rule.Name
 	}
-	s := m.ofRule(rule)
+	s := m.forRule(rule)
 	if f != nil {
-		s.Tagged(map[string]string{"reason": string(f.reason), "ran": strconv.FormatBool(c.tries.MayHaveRun())}).Counter("requests_failed").Inc(1)
+		s.Tagged(map[string]string{"reason": string(f.reason), "ran": strconv.FormatBool(c.attempts.MayHaveRun())}).Counter("requests_failed").Inc(1)
 		return
 	}
 	s.Counter("requests_answered").Inc(1)
 	s.Histogram("whole_answer", m.buckets).RecordDuration(time.Since(c.arrived))
 	if c.stream != nil {
 		s.Histogram("first_event", m.buckets).RecordDuration(c.stream.started.Sub(c.arrived))
-		s.Histogram("longest_pause", m.buckets).RecordDuration(c.stream.gap)
+		s.Histogram("longest_pause", m.buckets).RecordDuration(c.stream.longestGap)
 	}
 }
 
-// attempt counts an attempt by how it ended.
-func (m *metrics) attempt(c *call, p *place, res result) {
-	s := m.ofRule(c.rule.Name)
-	fate := "answered"
+// recordAttempt counts an attempt by its result.
+func (m *metrics) recordAttempt(c *call, p *assignment, res result) {
+	s := m.forRule(c.rule.Name)
+	result := "answered"
 	if !res.done {
-		fate = res.fate.String()
+		result = res.execution.String()
 	}
-	s.Tagged(map[string]string{"fate": fate}).Counter("attempts").Inc(1)
+	s.Tagged(map[string]string{"fate": result}).Counter("attempts").Inc(1)
 	s.Histogram("waited_for_place", m.buckets).RecordDuration(p.waited)
 }
--- a/internal/relay/prefill.go
+++ b/internal/relay/prefill.go
@@ -14,99 +14,99 @@
 )
 
 const (
-	// prefillFactor times the expected time and prefillSlack bound the wait for a
-	// prompt to be read: a silent engine shows no other sign. The slack is what a lost
-	// packet's repetition takes, 200 ms and a little more, whatever the engine's speed.
-	prefillFactor = 4
-	prefillSlack  = 250 * time.Millisecond
-	// releaseTimeout bounds the call that frees a KV cache that nobody fetches.
+	// A prefill times out after prefillTimeoutFactor times its expected time plus
+	// prefillSlack; a stalled engine shows no other sign. The slack covers the
+	// retransmission of a lost packet, which takes 200 ms at least.
+	prefillTimeoutFactor = 4
+	prefillSlack         = 250 * time.Millisecond
+	// releaseTimeout is the timeout of the request that frees an unused KV cache.
 	releaseTimeout = time.Second
 )
 
-// maxKeptTries is how many engines may turn a KV cache away before the prompt is
-// read anew: the cache itself may be what can't be had.
-const maxKeptTries = 2
+// maxHandoffRefusals is how many engines may refuse a KV cache before the prefill is
+// repeated: the cache itself may be unavailable.
+const maxHandoffRefusals = 2
 
-// noteKept decides after an attempt whether the KV cache is still of use.
-func (c *call) noteKept(res result) {
+// updateHandoff updates the handoff after an attempt.
+func (c *call) updateHandoff(res result) {
 	switch {
-	case c.kept.Handle == "":
-	case res.done || res.fate == dispatch.MayHaveRun:
-		c.kept = Handoff{} // taken over
-	case res.arrived:
-		if c.keptTries++; c.keptTries >= maxKeptTries {
-			c.releaseKept()
+	case c.handoff.Handle == "":
+	case res.done || res.execution == dispatch.MayHaveRun:
+		c.handoff = Handoff{} // transferred
+	case res.reachedUpstream:
+		if c.handoffRefusals++; c.handoffRefusals >= maxHandoffRefusals {
+			c.dropHandoff()
 		}
 	}
 }
 
-// releaseKept frees the KV cache that nobody has taken over.
-func (c *call) releaseKept() {
-	if c.kept.Handle != "" {
-		c.release(c.keptBy, c.kept.Handle)
-		c.kept = Handoff{}
+// dropHandoff frees the KV cache that no engine has transferred.
+func (c *call) dropHandoff() {
+	if c.handoff.Handle != "" {
+		c.releaseKV(c.handoffFrom, c.handoff.Handle)
+		c.handoff = Handoff{}
 	}
 }
 
-// prefill has the prompt read at the place's reader and returns the handle of
-// its KV cache. Nothing runs by that.
-func (c *call) prefill(ctx context.Context, p *place) (string, result) {
-	// The first reading of the prompt is no repeat, any further one is.
+// prefill does the prefill at the assignment's prefill engine and returns the handle of
+// the KV cache. A prefill doesn't count as running the request.
+func (c *call) prefill(ctx context.Context, p *assignment) (string, result) {
+	// The first prefill is part of the request, any further one is a retry.
 	if c.prefills > 0 && !c.relay.cfg.RetryBudget.AllowRetry(c.pool) {
-		p.reader.End(placement.Cancelled)
-		return "", result{fate: dispatch.NotSent, outcome: placement.Cancelled, err: errNoBudget}
+		p.prefillTicket.End(placement.Cancelled)
+		return "", result{execution: dispatch.NotSent, outcome: placement.Cancelled, err: errNoBudget}
 	}
-	ctx, cancel := context.WithTimeout(ctx, prefillFactor*p.plan.FirstToken+prefillSlack)
+	ctx, cancel := context.WithTimeout(ctx, prefillTimeoutFactor*p.plan.FirstToken+prefillSlack)
 	defer cancel()
-	r := c.request(p.prefill, p, Attempt{PrefillOnly: true, KVSource: p.sourceAddress()})
+	r := c.newRequest(p.prefill, p, Attempt{PrefillOnly: true, KVSource: p.sourceAddress()})
 	r.IDHeader = ""
-	handle, res := c.readPrefill(ctx, p, r)
+	handle, res := c.sendPrefill(ctx, p, r)
 	if res.err == nil {
 		c.prefills++
-		p.read = time.Since(p.sentAt)
-		p.reader.PromptRead()
-		p.reader.End(placement.Done)
+		p.prefillTime = time.Since(p.sentAt)
+		p.prefillTicket.PromptRead()
+		p.prefillTicket.End(placement.Done)
 		c.relay.WakeWaiting()
 		return handle, res
 	}
 	if ctx.Err() != nil && c.in.Context().Err() != nil {
 		res.outcome = placement.Cancelled
 	}
-	p.reader.End(res.outcome)
-	c.exclude = append(c.exclude, p.prefill.ID)
+	p.prefillTicket.End(res.outcome)
+	c.excluded = append(c.excluded, p.prefill.ID)
 	return "", res
 }
 
 var (
-	errPrefill  = errors.New("the prompt was not read")
+	errPrefill  = errors.New("prefill failed")
 	errNoBudget = errors.New("too many requests are being repeated")
 )
 
-func (c *call) readPrefill(ctx context.Context, p *place, r *exchange.Request) (string, result) {
-	resp, err := c.relay.connections(p.prefill).Do(ctx, r)
+func (c *call) sendPrefill(ctx context.Context, p *assignment, r *exchange.Request) (string, result) {
+	resp, err := c.relay.connsTo(p.prefill).Do(ctx, r)
 	if err != nil {
-		return "", result{fate: dispatch.NotRun, arrived: sent(err), outcome: brokenOutcome(ctx), err: err}
+		return "", result{execution: dispatch.NotRun, reachedUpstream: mayHaveReached(err), outcome: outcomeOfError(ctx), err: err}
 	}
 	defer resp.Close()
-	body, err := resp.ReadAll(maxAnswer)
+	body, err := resp.ReadAll(maxResponseBytes)
 	if err != nil {
-		return "", result{fate: dispatch.NotRun, arrived: true, outcome: placement.Failed, err: err}
+		return "", result{execution: dispatch.NotRun, reachedUpstream: true, outcome: placement.Failed, err: err}
 	}
 	if resp.Status != http.StatusOK {
-		return "", result{fate: dispatch.NotRun, arrived: true, outcome: refusalOutcome(resp.Status), status: resp.Status, err: errPrefill}
+		return "", result{execution: dispatch.NotRun, reachedUpstream: true, outcome: outcomeOfRefusal(resp.Status), status: resp.Status, err: errPrefill}
 	}
 	handle, err := c.relay.cfg.Dialect.ParsePrefill(body)
 	if err != nil {
-		return "", result{fate: dispatch.NotRun, arrived: true, outcome: placement.Failed, err: err}
+		return "", result{execution: dispatch.NotRun, reachedUpstream: true, outcome: placement.Failed, err: err}
 	}
 	return handle, result{}
 }
 
-// release frees a KV cache that no engine will fetch. It goes on after the
-// request has ended: memory that is never taken keeps others out for seconds.
-func (c *call) release(u *fleet.Upstream, handle string) {
+// releaseKV frees a KV cache that no engine will transfer. It continues after the request
+// has ended: otherwise the memory would stay occupied for seconds.
+func (c *call) releaseKV(u *fleet.Upstream, handle string) {
 	method, target := c.relay.cfg.Dialect.ReleaseHandoff(handle)
-	pool := c.relay.connections(u)
+	pool := c.relay.connsTo(u)
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 		defer cancel()
--- a/internal/relay/queue.go
+++ b/internal/relay/queue.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// queue holds the requests of one rule that wait for a place: those that can be
-// in time before those that are late, and among equals the one that came first.
+// queue holds the requests of one rule that wait for capacity. Requests that can meet
+// their objective precede late ones; among equals it is first in, first out.
 type queue struct {
 	mu      sync.Mutex
 	waiting waiters
@@ -19,54 +19,54 @@
 	late  bool
 	seq   uint64
 	index int
-	// turn gets a token when it is worth trying again.
-	turn chan struct{}
+	// wake receives a token when the waiter should try again.
+	wake chan struct{}
 }
 
-// recheck is how often a waiting request looks again by itself: rates and holds
-// of upstreams change without a signal.
-const recheck = 10 * time.Millisecond
+// recheckInterval is how often the first waiter tries again without being woken: limits
+// and exclusions of upstreams end without a signal.
+const recheckInterval = 10 * time.Millisecond
 
-// await calls try until it returns true, the context ends, or a time has come.
-// Late requests, and those that came later, don't overtake.
+// await calls try until it returns true, the context ends, or until has passed. It keeps
+// the order of the queue.
 func (q *queue) await(ctx context.Context, late bool, until time.Time, try func() bool) bool {
 	q.mu.Lock()
-	if !q.ahead(late) && try() {
+	if !q.hasPrecedence(late) && try() {
 		q.mu.Unlock()
 		return true
 	}
 	q.seq++
-	w := &waiter{late: late, seq: q.seq, turn: make(chan struct{}, 1)}
+	w := &waiter{late: late, seq: q.seq, wake: make(chan struct{}, 1)}
 	heap.Push(&q.waiting, w)
 	q.mu.Unlock()
 
-	timer := time.NewTimer(min(recheck, time.Until(until)))
+	timer := time.NewTimer(min(recheckInterval, time.Until(until)))
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			q.leave(w)
+			q.remove(w)
 			return false
-		case <-w.turn:
+		case <-w.wake:
 		case <-timer.C:
-			timer.Reset(max(0, min(recheck, time.Until(until))))
+			timer.Reset(max(0, min(recheckInterval, time.Until(until))))
 		}
 		if q.tryFirst(w, try) {
 			return true
 		}
 		if !time.Now().Before(until) {
-			q.leave(w)
+			q.remove(w)
 			return false
 		}
 	}
 }
 
-// ahead reports whether someone waits who goes before a newcomer.
-func (q *queue) ahead(late bool) bool {
+// hasPrecedence reports whether a waiter precedes a newcomer.
+func (q *queue) hasPrecedence(late bool) bool {
 	return len(q.waiting) > 0 && (late || !q.waiting[0].late)
 }
 
-// tryFirst tries if w is the first in line; the next one then gets its turn.
+// tryFirst calls try if w is the first waiter, and wakes the next one on success.
 func (q *queue) tryFirst(w *waiter, try func() bool) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -78,21 +78,21 @@
 	return true
 }
 
-func (q *queue) leave(w *waiter) {
+func (q *queue) remove(w *waiter) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	heap.Remove(&q.waiting, w.index)
 	q.wakeFirst()
 }
 
-// wake gives the first in line a turn: a place may have come free.
+// wake lets the first waiter try again, because capacity may have become free.
 func (q *queue) wake() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.wakeFirst()
 }
 
-// empty reports whether nobody waits.
+// empty reports whether there are no waiters.
 func (q *queue) empty() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -104,7 +104,7 @@
 		return
 	}
 	select {
-	case q.waiting[0].turn <- struct{}{}:
+	case q.waiting[0].wake <- struct{}{}:
 	default:
 	}
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -18,7 +18,7 @@
 	"tamarackchute/placement"
 )
 
-// Config sets a Relay.
+// Config holds the settings and dependencies of a Relay.
 type Config struct {
 	DataCentre  string
 	Dialect     Dialect
@@ -26,47 +26,48 @@
 	Tracker     *placement.Books
 	RetryBudget *RetryBudget
 	Logger      *slog.Logger
-	// Refresh brings the books up to date with other daemons' work before a request is
-	// placed; it takes some milliseconds at most. Nil does nothing.
+	// Refresh updates the tracker with other daemons' work before a request is
+	// placed; it must return within milliseconds. Nil does nothing.
 	Refresh func(context.Context)
-	// OnReplaced is told of an upstream whose address belongs to another one; nil
-	// tells nobody.
+	// OnReplaced is called for an upstream whose address now belongs to another
+	// incarnation; nil does nothing.
 	OnReplaced func(id string)
-	// Metrics takes counters and histograms; nil drops them.
+	// Metrics receives counters and histograms; nil drops them.
 	Metrics tally.Scope
-	// MinRetryAfter is the least time to come back that a refusal names.
+	// MinRetryAfter is the retry delay that error responses name, unless the caller's
+	// remaining time is too short for it.
 	MinRetryAfter time.Duration
 }
 
-// Relay serves callers. It is an http.Handler.
+// Relay forwards callers' requests to upstreams. It is an http.Handler.
 type Relay struct {
 	cfg      Config
 	active   atomic.Int64
 	metrics  *metrics
-	patience patienceBook
+	timeouts timeoutStats
 	demand   demandMeter
-	// leave is set once the process is to end.
-	leave atomic.Pointer[leave]
+	// shutdown is set once the process begins to shut down.
+	shutdown atomic.Pointer[shutdown]
 
 	mu     sync.Mutex
 	queues map[string]*queue
-	conns  map[string]connections
-	// followed is the configuration that queues were last looked at for.
-	followed *fleet.Config
+	conns  map[string]upstreamConns
+	// config is the configuration by which unused rules were last dropped.
+	config *fleet.Config
 }
 
-// New returns a relay. It follows the state's upstreams from then on, so it must
-// be made before the state's first change.
+// New returns a relay. It watches the state for changes, so it must be called before
+// the state's first change.
 func New(cfg Config) *Relay {
-	r := &Relay{cfg: cfg, metrics: newMetrics(cfg.Metrics), queues: make(map[string]*queue), conns: make(map[string]connections)}
-	cfg.State.Watch(r.follow)
+	r := &Relay{cfg: cfg, metrics: newMetrics(cfg.Metrics), queues: make(map[string]*queue), conns: make(map[string]upstreamConns)}
+	cfg.State.Watch(r.update)
 	return r
 }
 
 // Active returns the number of requests in progress.
 func (r *Relay) Active() int64 { return r.active.Load() }
 
-// HasWaiting reports whether requests wait for a place.
+// HasWaiting reports whether requests are queued for an upstream.
 func (r *Relay) HasWaiting() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -78,7 +79,7 @@
 	return false
 }
 
-// WakeWaiting wakes the requests that wait: a place may have come free elsewhere.
+// WakeWaiting lets queued requests try again, because an upstream may have free capacity.
 func (r *Relay) WakeWaiting() {
 	r.mu.Lock()
 	queues := make([]*queue, 0, len(r.queues))
@@ -102,19 +103,19 @@
 	return q
 }
 
-// follow takes over a new list of upstreams: books for the new ones, and no
-// kept connections to those that are gone.
-func (r *Relay) follow(s *fleet.Snapshot) {
+// update applies a new snapshot: it syncs the tracker, closes the connections to
+// upstreams that are gone and drops what was kept for removed rules.
+func (r *Relay) update(s *fleet.Snapshot) {
 	members := make([]placement.Member, 0, len(s.Upstreams))
 	for _, u := range s.Upstreams {
-		members = append(members, member(s, u))
+		members = append(members, placementMember(s, u))
 	}
 	r.cfg.Tracker.Sync(members)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if s.Config != r.followed {
-		r.followed = s.Config
-		r.forgetRules(s.Config)
+	if s.Config != r.config {
+		r.config = s.Config
+		r.dropUnusedRules(s.Config)
 	}
 	for id, c := range r.conns {
 		if u := s.Upstreams[id]; u == nil || !u.SameIncarnation(c.to) {
@@ -124,14 +125,14 @@
 	}
 }
 
-// forgetRules drops what was kept for rules that aren't in force any more. r.mu is
-// held.
-func (r *Relay) forgetRules(c *fleet.Config) {
+// dropUnusedRules drops the state of rules that a configuration no longer has. The
+// caller holds r.mu.
+func (r *Relay) dropUnusedRules(c *fleet.Config) {
 	inForce := make(map[string]bool)
 	for _, rule := range c.Rules.Rules() {
 		inForce[rule.Name] = true
 	}
-	r.patience.keep(inForce)
+	r.timeouts.retain(inForce)
 	for name, q := range r.queues {
 		if !inForce[name] && q.empty() {
 			delete(r.queues, name)
@@ -139,7 +140,7 @@
 	}
 }
 
-func member(s *fleet.Snapshot, u *fleet.Upstream) placement.Member {
+func placementMember(s *fleet.Snapshot, u *fleet.Upstream) placement.Member {
 	m := placement.Member{ID: u.ID, DataCentre: u.DataCentre, Started: u.Started, Pool: u.Pool, Role: u.Role, Slots: u.Slots, Leaving: u.Draining}
 	if s.Config == nil {
 		return m
@@ -153,7 +154,7 @@
 	return m
 }
 
-func (r *Relay) connections(u *fleet.Upstream) *exchange.Pool {
+func (r *Relay) connsTo(u *fleet.Upstream) *exchange.Pool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c, known := r.conns[u.ID]
@@ -161,14 +162,14 @@
 		if known {
 			c.pool.Close()
 		}
-		c = connections{to: u, pool: exchange.NewPool(u.Address, exchange.Options{})}
+		c = upstreamConns{to: u, pool: exchange.NewPool(u.Address, exchange.Options{})}
 		r.conns[u.ID] = c
 	}
 	return c.pool
 }
 
-// connections are those to one start of an upstream.
-type connections struct {
+// upstreamConns holds the connections to one incarnation of an upstream.
+type upstreamConns struct {
 	to   *fleet.Upstream
 	pool *exchange.Pool
 }
@@ -177,35 +178,35 @@
 func (r *Relay) ServeHTTP(w http.ResponseWriter, in *http.Request) {
 	r.active.Add(1)
 	defer r.active.Add(-1)
-	if r.leave.Load() != nil || slices.Contains(in.TransferEncoding, "chunked") {
-		// A request with both a length and chunks can hide another one behind
-		// its body. The standard library follows the chunks; what is left of the
-		// connection must not be read as a request.
+	if r.shutdown.Load() != nil || slices.Contains(in.TransferEncoding, "chunked") {
+		// Guards against request smuggling: a request with both Content-Length and
+		// chunked encoding can hide another one after its body. net/http uses the
+		// chunks; the rest of the connection must not be parsed as a request.
 		w.Header().Set("Connection", "close")
 	}
 	c, f := r.accept(w, in)
 	if f != nil {
-		r.refuse(w, in, c, f)
+		r.writeFailure(w, in, c, f)
 		return
 	}
 	c.serve()
 }
 
-// accept reads a request and finds its rule.
+// accept parses a request, matches its rule and reads its body.
 func (r *Relay) accept(w http.ResponseWriter, in *http.Request) (*call, *failure) {
 	c := &call{relay: r, out: w, in: in, arrived: time.Now(), log: r.cfg.Logger}
 	var err error
 	if c.Call, err = r.cfg.Dialect.ParseCall(in); err != nil {
-		return c, refused(http.StatusBadRequest, reasonBadHead, err.Error())
+		return c, newFailure(http.StatusBadRequest, reasonBadHeaders, err.Error())
 	}
 	s := r.cfg.State.Snapshot()
 	if s.Config == nil {
-		return c, refused(http.StatusServiceUnavailable, reasonNoConfig, "no configuration is known yet").after(r.cfg.MinRetryAfter)
+		return c, newFailure(http.StatusServiceUnavailable, reasonNoConfig, "no configuration is known yet").withRetryAfter(r.cfg.MinRetryAfter)
 	}
 	c.version = s.Config.Version
 	rule, ok := s.Config.Rules.Match(hostOf(in.Host), pathOf(in.RequestURI))
 	if !ok {
-		return c, refused(http.StatusNotFound, reasonNoRule, "no rule matches")
+		return c, newFailure(http.StatusNotFound, reasonNoRule, "no rule matches")
 	}
 	c.rule = rule
 	c.pool = rule.Pool()
@@ -219,8 +220,8 @@
 	return host
 }
 
-// pathOf returns the path of a request target as it was sent: decoding it could
-// make two different paths equal.
+// pathOf returns the path of a request target as it was sent. It isn't unescaped,
+// because that could make two different paths equal.
 func pathOf(target string) string {
 	path, _, _ := strings.Cut(target, "?")
 	if i := strings.Index(path, "://"); i > 0 {
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -11,38 +11,38 @@
 	"tamarackchute/placement"
 )
 
-// streamState is the caller's side of a streamed answer.
+// streamState is the state of the stream to the caller, across attempts.
 type streamState struct {
-	// last is the number of the last event that the caller has.
-	last    int
-	flusher *http.ResponseController
-	// gap is the longest pause so far.
-	gap     time.Duration
-	lastAt  time.Time
-	started time.Time
+	// lastEvent is the id of the last event sent to the caller.
+	lastEvent int
+	flusher   *http.ResponseController
+	// longestGap is the longest time between two events so far.
+	longestGap time.Duration
+	lastAt     time.Time
+	started    time.Time
 }
 
 var errEventGap = errors.New("events are missing from the stream")
 
-// relayStream passes events on as they come, each whole and once. The head goes
-// out with the first of them, so that a failure before it can still be mended.
-func (c *call) relayStream(ctx context.Context, p *place, resp *exchange.Response, watch *silenceWatch) result {
+// relayStream sends complete events to the caller as they arrive, each once. The headers
+// are sent with the first event, so that a failure before it can still be retried.
+func (c *call) relayStream(ctx context.Context, p *assignment, resp *exchange.Response, watch *stallWatchdog) result {
 	events := newEventReader(resp)
 	first := true
 	for {
 		e, err := events.next()
-		watch.heard()
+		watch.disarm()
 		if err == io.EOF {
 			return c.endStream(p, resp, first)
 		}
 		if err != nil {
-			return c.cutStream(ctx, p, err)
+			return c.failStream(ctx, p, err)
 		}
 		if first {
 			first = false
-			p.first = time.Since(p.sentAt)
+			p.firstEventTime = time.Since(p.sentAt)
 			if p.prefill == nil {
-				p.read = p.first
+				p.prefillTime = p.firstEventTime
 			} else {
 				p.ticket.TakenOver()
 			}
@@ -53,30 +53,30 @@
 			p.ticket.Paused(time.Since(s.lastAt))
 		}
 		if err := c.deliver(e, resp); err != nil {
-			return c.cutStream(ctx, p, err)
+			return c.failStream(ctx, p, err)
 		}
-		watch.listen(c.pauseSilence())
+		watch.arm(c.eventGapTimeout())
 	}
 }
 
-// deliver sends one event to the caller. Events that it has already are left
-// out: an upstream that goes on from a given event may send it again.
+// deliver sends one event to the caller. Events that were sent already are skipped: an
+// upstream that resumes after an event may send it again.
 func (c *call) deliver(e event, resp *exchange.Response) error {
 	if c.stream == nil {
 		c.beginStream(resp)
 	}
 	s := c.stream
 	if e.id > 0 {
-		if e.id <= s.last {
+		if e.id <= s.lastEvent {
 			return nil
 		}
-		if e.id > s.last+1 {
+		if e.id > s.lastEvent+1 {
 			return errEventGap
 		}
-		s.last = e.id
+		s.lastEvent = e.id
 	}
 	now := time.Now()
-	s.gap = max(s.gap, now.Sub(s.lastAt))
+	s.longestGap = max(s.longestGap, now.Sub(s.lastAt))
 	s.lastAt = now
 	if _, err := c.out.Write(e.raw); err != nil {
 		return err
@@ -86,26 +86,26 @@
 
 func (c *call) beginStream(resp *exchange.Response) {
 	now := time.Now()
-	c.stream = &streamState{last: c.ResumeAfter, flusher: http.NewResponseController(c.out), lastAt: now, started: now}
+	c.stream = &streamState{lastEvent: c.ResumeAfter, flusher: http.NewResponseController(c.out), lastAt: now, started: now}
 	c.relay.cfg.Dialect.CopyResponseHeaders(c.out.Header(), resp.Header)
 	c.out.WriteHeader(resp.Status)
 }
 
-// endStream ends the caller's stream after the upstream's proper end. A stream
-// without any event is passed on as it is.
-func (c *call) endStream(p *place, resp *exchange.Response, empty bool) result {
+// endStream ends the caller's stream after the upstream has ended it properly. A stream
+// without events is passed on as it is.
+func (c *call) endStream(p *assignment, resp *exchange.Response, empty bool) result {
 	if empty && c.stream == nil {
 		c.beginStream(resp)
 	}
-	if p.first > 0 && p.after == 0 {
-		p.ticket.Generated(c.stream.last, time.Since(p.sentAt)-p.first)
+	if p.firstEventTime > 0 && p.resumedAfter == 0 {
+		p.ticket.Generated(c.stream.lastEvent, time.Since(p.sentAt)-p.firstEventTime)
 	}
-	return result{done: true, arrived: true, outcome: placement.Done, status: resp.Status}
+	return result{done: true, reachedUpstream: true, outcome: placement.Done, status: resp.Status}
 }
 
-func (c *call) cutStream(ctx context.Context, p *place, err error) result {
+func (c *call) failStream(ctx context.Context, p *assignment, err error) result {
 	if c.stream != nil {
-		err = errors.Join(err, errors.New("the stream was cut"))
+		err = errors.Join(err, errors.New("the stream broke off"))
 	}
-	return c.lost(p, brokenOutcome(ctx), tellSilence(ctx, err))
+	return c.lostResult(p, outcomeOfError(ctx), withStallError(ctx, err))
 }
--- a/internal/relay/types.go
+++ b/internal/relay/types.go
@@ -1,9 +1,8 @@
-// Package relay carries requests whose head and body it doesn't interpret from
-// callers to upstreams, and answers back: it finds the rule, waits for a place,
-// sends, decides after a failure whether the request may be sent again, and
-// tells the caller the truth about what has run.
+// Package relay is a reverse proxy that doesn't interpret request bodies. It matches the
+// rule, queues for capacity, sends the request, decides after a failure whether to retry,
+// and never reports to the caller that a request didn't run when it may have.
 //
-// Names and formats of the outer protocol are a Dialect's.
+// Header names and formats of the outer protocol are left to a Dialect.
 package relay
 
 import (
@@ -13,87 +12,87 @@
 	"tamarackchute/placement"
 )
 
-// Call is what a caller's request says about itself.
+// Call holds what the headers of a caller's request state.
 type Call struct {
-	// ID is the caller's id of this attempt.
+	// ID is the caller's request id, which upstreams must echo.
 	ID string
-	// Timeout is how long the caller waits from now; 0 if it doesn't say.
+	// Timeout is how long the caller waits for the response, 0 if it doesn't state it.
 	Timeout time.Duration
-	// Generation is nil unless the request asks a model.
+	// Generation is nil unless the request is for a model.
 	Generation *Generation
-	// ResumeAfter is the id of the last event that the caller has of a stream;
-	// 0 if it asks for the whole.
+	// ResumeAfter is the id of the last event that the caller received of a stream,
+	// 0 to start from the first.
 	ResumeAfter int
 }
 
-// Generation says what a model request asks for.
+// Generation describes a request for a model.
 type Generation struct {
 	Model        string
 	PromptTokens int
-	// MaxOutput bounds the tokens generated; ExpectedOutput is the caller's guess, 0
-	// if it has none.
+	// MaxOutput limits the output tokens; ExpectedOutput is the caller's estimate, 0
+	// if it gives none.
 	MaxOutput, ExpectedOutput int
 	Parts                     []placement.Part
 }
 
-// Attempt is what one sending of a request adds to its head.
+// Attempt holds what one attempt adds to the request's headers.
 type Attempt struct {
-	// Upstream is the incarnation that the request is meant for; any other
-	// must turn it away.
+	// Upstream is the incarnation that the request is meant for; any other one
+	// must reject it.
 	Upstream string
-	// Timeout is the time that the upstream may take.
+	// Timeout is the time that the upstream may take, 0 for no limit.
 	Timeout time.Duration
-	// PrefillOnly asks for the prompt to be read and kept for another engine.
+	// PrefillOnly asks for a prefill whose KV cache another engine will transfer.
 	PrefillOnly bool
-	// Handoff names a KV cache to be fetched; the zero value is none.
+	// Handoff names the KV cache to transfer from a prefill engine; the zero value is none.
 	Handoff Handoff
-	// KVSource is the address of an engine that keeps parts of the prompt which the
-	// upstream is to fetch rather than read; empty if there is none.
+	// KVSource is the address of an engine that has prompt parts cached which the
+	// upstream transfers instead of computing them; empty if there is none.
 	KVSource string
-	// ResumeAfter is the last event that the caller has; 0 is none.
+	// ResumeAfter is the id of the last event that the caller received; 0 is none.
 	ResumeAfter int
-	// Urgency from 0, the most urgent, to 9; -1 leaves the header out.
+	// Urgency ranges from 0, the most urgent, to 9; -1 omits the header.
 	Urgency int
 }
 
-// Handoff names the KV cache of a prompt at the engine that has read it.
+// Handoff names the KV cache of a prompt at the engine that did the prefill.
 type Handoff struct {
 	Address, Handle string
 }
 
-// ResponseClass is what an upstream's answer says about the running of the request.
+// ResponseClass says what a response proves about the execution of the request.
 type ResponseClass uint8
 
-// The verdicts.
+// The classes of responses.
 const (
-	// Authentic answers are an upstream's own, whatever their status.
+	// Authentic responses come from the upstream itself, whatever their status.
 	Authentic ResponseClass = iota
-	// NotRun says that the upstream did not and will not run the request.
+	// NotRun means that the upstream did not and will not run the request.
 	NotRun
-	// WrongUpstream says that another incarnation has the address; nothing ran.
+	// WrongUpstream means that another incarnation has the address; nothing ran.
 	WrongUpstream
-	// Unsigned answers lack the upstream's signature and prove nothing.
+	// Unsigned responses lack the upstream's signature and prove nothing.
 	Unsigned
 )
 
-// Dialect translates between the outer protocol's names and this package's.
+// Dialect translates between the headers of the outer protocol and this package's types.
 type Dialect interface {
-	// ParseCall reads a caller's head.
+	// ParseCall parses the headers of a caller's request.
 	ParseCall(r *http.Request) (Call, error)
-	// RequestHeaders returns a copy of the headers that go on to an upstream.
+	// RequestHeaders returns a copy of the headers to forward to an upstream.
 	RequestHeaders(h http.Header) http.Header
-	// SetAttemptHeaders adds an attempt's headers to forwarded ones.
+	// SetAttemptHeaders adds an attempt's headers to the forwarded ones.
 	SetAttemptHeaders(h http.Header, a Attempt)
 	// RequestIDHeader is the header in which upstreams echo a request's id.
 	RequestIDHeader() string
-	// Classify reads an upstream's answer.
+	// Classify returns the class of an upstream's response.
 	Classify(status int, h http.Header) ResponseClass
-	// CopyResponseHeaders copies the headers of an upstream's answer that go to the caller.
+	// CopyResponseHeaders copies the response headers that go to the caller.
 	CopyResponseHeaders(dst, src http.Header)
-	// ParsePrefill reads the answer to a prefill and returns the handle.
+	// ParsePrefill parses the response to a prefill and returns the handle of its KV cache.
 	ParsePrefill(body []byte) (string, error)
-	// ReleaseHandoff returns the call that frees a KV cache that nobody fetches.
+	// ReleaseHandoff returns the request that frees a KV cache that no engine will transfer.
 	ReleaseHandoff(handle string) (method, target string)
-	// WriteError writes an answer of the system's own.
+	// WriteError writes an error response of the relay's own.
 	WriteError(w http.ResponseWriter, status int, retryAfter time.Duration, message string)
 }
