--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,24 +1,24 @@
-// Package dispatch decides, after each failed attempt of a request, whether the
-// request may be sent again. It keeps what is known of the request's running, so
-// that no failure claims more than that.
+// Package dispatch decides after each failed attempt whether a request may be retried.
+// It tracks whether the request may have run, so that no failure reports that it didn't
+// when that isn't certain.
 package dispatch
 
 import "tamarackchute/rules"
 
-// RetryMode says after which failures a request may be sent again.
+// RetryMode says after which failures a request may be retried.
 type RetryMode uint8
 
-// The kinds of repeat.
+// The retry modes.
 const (
-	// RetryNever: not even if nothing has run.
+	// RetryNever allows no retry, not even of a request that has not run.
 	RetryNever RetryMode = iota
-	// RetryIfNotRun: only while it certainly hasn't run.
+	// RetryIfNotRun allows retries only of a request that certainly has not run.
 	RetryIfNotRun
-	// RetryAlways: also if it may have run.
+	// RetryAlways allows retries also of a request that may have run.
 	RetryAlways
 )
 
-// RetryModeOf returns what a rule's retry class allows.
+// RetryModeOf returns the retry mode for a rule's retry class.
 func RetryModeOf(c rules.RetryClass) RetryMode {
 	switch c {
 	case rules.RetryUnsent:
@@ -30,54 +30,53 @@
 	}
 }
 
-// Execution says what is known of the request's running after an attempt.
+// Execution says whether an attempt executed the request, as far as is known.
 type Execution uint8
 
-// The fates of an attempt.
+// The values of Execution.
 const (
-	// NotSent: nothing reached an upstream.
+	// NotSent means that nothing reached an upstream.
 	NotSent Execution = iota
-	// NotRun: the upstream says that it did not run the request.
+	// NotRun means that the upstream stated that it did not run the request.
 	NotRun
-	// MayHaveRun: it was sent, and no answer tells.
+	// MayHaveRun means that the request was sent, and no response says that it didn't run.
 	MayHaveRun
 )
 
-// String names the fate in logs.
-func (f Execution) String() string {
-	return [...]string{"not sent", "not run", "may have run"}[f]
+// String returns the value's name in logs.
+func (e Execution) String() string {
+	return [...]string{"not sent", "not run", "may have run"}[e]
 }
 
-// Decision says whether a request may be sent again.
+// Decision says whether a request may be retried.
 type Decision uint8
 
-// The verdicts.
+// The decisions.
 const (
-	// Retry: it may.
+	// Retry allows the retry.
 	Retry Decision = iota
-	// NotRetryable: it may have run and must not run twice, or its rule forbids any
-	// repeat.
+	// NotRetryable means that the request may have run and must not run twice, or that
+	// its rule forbids retries.
 	NotRetryable
-	// AttemptsExhausted: its attempts are used up.
+	// AttemptsExhausted means that the request has used up its attempts.
 	AttemptsExhausted
-	// BudgetExhausted: too many requests are being repeated.
+	// BudgetExhausted means that the retry budget is used up.
 	BudgetExhausted
 )
 
-// Policy bounds the attempts of a request.
+// Policy limits the retries of a request.
 type Policy struct {
 	Mode RetryMode
-	// MaxAttempts bounds the attempts that count.
+	// MaxAttempts limits the counted attempts.
 	MaxAttempts int
-	// CountNotRun says that attempts that certainly did not run count too.
+	// CountNotRun applies MaxAttempts also after attempts that certainly did not run.
 	CountNotRun bool
-	// AllowRetry counts one more repeat against the budget that all requests share,
-	// and reports whether it may be made.
+	// AllowRetry reports whether one more retry is within the budget that all requests
+	// share, and counts it if so.
 	AllowRetry func() bool
 }
 
-// State is what is known of one request's attempts. It isn't safe for concurrent
-// use.
+// State is the state of one request's attempts. It isn't safe for concurrent use.
 type State struct {
 	policy   Policy
 	attempts int
@@ -88,40 +87,40 @@
 func New(p Policy) State { return State{policy: p} }
 
 // MayHaveRun reports whether the request may have run.
-func (t *State) MayHaveRun() bool { return t.ran }
+func (s *State) MayHaveRun() bool { return s.ran }
 
-// Attempts returns the number of attempts that count.
-func (t *State) Attempts() int { return t.attempts }
+// Attempts returns the number of counted attempts.
+func (s *State) Attempts() int { return s.attempts }
 
 // RecordAttempt counts one more attempt.
-func (t *State) RecordAttempt() { t.attempts++ }
+func (s *State) RecordAttempt() { s.attempts++ }
 
-// RemoveAttempt takes an attempt back that turned out to be none.
-func (t *State) RemoveAttempt() { t.attempts-- }
+// RemoveAttempt uncounts an attempt that didn't take place after all.
+func (s *State) RemoveAttempt() { s.attempts-- }
 
-// RecordRun notes that the request may have run.
-func (t *State) RecordRun() { t.ran = true }
+// RecordRun records that the request may have run.
+func (s *State) RecordRun() { s.ran = true }
 
 // Exhausted reports whether all attempts are used up.
-func (t *State) Exhausted() bool { return t.attempts >= t.policy.MaxAttempts }
+func (s *State) Exhausted() bool { return s.attempts >= s.policy.MaxAttempts }
 
-// MayRetry reports whether the request could be sent again though it may have run,
-// the budget aside. uncounted is the number of attempts under way that aren't
+// MayRetry reports whether the request could be retried although it may have run,
+// ignoring the budget. uncounted is the number of attempts in progress that aren't
 // counted yet.
-func (t *State) MayRetry(uncounted int) bool {
-	return t.policy.Mode == RetryAlways && t.attempts+uncounted < t.policy.MaxAttempts
+func (s *State) MayRetry(uncounted int) bool {
+	return s.policy.Mode == RetryAlways && s.attempts+uncounted < s.policy.MaxAttempts
 }
 
-// Next decides after an attempt. costly says that the repeat adds to the load of
-// upstreams and so draws on the budget.
-func (t *State) Next(f Execution, costly bool) Decision {
-	mayHaveRun := f == MayHaveRun
+// Next decides after a failed attempt whether to retry. costly says that the attempt put
+// load on an upstream, so that a retry uses the budget.
+func (s *State) Next(e Execution, costly bool) Decision {
+	mayHaveRun := e == MayHaveRun
 	switch {
-	case t.policy.Mode == RetryNever, mayHaveRun && t.policy.Mode == RetryIfNotRun:
+	case s.policy.Mode == RetryNever, mayHaveRun && s.policy.Mode == RetryIfNotRun:
 		return NotRetryable
-	case (mayHaveRun || t.policy.CountNotRun) && t.Exhausted():
+	case (mayHaveRun || s.policy.CountNotRun) && s.Exhausted():
 		return AttemptsExhausted
-	case costly && !t.policy.AllowRetry():
+	case costly && !s.policy.AllowRetry():
 		return BudgetExhausted
 	default:
 		return Retry
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -9,13 +9,13 @@
 
 func TestNext(t *testing.T) {
 	cases := []struct {
-		name     string
-		policy   Policy
-		attempts int
-		fate     Execution
-		costly   bool
-		budget   bool
-		want     Decision
+		name      string
+		policy    Policy
+		attempts  int
+		execution Execution
+		costly    bool
+		budget    bool
+		want      Decision
 	}{
 		{"never, even unsent", Policy{Mode: RetryNever, MaxAttempts: 4}, 1, NotSent, false, true, NotRetryable},
 		{"once, not sent", Policy{Mode: RetryIfNotRun, MaxAttempts: 1}, 0, NotSent, false, true, Retry},
@@ -27,50 +27,50 @@
 		{"repeatable, used up, but not run", Policy{Mode: RetryAlways, MaxAttempts: 2}, 2, NotRun, true, true, Retry},
 		{"all attempts count", Policy{Mode: RetryAlways, MaxAttempts: 2, CountNotRun: true}, 2, NotSent, false, true, AttemptsExhausted},
 		{"no budget", Policy{Mode: RetryAlways, MaxAttempts: 2}, 1, MayHaveRun, true, false, BudgetExhausted},
-		{"free repeat without budget", Policy{Mode: RetryAlways, MaxAttempts: 2}, 1, NotSent, false, false, Retry},
+		{"free retry without budget", Policy{Mode: RetryAlways, MaxAttempts: 2}, 1, NotSent, false, false, Retry},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			c.policy.AllowRetry = func() bool { return c.budget }
-			tries := New(c.policy)
+			state := New(c.policy)
 			for range c.attempts {
-				tries.RecordAttempt()
+				state.RecordAttempt()
 			}
-			require.Equal(t, c.want, tries.Next(c.fate, c.costly))
+			require.Equal(t, c.want, state.Next(c.execution, c.costly))
 		})
 	}
 }
 
-// A booking's upstreams fail in any order and way. Whatever happens, it must not
-// run twice, and no request may run more often than its rule allows.
+// Whatever attempts fail in whichever way, a request that must not be repeated runs at
+// most once, and no request runs more often than its rule allows.
 func TestRunsAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		repeat := rapid.SampledFrom([]RetryMode{RetryNever, RetryIfNotRun, RetryAlways}).Draw(t, "repeat")
-		most := rapid.IntRange(1, 4).Draw(t, "most")
-		tries := New(Policy{
-			Mode: repeat, MaxAttempts: most, CountNotRun: rapid.Bool().Draw(t, "count"),
+		mode := rapid.SampledFrom([]RetryMode{RetryNever, RetryIfNotRun, RetryAlways}).Draw(t, "mode")
+		maxAttempts := rapid.IntRange(1, 4).Draw(t, "maxAttempts")
+		state := New(Policy{
+			Mode: mode, MaxAttempts: maxAttempts, CountNotRun: rapid.Bool().Draw(t, "count"),
 			AllowRetry: func() bool { return rapid.Bool().Draw(t, "allow") },
 		})
 		runs, sends := 0, 0
 		for sends < 50 {
 			sends++
-			fate := rapid.SampledFrom([]Execution{NotSent, NotRun, MayHaveRun}).Draw(t, "fate")
-			if fate == MayHaveRun {
+			execution := rapid.SampledFrom([]Execution{NotSent, NotRun, MayHaveRun}).Draw(t, "execution")
+			if execution == MayHaveRun {
 				runs++
-				tries.RecordAttempt()
-				tries.RecordRun()
+				state.RecordAttempt()
+				state.RecordRun()
 			}
-			if tries.Next(fate, fate != NotSent) != Retry {
+			if state.Next(execution, execution != NotSent) != Retry {
 				break
 			}
 		}
-		if repeat != RetryAlways {
+		if mode != RetryAlways {
 			require.LessOrEqual(t, runs, 1)
 		}
-		if repeat == RetryNever {
+		if mode == RetryNever {
 			require.Equal(t, 1, sends)
 		}
-		require.LessOrEqual(t, runs, most)
-		require.Equal(t, runs > 0, tries.MayHaveRun())
+		require.LessOrEqual(t, runs, maxAttempts)
+		require.Equal(t, runs > 0, state.MayHaveRun())
 	})
 }
