--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,5 @@
-// Package fleet holds what a daemon believes of its surroundings: the rules in
-// force, the pools and their upstreams. Feeds change it; requests read an
-// immutable snapshot.
+// Package fleet holds a daemon's view of the site: the rules in force, the pools and
+// their upstreams. Feeds update it; requests use an immutable snapshot.
 package fleet
 
 import (
@@ -12,44 +11,44 @@
 	"tamarackchute/upstream"
 )
 
-// Upstream is one start of a server. A server that starts again is another upstream,
+// Upstream is one incarnation of a server. A server that restarts is another upstream,
 // under another ID or under the same one.
 type Upstream struct {
 	ID string
-	// Started is when it was started, by its own clock; it tells the starts under one ID
-	// apart. Zero if it doesn't say.
+	// Started is the start time by the server's clock, which distinguishes incarnations
+	// under one ID. Zero if unknown.
 	Started    time.Time
 	Pool       string
 	Address    string
 	DataCentre string
-	// Slots is how many requests it runs at a time.
+	// Slots is how many requests it runs concurrently.
 	Slots int
 	// Role is empty for a plain service.
 	Role upstream.Role
 	// Draining says that it is about to stop and takes no new work.
 	Draining bool
-	// Revision never falls from one entry to the next of the same start.
+	// Revision never decreases between successive entries of one incarnation.
 	Revision uint64
 }
 
-// EqualExceptRevision reports whether two entries say the same of a server, whichever is newer.
+// EqualExceptRevision reports whether two entries are equal but for their revisions.
 func (u *Upstream) EqualExceptRevision(o *Upstream) bool {
 	a, b := *u, *o
 	a.Revision, b.Revision = 0, 0
 	return a == b
 }
 
-// EngineSpec is what a pool's model engines have in common.
+// EngineSpec holds the properties that the model engines of a pool share.
 type EngineSpec struct {
 	Slots int
-	// KVTokens is the size of an engine's KV memory in tokens, KVTokenBytes
-	// what a token takes when it is moved.
+	// KVTokens is the size of an engine's KV memory in tokens, KVTokenBytes the size of
+	// a token's KV cache in a transfer.
 	KVTokens, KVTokenBytes int
 	// LinkBytesPerSecond is the rate of KV transfers.
 	LinkBytesPerSecond float64
-	// HandoffRetention is how long an engine keeps a KV cache for another to fetch.
+	// HandoffRetention is how long an engine holds a KV cache for another to transfer.
 	HandoffRetention time.Duration
-	// RoleSwitchTime is how long an engine is out of service when its role changes.
+	// RoleSwitchTime is how long an engine is out of service while its role changes.
 	RoleSwitchTime time.Duration
 }
 
@@ -62,7 +61,7 @@
 	Engine *EngineSpec
 }
 
-// Limits bound what a caller may send.
+// Limits holds the limits on what a caller may send.
 type Limits struct {
 	HeaderBytes, BodyBytes int
 	HeaderTimeout          time.Duration
@@ -75,14 +74,14 @@
 	Rules   *pathset.Set
 	Pools   map[string]*Pool
 	Limits  Limits
-	// Document is the configuration as it was published, for peers that can't
-	// reach the store.
+	// Document is the published document, which peers that can't reach the store get
+	// from this daemon.
 	Document []byte
 }
 
-// Snapshot is what is believed at one moment. It never changes.
+// Snapshot is the view at one moment. It is immutable.
 type Snapshot struct {
-	// Config is nil until the first version is known.
+	// Config is nil until the first version is received.
 	Config *Config
 	// Upstreams by ID.
 	Upstreams map[string]*Upstream
@@ -90,7 +89,7 @@
 	Pools map[string][]*Upstream
 }
 
-// SameIncarnation reports whether two descriptions are of one start of a server.
+// SameIncarnation reports whether two entries describe the same incarnation of a server.
 func (u *Upstream) SameIncarnation(o *Upstream) bool {
 	return u.ID == o.ID && u.Started.Equal(o.Started)
 }
@@ -102,22 +101,22 @@
 	watch   []func(*Snapshot)
 }
 
-// NewState returns a state that knows nothing.
+// NewState returns a state without configuration and upstreams.
 func NewState() *State {
 	s := &State{}
 	s.current.Store(&Snapshot{})
 	return s
 }
 
-// Snapshot returns what is believed now.
+// Snapshot returns the current snapshot.
 func (s *State) Snapshot() *Snapshot { return s.current.Load() }
 
-// Watch has f called after each change, in order. It must be set up before the
-// first change; f must not change the state.
+// Watch makes each change call f, in order. It must be called before the first change;
+// f must not change the state.
 func (s *State) Watch(f func(*Snapshot)) { s.watch = append(s.watch, f) }
 
-// ApplyConfig puts a version into force unless the one in force is as new: a
-// late or repeated message must never bring an older version back.
+// ApplyConfig puts a version into force and returns true, unless the one in force is as
+// new: a delayed or repeated message must never bring an older version back.
 func (s *State) ApplyConfig(c *Config) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fleet/pools.go
+++ b/internal/fleet/pools.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// byPool groups upstreams by pool, each group ordered by ID so that every
-// daemon sees the same order.
+// byPool groups upstreams by pool, each group ordered by ID so that all daemons
+// have the same order.
 func byPool(list map[string]*Upstream) map[string][]*Upstream {
 	pools := make(map[string][]*Upstream)
 	for _, u := range list {
