--- a/internal/exchange/conn.go
+++ b/internal/exchange/conn.go
@@ -21,25 +21,24 @@
 	writer    *bufio.Writer
 	used      bool
 	idleSince time.Time
-	idleLimit time.Duration
+	maxIdle   time.Duration
 	closing   sync.Once
 }
 
-func newConn(raw net.Conn, idleLimit time.Duration) *conn {
+func newConn(raw net.Conn, maxIdle time.Duration) *conn {
 	return &conn{
-		raw:       raw,
-		reader:    bufio.NewReaderSize(raw, readBuffer),
-		writer:    bufio.NewWriterSize(raw, writeBuffer),
-		idleLimit: idleLimit,
+		raw:     raw,
+		reader:  bufio.NewReaderSize(raw, readBuffer),
+		writer:  bufio.NewWriterSize(raw, writeBuffer),
+		maxIdle: maxIdle,
 	}
 }
 
 func (c *conn) close() { c.closing.Do(func() { _ = c.raw.Close() }) }
 
-// quiet reports whether an idle connection is as it should be: open, and with
-// nothing to read. Bytes there belong to no request, and an end of file means
-// that whatever is sent next is lost.
-func (c *conn) quiet() bool {
+// healthy reports whether an idle connection is open and has nothing to read. Pending
+// bytes belong to no request, and after an end of file the next request would be lost.
+func (c *conn) healthy() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -51,12 +50,12 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	healthy := false
 	err = control.Read(func(fd uintptr) bool {
 		var one [1]byte
 		_, _, err := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = err == unix.EAGAIN
+		healthy = err == unix.EAGAIN
 		return true
 	})
-	return quiet && err == nil
+	return healthy && err == nil
 }
--- a/internal/exchange/doc.go
+++ b/internal/exchange/doc.go
@@ -1,9 +1,8 @@
-// Package exchange carries out single HTTP/1.1 exchanges with upstreams: one
-// request on one connection, sent once and never again by itself.
+// Package exchange is an HTTP/1.1 client for single exchanges with upstreams: one request
+// on one connection, never retried by the client itself.
 //
-// The standard clients send a request anew when a kept connection breaks, which
-// would run a non-idempotent request twice, and hide whether it was sent at all.
-// Here every end of an exchange tells what is known: nothing was sent, the
-// upstream says that it did not run, or it may have run. The wire format is the
-// standard library's.
+// net/http's client retries a request when a reused connection breaks, which could run a
+// non-idempotent request twice, and hides whether the request was sent at all. Here
+// every error says whether nothing was sent or the request may have run. The wire format
+// is that of the standard library.
 package exchange
--- a/internal/exchange/errors.go
+++ b/internal/exchange/errors.go
@@ -5,13 +5,13 @@
 	"fmt"
 )
 
-// ErrMismatchedResponse says that an upstream answered with another request's answer.
-var ErrMismatchedResponse = errors.New("exchange: the answer names another request")
+// ErrMismatchedResponse is returned for a response that belongs to another request.
+var ErrMismatchedResponse = errors.New("exchange: the response belongs to another request")
 
-// ErrResponseTooLarge says that an answer is longer than its reader takes.
-var ErrResponseTooLarge = errors.New("exchange: the answer is too long")
+// ErrResponseTooLarge is returned for a response body that exceeds its limit.
+var ErrResponseTooLarge = errors.New("exchange: the response is too large")
 
-// NotSentError says that no byte of the request reached the upstream.
+// NotSentError means that no byte of the request reached the upstream.
 type NotSentError struct{ Cause error }
 
 func (e *NotSentError) Error() string { return fmt.Sprintf("exchange: not sent: %v", e.Cause) }
@@ -19,15 +19,15 @@
 // Unwrap returns the cause.
 func (e *NotSentError) Unwrap() error { return e.Cause }
 
-// NoResponseError says that the request was sent, at least in part, and that no
-// answer to it came: it may have run.
+// NoResponseError means that the request was sent, at least in part, and that no
+// response to it arrived: it may have run.
 type NoResponseError struct {
 	Cause error
-	// ReusedConn says that the connection had carried requests before.
+	// ReusedConn says that the connection had carried earlier requests.
 	ReusedConn bool
 }
 
-func (e *NoResponseError) Error() string { return fmt.Sprintf("exchange: no answer: %v", e.Cause) }
+func (e *NoResponseError) Error() string { return fmt.Sprintf("exchange: no response: %v", e.Cause) }
 
 // Unwrap returns the cause.
 func (e *NoResponseError) Unwrap() error { return e.Cause }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -8,14 +8,15 @@
 	"time"
 )
 
-// maxForeign bounds the answers to earlier requests that are read past before
-// the connection is given up.
-const maxForeign = 2
+// maxStaleResponses limits the responses to earlier requests that are discarded before
+// the connection is closed.
+const maxStaleResponses = 2
 
-// maxForeignBytes bounds the body of such an answer.
-const maxForeignBytes = 1 << 20
+// maxStaleBytes limits the body of a discarded response.
+const maxStaleBytes = 1 << 20
 
-// Response is an answer whose body is still to be read. Close must be called.
+// Response is the response of one exchange, with its body still to be read. Close must be
+// called.
 type Response struct {
 	Status int
 	Header http.Header
@@ -27,15 +28,15 @@
 	conn *conn
 	stop func() bool
 	sent chan error
-	// whole is set once the body has been read to its proper end.
-	whole bool
-	keep  bool
+	// complete is set once the body has been read to its proper end.
+	complete bool
+	reusable bool
 }
 
-// Do sends a request and returns the head of its answer. The context bounds the
-// whole exchange, the reading of the body included: its end closes the
-// connection, which upstreams take as a cancel. Errors are a *NotSentError or a
-// *LostError.
+// Do sends a request and returns once the response headers have arrived. The context
+// applies to the entire exchange, reading the body included: its end closes the
+// connection, by which upstreams cancel the request. Errors are a *NotSentError or a
+// *NoResponseError.
 func (p *Pool) Do(ctx context.Context, r *Request) (*Response, error) {
 	c := p.take(r.NonIdempotent, time.Now())
 	if c == nil {
@@ -48,100 +49,100 @@
 		c.close()
 		return nil, &NotSentError{Cause: err}
 	}
-	kept := c.used
+	reused := c.used
 	c.used = true
 	stop := context.AfterFunc(ctx, c.close)
 	resp := &Response{pool: p, conn: c, stop: stop, sent: make(chan error, 1)}
-	if err := resp.exchange(r, kept); err != nil {
+	if err := resp.exchange(r, reused); err != nil {
 		stop()
 		c.close()
 		if ctx.Err() != nil {
 			err = errors.Join(err, ctx.Err())
 		}
-		return nil, &NoResponseError{Cause: err, ReusedConn: kept}
+		return nil, &NoResponseError{Cause: err, ReusedConn: reused}
 	}
 	return resp, nil
 }
 
-// exchange sends the request and reads the head of its answer. Only on a kept
-// connection can an answer to an earlier request come first.
-func (resp *Response) exchange(r *Request, kept bool) error {
+// exchange sends the request and reads the response headers. Only on a reused connection
+// can a response to an earlier request come first.
+func (resp *Response) exchange(r *Request, reused bool) error {
 	if len(r.Body) < writeBuffer {
 		resp.sent <- r.write(resp.conn.writer)
 	} else {
-		// An upstream may answer before it has read a long body, and reads on
-		// only later: writing and reading go side by side, or both ends wait.
+		// An upstream may respond before it has read a long body, and continue reading
+		// later. Writing and reading run concurrently, to avoid a deadlock.
 		go func() { resp.sent <- r.write(resp.conn.writer) }()
 	}
-	for range maxForeign + 1 {
-		answer, err := resp.readHead(r.Method)
+	for range maxStaleResponses + 1 {
+		response, err := resp.readHead(r.Method)
 		if err != nil {
 			return err
 		}
-		if r.IDHeader == "" || answer.Header.Get(r.IDHeader) == r.ID {
-			return resp.adopt(answer)
+		if r.IDHeader == "" || response.Header.Get(r.IDHeader) == r.ID {
+			return resp.setResponse(response)
 		}
-		if !kept {
+		if !reused {
 			return ErrMismatchedResponse
 		}
-		if err := skip(answer); err != nil {
+		if err := discardStale(response); err != nil {
 			return err
 		}
 	}
 	return ErrMismatchedResponse
 }
 
-// readHead reads the head of the next final answer.
+// readHead reads the headers of the next response, skipping informational (1xx) ones.
 func (resp *Response) readHead(method string) (*http.Response, error) {
 	for {
-		answer, err := http.ReadResponse(resp.conn.reader, &http.Request{Method: method})
+		response, err := http.ReadResponse(resp.conn.reader, &http.Request{Method: method})
 		if err != nil {
 			return nil, err
 		}
-		if answer.StatusCode >= http.StatusOK {
-			return answer, nil
+		if response.StatusCode >= http.StatusOK {
+			return response, nil
 		}
 	}
 }
 
-// skip reads past an answer that came late to an earlier request.
-func skip(answer *http.Response) error {
-	if answer.ContentLength < 0 && len(answer.TransferEncoding) == 0 {
-		return ErrMismatchedResponse // it lasts until the connection ends
+// discardStale reads and drops a late response to an earlier request.
+func discardStale(response *http.Response) error {
+	if response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
+		return ErrMismatchedResponse // its body ends only with the connection
 	}
-	n, err := io.Copy(io.Discard, io.LimitReader(answer.Body, maxForeignBytes))
-	if err == nil && n == maxForeignBytes {
+	n, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxStaleBytes))
+	if err == nil && n == maxStaleBytes {
 		return ErrMismatchedResponse
 	}
 	return err
 }
 
-func (resp *Response) adopt(answer *http.Response) error {
-	resp.Status = answer.StatusCode
-	resp.Header = answer.Header
-	resp.Length = answer.ContentLength
-	resp.body = answer.Body
-	framed := answer.ContentLength >= 0 || len(answer.TransferEncoding) > 0
-	resp.keep = framed && !answer.Close
-	limit, ok := keepAlive(answer.Header.Get("Keep-Alive"))
+func (resp *Response) setResponse(response *http.Response) error {
+	resp.Status = response.StatusCode
+	resp.Header = response.Header
+	resp.Length = response.ContentLength
+	resp.body = response.Body
+	framed := response.ContentLength >= 0 || len(response.TransferEncoding) > 0
+	resp.reusable = framed && !response.Close
+	limit, ok := parseKeepAlive(response.Header.Get("Keep-Alive"))
 	if ok {
-		resp.conn.idleLimit = limit
+		resp.conn.maxIdle = limit
 	}
 	return nil
 }
 
-// Read reads the body. io.EOF means that it is complete by its framing; a body
-// that is cut short ends with another error.
+// Read reads the body. io.EOF means that it is complete by its framing; a truncated
+// body gives another error.
 func (resp *Response) Read(b []byte) (int, error) {
 	n, err := resp.body.Read(b)
 	if err == io.EOF {
-		resp.whole = true
+		resp.complete = true
 	}
 	return n, err
 }
 
-// ReadAll reads the whole body. One of more than limit bytes is an error: what was
-// read of it must not pass for the whole.
+// ReadAll reads the complete body. One of more than limit bytes is an error, so that a
+// truncated body can't pass for a complete one.
 func (resp *Response) ReadAll(limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(resp, limit+1))
 	if err == nil && int64(len(body)) > limit {
@@ -150,10 +151,10 @@
 	return body, err
 }
 
-// Close ends the exchange. The connection is kept only if the whole answer was
-// read, the whole request was sent, and nothing more has come.
+// Close ends the exchange. The connection is reused only if the response was read
+// completely, the request was sent completely, and no further bytes have arrived.
 func (resp *Response) Close() {
-	usable := resp.stop() && resp.keep && resp.whole && resp.requestSent()
+	usable := resp.stop() && resp.reusable && resp.complete && resp.requestSent()
 	if !usable || resp.conn.reader.Buffered() > 0 {
 		resp.conn.close()
 		return
@@ -161,9 +162,9 @@
 	resp.pool.put(resp.conn, time.Now())
 }
 
-// requestSent reports whether the whole request went out. If the upstream
-// answered before it had read a long body, it would take the next request's
-// first bytes for the rest of it.
+// requestSent reports whether the request was sent completely. If the upstream responded
+// before it had read a long body, it would take the next request's first bytes for the
+// rest of that body.
 func (resp *Response) requestSent() bool {
 	select {
 	case err := <-resp.sent:
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -16,21 +16,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// wait bounds what a test waits for; nothing takes that long.
+// wait is the timeout of all waits; none takes that long unless a test fails.
 const wait = 10 * time.Second
 
-// script is a server that does the same with each connection, by number.
-type script struct {
+// scriptedServer runs a function for each connection and counts the connections.
+type scriptedServer struct {
 	listener net.Listener
 	mu       sync.Mutex
 	conns    int
 }
 
-func serve(t *testing.T, do func(n int, c net.Conn, in *bufio.Reader)) *script {
+func serve(t *testing.T, do func(n int, c net.Conn, in *bufio.Reader)) *scriptedServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	s := &script{listener: l}
+	s := &scriptedServer{listener: l}
 	t.Cleanup(func() { _ = l.Close() })
 	go func() {
 		for {
@@ -51,9 +51,9 @@
 	return s
 }
 
-func (s *script) pool() *Pool { return NewPool(s.listener.Addr().String(), Options{}) }
+func (s *scriptedServer) pool() *Pool { return NewPool(s.listener.Addr().String(), Options{}) }
 
-func (s *script) connections() int {
+func (s *scriptedServer) connections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.conns
@@ -96,7 +96,7 @@
 	require.ErrorAs(t, err, &lost)
 }
 
-// Nothing listens at the address: the request is known not to have been sent.
+// Nothing listens at the address, so the request certainly wasn't sent.
 func TestNothingSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -106,17 +106,17 @@
 	require.ErrorAs(t, err, &notSent)
 }
 
-// The server reads a request and closes: it may have run.
-func TestClosedWithoutAnswer(t *testing.T) {
+// The server reads a request and closes the connection: the request may have run.
+func TestClosedWithoutResponse(t *testing.T) {
 	s := serve(t, func(_ int, _ net.Conn, in *bufio.Reader) { readRequest(in) })
 	_, err := do(t, s.pool(), request("/a"))
 	requireLost(t, err)
 	require.Equal(t, 1, s.connections(), "the request was sent again")
 }
 
-// A kept connection is used again, and one that the server has closed meanwhile
-// is not: the request would be lost there.
-func TestKeptConnections(t *testing.T) {
+// An idle connection is reused unless the server has closed it meanwhile: the request
+// would be lost there.
+func TestConnectionReuse(t *testing.T) {
 	closed := make(chan struct{})
 	s := serve(t, func(n int, c net.Conn, in *bufio.Reader) {
 		for range 2 {
@@ -142,7 +142,7 @@
 	require.Eventually(t, func() bool {
 		c := p.popIdle()
 		defer func() { p.idle = append(p.idle, c) }()
-		return !c.quiet()
+		return !c.healthy()
 	}, wait, time.Millisecond)
 	body, err := do(t, p, request("/c"))
 	require.NoError(t, err)
@@ -150,9 +150,9 @@
 	require.Equal(t, 2, s.connections())
 }
 
-// A request that may run once only keeps off connections that have been idle for
-// a while: the server may be closing one just now.
-func TestOnceKeepsOffIdleConnections(t *testing.T) {
+// A non-idempotent request doesn't reuse a connection that has been idle for a while: the
+// server may be closing it just now.
+func TestNonIdempotentAvoidsIdleConnections(t *testing.T) {
 	s := serve(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		for {
 			target, _, ok := readRequest(in)
@@ -172,9 +172,9 @@
 	require.Equal(t, 2, s.connections())
 }
 
-// A late second answer to the first request comes where the second one's is
-// due. The caller of the second must get its own.
-func TestLateAnswerToAnEarlierRequest(t *testing.T) {
+// A second response to the first request arrives before the response to the second one,
+// whose caller must get its own.
+func TestStaleResponseIsDiscarded(t *testing.T) {
 	s := serve(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		first, _, _ := readRequest(in)
 		reply(c, first, "first")
@@ -193,8 +193,9 @@
 	require.Equal(t, 1, s.connections())
 }
 
-// On a new connection an answer under another id can't be a late one.
-func TestForeignAnswerOnANewConnection(t *testing.T) {
+// On a new connection, a response with another id can't be a late one to an earlier
+// request.
+func TestMismatchedResponseOnNewConnection(t *testing.T) {
 	s := serve(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		readRequest(in)
 		reply(c, "another", "body")
@@ -205,9 +206,9 @@
 	require.ErrorIs(t, err, ErrMismatchedResponse)
 }
 
-// Bytes behind a whole answer belong to no request: the connection must not
-// carry another one.
-func TestBytesBehindAnAnswer(t *testing.T) {
+// Bytes after a complete response belong to no request: the connection must not be
+// reused.
+func TestBytesAfterResponse(t *testing.T) {
 	s := serve(t, func(n int, c net.Conn, in *bufio.Reader) {
 		target, _, _ := readRequest(in)
 		if n == 0 {
@@ -226,14 +227,14 @@
 	require.Equal(t, "right", body)
 }
 
-// Answers that end early, by whichever framing, are errors; one without a length
-// that ends with a close is whole.
-func TestEndsOfAnswers(t *testing.T) {
+// A truncated response is an error, whatever its framing; one without a length is
+// complete when the connection is closed.
+func TestResponseFraming(t *testing.T) {
 	cases := []struct {
 		name, text string
 		reset      bool
 		body       string
-		whole      bool
+		complete   bool
 	}{
 		{"length", "Content-Length: 4\r\n\r\nbody", false, "body", true},
 		{"length, short", "Content-Length: 9\r\n\r\nbody", false, "", false},
@@ -252,7 +253,7 @@
 				}
 			})
 			body, err := do(t, s.pool(), request("/a"))
-			if !c.whole {
+			if !c.complete {
 				require.Error(t, err)
 				return
 			}
@@ -262,9 +263,10 @@
 	}
 }
 
-// A server rejects a long request before it has read it, and keeps the
-// connection. The rest of that body is due there, so nothing else may be sent.
-func TestAnswerBeforeTheBodyIsRead(t *testing.T) {
+// A server responds to a long request before it has read the body, and keeps the
+// connection open. It still expects the rest of that body, so the connection must not be
+// reused.
+func TestResponseBeforeRequestBodyIsRead(t *testing.T) {
 	release := make(chan struct{})
 	s := serve(t, func(n int, c net.Conn, in *bufio.Reader) {
 		r, err := http.ReadRequest(in)
@@ -290,18 +292,18 @@
 	require.Equal(t, 2, s.connections())
 }
 
-// An answer is longer than its reader takes: it must not pass for a whole one.
-func TestAnswerBeyondTheLimit(t *testing.T) {
+// A response that exceeds the limit must not pass for a complete one.
+func TestResponseTooLarge(t *testing.T) {
 	s := serve(t, func(_ int, c net.Conn, in *bufio.Reader) {
 		target, _, _ := readRequest(in)
 		reply(c, target, "12345")
 	})
-	for limit, whole := range map[int64]bool{4: false, 5: true} {
+	for limit, complete := range map[int64]bool{4: false, 5: true} {
 		resp, err := s.pool().Do(t.Context(), request("/a"))
 		require.NoError(t, err)
 		body, err := resp.ReadAll(limit)
 		resp.Close()
-		if !whole {
+		if !complete {
 			require.ErrorIs(t, err, ErrResponseTooLarge)
 			continue
 		}
@@ -310,7 +312,7 @@
 	}
 }
 
-// The context ends while the server works: the server sees its connection close.
+// When the context ends while the server works, the server sees its connection closed.
 func TestCancelClosesTheConnection(t *testing.T) {
 	got, gone := make(chan struct{}), make(chan struct{})
 	s := serve(t, func(_ int, c net.Conn, in *bufio.Reader) {
@@ -341,7 +343,7 @@
 		"timeout=-1":       -1,
 		"":                 -1,
 	} {
-		got, ok := keepAlive(header)
+		got, ok := parseKeepAlive(header)
 		require.Equal(t, want >= 0, ok, header)
 		if ok {
 			require.Equal(t, want, got, header)
--- a/internal/exchange/keepalive.go
+++ b/internal/exchange/keepalive.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// keepAliveMargin is the time by which a kept connection is given up before the
-// upstream closes it: requests cross the network for a few milliseconds, and
-// the limit is stated in whole seconds.
+// keepAliveMargin is how long before the upstream's idle timeout a connection is no
+// longer reused: a request takes some milliseconds to arrive, and the timeout is stated
+// in whole seconds.
 const keepAliveMargin = 300 * time.Millisecond
 
-// keepAlive returns the idle limit that a Keep-Alive header states.
-func keepAlive(header string) (time.Duration, bool) {
+// parseKeepAlive returns the longest idle time that a Keep-Alive header allows.
+func parseKeepAlive(header string) (time.Duration, bool) {
 	for part := range strings.SplitSeq(header, ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(part), "=")
 		if !ok || !strings.EqualFold(name, "timeout") {
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -9,34 +9,33 @@
 	"golang.org/x/sys/unix"
 )
 
-// Options set a Pool. Zero values stand for the defaults.
+// Options are the options of a Pool. Zero values stand for the defaults.
 type Options struct {
-	// DialTimeout bounds the making of a connection.
+	// DialTimeout limits the time to establish a connection.
 	DialTimeout time.Duration
-	// MaxIdleNonIdempotent is the longest idle time after which a kept connection still
-	// carries a request that may run once only, MaxIdle that for others
-	// where the upstream names no limit of its own.
+	// MaxIdleNonIdempotent is the longest idle time after which a connection is reused
+	// for a non-idempotent request, MaxIdle that for others unless the upstream states
+	// its own in a Keep-Alive header.
 	MaxIdleNonIdempotent, MaxIdle time.Duration
 	// UnackedTimeout is how long sent bytes may stay unacknowledged before the
-	// connection counts as broken; a peer behind a partition shows no other sign.
+	// connection is closed; a network partition shows no other sign.
 	UnackedTimeout time.Duration
 }
 
 // The defaults of Options.
 const (
-	// defaultDial: a connection within a site takes a few milliseconds; a lost
-	// first packet is sent again after one second, which isn't worth a wait.
-	defaultDial = 700 * time.Millisecond
-	// defaultIdleOnce is well below the shortest timeout seen on upstreams.
-	defaultIdleOnce  = 400 * time.Millisecond
-	defaultIdleLimit = 2 * time.Second
-	defaultSilence   = 2500 * time.Millisecond
-	// maxIdle bounds the kept connections of one pool.
-	maxIdle = 32
+	// Within a site a connection takes a few milliseconds; a lost SYN is resent after
+	// one second, which is too long to wait.
+	defaultDialTimeout = 700 * time.Millisecond
+	// defaultMaxIdleNonIdempotent is well below the idle timeouts of upstreams.
+	defaultMaxIdleNonIdempotent = 400 * time.Millisecond
+	defaultMaxIdle              = 2 * time.Second
+	defaultUnackedTimeout       = 2500 * time.Millisecond
+	// maxIdleConns limits the idle connections of one pool.
+	maxIdleConns = 32
 )
 
-// Pool keeps the connections to one upstream. It is safe for use by many
-// goroutines.
+// Pool holds the idle connections to one upstream. It is safe for concurrent use.
 type Pool struct {
 	address string
 	options Options
@@ -46,22 +45,22 @@
 	closed bool
 }
 
-// NewPool returns a pool for an address, IP:PORT.
+// NewPool returns a pool of connections to an address, IP:PORT.
 func NewPool(address string, o Options) *Pool {
-	orElse(&o.DialTimeout, defaultDial)
-	orElse(&o.MaxIdleNonIdempotent, defaultIdleOnce)
-	orElse(&o.MaxIdle, defaultIdleLimit)
-	orElse(&o.UnackedTimeout, defaultSilence)
+	setDefault(&o.DialTimeout, defaultDialTimeout)
+	setDefault(&o.MaxIdleNonIdempotent, defaultMaxIdleNonIdempotent)
+	setDefault(&o.MaxIdle, defaultMaxIdle)
+	setDefault(&o.UnackedTimeout, defaultUnackedTimeout)
 	return &Pool{address: address, options: o}
 }
 
-func orElse(d *time.Duration, fallback time.Duration) {
+func setDefault(d *time.Duration, fallback time.Duration) {
 	if *d == 0 {
 		*d = fallback
 	}
 }
 
-// Close closes the kept connections; those in use close when they are done.
+// Close closes the idle connections; those in use are closed at the end of their exchange.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	idle := p.idle
@@ -72,17 +71,17 @@
 	}
 }
 
-// take returns a kept connection, or nil. Those that have been idle for too
-// long are closed on the way.
-func (p *Pool) take(once bool, now time.Time) *conn {
+// take returns an idle connection, or nil if there is none. It closes those that it
+// finds broken or idle for too long.
+func (p *Pool) take(nonIdempotent bool, now time.Time) *conn {
 	for {
 		c := p.popIdle()
 		if c == nil {
 			return nil
 		}
 		idle := now.Sub(c.idleSince)
-		usable := idle < c.idleLimit && (!once || idle < p.options.MaxIdleNonIdempotent)
-		if usable && c.quiet() {
+		usable := idle < c.maxIdle && (!nonIdempotent || idle < p.options.MaxIdleNonIdempotent)
+		if usable && c.healthy() {
 			return c
 		}
 		c.close()
@@ -105,7 +104,7 @@
 	c.idleSince = now
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed || len(p.idle) >= maxIdle {
+	if p.closed || len(p.idle) >= maxIdleConns {
 		go c.close()
 		return
 	}
@@ -118,13 +117,13 @@
 	if err != nil {
 		return nil, &NotSentError{Cause: err}
 	}
-	setSilenceTimeout(raw, p.options.UnackedTimeout)
+	setUnackedTimeout(raw, p.options.UnackedTimeout)
 	return newConn(raw, p.options.MaxIdle), nil
 }
 
-// setSilenceTimeout makes the kernel give a connection up whose sent bytes stay
-// unacknowledged. A failure leaves the request's own deadline as the only bound.
-func setSilenceTimeout(raw net.Conn, d time.Duration) {
+// setUnackedTimeout makes the kernel close a connection whose sent bytes stay
+// unacknowledged. If it fails, only the request's own deadline applies.
+func setUnackedTimeout(raw net.Conn, d time.Duration) {
 	tcp, ok := raw.(*net.TCPConn)
 	if !ok {
 		return
--- a/internal/exchange/request.go
+++ b/internal/exchange/request.go
@@ -6,24 +6,24 @@
 	"strconv"
 )
 
-// Request is what one exchange sends.
+// Request is the request of one exchange.
 type Request struct {
 	Method string
-	// Target is the request target as the caller sent it, unescaped and whole.
+	// Target is the complete request target as the caller sent it, not decoded.
 	Target string
 	Host   string
-	// Header holds the end-to-end headers, in canonical spelling.
+	// Header holds the end-to-end headers, under their canonical names.
 	Header http.Header
 	Body   []byte
-	// ID is expected back in the answer's header IDHeader; both empty turn the
-	// check off.
+	// ID must be echoed in the response header IDHeader. An empty IDHeader disables the
+	// check.
 	IDHeader, ID string
-	// NonIdempotent keeps the request off connections that the upstream may just have
-	// closed: a reset there leaves open whether the request ran.
+	// NonIdempotent keeps the request off connections that the upstream may just be
+	// closing: after a reset there it isn't known whether the request ran.
 	NonIdempotent bool
 }
 
-// write writes the head and, if it is short, the body in one piece.
+// write writes the request. Headers and a short body go out in one write.
 func (r *Request) write(w *bufio.Writer) error {
 	for _, part := range []string{r.Method, " ", r.Target, " HTTP/1.1\r\nHost: ", r.Host, "\r\n"} {
 		if _, err := w.WriteString(part); err != nil {
