--- a/internal/exchange/errors.go
+++ b/internal/exchange/errors.go
@@ -9,7 +9,7 @@
 var ErrMismatchedResponse = errors.New("exchange: the response belongs to another request")
 
 // ErrResponseTooLarge is returned for a response body that exceeds its limit.
-var ErrResponseTooLarge = errors.New("exchange: the response is too large")
+var ErrResponseTooLarge = errors.New("exchange: the response exceeds its size limit")
 
 // NotSentError means that no byte of the request reached the upstream.
 type NotSentError struct{ Cause error }
--- a/internal/relay/assign.go
+++ b/internal/relay/assign.go
@@ -100,7 +100,7 @@
 }
 
 // isLate reports whether the request can't meet its objective any more: too much time has
-// passed, or it is the caller's retry after a refusal.
+// passed, as after a failed attempt, or it is the caller's retry after a refusal.
 func (c *call) isLate(now time.Time) bool {
 	if c.rule.Objective == 0 {
 		return false
--- a/internal/relay/budget_test.go
+++ b/internal/relay/budget_test.go
@@ -118,7 +118,7 @@
 	q, s := &queue{}, &slots{}
 	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
-	require.False(t, q.await(cancelled, false, time.Now().Add(time.Minute), s.acquire("cancelled")))
+	require.False(t, q.await(cancelled, false, time.Now().Add(time.Minute), s.acquire("gave up")))
 	require.False(t, q.await(context.Background(), false, time.Now().Add(time.Millisecond), s.acquire("timed out")))
 	require.Zero(t, waitingIn(q))
 	s.release(q, 1)
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -129,14 +129,14 @@
 }
 
 func (c *call) callerTimeout() time.Duration {
-	p := c.Timeout
-	if p == 0 {
-		p = defaultCallerTimeout
+	timeout := c.Timeout
+	if timeout == 0 {
+		timeout = defaultCallerTimeout
 	}
 	if c.rule.Timeout > 0 {
-		p = min(p, c.rule.Timeout)
+		timeout = min(timeout, c.rule.Timeout)
 	}
-	return p
+	return timeout
 }
 
 // run makes attempts until one is answered or no retry is allowed.
--- a/internal/relay/shutdown.go
+++ b/internal/relay/shutdown.go
@@ -27,20 +27,20 @@
 // checkShutdown limits the call's deadline to the exit of the process, or returns a
 // failure if the call can't be accepted any more.
 func (c *call) checkShutdown() *failure {
-	l := c.relay.shutdown.Load()
-	if l == nil {
+	s := c.relay.shutdown.Load()
+	if s == nil {
 		return nil
 	}
-	latest := l.exit.Add(-deadlineGrace)
+	latest := s.exit.Add(-deadlineGrace)
 	if !c.deadline.After(latest) {
 		return nil
 	}
-	if c.arrived.Before(l.noticed) && c.arrived.Before(latest) {
+	if c.arrived.Before(s.noticed) && c.arrived.Before(latest) {
 		c.deadline = latest
 		return nil
 	}
 	f := newFailure(http.StatusServiceUnavailable, reasonShuttingDown, "this daemon may stop before the answer's end")
-	if l.othersServe() {
+	if s.othersServe() {
 		return f
 	}
 	return f.withRetryAfter(c.retryAfter())
