--- a/quarantine/backlog.go
+++ b/quarantine/backlog.go
@@ -7,13 +7,13 @@
 	"tamarackchute/journal"
 )
 
-// maxPending bounds the entries kept for a log that is down; the oldest go
-// first, for they are the first to have lost their meaning.
+// maxPending bounds the entries queued while the log is down. The oldest are
+// dropped first, as they are the first to become irrelevant.
 const maxPending = 256
 
-// keep puts an entry aside that the log didn't take, or perhaps did: its ID
-// makes it count once.
-func (g *Guard) keep(e journal.Entry) {
+// enqueue queues an entry whose append failed or has an unknown outcome. Its ID
+// makes a second copy in the log harmless.
+func (g *Guard) enqueue(e journal.Entry) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if len(g.pending) == maxPending {
@@ -22,11 +22,12 @@
 	g.pending = append(g.pending, e)
 }
 
-// The times at which Serve works off the backlog and looks for checkpoints.
+// flushPeriod is the interval at which Serve retries the backlog and writes the
+// checkpoints that are due.
 const flushPeriod = time.Second
 
-// Serve appends what the log didn't take at first and repeats what it is about
-// to forget, until ctx ends. retention is how long the log keeps a record.
+// Serve retries failed appends and writes checkpoints of entries that are about
+// to expire, until ctx ends. retention is how long the log keeps a record.
 func (g *Guard) Serve(ctx context.Context, retention time.Duration) error {
 	t := time.NewTicker(flushPeriod)
 	defer t.Stop()
@@ -49,7 +50,7 @@
 	for i, e := range entries {
 		if _, err := g.w.Append(ctx, e); err != nil {
 			for _, left := range entries[i:] {
-				g.keep(left)
+				g.enqueue(left)
 			}
 			return
 		}
--- a/quarantine/checkpoint.go
+++ b/quarantine/checkpoint.go
@@ -7,11 +7,11 @@
 	"tamarackchute/journal"
 )
 
-// maxCheckpoints bounds the checkpoints written at a time.
+// maxCheckpoints bounds the checkpoints written in one pass.
 const maxCheckpoints = 16
 
-// due returns checkpoints of the digests whose newest entry has used up half
-// of the retention. Their IDs are made from what they tell, so that the same
+// due returns checkpoints of the digests whose newest entry is older than half
+// the retention. Their IDs are derived from their contents, so that the same
 // checkpoint by several instances counts once.
 func (g *Guard) due(retention time.Duration) []journal.Entry {
 	g.mu.Lock()
@@ -31,7 +31,7 @@
 	return append(out, g.state.releasesDue(retention, g.writer)...)
 }
 
-// releasesDue repeats the releases that the log is about to forget.
+// releasesDue returns copies of the releases that are about to expire.
 func (s *State) releasesDue(retention time.Duration, writer string) []journal.Entry {
 	var out []journal.Entry
 	for d, r := range s.released {
--- a/quarantine/digest.go
+++ b/quarantine/digest.go
@@ -6,25 +6,26 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Digest names a request by its content. Of 128 bits, a million digests hold
-// an accidental pair of equals with a chance of about 1.5e-27. The hash isn't
-// cryptographic: a caller who means to can make two bodies collide, and so have
-// its own other request refused, or one that it knows word for word.
+// Digest identifies a request by its content. With 128 bits, the probability of
+// a collision among a million digests is about 1.5e-27. The hash isn't
+// cryptographic: a malicious caller can construct colliding bodies, and so get
+// one of its own requests refused, or one whose exact content it knows.
 type Digest struct {
 	A uint64 `msgpack:"a" json:"a"`
 	B uint64 `msgpack:"b" json:"b"`
 }
 
-// secondSeed makes the second half of a digest a hash of its own.
+// secondSeed makes the second half of a digest independent of the first.
 const secondSeed = 0x9e3779b97f4a7c15
 
-// DigestOf returns the digest of a request. path is the path that the upstream
-// is asked for, body what it is sent.
+// DigestOf returns the digest of a request. path and body are those sent to the
+// upstream.
 func DigestOf(model, path string, body []byte) Digest {
 	return Digest{sum(xxhash.New(), model, path, body), sum(xxhash.NewWithSeed(secondSeed), model, path, body)}
 }
 
-// sum hashes the parts with their lengths, so that the bounds between them count.
+// sum hashes the parts with their lengths, so that moving a byte from one part to
+// the next changes the hash.
 func sum(h *xxhash.Digest, model, path string, body []byte) uint64 {
 	_, _ = fmt.Fprintf(h, "%d %d ", len(model), len(path))
 	_, _ = h.WriteString(model)
@@ -33,10 +34,10 @@
 	return h.Sum64()
 }
 
-// String returns the digest in hex, as operators see and give it.
+// String returns the digest in hex, the form that operators use.
 func (d Digest) String() string { return fmt.Sprintf("%016x%016x", d.A, d.B) }
 
-// ParseDigest reads what String wrote.
+// ParseDigest parses the result of String.
 func ParseDigest(s string) (Digest, error) {
 	var d Digest
 	if len(s) != 32 {
--- a/quarantine/entered.go
+++ b/quarantine/entered.go
@@ -6,13 +6,13 @@
 	"tamarackchute/journal"
 )
 
-// Entered says that a digest's quarantine began. It follows from the fold of the
-// crash report that tipped the balance, so every process that reads that report
-// sees it, once, however many processes report the crash. A process that learns
-// of a quarantine from a checkpoint only doesn't see its beginning.
+// Entered is the event that a digest was quarantined. It occurs when the crash
+// report that reaches the limit is folded: once in every process that reads that
+// report, however many processes report the crash. A process that learns of a
+// quarantine only from a checkpoint doesn't see the event.
 type Entered struct {
 	Digest Digest
-	// Upstreams are those that died with it in flight, in order.
+	// Upstreams are those that crashed with it in flight, in order.
 	Upstreams []string
 	// Writer is the process whose report came first in the log.
 	Writer string
@@ -28,6 +28,7 @@
 	return e
 }
 
-// Observe sets what is told of each quarantine that begins, in the log's order.
-// It must be set before the first entry is folded, and must not call the guard.
+// Observe sets the function that is called with each new quarantine, in log
+// order. It must be set before the first entry is folded; the function must not
+// call the guard.
 func (g *Guard) Observe(f func(Entered)) { g.observe = f }
--- a/quarantine/guard.go
+++ b/quarantine/guard.go
@@ -12,52 +12,53 @@
 	"tamarackchute/journal"
 )
 
-// ErrReserved says that a suspect can't have the upstream that it asked for,
-// because another suspect runs there or it runs elsewhere already.
-var ErrReserved = errors.New("quarantine: upstream is kept for another suspect")
+// ErrReserved is returned if a suspect can't reserve an upstream, because another
+// suspect runs there or it already runs elsewhere.
+var ErrReserved = errors.New("quarantine: upstream is reserved for another suspect")
 
-// The bounds of what a guard remembers by itself.
+// Limits of a guard's local state.
 const (
-	maxAnswered = 8192
-	// suspectRetry is the advice to a suspect that finds no free upstream.
+	maxCompleted = 8192
+	// suspectRetry is the Retry-After of a suspect that finds no free upstream.
 	suspectRetry = 2 * time.Second
 )
 
-// Guard answers for one process what may run where. It folds the journal,
-// writes to it, and adds what it knows itself: the journal may be down, and a
-// crash seen here counts here at once. It is safe for use by many goroutines.
+// Guard decides for one process which requests may run where. It folds the
+// journal, writes to it, and adds local observations: a crash observed by this
+// process counts here at once, even if the journal is down. It is safe for
+// concurrent use.
 //
-// Without the log suspects are kept apart within this process only.
+// While the log is down, suspects are isolated only from others in this process.
 type Guard struct {
 	w      journal.Writer
 	writer string
 	now    func() time.Time
-	// observe is told of quarantines that begin; it may be nil.
+	// observe is called with each new quarantine; it may be nil.
 	observe func(Entered)
 
-	mu       sync.Mutex
-	state    *State
-	local    map[string]Digest // upstreams on which suspects of ours run
-	pending  []journal.Entry   // crash reports that the log hasn't taken yet
-	own      map[Digest]*ownCrashes
-	answered *simplelru.LRU[Digest, time.Time]
+	mu          sync.Mutex
+	state       *State
+	local       map[string]Digest // upstreams on which suspects of this process run
+	pending     []journal.Entry   // entries not yet in the log
+	unconfirmed map[Digest]*unconfirmedCrashes
+	completed   *simplelru.LRU[Digest, time.Time]
 }
 
-// NewGuard makes a guard. writer names the process in the journal; now is the
-// clock, nil means time.Now.
+// NewGuard returns a guard. writer identifies the process in the journal; now is
+// the clock, time.Now if nil.
 func NewGuard(cfg Config, w journal.Writer, writer string, now func() time.Time) *Guard {
 	if now == nil {
 		now = time.Now
 	}
-	answered, _ := simplelru.NewLRU[Digest, time.Time](maxAnswered, nil)
+	completed, _ := simplelru.NewLRU[Digest, time.Time](maxCompleted, nil)
 	return &Guard{
-		w:        w,
-		writer:   writer,
-		now:      now,
-		state:    NewState(cfg),
-		local:    map[string]Digest{},
-		own:      map[Digest]*ownCrashes{},
-		answered: answered,
+		w:           w,
+		writer:      writer,
+		now:         now,
+		state:       NewState(cfg),
+		local:       map[string]Digest{},
+		unconfirmed: map[Digest]*unconfirmedCrashes{},
+		completed:   completed,
 	}
 }
 
@@ -67,7 +68,7 @@
 	defer g.mu.Unlock()
 	g.state.Apply(p)
 	for _, d := range g.state.touched {
-		g.readBack(d, g.state.crashed)
+		g.confirm(d, g.state.crashed)
 	}
 	if g.observe == nil {
 		return
@@ -88,8 +89,8 @@
 	return v, nil
 }
 
-// MayRunOn reports whether a digest may start on an upstream: a suspect not
-// where another one runs. The router asks it for each candidate.
+// MayRunOn reports whether a digest may start on an upstream: a suspect may not
+// where another one runs. The router calls it for each candidate.
 func (g *Guard) MayRunOn(upstream string, d Digest) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -106,78 +107,78 @@
 	return g.state.MayRunOn(upstream, d)
 }
 
-// Crashed reports that an upstream died with requests in flight here.
-// incarnation may be "". The suspicion holds in this process at once; the
-// error says that the log hasn't taken the report, which Flush tries again.
+// Crashed reports that an upstream crashed with requests of this process in
+// flight. incarnation may be "". They become suspects in this process at once; an
+// error means that the report isn't in the log yet, and Serve will retry it.
 func (g *Guard) Crashed(ctx context.Context, upstream, incarnation string, inFlight []Digest) error {
 	if len(inFlight) == 0 {
 		return nil
 	}
-	e := g.noteCrash(upstream, incarnation, inFlight)
+	e := g.recordCrash(upstream, incarnation, inFlight)
 	_, err := g.w.Append(ctx, e)
 	if err != nil {
-		g.keep(e)
+		g.enqueue(e)
 	}
 	return err
 }
 
-func (g *Guard) noteCrash(upstream, incarnation string, inFlight []Digest) journal.Entry {
+func (g *Guard) recordCrash(upstream, incarnation string, inFlight []Digest) journal.Entry {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	c := &Crash{Upstream: upstream, Incarnation: incarnation}
 	delete(g.local, upstream)
 	for _, d := range inFlight {
-		if g.answeredLately(d) {
+		if g.completedRecently(d) {
 			c.Doubtful = append(c.Doubtful, d)
 			continue
 		}
 		c.Suspects = append(c.Suspects, d)
-		g.noteOwn(d, upstream)
+		g.addUnconfirmed(d, upstream)
 	}
 	return entryOf(uuid.NewString(), g.writer, message{Crash: c})
 }
 
-func (g *Guard) answeredLately(d Digest) bool {
-	at, ok := g.answered.Get(d)
+func (g *Guard) completedRecently(d Digest) bool {
+	at, ok := g.completed.Get(d)
 	return ok && g.now().Sub(at) < g.state.cfg.SuspectFor
 }
 
-// Answered notes that a digest got its whole answer. It speaks for it at the
-// next crash.
+// Answered records that a digest got its complete response, which makes it an
+// unlikely cause of the next crash.
 func (g *Guard) Answered(d Digest) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.answered.Add(d, g.now())
+	g.completed.Add(d, g.now())
 }
 
-// Isolate asks for an upstream for a suspect alone. It returns ErrHeld if
-// another suspect has it. The isolation must be ended.
+// Isolate reserves an upstream for one suspect. It returns ErrReserved if another
+// suspect has it. The caller must end the isolation.
 func (g *Guard) Isolate(ctx context.Context, upstream string, d Digest) (*Isolation, error) {
-	if !g.holdLocally(upstream, d) {
+	if !g.reserveLocally(upstream, d) {
 		return nil, ErrReserved
 	}
 	e := entryOf(uuid.NewString(), g.writer, message{Isolate: &isolate{d, upstream}})
 	_, err := g.w.Append(ctx, e)
 	iso := &Isolation{g: g, upstream: upstream, digest: d, logged: err == nil}
 	if err != nil {
-		// The log is down or slow: better apart within this process than not
-		// at all.
+		// The log is down or slow: isolation within this process is better than
+		// none.
 		return iso, nil
 	}
-	if !g.heldBy(upstream, d) {
-		g.dropLocally(upstream, d)
+	if !g.reservedFor(upstream, d) {
+		g.releaseLocally(upstream, d)
 		return nil, ErrReserved
 	}
 	return iso, nil
 }
 
-func (g *Guard) heldBy(upstream string, d Digest) bool {
+func (g *Guard) reservedFor(upstream string, d Digest) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.state.heldBy(upstream, d)
+	return g.state.reservedFor(upstream, d)
 }
 
-func (g *Guard) holdLocally(upstream string, d Digest) bool {
+func (g *Guard) reserveLocally(upstream string, d Digest) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.state.MayRunOn(upstream, d) {
@@ -192,7 +193,7 @@
 	return true
 }
 
-func (g *Guard) dropLocally(upstream string, d Digest) {
+func (g *Guard) releaseLocally(upstream string, d Digest) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.local[upstream] == d {
@@ -200,14 +201,14 @@
 	}
 }
 
-// Waiting returns the refusal of a suspect that found no upstream to itself.
+// Waiting returns the refusal of a suspect that found no upstream to reserve.
 func (g *Guard) Waiting(d Digest) *Error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return &Error{Digest: d, Verdict: g.verdict(d), RetryAfter: suspectRetry}
 }
 
-// Release lets a digest run again, by an operator's word.
+// Release lets a digest run again, on an operator's request.
 func (g *Guard) Release(ctx context.Context, r Release) error {
 	_, err := g.w.Append(ctx, entryOf(uuid.NewString(), g.writer, message{Release: &r}))
 	if err != nil {
@@ -215,6 +216,6 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	delete(g.own, r.Digest)
+	delete(g.unconfirmed, r.Digest)
 	return nil
 }
--- a/quarantine/isolation.go
+++ b/quarantine/isolation.go
@@ -16,28 +16,28 @@
 	once     sync.Once
 }
 
-// End ends the isolation. passed says that the run got its whole answer, or
-// further by some tokens than the run that made it a suspect: what crashed the
+// End ends the isolation. passed says that the run got its complete response, or
+// came some tokens further than the run that made it a suspect: what crashed the
 // upstream then would have crashed it again. If the upstream has crashed, call
-// Crashed first. Ending twice does nothing.
+// Crashed first. Further calls do nothing.
 func (i *Isolation) End(ctx context.Context, passed bool) {
 	i.once.Do(func() { i.end(ctx, passed) })
 }
 
 func (i *Isolation) end(ctx context.Context, passed bool) {
-	i.g.dropLocally(i.upstream, i.digest)
+	i.g.releaseLocally(i.upstream, i.digest)
 	if passed {
-		i.g.acquit(i.digest)
+		i.g.clearSuspicion(i.digest)
 	}
-	e := entryOf(uuid.NewString(), i.g.writer, message{Cleared: &cleared{i.digest, i.upstream, passed}})
+	e := entryOf(uuid.NewString(), i.g.writer, message{IsolationEnd: &isolationEnd{i.digest, i.upstream, passed}})
 	if _, err := i.g.w.Append(ctx, e); err != nil {
-		i.g.keep(e)
+		i.g.enqueue(e)
 	}
 }
 
-// acquit lifts the suspicion that only this process knows of.
-func (g *Guard) acquit(d Digest) {
+// clearSuspicion drops the crashes that only this process knows of.
+func (g *Guard) clearSuspicion(d Digest) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	delete(g.own, d)
+	delete(g.unconfirmed, d)
 }
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -57,7 +57,7 @@
 	return p.Position, nil
 }
 
-// late makes a guard that reads the log from an offset, as if what was before
+// late returns a guard that reads the log from an index, as if all entries before
 // had been trimmed.
 func (l *fakeLog) late(from int) *Guard {
 	g := l.guard("late")
@@ -69,18 +69,17 @@
 
 func digest(i int) Digest { return DigestOf("m", "/v1/completions", fmt.Appendf(nil, "request %d", i)) }
 
-func standing(g *Guard, d Digest) Status {
+func statusOf(g *Guard, d Digest) Status {
 	v, _ := g.Check(d)
 	return v.Status
 }
 
 var background = context.Background()
 
-// One poisonous request and ten others run on engine a, sent by three
-// instances. The engine dies. All are tried again, each on an engine where no
-// other suspect runs; the poisonous one kills a second engine. Its caller then
-// sends it again to every instance. Nobody else may be refused, and no third
-// engine may die.
+// Guards against refusing innocent requests, or letting a poisonous one crash a
+// third engine. One poisonous request and ten others, from three instances, are in
+// flight when engine a crashes. All are retried in isolation, and the poisonous one
+// crashes a second engine.
 func TestPoisonAmongInnocents(t *testing.T) {
 	for poison := range 11 {
 		l := newFakeLog(3)
@@ -92,7 +91,7 @@
 			require.NoError(t, g.Crashed(background, "a", "", inFlight[i]))
 		}
 		dead := map[string]bool{"a": true}
-		running := map[int]*Isolation{} // engine of three, to the run there
+		running := map[int]*Isolation{} // by index in engines
 		engines := []string{"b", "c", "d"}
 		waiting := []int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10}
 		for len(waiting) > 0 {
@@ -116,14 +115,14 @@
 				running[e].End(background, false)
 			}
 		}
-		require.Len(t, dead, 2, "the poisonous request killed two engines")
+		require.Len(t, dead, 2, "the poisonous request crashed two engines")
 		for i := range 11 {
 			for _, g := range append(l.guards, l.late(0)) {
 				want := Clean
 				if i == poison {
 					want = Quarantined
 				}
-				require.Equal(t, want, standing(g, digest(i)), "request %d", i)
+				require.Equal(t, want, statusOf(g, digest(i)), "request %d", i)
 			}
 		}
 		_, err := l.guards[2].Check(digest(poison))
@@ -162,7 +161,7 @@
 		want Status
 	}{
 		{"one crash", func(l *fakeLog) { crash(l.guards[0], "a", "1") }, Suspected},
-		{"one crash told by all", func(l *fakeLog) {
+		{"one crash reported by all", func(l *fakeLog) {
 			for _, g := range l.guards {
 				crash(g, "a", "")
 			}
@@ -183,19 +182,19 @@
 			iso.End(background, true)
 			crash(l.guards[1], "c", "1")
 		}, Suspected},
-		{"answered lately, so that it isn't the cause", func(l *fakeLog) {
+		{"completed recently, so probably not the cause", func(l *fakeLog) {
 			l.guards[0].Answered(d)
 			crash(l.guards[0], "a", "1")
 			crash(l.guards[0], "b", "1")
 		}, Clean},
-		{"but three crashes are too many", func(l *fakeLog) {
+		{"completed recently, but three crashes", func(l *fakeLog) {
 			l.guards[0].Answered(d)
 			for _, u := range []string{"a", "b", "c"} {
 				crash(l.guards[0], u, "1")
 			}
 		}, Quarantined},
-		{"suspicion runs out", func(l *fakeLog) { crash(l.guards[0], "a", "1"); l.at = l.at.Add(11 * time.Minute) }, Clean},
-		{"quarantine runs out", func(l *fakeLog) {
+		{"suspicion expires", func(l *fakeLog) { crash(l.guards[0], "a", "1"); l.at = l.at.Add(11 * time.Minute) }, Clean},
+		{"quarantine expires", func(l *fakeLog) {
 			crash(l.guards[0], "a", "1")
 			crash(l.guards[0], "b", "1")
 			l.at = l.at.Add(61 * time.Minute)
@@ -213,15 +212,15 @@
 			l := newFakeLog(3)
 			c.do(l)
 			for _, g := range append(l.guards, l.late(0)) {
-				require.Equal(t, c.want, standing(g, d))
+				require.Equal(t, c.want, statusOf(g, d))
 			}
 		})
 	}
 }
 
-// The log trims its old records. An instance that starts later must still
-// refuse what is quarantined, for as long as the others do and no longer, and
-// a repeat of old news must not undo an operator's release.
+// Guards against losing a quarantine when its log records are trimmed: an instance
+// that starts later must refuse the request exactly as long as the others. A stale
+// checkpoint must not undo an operator's release.
 func TestCheckpointsOutliveTheLog(t *testing.T) {
 	l := newFakeLog(2)
 	bad, freed := digest(1), digest(2)
@@ -229,11 +228,11 @@
 		require.NoError(t, l.guards[0].Crashed(background, u, "1", []Digest{bad, freed}))
 	}
 	l.at = l.at.Add(20 * time.Minute)
-	stale := l.guards[1].due(0) // about to be appended by a slow process
+	stale := l.guards[1].due(0) // appended later by a slow process
 	require.NoError(t, l.guards[0].Release(background, Release{Digest: freed}))
 	l.guards[1].appendAll(background, stale)
-	require.Equal(t, Clean, standing(l.guards[0], freed))
-	require.Equal(t, Quarantined, standing(l.guards[0], bad))
+	require.Equal(t, Clean, statusOf(l.guards[0], freed))
+	require.Equal(t, Quarantined, statusOf(l.guards[0], bad))
 	trimmed := len(l.entries) - len(stale)
 
 	l.at = l.at.Add(10 * time.Minute)
@@ -243,21 +242,22 @@
 	}
 	late := l.late(trimmed)
 	for _, g := range append(l.guards, late) {
-		require.Equal(t, Quarantined, standing(g, bad))
-		require.Equal(t, Clean, standing(g, freed))
+		require.Equal(t, Quarantined, statusOf(g, bad))
+		require.Equal(t, Clean, statusOf(g, freed))
 	}
 	l.at = l.at.Add(31 * time.Minute)
-	require.Equal(t, Clean, standing(late, bad), "a repeat doesn't prolong it")
+	require.Equal(t, Clean, statusOf(late, bad), "a checkpoint doesn't extend the quarantine")
 }
 
-// The log is down as an engine dies. The suspicion must hold here at once, two
-// suspects of ours must not share an engine, and the log learns of it later.
+// An engine crashes while the log is down. Its requests must become suspects in
+// this process at once, two of its suspects must not share an engine, and the log
+// must get the report later.
 func TestLogIsDown(t *testing.T) {
 	l := newFakeLog(2)
 	l.down = true
 	g := l.guards[0]
 	require.Error(t, g.Crashed(background, "a", "1", []Digest{digest(1), digest(2)}))
-	require.Equal(t, Suspected, standing(g, digest(1)))
+	require.Equal(t, Suspected, statusOf(g, digest(1)))
 	iso, err := g.Isolate(background, "b", digest(1))
 	require.NoError(t, err)
 	require.False(t, g.MayRunOn("b", digest(2)))
@@ -272,18 +272,18 @@
 	l.down = false
 	g.flush(background)
 	require.Empty(t, g.pending)
-	require.Equal(t, Suspected, standing(l.guards[1], digest(3)))
+	require.Equal(t, Suspected, statusOf(l.guards[1], digest(3)))
 }
 
-// An instance is cut off from the log. A caller sends it a poisonous request again
-// and again, and each try kills another engine. The log can't tell of the second
-// one, so the instance must count what it saw itself and refuse from then on; a
-// second death of the same engine, or a success between, must not count.
+// Guards against a poisonous request that crashes one engine after another at an
+// instance without a connection to the log. The instance must count the crashes
+// that it observed itself. A second crash of the same engine, or a success in
+// between, must not count.
 func TestLogIsDownAndEnginesDie(t *testing.T) {
 	const a, b = "a", "b"
 	l := newFakeLog(2)
 	g := l.guards[0]
-	die := func(engines ...string) {
+	crash := func(engines ...string) {
 		for _, e := range engines {
 			require.ErrorIs(t, g.Crashed(background, e, "", []Digest{digest(0)}), errDown)
 		}
@@ -291,29 +291,29 @@
 	require.NoError(t, l.guards[1].Crashed(background, a, "", []Digest{digest(1)}))
 	l.down = true
 	require.ErrorIs(t, g.Crashed(background, a, "", []Digest{digest(1)}), errDown)
-	require.Equal(t, Suspected, standing(g, digest(1)), "one death, told by the log and seen here")
+	require.Equal(t, Suspected, statusOf(g, digest(1)), "one crash, read from the log and observed here")
 	require.ErrorIs(t, g.Crashed(background, b, "", []Digest{digest(1)}), errDown)
-	require.Equal(t, Quarantined, standing(g, digest(1)), "one told by the log, one seen here")
+	require.Equal(t, Quarantined, statusOf(g, digest(1)), "one crash read from the log, one observed here")
 
-	die(a, a)
-	require.Equal(t, Suspected, standing(g, digest(0)))
+	crash(a, a)
+	require.Equal(t, Suspected, statusOf(g, digest(0)))
 	iso, err := g.Isolate(background, b, digest(0))
 	require.NoError(t, err)
 	iso.End(background, true)
-	die(b)
-	require.Equal(t, Suspected, standing(g, digest(0)), "a success lay between")
-	die(a)
+	crash(b)
+	require.Equal(t, Suspected, statusOf(g, digest(0)), "a success in between")
+	crash(a)
 	_, err = g.Check(digest(0))
 	var refused *Error
 	require.ErrorAs(t, err, &refused)
 	require.ElementsMatch(t, []string{a, b}, refused.Verdict.Upstreams)
 	l.at = l.at.Add(DefaultConfig().SuspectFor)
-	require.Equal(t, Clean, standing(g, digest(0)))
+	require.Equal(t, Clean, statusOf(g, digest(0)))
 }
 
-// Two instances ask at the same moment, before either has read the other's
-// entry: for one engine for two suspects, then for two engines for one suspect.
-// The log's order decides, and both see the same.
+// Two instances request isolation before either has read the other's entry: one
+// engine for two suspects, then two engines for one suspect. The log's order must
+// decide, with the same result on both.
 func TestRaceForIsolation(t *testing.T) {
 	l := newFakeLog(2)
 	for i, c := range []struct {
@@ -323,12 +323,12 @@
 	}{{digest(1), "b", true}, {digest(2), "b", false}, {digest(1), "c", false}, {digest(2), "c", true}} {
 		_, _ = l.Append(background, entryOf(fmt.Sprint(i), "w", message{Isolate: &isolate{c.d, c.upstream}}))
 		for _, g := range l.guards {
-			require.Equal(t, c.wins, g.heldBy(c.upstream, c.d))
+			require.Equal(t, c.wins, g.reservedFor(c.upstream, c.d))
 		}
 	}
 }
 
-// Two suspects and one engine; then one suspect and two engines.
+// Guards against two suspects on one engine and one suspect on two engines.
 func TestOneSuspectAtATime(t *testing.T) {
 	l := newFakeLog(2)
 	require.NoError(t, l.guards[0].Crashed(background, "a", "1", []Digest{digest(1), digest(2)}))
@@ -337,17 +337,17 @@
 	_, err = l.guards[1].Isolate(background, "b", digest(2))
 	require.ErrorIs(t, err, ErrReserved)
 	_, err = l.guards[1].Isolate(background, "c", digest(1))
-	require.ErrorIs(t, err, ErrReserved, "the same suspect on two engines could kill both")
+	require.ErrorIs(t, err, ErrReserved, "the same suspect on two engines could crash both")
 	iso.End(background, true)
 	_, err = l.guards[1].Isolate(background, "b", digest(2))
 	require.NoError(t, err)
 	l.at = l.at.Add(2 * time.Minute)
 	require.NoError(t, l.guards[0].Crashed(background, "x", "1", []Digest{digest(3)}))
-	require.True(t, l.guards[0].MayRunOn("b", digest(3)), "a run that nobody ended runs out")
+	require.True(t, l.guards[0].MayRunOn("b", digest(3)), "a run whose end isn't reported expires")
 }
 
-// All processes that have folded the same entries refuse the same requests,
-// and the state stays bounded whatever is reported.
+// All processes that have folded the same entries must refuse the same requests,
+// and the state must stay bounded whatever is reported.
 func TestFoldIsAlikeAndBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := DefaultConfig()
--- a/quarantine/state.go
+++ b/quarantine/state.go
@@ -8,22 +8,22 @@
 	"tamarackchute/journal"
 )
 
-// Config sets the fold. It must be alike in all processes.
+// Config configures the fold. It must be the same in all processes.
 type Config struct {
-	// SuspectFor and QuarantineFor are how long a suspicion and a quarantine
-	// last, by the log's clock.
+	// SuspectFor and QuarantineFor are how long a digest stays a suspect or
+	// quarantined, by the log's clock.
 	SuspectFor    time.Duration
 	QuarantineFor time.Duration
-	// IsolateFor bounds an isolated run whose end nobody reported.
+	// IsolateFor bounds an isolated run whose end isn't reported.
 	IsolateFor time.Duration
-	// CrashDedupWindow is the time within which reports of one upstream's death
-	// without an incarnation mean the same crash.
+	// CrashDedupWindow is the time within which reports of a crash of the same
+	// upstream, without an incarnation, mean the same crash.
 	CrashDedupWindow time.Duration
-	// MaxDigests bounds the digests known; the oldest suspect goes first.
+	// MaxDigests bounds the known digests; the oldest suspect is evicted first.
 	MaxDigests int
 }
 
-// DefaultConfig returns the settings used where nothing else is said.
+// DefaultConfig returns the default settings.
 func DefaultConfig() Config {
 	return Config{
 		SuspectFor:       10 * time.Minute,
@@ -34,15 +34,15 @@
 	}
 }
 
-// The numbers of crashes that quarantine a digest: of strikes, crashes of
-// different upstreams with no success between them; and of crashes whatever
-// happened between them, for a request that only crashes at times.
+// The numbers of crashes that quarantine a digest. Strikes are crashes of
+// different upstreams without a success in between; maxCrashes counts all crashes,
+// to catch a request that crashes upstreams only sometimes.
 const (
 	maxStrikes = 2
 	maxCrashes = 3
 )
 
-// suspect is what is known of a digest.
+// suspect is the state of a digest.
 type suspect struct {
 	digest      Digest
 	crashes     []crash
@@ -51,19 +51,19 @@
 	quarantined time.Time
 	last        time.Time // log time of the last crash
 	basis       journal.Position
-	// written is the log time of the newest entry that tells of it.
+	// written is the log time of the newest entry about the digest.
 	written time.Time
 }
 
-// hold is an upstream kept for one suspect.
-type hold struct {
+// reservation is an upstream on which only one suspect may run.
+type reservation struct {
 	digest Digest
 	since  time.Time
 }
 
-// released is an operator's release. It is remembered as long as a quarantine
-// lasts, or a checkpoint that a lagging process writes after it would bring
-// the quarantine back.
+// released is an operator's release. It is kept as long as a quarantine lasts, as
+// a checkpoint written later by a lagging process would otherwise restore the
+// quarantine.
 type released struct {
 	release  Release
 	position journal.Position
@@ -71,30 +71,30 @@
 	written  time.Time
 }
 
-// State is the folded quarantine. It isn't safe for use by many goroutines;
-// Guard is.
+// State is the fold of the journal's quarantine entries. It isn't safe for
+// concurrent use; Guard is.
 type State struct {
-	cfg      Config
-	suspects map[Digest]*suspect
-	holds    map[string]hold
-	released map[Digest]released
-	// touched are the digests that the last crash report named, crashed the
-	// upstream that it was about.
+	cfg          Config
+	suspects     map[Digest]*suspect
+	reservations map[string]reservation
+	released     map[Digest]released
+	// touched are the digests named by the entry folded last, if it is a crash
+	// report; crashed is the upstream of the last crash report.
 	touched []Digest
 	crashed string
-	// entered are the quarantines that began with the last entry.
+	// entered are the quarantines that began with the entry folded last.
 	entered []Entered
 	logNow  time.Time
 	readAt  time.Time
 }
 
-// NewState makes an empty state.
+// NewState returns an empty state.
 func NewState(cfg Config) *State {
-	return &State{cfg: cfg, suspects: map[Digest]*suspect{}, holds: map[string]hold{}, released: map[Digest]released{}}
+	return &State{cfg: cfg, suspects: map[Digest]*suspect{}, reservations: map[string]reservation{}, released: map[Digest]released{}}
 }
 
-// Apply folds an entry. Bodies that can't be read are skipped, alike at every
-// process.
+// Apply folds an entry. Bodies that can't be decoded are ignored, in the same way
+// by every process.
 func (s *State) Apply(p journal.Placed) {
 	s.touched = s.touched[:0]
 	s.entered = s.entered[:0]
@@ -115,8 +115,8 @@
 		s.applyCrash(m.Crash, p)
 	case m.Isolate != nil:
 		s.applyIsolate(m.Isolate)
-	case m.Cleared != nil:
-		s.applyCleared(m.Cleared, p)
+	case m.IsolationEnd != nil:
+		s.applyIsolationEnd(m.IsolationEnd, p)
 	case m.Release != nil:
 		s.applyRelease(m.Release, p)
 	case m.Checkpoint != nil:
@@ -128,17 +128,18 @@
 	s.touched = append(append(s.touched, c.Suspects...), c.Doubtful...)
 	s.crashed = c.Upstream
 	for _, d := range c.Suspects {
-		s.strike(d, c, p, true)
+		s.countCrash(d, c, p, true)
 	}
 	for _, d := range c.Doubtful {
-		s.strike(d, c, p, false)
+		s.countCrash(d, c, p, false)
 	}
-	delete(s.holds, c.Upstream)
-	s.bound()
+	delete(s.reservations, c.Upstream)
+	s.evict()
 }
 
-// strike counts a crash against a digest, once for each crash.
-func (s *State) strike(d Digest, c *Crash, p journal.Placed, counts bool) {
+// countCrash counts a crash against a digest, once even if several processes
+// report it.
+func (s *State) countCrash(d Digest, c *Crash, p journal.Placed, counts bool) {
 	x := s.suspects[d]
 	if x == nil {
 		x = &suspect{digest: d}
@@ -146,7 +147,7 @@
 	}
 	x.basis = p.Position
 	x.written = p.At
-	if s.knows(x, c, p.At) {
+	if s.alreadyCounted(x, c, p.At) {
 		return
 	}
 	x.crashes = append(x.crashes, crash{c.Upstream, c.Incarnation, p.At})
@@ -161,9 +162,9 @@
 	}
 }
 
-// knows reports whether a digest's crash is one already counted. Several
-// instances see the same upstream die and each reports it.
-func (s *State) knows(x *suspect, c *Crash, at time.Time) bool {
+// alreadyCounted reports whether a crash was already counted against a digest:
+// several instances observe the same crash, and each reports it.
+func (s *State) alreadyCounted(x *suspect, c *Crash, at time.Time) bool {
 	for _, have := range x.crashes {
 		if have.Upstream != c.Upstream {
 			continue
@@ -179,23 +180,23 @@
 	return false
 }
 
-// applyIsolate gives an upstream to a suspect, unless another has it or the
-// suspect has another: two runs at once could crash two.
+// applyIsolate reserves an upstream for a suspect, unless another suspect has it
+// or this one has another upstream: two concurrent runs could crash two upstreams.
 func (s *State) applyIsolate(i *isolate) {
-	if _, held := s.holds[i.Upstream]; held {
+	if _, held := s.reservations[i.Upstream]; held {
 		return
 	}
-	for _, h := range s.holds {
+	for _, h := range s.reservations {
 		if h.digest == i.Digest {
 			return
 		}
 	}
-	s.holds[i.Upstream] = hold{i.Digest, s.logNow}
+	s.reservations[i.Upstream] = reservation{i.Digest, s.logNow}
 }
 
-func (s *State) applyCleared(c *cleared, p journal.Placed) {
-	if s.holds[c.Upstream].digest == c.Digest {
-		delete(s.holds, c.Upstream)
+func (s *State) applyIsolationEnd(c *isolationEnd, p journal.Placed) {
+	if s.reservations[c.Upstream].digest == c.Digest {
+		delete(s.reservations, c.Upstream)
 	}
 	x := s.suspects[c.Digest]
 	if !c.Passed || x == nil || !x.quarantined.IsZero() {
@@ -221,7 +222,8 @@
 	}
 }
 
-// applyCheckpoint restores what a process that began to read later can't know.
+// applyCheckpoint restores state from entries that this process may not have read
+// before they expired.
 func (s *State) applyCheckpoint(c *checkpoint, p journal.Placed) {
 	x := s.suspects[c.Digest]
 	if x != nil && c.Basis.Less(x.basis) {
@@ -243,21 +245,21 @@
 		fresh.lastStrike = c.Crashes[len(c.Crashes)-1].Upstream
 	}
 	s.suspects[c.Digest] = fresh
-	s.bound()
+	s.evict()
 }
 
-// ends is when what is known of a digest expires, by the log's clock.
-func (s *State) ends(x *suspect) time.Time {
+// expiresAt is when the state of a digest expires, by the log's clock.
+func (s *State) expiresAt(x *suspect) time.Time {
 	if !x.quarantined.IsZero() {
 		return x.quarantined.Add(s.cfg.QuarantineFor)
 	}
 	return x.last.Add(s.cfg.SuspectFor)
 }
 
-// expire forgets what has run out by the log's clock.
+// expire drops everything that has expired by the log's clock.
 func (s *State) expire() {
 	for d, x := range s.suspects {
-		if !s.logNow.Before(s.ends(x)) {
+		if !s.logNow.Before(s.expiresAt(x)) {
 			delete(s.suspects, d)
 		}
 	}
@@ -266,16 +268,16 @@
 			delete(s.released, d)
 		}
 	}
-	for u, h := range s.holds {
+	for u, h := range s.reservations {
 		if s.logNow.Sub(h.since) >= s.cfg.IsolateFor {
-			delete(s.holds, u)
+			delete(s.reservations, u)
 		}
 	}
 }
 
-// bound forgets the oldest suspects beyond the number allowed, then the oldest
-// quarantined.
-func (s *State) bound() {
+// evict drops digests beyond MaxDigests: the oldest suspects first, then the oldest
+// quarantined ones.
+func (s *State) evict() {
 	over := len(s.suspects) - s.cfg.MaxDigests
 	if over <= 0 {
 		return
@@ -284,15 +286,15 @@
 	for _, x := range s.suspects {
 		all = append(all, x)
 	}
-	sort.Slice(all, func(i, j int) bool { return goesBefore(all[i], all[j]) })
+	sort.Slice(all, func(i, j int) bool { return evictedBefore(all[i], all[j]) })
 	for _, x := range all[:over] {
 		delete(s.suspects, x.digest)
 	}
 }
 
-// goesBefore orders digests for forgetting; it must be total, for all
-// processes have to forget the same.
-func goesBefore(a, b *suspect) bool {
+// evictedBefore orders digests for eviction. The order must be total, as all
+// processes have to evict the same digests.
+func evictedBefore(a, b *suspect) bool {
 	if a.quarantined.IsZero() != b.quarantined.IsZero() {
 		return a.quarantined.IsZero()
 	}
--- a/quarantine/verdict.go
+++ b/quarantine/verdict.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// Status is what a digest is taken for.
+// Status is the status of a digest.
 type Status uint8
 
-// The standings of a digest.
+// The statuses of a digest.
 const (
 	// Clean digests run anywhere.
 	Clean Status = iota
 	// Suspected digests run only where no other suspect runs.
 	Suspected
-	// Quarantined digests don't run.
+	// Quarantined digests are refused.
 	Quarantined
 )
 
-// Verdict is a digest's standing, with its reasons.
+// Verdict is a digest's status with its reasons.
 type Verdict struct {
 	Status Status
-	// Upstreams are those that died with it in flight.
+	// Upstreams are those that crashed with it in flight.
 	Upstreams []string
-	// Remaining is how long the standing lasts if nothing else happens.
+	// Remaining is how long the status lasts if nothing else happens.
 	Remaining time.Duration
 }
 
-// Verdict returns a digest's standing at a time of the reader's own clock. The
-// log's clock is taken to have moved on since the last entry as ours has.
+// Verdict returns a digest's verdict at a time of the local clock. The log's clock
+// is assumed to have advanced since the last entry as much as the local one.
 func (s *State) Verdict(d Digest, now time.Time) Verdict {
 	x := s.suspects[d]
 	if x == nil {
@@ -38,7 +38,7 @@
 	if since := now.Sub(s.readAt); since > 0 && !s.readAt.IsZero() {
 		logNow = logNow.Add(since)
 	}
-	left := s.ends(x).Sub(logNow)
+	left := s.expiresAt(x).Sub(logNow)
 	if left <= 0 {
 		return Verdict{}
 	}
@@ -55,25 +55,25 @@
 	return v
 }
 
-// MayRunOn reports whether a digest may start on an upstream as far as the
-// journal tells: a suspect not where another suspect runs.
+// MayRunOn reports whether a suspect may start on an upstream as far as the
+// journal shows: not where another suspect runs.
 func (s *State) MayRunOn(upstream string, d Digest) bool {
-	h, held := s.holds[upstream]
+	h, held := s.reservations[upstream]
 	return !held || h.digest == d
 }
 
-// holds reports whether a digest has an upstream to itself.
-func (s *State) heldBy(upstream string, d Digest) bool {
-	h, held := s.holds[upstream]
+// reservedFor reports whether an upstream is reserved for a digest.
+func (s *State) reservedFor(upstream string, d Digest) bool {
+	h, held := s.reservations[upstream]
 	return held && h.digest == d
 }
 
-// Error is the refusal of a request that isn't run now because of what it did
-// to upstreams. Nothing was sent.
+// Error is the refusal of a request because upstreams crashed while it was in
+// flight. Nothing was sent.
 type Error struct {
 	Digest  Digest
 	Verdict Verdict
-	// RetryAfter is when a repeat may succeed.
+	// RetryAfter is the time after which a retry may succeed.
 	RetryAfter time.Duration
 }
 
@@ -82,5 +82,5 @@
 		return fmt.Sprintf("quarantine: not run: request %s was in flight when %d upstreams crashed; an operator may release it",
 			e.Digest, len(e.Verdict.Upstreams))
 	}
-	return fmt.Sprintf("quarantine: not run: request %s was in flight when an upstream crashed and waits for one of its own", e.Digest)
+	return fmt.Sprintf("quarantine: not run: request %s was in flight when an upstream crashed and waits for an upstream without other suspects", e.Digest)
 }
