--- a/rules/atom.go
+++ b/rules/atom.go
@@ -11,8 +11,8 @@
 type atomKind uint8
 
 const (
-	// atomHolds is any boolean expression, told by its text.
-	atomHolds atomKind = iota
+	// atomBool is any other boolean expression, identified by its text.
+	atomBool atomKind = iota
 	// atomOneOf and atomNoneOf compare a string with constants.
 	atomOneOf
 	atomNoneOf
@@ -21,10 +21,10 @@
 	atomBelow
 )
 
-// atom is a part of a condition that has no "and" or "or" in it.
+// atom is an operand of a condition that contains no "and" or "or".
 type atom struct {
 	kind atomKind
-	// subject is the text of what is compared, or of the whole expression.
+	// subject is the text of the compared operand, or of the expression.
 	subject string
 	// negated is for atomHolds.
 	negated bool
@@ -37,10 +37,10 @@
 
 func newAtom(node ast.Node, negated bool) atom {
 	if n, ok := node.(*ast.BinaryNode); ok {
-		if a, ok := membership(n, negated); ok {
+		if a, ok := parseMembership(n, negated); ok {
 			return a
 		}
-		if a, ok := comparison(n, negated); ok {
+		if a, ok := parseComparison(n, negated); ok {
 			return a
 		}
 		if n.Operator == "!=" {
@@ -53,15 +53,15 @@
 	return atom{subject: node.String(), negated: negated}
 }
 
-// equality gives "a == b" and "b == a" the same text.
+// equality returns the same text for "a == b" and "b == a".
 func equality(n *ast.BinaryNode) string {
 	operands := []string{n.Left.String(), n.Right.String()}
 	slices.Sort(operands)
 	return operands[0] + " == " + operands[1]
 }
 
-// membership reads a comparison of a string with constants.
-func membership(n *ast.BinaryNode, negated bool) (atom, bool) {
+// parseMembership returns the atom of a comparison of a string with constants.
+func parseMembership(n *ast.BinaryNode, negated bool) (atom, bool) {
 	subject, values := n.Left, []string(nil)
 	switch n.Operator {
 	case "in":
@@ -101,14 +101,14 @@
 	return nil
 }
 
-// maxExactBound is the largest whole number below which all are exact as
-// float64, so that comparing as float64 is comparing as int.
+// maxExactBound is 2^53: integers below it are exact as float64, so that they
+// compare as float64 as they do as int.
 const maxExactBound = 1 << 53
 
-// comparison reads a comparison of a number with a constant. Its negation is
-// turned into the opposite only for whole numbers: no comparison holds for a
-// load that isn't a number.
-func comparison(n *ast.BinaryNode, negated bool) (atom, bool) {
+// parseComparison returns the atom of a comparison of a number with a constant. A
+// negation is rewritten as the opposite comparison only for integers: a load of
+// NaN satisfies neither of the two.
+func parseComparison(n *ast.BinaryNode, negated bool) (atom, bool) {
 	operator, subject := n.Operator, n.Left
 	bound, ok := number(n.Right)
 	if !ok {
@@ -190,7 +190,7 @@
 	case a.kind == atomBelow && b.kind == atomAbove:
 		return b.excludes(a)
 	default:
-		return a.kind == atomHolds && b.kind == atomHolds && a.negated != b.negated
+		return a.kind == atomBool && b.kind == atomBool && a.negated != b.negated
 	}
 }
 
@@ -217,7 +217,7 @@
 	return value, ok
 }
 
-// identifierVisitor looks for a name in an expression.
+// identifierVisitor reports whether an expression contains an identifier.
 type identifierVisitor struct{ found bool }
 
 // Visit implements ast.Visitor.
--- a/rules/bench_test.go
+++ b/rules/bench_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// benchSet makes n rules of which only the last holds for benchRequest. Plain
-// conditions compare fields; the others call functions in each condition.
+// benchSet returns n rules of which only the last holds for benchRequest. Plain
+// conditions compare fields; the others call functions.
 func benchSet(b *testing.B, n int, plain bool) *Set {
 	list := make([]string, 0, n)
 	for i := range n - 1 {
--- a/rules/check.go
+++ b/rules/check.go
@@ -8,7 +8,7 @@
 	"github.com/expr-lang/expr/parser"
 )
 
-// Bounds of a consequence.
+// Limits of the values in a rule.
 const (
 	maxPriority       = 1000
 	maxDeadlineMillis = 24 * 60 * 60 * 1000
@@ -17,12 +17,12 @@
 	maxNameBytes      = 100
 )
 
-func checkNames(c *collector, sources []source) {
+func checkNames(c *collector, sources []ruleSource) {
 	first := make(map[string]int, len(sources))
 	for i, s := range sources {
 		name := s.rule.Name
 		if name == "" || len(name) > maxNameBytes {
-			if s.whole {
+			if s.complete {
 				c.add(s.at, "", "a rule's name must have 1 to %d bytes", maxNameBytes)
 			}
 			continue
@@ -36,8 +36,9 @@
 	}
 }
 
-// checkThen reports consequences that are out of range or contradict themselves.
-func checkThen(c *collector, s *source, known KnownNames) {
+// checkThen reports values of a consequence that are out of range or contradict
+// each other.
+func checkThen(c *collector, s *ruleSource, known KnownNames) {
 	t := &s.rule.Then
 	fail := func(field, format string, args ...any) {
 		at, given := s.then[field]
@@ -80,7 +81,7 @@
 // failFunc reports a problem at a field of the consequence.
 type failFunc func(field, format string, args ...any)
 
-func checkRefusal(s *source, fail failFunc) {
+func checkRefusal(s *ruleSource, fail failFunc) {
 	refusal := s.rule.Then.Refuse
 	if refusal.Status < minRefusalStatus || refusal.Status > maxRefusalStatus {
 		fail("status", "status must lie between %d and %d", minRefusalStatus, maxRefusalStatus)
@@ -106,9 +107,10 @@
 	}
 }
 
-// checkReachable reports conditions that never hold and rules behind others
-// that hold whenever they do. It misses some, but reports none that can match.
-func checkReachable(c *collector, sources []source, forms []form) {
+// checkReachable reports conditions that never hold, and rules shadowed by
+// earlier ones that hold whenever they do. It misses some unreachable rules, but
+// never reports one that can match.
+func checkReachable(c *collector, sources []ruleSource, forms []normalForm) {
 	for i, f := range forms {
 		if !f.known {
 			continue
@@ -126,10 +128,10 @@
 }
 
 // coveredBy returns the last of the earlier forms needed to cover f, or -1.
-func coveredBy(f form, earlier []form) int {
+func coveredBy(f normalForm, earlier []normalForm) int {
 	last := -1
 	for _, conjunction := range f.conjunctions {
-		i := slices.IndexFunc(earlier, func(e form) bool { return e.covers(conjunction) })
+		i := slices.IndexFunc(earlier, func(e normalForm) bool { return e.covers(conjunction) })
 		if i < 0 {
 			return -1
 		}
@@ -138,9 +140,9 @@
 	return last
 }
 
-// checkConstants reports names of models and data centres that no part of the
-// deployment has. A rule that refuses may name a model that has gone.
-func checkConstants(c *collector, s *source, known KnownNames) {
+// checkConstants reports names of models and data centres that the deployment
+// doesn't have. A rule that refuses may name a model that was removed.
+func checkConstants(c *collector, s *ruleSource, known KnownNames) {
 	tree, err := parser.Parse(s.rule.When)
 	if err != nil {
 		return
@@ -154,7 +156,7 @@
 
 type constantVisitor struct {
 	c      *collector
-	source *source
+	source *ruleSource
 	known  map[string][]string
 }
 
@@ -164,7 +166,7 @@
 	if !ok {
 		return
 	}
-	a, ok := membership(n, false)
+	a, ok := parseMembership(n, false)
 	known := v.known[a.subject]
 	if !ok || known == nil {
 		return
--- a/rules/checkpointer.go
+++ b/rules/checkpointer.go
@@ -10,36 +10,36 @@
 	"tamarackchute/journal"
 )
 
-// Times of the checkpoints.
+// Timing of checkpoints.
 const (
-	// defaultTick is the time between two looks at the state.
+	// defaultTick is the interval at which the state is checked.
 	defaultTick = 250 * time.Millisecond
-	// answerStep is the time between the turns of two instances to answer;
-	// allTurns bounds the turns of all, in a large deployment.
-	answerStep = 300 * time.Millisecond
-	allTurns   = 10 * time.Second
-	// askInterval is the time after which an unanswered question is repeated.
-	askInterval = 5 * time.Second
+	// turnInterval separates the turns of two instances to answer a request for a
+	// checkpoint; maxTurnDelay bounds the sum in a large deployment.
+	turnInterval = 300 * time.Millisecond
+	maxTurnDelay = 10 * time.Second
+	// requestInterval is the time after which an unanswered request is repeated.
+	requestInterval = 5 * time.Second
 	// appendTimeout bounds one append.
 	appendTimeout = 5 * time.Second
 )
 
-// Log is what a checkpointer needs of a journal.Journal.
+// Log is the part of journal.Journal that a Checkpointer and a Publisher use.
 type Log interface {
 	journal.Writer
-	// Applied returns the position up to which all entries were folded.
+	// Applied returns the position up to which all entries have been folded.
 	Applied() journal.Position
-	// CaughtUp is closed once the entries that stood in the log at the start
-	// were folded.
+	// CaughtUp is closed once all entries that were in the log at the start have
+	// been folded.
 	CaughtUp() <-chan struct{}
 }
 
-// CheckpointerOptions sets a Checkpointer up.
+// CheckpointerOptions configures a Checkpointer.
 type CheckpointerOptions struct {
 	// Retention is how long the log keeps a record.
 	Retention time.Duration
-	// Slot is this instance's place among Slots. The instances take turns by it,
-	// so that one checkpoint at a time is written: the others see it and wait.
+	// Slot is this instance's index among Slots. It staggers the instances, so
+	// that one writes the checkpoint and the others see it before their turn.
 	Slot, Slots int
 	// Logger is slog.Default if nil.
 	Logger *slog.Logger
@@ -47,24 +47,24 @@
 
 // Checkpointer keeps the rules in force in the log beyond its retention. It
 // writes a checkpoint once the last record that holds them is between a third
-// and two thirds of the retention old, or if another instance asks; and it asks
-// if this instance has missed records. Its Serve runs under a supervisor.
+// and two thirds of the retention old, or if another instance requests one; and
+// it requests one if this instance has missed records.
 type Checkpointer struct {
 	options CheckpointerOptions
 	log     Log
-	book    *Replica
-	// written and asked are when this process last tried, next when it may write
-	// of its own accord again.
-	written, asked, next time.Time
+	replica *Replica
+	// writtenAt and requestedAt are the times of this process's last attempts, next is
+	// when it may write a checkpoint unrequested again.
+	writtenAt, requestedAt, next time.Time
 }
 
-// NewCheckpointer returns a checkpointer for the book that log folds into.
+// NewCheckpointer returns a checkpointer for the replica that log folds into.
 func NewCheckpointer(log Log, b *Replica, o CheckpointerOptions) *Checkpointer {
 	if o.Logger == nil {
 		o.Logger = slog.Default()
 	}
 	o.Slots = max(o.Slots, 1)
-	return &Checkpointer{options: o, log: log, book: b}
+	return &Checkpointer{options: o, log: log, replica: b}
 }
 
 // Serve implements suture.Service.
@@ -74,7 +74,7 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	c.next = time.Now().Add(c.turn())
+	c.next = time.Now().Add(c.turnDelay())
 	ticker := time.NewTicker(min(defaultTick, max(c.options.Retention/100, time.Millisecond)))
 	defer ticker.Stop()
 	for {
@@ -87,25 +87,25 @@
 	}
 }
 
-// step appends what is due.
+// step appends the record that is due, if any.
 func (c *Checkpointer) step(ctx context.Context, now time.Time) {
 	switch c.due(now) {
 	case dueCheckpoint:
-		c.written = now
-		c.next = now.Add(askInterval + c.turn())
+		c.writtenAt = now
+		c.next = now.Add(requestInterval + c.turnDelay())
 		applied := c.log.Applied()
-		if c.append(ctx, encodeCheckpoint(c.book.checkpoint(applied))) {
+		if c.append(ctx, encodeCheckpoint(c.replica.checkpoint(applied))) {
 			c.next = now.Add(c.options.Retention / 6)
 		}
-	case dueAsk:
-		c.asked = now
-		c.append(ctx, encodeAsk())
+	case dueRequest:
+		c.requestedAt = now
+		c.append(ctx, encodeCheckpointRequest())
 	}
 }
 
-// turn is how long this instance lets those before it go first.
-func (c *Checkpointer) turn() time.Duration {
-	step := min(answerStep, allTurns/time.Duration(c.options.Slots))
+// turnDelay is how long this instance waits for those with lower slots.
+func (c *Checkpointer) turnDelay() time.Duration {
+	step := min(turnInterval, maxTurnDelay/time.Duration(c.options.Slots))
 	return time.Duration(c.options.Slot) * step
 }
 
@@ -115,35 +115,35 @@
 	entry := journal.Entry{Kind: journal.KindRules, ID: uuid.NewString(), Body: body}
 	_, err := c.log.Append(ctx, entry)
 	if err != nil {
-		c.options.Logger.Warn("rules checkpoint not written yet", "err", err)
+		c.options.Logger.Warn("rules checkpoint not written yet; will retry", "err", err)
 	}
 	return err == nil
 }
 
-// dueAction is what a checkpointer has to append.
+// dueAction is the record that a checkpointer has to append.
 type dueAction uint8
 
 const (
 	dueNothing dueAction = iota
 	dueCheckpoint
-	dueAsk
+	dueRequest
 )
 
 func (c *Checkpointer) due(now time.Time) dueAction {
-	v := c.book.view()
-	turn := c.turn()
+	v := c.replica.view()
+	turn := c.turnDelay()
 	if !v.settled {
-		last := later(c.asked, v.askedAt)
-		if now.Sub(last) >= askInterval+turn || (last.IsZero() && now.Sub(v.unsettledSince) >= turn) {
-			return dueAsk
+		last := later(c.requestedAt, v.requestedAt)
+		if now.Sub(last) >= requestInterval+turn || (last.IsZero() && now.Sub(v.unsettledSince) >= turn) {
+			return dueRequest
 		}
 		return dueNothing
 	}
-	if !v.askedAt.IsZero() && now.Sub(v.askedAt) >= turn && now.Sub(c.written) >= askInterval {
+	if !v.requestedAt.IsZero() && now.Sub(v.requestedAt) >= turn && now.Sub(c.writtenAt) >= requestInterval {
 		return dueCheckpoint
 	}
-	// A wrong clock of this machine can make the record look too old, but not
-	// too young; so the time since the own last checkpoint bounds what it costs.
+	// A wrong local clock can make the record look too old, but not too young:
+	// next bounds how many checkpoints it causes.
 	limit := c.options.Retention / 3
 	limit += limit * time.Duration(c.options.Slot) / time.Duration(c.options.Slots)
 	if v.age(now) >= limit && !now.Before(c.next) {
@@ -159,29 +159,29 @@
 	return b
 }
 
-// bookView is what decides on checkpoints.
-type bookView struct {
+// checkpointView is the part of a replica's state that checkpoints depend on.
+type checkpointView struct {
 	settled        bool
-	carried        carried
-	askedAt        time.Time
+	stateRecord    recordTimes
+	requestedAt    time.Time
 	unsettledSince time.Time
 }
 
-func (b *Replica) view() bookView {
+func (b *Replica) view() checkpointView {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return bookView{
-		settled: b.fold.settled, carried: b.carried,
-		askedAt: b.askedAt, unsettledSince: b.unsettledSince,
+	return checkpointView{
+		settled: b.fold.settled, stateRecord: b.stateRecord,
+		requestedAt: b.requestedAt, unsettledSince: b.unsettledSince,
 	}
 }
 
 // age is how long the newest record that holds the state has been in the log.
-// The time since it was read is a lower bound by a reliable clock; the log's
-// time against this machine's tells of the time before, if both are right.
-func (v bookView) age(now time.Time) time.Duration {
-	sinceRead := now.Sub(v.carried.readAt)
-	sinceWritten := now.Round(0).Sub(v.carried.logTime.Round(0))
+// The monotonic time since it was read is a reliable lower bound; the difference
+// of the log's clock and the local one covers the time before, if both are right.
+func (v checkpointView) age(now time.Time) time.Duration {
+	sinceRead := now.Sub(v.stateRecord.readAt)
+	sinceWritten := now.Round(0).Sub(v.stateRecord.logTime.Round(0))
 	return max(sinceRead, sinceWritten)
 }
 
--- a/rules/condition.go
+++ b/rules/condition.go
@@ -12,30 +12,30 @@
 	"github.com/expr-lang/expr/vm"
 )
 
-// conditionError is a fault of an expression; at is the index of the character
-// where it lies.
+// conditionError is an error in an expression; at is the index of the character
+// where it occurs.
 type conditionError struct {
 	at      int
 	message string
 }
 
-// compileCondition checks an expression's types and compiles it. The form is
-// taken before the optimiser rewrites the tree.
-func compileCondition(config *conf.Config, source string) (*vm.Program, form, *conditionError) {
+// compileCondition checks an expression's types and compiles it. The normal form
+// is derived before the optimiser rewrites the tree.
+func compileCondition(config *conf.Config, source string) (*vm.Program, normalForm, *conditionError) {
 	tree, err := checker.ParseCheck(source, config)
 	if err != nil {
-		return nil, form{}, asConditionError(err)
+		return nil, normalForm{}, asConditionError(err)
 	}
 	if fault := findForbidden(tree.Node); fault != nil {
-		return nil, form{}, fault
+		return nil, normalForm{}, fault
 	}
 	f := newForm(tree.Node)
 	if err := optimizer.Optimize(&tree.Node, config); err != nil {
-		return nil, form{}, asConditionError(err)
+		return nil, normalForm{}, asConditionError(err)
 	}
 	program, err := compiler.Compile(tree, config)
 	if err != nil {
-		return nil, form{}, asConditionError(err)
+		return nil, normalForm{}, asConditionError(err)
 	}
 	return program, f, nil
 }
--- a/rules/diff.go
+++ b/rules/diff.go
@@ -18,35 +18,36 @@
 	RuleMoved   ChangeKind = "moved"
 )
 
-// Change is one difference. Rules are told apart by their names.
+// Change is one difference between two sets. Rules are matched by name.
 type Change struct {
 	Kind ChangeKind `json:"kind"`
 	Rule string     `json:"rule"`
-	// From and To are places in the lists, counted from 1; 0 where it has none.
+	// From and To are positions in the two lists, counted from 1; 0 if the rule
+	// isn't in that list.
 	From   int   `json:"from,omitempty"`
 	To     int   `json:"to,omitempty"`
 	Before *Rule `json:"before,omitempty"`
 	After  *Rule `json:"after,omitempty"`
 }
 
-// Diff is what leads from one rule set to another.
+// Diff lists the changes that lead from one rule set to another.
 type Diff []Change
 
-// DiffDocuments compares two documents by their rules; comments don't count. An
+// DiffDocuments compares the rules of two documents and ignores comments. An
 // empty document has no rules. An error is an *InvalidError.
 func DiffDocuments(from, to []byte) (Diff, error) {
-	before, err := readRules(from)
+	before, err := parseRules(from)
 	if err != nil {
 		return nil, err
 	}
-	after, err := readRules(to)
+	after, err := parseRules(to)
 	if err != nil {
 		return nil, err
 	}
 	return DiffRules(before, after), nil
 }
 
-func readRules(document []byte) ([]Rule, error) {
+func parseRules(document []byte) ([]Rule, error) {
 	if len(document) == 0 {
 		return nil, nil
 	}
@@ -62,15 +63,15 @@
 // DiffRules compares two lists of rules with unique names.
 func DiffRules(before, after []Rule) Diff {
 	var diff Diff
-	places := make(map[string]int, len(after))
+	indexes := make(map[string]int, len(after))
 	for i, r := range after {
-		places[r.Name] = i
+		indexes[r.Name] = i
 	}
-	common := make([]int, 0, len(before)) // places in after, in the order of before
+	common := make([]int, 0, len(before)) // indexes in after, in the order of before
 	from := make(map[string]int, len(before))
 	for i := range before {
 		from[before[i].Name] = i
-		if to, kept := places[before[i].Name]; kept {
+		if to, kept := indexes[before[i].Name]; kept {
 			common = append(common, to)
 			continue
 		}
@@ -95,8 +96,8 @@
 	return diff
 }
 
-// longestIncreasing returns the members of a longest increasing subsequence:
-// the rules that kept their order, so that the fewest count as moved.
+// longestIncreasing returns the members of a longest increasing subsequence: the
+// rules that kept their relative order, so that as few as possible count as moved.
 func longestIncreasing(list []int) map[int]bool {
 	length := make([]int, len(list))
 	previous := make([]int, len(list))
@@ -119,7 +120,7 @@
 	return members
 }
 
-// String gives the difference as text, a line for each change or changed part.
+// String returns the difference as text, one line for each change or changed part.
 func (d Diff) String() string {
 	var out strings.Builder
 	for _, c := range d {
--- a/rules/document.go
+++ b/rules/document.go
@@ -11,34 +11,34 @@
 	"github.com/tailscale/hujson"
 )
 
-// Limits of a document. They keep it well within one record of the log and the
-// cost of a match bounded.
+// Limits of a document. They keep it within one record of the log and bound the
+// cost of a match.
 const (
 	MaxDocumentBytes  = 256 << 10
 	MaxRules          = 1000
 	MaxConditionBytes = 4 << 10
 )
 
-// source is a parsed rule with the places of its parts in the document.
-type source struct {
+// ruleSource is a parsed rule with the offsets of its parts in the document.
+type ruleSource struct {
 	rule Rule
-	// at is the offset of the rule, when that of the condition's literal and
-	// raw its bytes.
+	// at is the offset of the rule, when that of the condition's literal, and
+	// raw the bytes of that literal.
 	at   int
 	when int
 	raw  []byte
-	// whole is false if a part is missing or has the wrong type.
-	whole bool
-	// then holds the offset of each member of the consequence that is given.
+	// complete is false if a field is missing or has the wrong type.
+	complete bool
+	// then holds the offset of each field of the consequence that is present.
 	then   map[string]int
 	thenAt int
 }
 
-var hujsonPlace = regexp.MustCompile(`^hujson: line (\d+), column (\d+): (.*)$`)
+var hujsonPosition = regexp.MustCompile(`^hujson: line (\d+), column (\d+): (.*)$`)
 
-// decode reads the document's structure and reports members that are unknown,
-// missing, given twice or of the wrong type.
-func decode(c *collector) []source {
+// decode parses the document's structure and reports fields that are unknown,
+// missing, duplicated or of the wrong type.
+func decode(c *collector) []ruleSource {
 	if len(c.src) > MaxDocumentBytes {
 		c.add(0, "", "the document has %d bytes, more than %d", len(c.src), MaxDocumentBytes)
 		return nil
@@ -65,20 +65,21 @@
 		c.add(list.StartOffset, "", "%d rules, more than %d", len(array.Elements), MaxRules)
 		return nil
 	}
-	sources := make([]source, 0, len(array.Elements))
+	sources := make([]ruleSource, 0, len(array.Elements))
 	for i := range array.Elements {
 		sources = append(sources, decodeRule(c, &array.Elements[i]))
 	}
 	return sources
 }
 
-// parseDocument takes a comment on the last line also if no line end follows.
+// parseDocument appends a newline, as the parser rejects a line comment at the
+// end of the input without one.
 func parseDocument(src []byte) (hujson.Value, error) {
 	return hujson.Parse(slices.Concat(src, []byte("\n")))
 }
 
 func (c *collector) addSyntax(err error) {
-	m := hujsonPlace.FindStringSubmatch(err.Error())
+	m := hujsonPosition.FindStringSubmatch(err.Error())
 	if m == nil {
 		c.add(0, "", "%v", err)
 		return
@@ -92,8 +93,8 @@
 	c.add(offset+column-1, "", "%s", m[3])
 }
 
-func decodeRule(c *collector, v *hujson.Value) source {
-	s := source{at: v.StartOffset, when: v.StartOffset, thenAt: v.StartOffset, then: map[string]int{}}
+func decodeRule(c *collector, v *hujson.Value) ruleSource {
+	s := ruleSource{at: v.StartOffset, when: v.StartOffset, thenAt: v.StartOffset, then: map[string]int{}}
 	d := decoder{c: c}
 	first := len(c.problems)
 	d.object(v, "a rule", map[string]member{
@@ -105,51 +106,51 @@
 		}},
 		"then": {required: true, read: func(v *hujson.Value) { s.decodeThen(&d, v) }},
 	})
-	s.whole = d.failed == 0
+	s.complete = d.failed == 0
 	for i := first; i < len(c.problems); i++ {
 		c.problems[i].Rule = s.rule.Name
 	}
 	return s
 }
 
-func (s *source) decodeThen(d *decoder, v *hujson.Value) {
+func (s *ruleSource) decodeThen(d *decoder, v *hujson.Value) {
 	s.thenAt = v.StartOffset
 	t := &s.rule.Then
-	place := func(name string, read func(v *hujson.Value)) member {
+	recorded := func(name string, read func(v *hujson.Value)) member {
 		return member{read: func(v *hujson.Value) {
 			s.then[name] = v.StartOffset
 			read(v)
 		}}
 	}
-	plain := func(name string, into any) member {
-		return place(name, func(v *hujson.Value) { d.value(v, name, into) })
+	field := func(name string, into any) member {
+		return recorded(name, func(v *hujson.Value) { d.value(v, name, into) })
 	}
 	d.object(v, "then", map[string]member{
-		"pool":        plain("pool", &t.Pool),
-		"priority":    plain("priority", &t.Priority),
-		"deadline_ms": plain("deadline_ms", &t.DeadlineMillis),
-		"protected":   plain("protected", &t.Protected),
-		"retry":       plain("retry", &t.Retry),
-		"class":       plain("class", &t.Class),
-		"refuse": place("refuse", func(v *hujson.Value) {
+		"pool":        field("pool", &t.Pool),
+		"priority":    field("priority", &t.Priority),
+		"deadline_ms": field("deadline_ms", &t.DeadlineMillis),
+		"protected":   field("protected", &t.Protected),
+		"retry":       field("retry", &t.Retry),
+		"class":       field("class", &t.Class),
+		"refuse": recorded("refuse", func(v *hujson.Value) {
 			t.Refuse = &Refusal{}
 			d.object(v, "refuse", map[string]member{
-				"status": plain("status", &t.Refuse.Status),
-				"reason": plain("reason", &t.Refuse.Reason),
+				"status": field("status", &t.Refuse.Status),
+				"reason": field("reason", &t.Refuse.Reason),
 			})
 		}),
-		"limit": place("limit", func(v *hujson.Value) {
+		"limit": recorded("limit", func(v *hujson.Value) {
 			t.Limit = &Limit{}
 			d.object(v, "limit", map[string]member{
-				"requests_per_s": plain("requests_per_s", &t.Limit.RequestsPerSecond),
-				"concurrent":     plain("concurrent", &t.Limit.Concurrent),
-				"per":            plain("per", &t.Limit.Per),
+				"requests_per_s": field("requests_per_s", &t.Limit.RequestsPerSecond),
+				"concurrent":     field("concurrent", &t.Limit.Concurrent),
+				"per":            field("per", &t.Limit.Per),
 			})
 		}),
 	})
 }
 
-// member says how a member of an object is read.
+// member describes how a field of an object is decoded.
 type member struct {
 	required bool
 	read     func(v *hujson.Value)
@@ -165,7 +166,7 @@
 	d.c.add(offset, "", format, args...)
 }
 
-// object reads an object's members, and reports those that aren't in the table.
+// object decodes an object's fields and reports those that aren't in the table.
 func (d *decoder) object(v *hujson.Value, what string, members map[string]member) {
 	object, ok := v.Value.(*hujson.Object)
 	if !ok {
@@ -194,7 +195,7 @@
 	}
 }
 
-// value reads a literal into a string, number or boolean.
+// value decodes a literal into a string, number or boolean.
 func (d *decoder) value(v *hujson.Value, name string, into any) {
 	literal, ok := v.Value.(hujson.Literal)
 	if ok && literal.Kind() != 'n' {
@@ -202,10 +203,10 @@
 			return
 		}
 	}
-	d.fail(v.StartOffset, "%s must be %s", name, wanted(into))
+	d.fail(v.StartOffset, "%s must be %s", name, typeName(into))
 }
 
-func wanted(into any) string {
+func typeName(into any) string {
 	switch into.(type) {
 	case *int:
 		return "a whole number"
--- a/rules/edit.go
+++ b/rules/edit.go
@@ -8,15 +8,15 @@
 	"github.com/tailscale/hujson"
 )
 
-// MoveTarget says where a rule is moved to. Exactly one of its fields is set.
+// MoveTarget is the new position of a moved rule. Exactly one field is set.
 type MoveTarget struct {
 	Before string
 	First  bool
 	Last   bool
 }
 
-// Move returns the document with one rule at another place. Comments that stand
-// before a rule, or behind it on its last line, go with it.
+// Move returns the document with one rule at another position. Comments before
+// the rule, or after it on its last line, move with it.
 func Move(document []byte, name string, to MoveTarget) ([]byte, error) {
 	names, err := ruleNames(document)
 	if err != nil {
@@ -27,18 +27,18 @@
 		return nil, eris.Errorf("rules: no rule %q", name)
 	}
 	if to.Before == name {
-		return nil, eris.Errorf("rules: rule %q can't stand before itself", name)
+		return nil, eris.Errorf("rules: rule %q can't be moved before itself", name)
 	}
 	value, err := parseDocument(document)
 	if err != nil {
-		return nil, eris.Wrap(err, "rules: document can't be read")
+		return nil, eris.Wrap(err, "rules: document can't be parsed")
 	}
 	array := value.Find("/rules").Value.(*hujson.Array)
-	pieces := takeApart(array)
-	moved := pieces[from]
-	pieces = slices.Delete(pieces, from, from+1)
+	rules := splitRules(array)
+	moved := rules[from]
+	rules = slices.Delete(rules, from, from+1)
 	names = slices.Delete(names, from, from+1)
-	at := len(pieces)
+	at := len(rules)
 	if to.First {
 		at = 0
 	} else if !to.Last {
@@ -47,12 +47,12 @@
 	if at < 0 {
 		return nil, eris.Errorf("rules: no rule %q", to.Before)
 	}
-	putTogether(array, slices.Insert(pieces, at, moved))
+	joinRules(array, slices.Insert(rules, at, moved))
 	return bytes.TrimSuffix(value.Pack(), []byte("\n")), nil
 }
 
 func ruleNames(document []byte) ([]string, error) {
-	list, err := readRules(document)
+	list, err := parseRules(document)
 	names := make([]string, len(list))
 	for i, r := range list {
 		names[i] = r.Name
@@ -60,39 +60,39 @@
 	return names, err
 }
 
-// piece is a rule with the comments that belong to it.
-type piece struct {
+// movableRule is a rule with its comments.
+type movableRule struct {
 	value hujson.Value
-	// tail is the rest of the line behind the rule and its comma.
+	// tail is the rest of the line after the rule and its comma.
 	tail hujson.Extra
 }
 
-// takeApart splits the text between two rules at the first line's end: the
-// parser counts all of it to the rule that follows.
-func takeApart(array *hujson.Array) []piece {
+// splitRules splits the text between two rules at the first line break. The
+// parser attributes all of it to the second rule.
+func splitRules(array *hujson.Array) []movableRule {
 	last := len(array.Elements) - 1
-	pieces := make([]piece, len(array.Elements))
+	rules := make([]movableRule, len(array.Elements))
 	for i, element := range array.Elements {
-		pieces[i].value = element
+		rules[i].value = element
 		next := &array.AfterExtra
 		if i < last {
 			next = &array.Elements[i+1].BeforeExtra
 		}
 		if end := bytes.IndexByte(*next, '\n'); end >= 0 {
-			pieces[i].tail = append(hujson.Extra{}, (*next)[:end]...)
+			rules[i].tail = append(hujson.Extra{}, (*next)[:end]...)
 			*next = (*next)[end:]
 		}
 	}
-	return pieces
+	return rules
 }
 
-// putTogether keeps the list's habit of a comma behind its last rule, which the
-// parser's form tells by an AfterExtra that isn't nil.
-func putTogether(array *hujson.Array, pieces []piece) {
+// joinRules writes the rules back into the list. It keeps a trailing comma if
+// there was one, which the parser represents by a non-nil AfterExtra.
+func joinRules(array *hujson.Array, rules []movableRule) {
 	last := len(array.Elements) - 1
 	comma := array.Elements[last].AfterExtra != nil
 	tail := hujson.Extra(nil)
-	for i, p := range pieces {
+	for i, p := range rules {
 		p.value.BeforeExtra = slices.Concat(tail, p.value.BeforeExtra)
 		array.Elements[i] = p.value
 		tail = p.tail
--- a/rules/edit_test.go
+++ b/rules/edit_test.go
@@ -22,7 +22,7 @@
 }
 // end`
 
-func TestMoveTakesCommentsAlong(t *testing.T) {
+func TestMoveKeepsComments(t *testing.T) {
 	moved, err := Move([]byte(commented), "book", MoveTarget{Last: true})
 	require.NoError(t, err)
 	require.Equal(t, `// Spring rules.
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestDiffTellsEachChange(t *testing.T) {
+func TestDiffListsEachChange(t *testing.T) {
 	after := document(
 		rule("rest", "load < 9", toAgronomy),
 		rule("short", "prompt_tokens < 200", `"pool": "agronomy", "class": "short"`),
@@ -78,7 +78,7 @@
 `, diff.String())
 }
 
-func TestPeerStateSurvivesTheWire(t *testing.T) {
+func TestPeerStateRoundTrip(t *testing.T) {
 	want := PeerState{State: State{Version: Version{Offset: 7, Index: 2}, Document: []byte("x")}, Through: journal.Position{Offset: 9}, Settled: true}
 	data, err := msgpack.Marshal(&want)
 	require.NoError(t, err)
--- a/rules/environment.go
+++ b/rules/environment.go
@@ -8,9 +8,9 @@
 	"github.com/expr-lang/expr/conf"
 )
 
-// environment is what a condition's names are typed against. It is handed to
-// the evaluator by value: reflection then reads its fields without copying
-// each to the heap.
+// environment defines the names that a condition may use and their types. It is
+// passed to the evaluator by value: reflection then reads its fields without
+// copying each to the heap.
 type environment struct {
 	Model        string              `expr:"model"`
 	Path         string              `expr:"path"`
@@ -39,9 +39,9 @@
 func noHeader(string) string { return "" }
 
 // allowedBuiltins are the functions a condition may call. Those that loop over
-// collections, read the clock or build large values are left out, so that the
-// cost of a condition is bounded by its length and its result depends on the
-// request alone.
+// collections, read the clock or build large values are excluded, so that the
+// cost of a condition is bounded by its length and its result depends only on
+// the request.
 var allowedBuiltins = []string{
 	"len", "lower", "upper", "trim", "trimPrefix", "trimSuffix", "hasPrefix", "hasSuffix",
 	"indexOf", "lastIndexOf", "abs", "ceil", "floor", "round", "min", "max", "int", "float",
@@ -50,7 +50,7 @@
 // maxConditionNodes bounds the size of a condition's syntax tree.
 const maxConditionNodes = 500
 
-// conditionConfig returns the settings under which conditions are compiled.
+// conditionConfig returns the compiler settings for conditions.
 func conditionConfig() *conf.Config {
 	c := conf.CreateNew()
 	options := []expr.Option{
@@ -69,8 +69,8 @@
 	return c
 }
 
-// lowerHeaderNames turns the names in header("X-Name") into lower case, so that
-// nothing has to be converted when a request comes.
+// lowerHeaderNames converts the names in header("X-Name") to lower case at
+// compile time, so that requests don't have to.
 type lowerHeaderNames struct{}
 
 // Visit implements ast.Visitor.
--- a/rules/fold.go
+++ b/rules/fold.go
@@ -8,21 +8,22 @@
 	"tamarackchute/journal"
 )
 
-// Outcome is what became of a publication.
+// Outcome is the outcome of a publication.
 type Outcome string
 
 // The outcomes of a publication.
 const (
-	// OutcomeAccepted: its document was put in force at its position.
+	// OutcomeAccepted means that the document came into force at its position.
 	OutcomeAccepted Outcome = "accepted"
-	// OutcomeConflict: another version than its base was in force there.
+	// OutcomeConflict means that a version other than its base was in force there.
 	OutcomeConflict Outcome = "conflict"
-	// OutcomeUnknown: the log no longer tells what was in force there.
+	// OutcomeUnknown means that the version in force there can no longer be
+	// determined from the log.
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// Verdict is the result of one publication, the same at each reader that has
-// read up to it.
+// Verdict is the result of one publication. All replicas that decide it reach
+// the same outcome.
 type Verdict struct {
 	ID      string  `json:"id"`
 	Outcome Outcome `json:"outcome"`
@@ -35,42 +36,41 @@
 	Note   string    `json:"note"`
 	At     time.Time `json:"at"`
 	Forced bool      `json:"forced,omitempty"`
-	// Document is what was to be published.
+	// Document is the document that was submitted.
 	Document []byte `json:"-"`
 }
 
-// placedPublish is a publication at its place in the log.
-type placedPublish struct {
+// loggedPublication is a publication at its position in the log.
+type loggedPublication struct {
 	at journal.Position
-	// logTime is the log's clock.
+	// logTime is the time of the record by the log's clock.
 	logTime time.Time
 	Publication
 }
 
-// fold is the state of the rules at a place of the log. Two folds that are
-// settled at one place have equal states, wherever they began to read.
+// fold is the state of the rules at a position of the log. Two folds that are
+// settled at the same position have equal states, wherever they began to read.
 type fold struct {
 	state State
-	// settled says that state is what was in force at through. Otherwise the
-	// reader has missed records, and state is a version that was in force
-	// earlier.
+	// settled reports whether state was in force at through. Otherwise the
+	// reader has missed records, and state was in force at some earlier time.
 	settled bool
-	// through is the position up to which state accounts for the log.
+	// through is the position up to which state reflects the log.
 	through journal.Position
-	// seenFrom is the offset from which on no record was missed.
-	seenFrom infra.Offset
-	// pending are the publications read since seenFrom while not settled.
-	pending []placedPublish
+	// contiguousFrom is the offset since which no record was missed.
+	contiguousFrom infra.Offset
+	// pending are the publications read since contiguousFrom while not settled.
+	pending []loggedPublication
 }
 
 // maxPending bounds the publications kept while the state isn't settled.
 const maxPending = 64
 
 // newFold returns the state before the first record.
-func newFold() fold { return fold{settled: true, seenFrom: 1} }
+func newFold() fold { return fold{settled: true, contiguousFrom: 1} }
 
-// publish folds a publication, and returns the verdicts that became certain.
-func (f *fold) publish(p placedPublish) []Verdict {
+// publish folds a publication and returns the verdicts that can now be reached.
+func (f *fold) publish(p loggedPublication) []Verdict {
 	if !f.through.Less(p.at) {
 		return []Verdict{f.covered(p)}
 	}
@@ -83,9 +83,8 @@
 		f.settled = true
 		return append(verdicts, f.decide(p))
 	case len(f.pending) >= maxPending:
-		// Kept for ever they would fill the memory. To forget them is to have
-		// missed the records so far.
-		f.seenFrom = p.at.Offset + 1
+		// Bound the memory: drop them all and treat the records so far as missed.
+		f.contiguousFrom = p.at.Offset + 1
 		f.pending = append(f.pending, p)
 		return f.dropPending()
 	default:
@@ -94,24 +93,23 @@
 	}
 }
 
-// canForce reports whether a forced publication is certainly accepted although
-// the version in force isn't known: nothing can have been accepted since the
-// record that it names.
-func (f *fold) canForce(p placedPublish) bool {
-	if !p.Force || f.seenFrom > p.Through+1 {
+// canForce reports whether a forced publication is accepted even though the
+// version in force isn't known: nothing can have been accepted since the record
+// that it names.
+func (f *fold) canForce(p loggedPublication) bool {
+	if !p.Force || f.contiguousFrom > p.Through+1 {
 		return false
 	}
-	return !slices.ContainsFunc(f.pending, func(q placedPublish) bool { return q.at.Offset > p.Through })
+	return !slices.ContainsFunc(f.pending, func(q loggedPublication) bool { return q.at.Offset > p.Through })
 }
 
-// decide is the one rule of acceptance. Versions only grow, so a publication
-// that arrives twice, or late, can't be accepted once its base was replaced. A
-// reader that may have missed an earlier copy, which may have been accepted,
-// can't call it a conflict.
-func (f *fold) decide(p placedPublish) Verdict {
+// decide accepts or rejects a publication. Versions only increase, so one that
+// arrives twice or late can't be accepted once its base was replaced. It isn't a
+// conflict if an earlier copy, perhaps accepted, may have been missed.
+func (f *fold) decide(p loggedPublication) Verdict {
 	forced := p.Force && f.state.Version.Offset <= p.Through
 	if !forced && p.Base != f.state.Version {
-		if p.ID == f.state.PublishID || f.seenFrom > p.Through+1 {
+		if p.ID == f.state.PublishID || f.contiguousFrom > p.Through+1 {
 			return f.covered(p)
 		}
 		v := p.verdict(OutcomeConflict)
@@ -127,9 +125,9 @@
 	return v
 }
 
-// covered is the verdict on a publication that the state accounts for already,
-// or a copy of which it may account for.
-func (f *fold) covered(p placedPublish) Verdict {
+// covered returns the verdict on a publication that the state already reflects,
+// or of which it may reflect a copy.
+func (f *fold) covered(p loggedPublication) Verdict {
 	if p.ID == f.state.PublishID {
 		v := p.verdict(OutcomeAccepted)
 		v.Version = f.state.Version
@@ -138,15 +136,15 @@
 	return p.verdict(OutcomeUnknown)
 }
 
-func (p *placedPublish) verdict(o Outcome) Verdict {
+func (p *loggedPublication) verdict(o Outcome) Verdict {
 	return Verdict{
 		ID: p.ID, Outcome: o, Version: Version(p.at), Base: p.Base, Former: p.Base,
 		Author: p.Author, Note: p.Note, At: p.logTime, Forced: p.Force, Document: p.Document,
 	}
 }
 
-// checkpoint folds a checkpoint at its place. It reports false if the
-// checkpoint contradicts a settled state, which is a fault of its writer.
+// checkpoint folds a checkpoint at its position. It returns false if the
+// checkpoint contradicts itself or a settled state, which is a fault of its writer.
 func (f *fold) checkpoint(at journal.Position, c Checkpoint) ([]Verdict, bool) {
 	if !f.through.Less(at) {
 		return nil, true
@@ -162,11 +160,10 @@
 	return f.adopt(c), true
 }
 
-// adopt takes over the state that a settled process had at a place of the log.
-// Publications after that place are then decided as if they were read now. That
-// needs every record since: a checkpoint from before the reader's gap says
-// nothing of what was published in the gap, and only shows that its version was
-// in force once.
+// adopt takes over the state of a settled process and decides the pending
+// publications after its position. That needs every record since: a checkpoint
+// from before a gap in what was read doesn't cover publications in the gap, and
+// only proves that its version was once in force.
 func (f *fold) adopt(c Checkpoint) []Verdict {
 	if f.settled {
 		return nil
@@ -174,7 +171,7 @@
 	if f.state.Version.Less(c.State.Version) {
 		f.state = c.State
 	}
-	if c.Through.Offset < f.seenFrom {
+	if c.Through.Offset < f.contiguousFrom {
 		return nil
 	}
 	f.settled = true
@@ -194,13 +191,13 @@
 	return verdicts
 }
 
-// trimmed notes that records before oldest expired unread. What was published
-// among them can't be known, so the state is no longer settled; it stays as the
-// least that was in force.
+// trimmed handles the expiry of unread records before oldest. Publications among
+// them are unknown, so the state is no longer settled; it stays as a lower bound
+// of the version in force.
 func (f *fold) trimmed(oldest infra.Offset) []Verdict {
-	f.seenFrom = max(f.seenFrom, oldest)
+	f.contiguousFrom = max(f.contiguousFrom, oldest)
 	if f.settled && f.through.Offset >= oldest {
-		return nil // the state was taken over from a process that had read them
+		return nil // the state was adopted from a process that had read them
 	}
 	f.settled = false
 	return f.dropPending()
--- a/rules/form.go
+++ b/rules/form.go
@@ -6,43 +6,43 @@
 	"github.com/expr-lang/expr/ast"
 )
 
-// form is a condition in disjunctive normal form: it holds if all atoms of any
-// of its conjunctions hold. It serves two ends: to find rules that can't be
-// reached, and to decide most conditions without the evaluator.
-type form struct {
-	// known is false if the condition is too large to be taken apart.
+// normalForm is a condition in disjunctive normal form: it holds if all atoms of
+// any conjunction hold. It is used to find unreachable rules and to decide most
+// conditions without the evaluator.
+type normalForm struct {
+	// known is false if the normal form would be too large.
 	known        bool
 	conjunctions []conjunction
-	// total is set if evaluating the condition can't fail.
+	// total reports whether evaluating the condition never fails.
 	total bool
 }
 
 type conjunction []atom
 
-// maxConjunctions bounds the size of a form.
+// maxConjunctions bounds the size of a normal form.
 const maxConjunctions = 16
 
-func newForm(node ast.Node) form {
+func newForm(node ast.Node) normalForm {
 	conjunctions, ok := expand(node, false)
-	return form{known: ok, conjunctions: conjunctions, total: isTotal(node)}
+	return normalForm{known: ok, conjunctions: conjunctions, total: isTotal(node)}
 }
 
 // alwaysHolds reports whether the condition is constantly true.
-func (f form) alwaysHolds() bool {
+func (f normalForm) alwaysHolds() bool {
 	return f.known && slices.ContainsFunc(f.conjunctions, func(c conjunction) bool { return len(c) == 0 })
 }
 
 // neverHolds reports whether the condition is constantly false.
-func (f form) neverHolds() bool { return f.known && len(f.conjunctions) == 0 }
+func (f normalForm) neverHolds() bool { return f.known && len(f.conjunctions) == 0 }
 
-// covers reports whether f holds whenever c does. With several conjunctions
-// that needs a total condition: if one part of "a || b" fails, the whole counts
-// as no match although the other part holds.
-func (f form) covers(c conjunction) bool {
+// covers reports whether f holds whenever c does. With several conjunctions f
+// must be total: if one operand of "a || b" fails, the condition counts as no
+// match although the other operand holds.
+func (f normalForm) covers(c conjunction) bool {
 	if !f.known || (len(f.conjunctions) > 1 && !f.total) {
 		return false
 	}
-	return slices.ContainsFunc(f.conjunctions, func(own conjunction) bool { return own.impliedBy(c) })
+	return slices.ContainsFunc(f.conjunctions, func(d conjunction) bool { return d.impliedBy(c) })
 }
 
 func (c conjunction) impliedBy(other conjunction) bool {
@@ -64,8 +64,8 @@
 	return false
 }
 
-// expand takes a node, or its negation, apart. It reports false if the result
-// would be too large.
+// expand converts a node, or its negation, to disjunctive normal form. It returns
+// false if the result would be too large.
 func expand(node ast.Node, negated bool) ([]conjunction, bool) {
 	switch n := node.(type) {
 	case *ast.BoolNode:
@@ -112,7 +112,7 @@
 	return append(l, r...), len(l)+len(r) <= maxConjunctions
 }
 
-// expandConditional reads "a ? b : c" as "a && b || !a && c".
+// expandConditional expands "a ? b : c" as "a && b || !a && c".
 func expandConditional(n *ast.ConditionalNode, negated bool) ([]conjunction, bool) {
 	yes, ok := expandPair(n.Cond, false, n.Exp1, negated, true)
 	if !ok {
@@ -138,13 +138,13 @@
 	return all, true
 }
 
-// totalOperators can't fail on operands of the types that the check allows.
+// totalOperators never fail on operands that passed the type check.
 var totalOperators = []string{
 	"&&", "and", "||", "or", "==", "!=", "<", ">", "<=", ">=", "in", "matches",
 	"contains", "startsWith", "endsWith", "+", "-", "*", "!", "not",
 }
 
-// totalVisitor looks for nodes whose evaluation can fail.
+// totalVisitor checks for nodes whose evaluation can fail.
 type totalVisitor struct{ total bool }
 
 func isTotal(node ast.Node) bool {
--- a/rules/guard.go
+++ b/rules/guard.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// guard decides one atom straight from the request. A condition is evaluated
-// only if its guards hold, and not at all if it has no other atoms: with
-// hundreds of rules nearly all are passed over by a comparison or two.
+// guard decides one atom directly from the request. A condition is evaluated
+// only if its guards hold, and not at all if it has no other atoms: of hundreds
+// of rules nearly all are then rejected by one or two comparisons.
 type guard struct {
 	kind   atomKind
 	text   textField
@@ -12,7 +12,7 @@
 	values []string
 	bound  float64
 	strict bool
-	// stream is what the request's Stream must be, for atomHolds.
+	// stream is the required value of the request's Stream, for atomBool.
 	stream bool
 }
 
@@ -43,21 +43,22 @@
 	"prompt_tokens": fieldPromptTokens, "output_tokens": fieldOutputTokens, "load": fieldLoad,
 }
 
-// newGuards returns the guards of a condition, and whether they decide it.
-func newGuards(f form) (guards []guard, whole bool) {
+// newGuards returns the guards of a condition, and whether they decide it
+// completely.
+func newGuards(f normalForm) (guards []guard, complete bool) {
 	if !f.known || len(f.conjunctions) != 1 {
 		return nil, false
 	}
-	whole = true
+	complete = true
 	for _, a := range f.conjunctions[0] {
 		g, ok := newGuard(a)
 		if !ok {
-			whole = false
+			complete = false
 			continue
 		}
 		guards = append(guards, g)
 	}
-	return guards, whole
+	return guards, complete
 }
 
 func newGuard(a atom) (guard, bool) {
@@ -69,7 +70,7 @@
 		field, ok := numberFields[a.subject]
 		return guard{kind: a.kind, number: field, bound: a.bound, strict: a.strict}, ok
 	default:
-		return guard{kind: atomHolds, stream: !a.negated}, a.subject == "stream"
+		return guard{kind: atomBool, stream: !a.negated}, a.subject == "stream"
 	}
 }
 
--- a/rules/history.go
+++ b/rules/history.go
@@ -1,13 +1,14 @@
 package rules
 
-// Bounds of what a book remembers of past publications.
+// Limits of what a replica keeps of past publications.
 const (
 	maxHistory       = 100
 	maxHistoryBytes  = 4 << 20
 	maxKnownVerdicts = 1000
 )
 
-// history keeps the latest verdicts, and their documents as far as they fit.
+// history keeps the latest verdicts, and the newest of their documents up to
+// maxHistoryBytes.
 type history struct {
 	verdicts []Verdict // oldest first
 	bytes    int
@@ -34,13 +35,13 @@
 	return list
 }
 
-// verdictCache finds the latest verdicts by the ID of their publication.
+// verdictCache indexes the latest verdicts by publication ID.
 type verdictCache struct {
 	byID  map[string]Verdict
 	order []string
 }
 
-// put keeps the first verdict on an ID: a copy read later is no publication.
+// put keeps the first verdict on an ID; later copies of a publication are ignored.
 func (c *verdictCache) put(v Verdict) {
 	if c.byID == nil {
 		c.byID = map[string]Verdict{}
--- a/rules/inforce.go
+++ b/rules/inforce.go
@@ -15,30 +15,30 @@
 	At     time.Time
 }
 
-// snapshot is a version of the rules, compiled once it is wanted: a reader that
-// catches up passes through many versions that decide no request.
+// snapshot is a version of the rules, compiled on first use: a process that
+// catches up passes through many versions that never decide a request.
 type snapshot struct {
 	state State
 	mu    sync.Mutex
 	done  bool
-	// inForce is what requests get: this version or, if its document doesn't
-	// compile here, the one before.
-	inForce *InForce
-	err     error
-	former  *snapshot
+	// inForce decides requests: this version or, if its document doesn't compile
+	// here, the previous one.
+	inForce  *InForce
+	err      error
+	previous *snapshot
 }
 
-func newSnapshot(s State, former *snapshot) *snapshot {
-	if former != nil {
-		former.shorten()
+func newSnapshot(s State, previous *snapshot) *snapshot {
+	if previous != nil {
+		previous.dropUncompiled()
 	}
-	return &snapshot{state: s, former: former}
+	return &snapshot{state: s, previous: previous}
 }
 
-// resolve compiles the document. A document that another version of this
-// program accepted may not compile here: then the former rules stay in force,
-// for to crash or to refuse everything would be worse, and the error is told.
-// Names of pools aren't checked, as settings may differ while they are changed.
+// resolve compiles the document. One that another release of this program
+// accepted may not compile here: the previous rules then stay in force, as
+// crashing or refusing all requests would be worse, and the error is returned.
+// Pool names aren't checked, as settings differ between instances during a change.
 func (s *snapshot) resolve() (*InForce, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,21 +57,21 @@
 		}
 	} else {
 		s.err = err
-		if s.former != nil {
-			s.inForce, _ = s.former.resolve()
+		if s.previous != nil {
+			s.inForce, _ = s.previous.resolve()
 		}
 	}
-	s.former = nil
+	s.previous = nil
 	return s.inForce, s.err
 }
 
-// shorten keeps the chain of versions that were never compiled short: of those
-// before s, only the last that was compiled is kept.
-func (s *snapshot) shorten() {
+// dropUncompiled shortens the chain of previous versions: of those before s, only
+// the last that was compiled is kept.
+func (s *snapshot) dropUncompiled() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for s.former != nil && !s.former.compiled() {
-		s.former = s.former.former
+	for s.previous != nil && !s.previous.compiled() {
+		s.previous = s.previous.previous
 	}
 }
 
--- a/rules/main_test.go
+++ b/rules/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the generated tests unless one is given.
+// TestMain sets a fixed seed for property-based tests unless one is given.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == "0" {
--- a/rules/pathset/pathset.go
+++ b/rules/pathset/pathset.go
@@ -1,8 +1,7 @@
-// Package pathset holds an ordered rule set whose conditions are a host and the
-// beginning of a path. Rules are ordered by the length of their prefix, longest
-// first, and the first that holds decides, as in package rules; a match costs
-// one map lookup a host and one a level of the path instead of a walk over the
-// whole list, so that sets of thousands of rules stay cheap.
+// Package pathset implements rule sets whose conditions are a host and a path
+// prefix. The rule with the longest matching prefix decides. A match costs one map
+// lookup for the host and one for each level of the path instead of a scan of the
+// list, so that sets of thousands of rules stay cheap.
 package pathset
 
 import (
@@ -11,17 +10,17 @@
 	"time"
 )
 
-// Repeat says how often a request may be run by upstreams.
+// Repeat says whether upstreams may run a request more than once.
 type Repeat uint8
 
-// The kinds of repetition.
+// The values of Repeat.
 const (
-	// Once runs a request at most once: a second run would act a second time.
+	// Once runs a request at most once: a second run would repeat its effects.
 	Once Repeat = iota
 	// Idempotent lets a request run again after any failure.
 	Idempotent
-	// Resumable lets a stream go on at another upstream after the last event
-	// that the caller has.
+	// Resumable lets a stream continue at another upstream after the last event
+	// that the caller received.
 	Resumable
 )
 
@@ -31,32 +30,33 @@
 	Weight float64
 }
 
-// Rule is one entry of the ordered set.
+// Rule is one entry of a set.
 type Rule struct {
 	Name string
 	// Host and Prefix are the condition. Prefix begins and ends with a slash.
 	Host, Prefix string
-	// Targets are the pools that share the rule's requests; one at least.
+	// Targets are the pools that share the rule's requests; at least one.
 	Targets []Target
 	Repeat  Repeat
-	// Stream says that the answer is a series of events.
+	// Stream says that the response is a series of events.
 	Stream bool
-	// Timeout bounds the time to the whole answer; 0 leaves it to the caller.
+	// Timeout bounds the time to the complete response; 0 leaves it to the caller.
 	Timeout time.Duration
-	// Objective is the time within which an answer is worth most; for a stream,
-	// the time to its first event.
+	// Objective is the target latency of a response; for a stream, of its first
+	// event.
 	Objective time.Duration
-	// PauseObjective is the longest pause between the events of a stream.
+	// PauseObjective is the target for the longest pause between the events of a
+	// stream.
 	PauseObjective time.Duration
-	// MaxAttempts is the most upstreams that one request may be sent to.
+	// MaxAttempts bounds the number of upstreams that one request is sent to.
 	MaxAttempts int
-	// Priority ranks rules; 0 is the most urgent.
+	// Priority ranks requests of different rules; 0 is the most urgent.
 	Priority int
-	// SharedPrompts says that requests share the beginnings of their prompts.
+	// SharedPrompts says that requests have common prompt prefixes.
 	SharedPrompts bool
 }
 
-// Pool draws the pool for one request by the targets' weights.
+// Pool returns a pool for one request, chosen at random by the targets' weights.
 func (r *Rule) Pool() string {
 	if len(r.Targets) == 1 {
 		return r.Targets[0].Pool
@@ -74,14 +74,14 @@
 	return r.Targets[len(r.Targets)-1].Pool
 }
 
-// Set is a rule set, ready to match. It never changes.
+// Set is an immutable rule set.
 type Set struct {
 	rules []Rule
 	hosts map[string]map[string]*Rule
 }
 
-// New returns the set of some rules. Of two rules with the same host and prefix
-// the first decides.
+// New returns a set of rules. Of two rules with the same host and prefix, the first
+// is used.
 func New(rules []Rule) *Set {
 	s := &Set{rules: rules, hosts: make(map[string]map[string]*Rule)}
 	for i := range rules {
@@ -98,8 +98,7 @@
 	return s
 }
 
-// Match returns the first rule that holds: of the host's rules, the one whose
-// prefix is the longest beginning of the path.
+// Match returns the rule of the host with the longest prefix of the path.
 func (s *Set) Match(host, path string) (*Rule, bool) {
 	byPrefix := s.hosts[host]
 	for end := strings.LastIndexByte(path, '/'); end >= 0; end = strings.LastIndexByte(path[:end], '/') {
--- a/rules/problem.go
+++ b/rules/problem.go
@@ -9,17 +9,17 @@
 	"unicode/utf8"
 )
 
-// Problem is one fault of a document.
+// Problem is one error in a document.
 type Problem struct {
 	// Line and Column count from 1; a column is one character.
 	Line   int `json:"line"`
 	Column int `json:"column"`
-	// Rule names the rule, if the fault lies in one that has a name.
+	// Rule is the name of the rule that contains the error, if it has one.
 	Rule    string `json:"rule,omitempty"`
 	Message string `json:"message"`
 }
 
-// String gives the problem on one line.
+// String returns the problem as one line.
 func (p Problem) String() string {
 	if p.Rule == "" {
 		return fmt.Sprintf("line %d, column %d: %s", p.Line, p.Column, p.Message)
@@ -27,8 +27,8 @@
 	return fmt.Sprintf("line %d, column %d: rule %q: %s", p.Line, p.Column, p.Rule, p.Message)
 }
 
-// InvalidError says that a document can't be published. It lists every problem
-// found, in the order of the document.
+// InvalidError lists every problem of a document that can't be published, in the
+// order of the document.
 type InvalidError struct {
 	Problems []Problem
 }
@@ -41,7 +41,7 @@
 	return "invalid rules: " + strings.Join(lines, "; ")
 }
 
-// collector gathers the problems of one document.
+// collector collects the problems of one document.
 type collector struct {
 	src      []byte
 	problems []Problem
--- a/rules/publisher.go
+++ b/rules/publisher.go
@@ -10,39 +10,40 @@
 	"tamarackchute/journal"
 )
 
-// Publisher appends publications and tells their verdicts.
+// Publisher appends publications to the log and returns their results.
 type Publisher struct {
-	log   Log
-	book  *Replica
-	known KnownNames
+	log     Log
+	replica *Replica
+	known   KnownNames
 }
 
-// NewPublisher returns a publisher over the log that folds into book.
+// NewPublisher returns a publisher for the log that folds into replica b.
 func NewPublisher(log Log, b *Replica, known KnownNames) *Publisher {
-	return &Publisher{log: log, book: b, known: known}
+	return &Publisher{log: log, replica: b, known: known}
 }
 
-// Result is what became of a publication.
+// Result is the outcome of a publication, for its author.
 type Result struct {
 	ID      string  `json:"id"`
 	Outcome Outcome `json:"outcome"`
 	// Version is the new version if the outcome is accepted.
 	Version Version `json:"version"`
-	// Current is the version in force as far as known here.
+	// Current is the version in force as far as this process knows.
 	Current Version `json:"current"`
-	// Diff leads from the version in force to what was to be published; it is
-	// given with a conflict.
+	// Diff leads from the version in force to the submitted document; it is set
+	// for a conflict.
 	Diff Diff `json:"diff"`
 	// Reason explains an unknown outcome.
 	Reason string `json:"reason,omitempty"`
 }
 
 // Publish checks a document and publishes it. It returns once this process has
-// folded the verdict; the outcome is unknown if ctx ends first. A publication
-// that was sent before, here or elsewhere, keeps its ID and its verdict: so a
-// lost reply is settled by sending it again. An empty ID is replaced by a new
-// one. Errors are *InvalidError and those that match infra.ErrNotWritten:
-// the document is then not published and never will be.
+// folded the verdict; the outcome is unknown if ctx ends first. Publishing again
+// under the same ID, here or elsewhere, returns the first verdict, which resolves
+// a lost reply. An empty ID is replaced by a new one.
+//
+// An error is an *InvalidError or matches infra.ErrNotWritten: the document is
+// then not published and never will be.
 func (p *Publisher) Publish(ctx context.Context, publish Publication) (Result, error) {
 	if err := p.check(publish.Document); err != nil {
 		return Result{}, err
@@ -50,13 +51,13 @@
 	if publish.ID == "" {
 		publish.ID = uuid.NewString()
 	}
-	// Taken before the verdict is looked up: a copy of the publication that was
-	// read later lies behind it.
+	// Read before the verdict is looked up: a copy of the publication that is
+	// folded in between then has a higher offset.
 	publish.Through = p.log.Applied().Offset
-	if v, decided := p.book.Verdict(publish.ID); decided {
+	if v, decided := p.replica.Verdict(publish.ID); decided {
 		return p.result(publish, v), nil
 	}
-	entry := journal.Entry{Kind: journal.KindRules, ID: publish.ID, Body: encodePublish(publish)}
+	entry := journal.Entry{Kind: journal.KindRules, ID: publish.ID, Body: encodePublication(publish)}
 	_, err := p.log.Append(ctx, entry)
 	switch {
 	case err == nil:
@@ -68,8 +69,9 @@
 	}
 }
 
-// check refuses what Parse refuses, and a document that won't fit into a record.
-// One that fits only just would be lost at its first checkpoint, which is larger.
+// check rejects what Parse rejects, and a document that is too large for a record
+// of the log. The limit leaves room for a checkpoint, which is larger: a document
+// that can't be checkpointed would vanish with its record.
 func (p *Publisher) check(document []byte) error {
 	if _, err := Parse(document, p.known); err != nil {
 		return err
@@ -86,8 +88,8 @@
 // await waits for the verdict on a publication that may be in the log.
 func (p *Publisher) await(ctx context.Context, publish Publication) Result {
 	for {
-		changed := p.book.Changed()
-		if v, decided := p.book.Verdict(publish.ID); decided {
+		changed := p.replica.Changed()
+		if v, decided := p.replica.Verdict(publish.ID); decided {
 			return p.result(publish, v)
 		}
 		select {
@@ -101,7 +103,7 @@
 func (p *Publisher) result(publish Publication, v Verdict) Result {
 	r := Result{ID: v.ID, Outcome: v.Outcome}
 	document := []byte(nil)
-	if inForce := p.book.Current(); inForce != nil {
+	if inForce := p.replica.Current(); inForce != nil {
 		r.Current, document = inForce.Version, inForce.Set.Document()
 	}
 	switch v.Outcome {
@@ -116,8 +118,8 @@
 }
 
 func (p *Publisher) unknownReason() string {
-	if p.book.Status().Settled {
+	if p.replica.Status().Settled {
 		return "the log hasn't shown the publication; it may still arrive"
 	}
-	return "records of the log expired unread, so the version in force isn't certain; a checkpoint is awaited"
+	return "records of the log expired unread, so the version in force isn't certain; waiting for a checkpoint"
 }
--- a/rules/publisher_test.go
+++ b/rules/publisher_test.go
@@ -20,41 +20,41 @@
 
 const testRetention = time.Minute
 
-// instance is a process with its journal, book and publisher over a log.
+// instance is a process with its journal, replica and publisher over a log.
 type instance struct {
 	journal   *journal.Journal
-	book      *Replica
+	replica   *Replica
 	publisher *Publisher
 	stop      func()
 }
 
-// cut is a log that can be made unreachable for one process.
-type cut struct {
+// disconnectableLog is a log whose connection can be cut for one process.
+type disconnectableLog struct {
 	infra.Log
 	mu  sync.Mutex
 	off bool
 }
 
-func (c *cut) set(off bool) {
+func (c *disconnectableLog) set(off bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.off = off
 }
 
-func (c *cut) isOff() bool {
+func (c *disconnectableLog) isOff() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.off
 }
 
-func (c *cut) Append(ctx context.Context, data []byte) (infra.Offset, error) {
+func (c *disconnectableLog) Append(ctx context.Context, data []byte) (infra.Offset, error) {
 	if c.isOff() {
 		return 0, infra.ErrUnavailable
 	}
 	return c.Log.Append(ctx, data)
 }
 
-func (c *cut) Read(ctx context.Context, from infra.Offset, limit int, wait time.Duration) (infra.ReadResult, error) {
+func (c *disconnectableLog) Read(ctx context.Context, from infra.Offset, limit int, wait time.Duration) (infra.ReadResult, error) {
 	result, err := c.Log.Read(ctx, from, limit, wait)
 	if c.isOff() {
 		return infra.ReadResult{}, infra.ErrUnavailable
@@ -62,7 +62,7 @@
 	return result, err
 }
 
-// startInstance runs the parts that an entry has for the rules.
+// startInstance starts the components that an entry runs for the rules.
 func startInstance(log infra.Log, slot int) *instance {
 	quiet := slog.New(slog.DiscardHandler)
 	j := journal.New(log, journal.Config{Writer: fmt.Sprint("instance", slot), Retention: testRetention, Logger: quiet})
@@ -74,7 +74,7 @@
 	wg.Go(func() { _ = j.Serve(ctx) })
 	wg.Go(func() { _ = c.Serve(ctx) })
 	stop := sync.OnceFunc(func() { cancel(); wg.Wait() })
-	return &instance{journal: j, book: b, publisher: NewPublisher(j, b, testKnown), stop: stop}
+	return &instance{journal: j, replica: b, publisher: NewPublisher(j, b, testKnown), stop: stop}
 }
 
 func (i *instance) publish(t require.TestingT, base Version, when string) Result {
@@ -85,7 +85,7 @@
 	return r
 }
 
-// expire lets the log forget what is older than its retention.
+// expire trims records that are older than the log's retention.
 func expire(log *journaltest.Log) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -101,11 +101,10 @@
 	}
 }
 
-// Two operators publish at the same time, again and again: each time one of
-// them must win, the other be told, and no instance may show the loser's rules
-// or go back. Order: both edit the version in force and send at once through
-// different instances. Cause of a fault: a decision by time of arrival at an
-// instance instead of by place in the log.
+// Guards against deciding publications by their time of arrival at an instance
+// instead of their position in the log. Two operators repeatedly publish at the same
+// time through different instances: one must win, the other must get a conflict, and
+// no instance may show the loser's rules or go back.
 func TestRacingPublishers(t *testing.T) {
 	const rounds = 1000
 	synctest.Test(t, func(t *testing.T) {
@@ -138,16 +137,15 @@
 			version = results[0].Version
 			time.Sleep(10 * time.Millisecond)
 			for _, i := range instances {
-				require.Equal(t, version, i.book.Current().Version, "round %d", round)
+				require.Equal(t, version, i.replica.Current().Version, "round %d", round)
 			}
 		}
 	})
 }
 
-// An operator is told "unknown" or sees the own change undone by sending it
-// again. Order: the append takes effect, its reply is lost; or nothing was
-// written; or the record arrives after the second try. Cause: a second record
-// that counts as a second publication.
+// Guards against a retried append that counts as a second publication: its operator
+// would get "unknown", or undo later changes by retrying. The append's reply is lost,
+// nothing is written, or the record arrives after the retry.
 func TestLostAppendReply(t *testing.T) {
 	faults := []journaltest.Fault{journaltest.FaultReplyLost, journaltest.FaultLost, journaltest.FaultLate, journaltest.FaultHang}
 	for _, fault := range faults {
@@ -162,21 +160,21 @@
 			require.Equal(t, OutcomeAccepted, result.Outcome)
 			next := b.publish(t, result.Version, "!stream")
 			require.Equal(t, OutcomeAccepted, next.Outcome)
-			// Sent once more, elsewhere, it still has its first verdict.
+			// Published again at another instance, it must get its first verdict.
 			again := Publication{ID: result.ID, Document: document(rule("r", "stream", toAgronomy))}
 			settled, err := b.publisher.Publish(t.Context(), again)
 			require.NoError(t, err)
 			require.Equal(t, OutcomeAccepted, settled.Outcome)
 			time.Sleep(3 * time.Second)
-			require.Equal(t, next.Version, a.book.Current().Version)
-			require.Equal(t, next.Version, b.book.Current().Version)
+			require.Equal(t, next.Version, a.replica.Current().Version)
+			require.Equal(t, next.Version, b.replica.Current().Version)
 		})
 	}
 }
 
-// Rules vanish a while after they were published, though the log works: the
-// record expired. Order: publish, then nothing for many retentions; an instance
-// with empty memory starts. Then the same where nobody was there to repeat them.
+// Guards against rules that vanish when their log record expires: rules are
+// published, then nothing is for many retentions, and a new instance starts. Then the
+// same with no instance running to write checkpoints.
 func TestRulesOutliveRetention(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := journaltest.NewLog()
@@ -191,7 +189,7 @@
 		late := startInstance(log, 5)
 		defer late.stop()
 		time.Sleep(3 * time.Second)
-		require.Equal(t, version, late.book.Current().Version)
+		require.Equal(t, version, late.replica.Current().Version)
 		require.Equal(t, OutcomeAccepted, late.publish(t, version, "!stream").Outcome)
 
 		a.stop()
@@ -202,22 +200,22 @@
 		lost := startInstance(log, 0)
 		defer lost.stop()
 		time.Sleep(20 * time.Second)
-		require.Nil(t, lost.book.Current(), "nothing is known, and that isn't the same as no rules")
+		require.Nil(t, lost.replica.Current(), "the rules are unknown, which isn't the same as no rules")
 		require.Equal(t, OutcomeUnknown, lost.publish(t, Version{}, "stream").Outcome)
 		forced, err := lost.publisher.Publish(t.Context(), Publication{Document: document(rule("r", "load > 1", toAgronomy)), Force: true})
 		require.NoError(t, err)
 		require.Equal(t, OutcomeAccepted, forced.Outcome)
-		require.Equal(t, forced.Version, lost.book.Current().Version)
+		require.Equal(t, forced.Version, lost.replica.Current().Version)
 	})
 }
 
-// An instance comes back after its connection to the log was cut for longer
-// than the retention. It must not go back, nor decide a race that it has seen
-// half of: it asks, and has the rules in force within seconds.
-func TestPartitionedInstanceComesBack(t *testing.T) {
+// An instance reconnects after its connection to the log was cut for longer than
+// the retention. It must neither go back to old rules nor decide a race of which it
+// missed records: it requests a checkpoint and has the rules within seconds.
+func TestPartitionedInstanceCatchesUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := journaltest.NewLog()
-		link := &cut{Log: log}
+		link := &disconnectableLog{Log: log}
 		a, b := startInstance(log, 0), startInstance(link, 1)
 		defer a.stop()
 		defer b.stop()
@@ -229,17 +227,17 @@
 			time.Sleep(testRetention / 10)
 			expire(log)
 		}
-		require.Equal(t, first, b.book.Current().Version, "cut off, it goes on with what it has")
+		require.Equal(t, first, b.replica.Current().Version, "disconnected, it keeps its rules")
 		link.set(false)
 		third := a.publish(t, second, "load > 1").Version
 		time.Sleep(3 * time.Second)
-		require.Equal(t, third, b.book.Current().Version)
-		require.True(t, b.book.Status().Settled)
+		require.Equal(t, third, b.replica.Current().Version)
+		require.True(t, b.replica.Status().Settled)
 	})
 }
 
-// A rule set that only just fits into a record would be in force until its first
-// checkpoint, which is larger and fails, and vanish with its record.
+// Guards against a rule set that barely fits into a record: its checkpoint, which is
+// larger, would fail, and the rules would vanish with their record.
 func TestTooLargeForARecord(t *testing.T) {
 	noise := make([]byte, maxCompressedBytes)
 	_, _ = rand.NewChaCha8([32]byte{1}).Read(noise)
@@ -252,9 +250,9 @@
 	require.Less(t, len(record), 64<<10-2*maxNameBytes-1000)
 }
 
-// An instance starts while the log is down and refuses everything, though its
-// neighbours have the rules. Order: outage, start, a peer's state, the log comes
-// back with a newer publication.
+// Guards against an instance that starts while the log is down and refuses all
+// requests although its peers have the rules. It gets a peer's state, then the log
+// recovers with a newer publication.
 func TestStartDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := journaltest.NewLog()
@@ -265,11 +263,12 @@
 		b := startInstance(log, 1)
 		defer b.stop()
 		time.Sleep(time.Second)
-		require.True(t, b.book.Current().Version.IsZero())
-		require.True(t, b.book.ApplyPeerState(a.book.PeerState(a.journal.Applied())))
-		require.Equal(t, first, b.book.Current().Version)
-		// Between two tries of the journal's writer, which come at multiples of 50
-		// ms: whoever gives up at the instant of one can't know its end.
+		require.True(t, b.replica.Current().Version.IsZero())
+		require.True(t, b.replica.ApplyPeerState(a.replica.PeerState(a.journal.Applied())))
+		require.Equal(t, first, b.replica.Current().Version)
+		// The deadline lies between two attempts of the journal's writer, which
+		// happen at multiples of 50 ms: at the instant of an attempt its outcome
+		// would be unknown.
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second+25*time.Millisecond)
 		defer cancel()
 		_, err := a.publisher.Publish(ctx, Publication{Base: first, Document: document(rule("r", "!stream", toAgronomy))})
@@ -277,8 +276,8 @@
 		log.Outage(false)
 		second := a.publish(t, first, "!stream").Version
 		time.Sleep(3 * time.Second)
-		require.Equal(t, second, b.book.Current().Version)
-		require.Zero(t, b.book.Status().Faults)
-		require.False(t, b.book.ApplyPeerState(PeerState{State: State{Version: first}, Through: journal.Position(first)}))
+		require.Equal(t, second, b.replica.Current().Version)
+		require.Zero(t, b.replica.Status().Faults)
+		require.False(t, b.replica.ApplyPeerState(PeerState{State: State{Version: first}, Through: journal.Position(first)}))
 	})
 }
--- a/rules/record.go
+++ b/rules/record.go
@@ -12,52 +12,52 @@
 	"tamarackchute/journal"
 )
 
-// State is a published rule set as it stands in the log.
+// State is a published rule set with its metadata.
 type State struct {
 	Version Version `json:"version"`
-	// PublishID is the ID of the publication that made the version.
+	// PublishID is the ID of the publication that created the version.
 	PublishID string `json:"publish_id"`
 	Author    string `json:"author"`
 	Note      string `json:"note"`
-	// At is the log's clock when it took the publication.
+	// At is the time of the publication by the log's clock.
 	At       time.Time `json:"at"`
 	Document []byte    `json:"document"`
 }
 
-// Publication asks for a document to be put in force. It is accepted if Base is the
-// version in force at its place in the log; its place is then the new version.
+// Publication requests that a document come into force. It is accepted if Base is
+// the version in force at its position in the log, which becomes the new version.
 type Publication struct {
-	// ID is unique to the publication. Sent twice it counts once.
+	// ID identifies the publication; copies with the same ID count once.
 	ID       string
 	Base     Version
 	Document []byte
 	Author   string
 	Note     string
-	// Through is the last record that its writer had read before it wrote.
+	// Through is the last record that the writer had read before it wrote.
 	Through infra.Offset
-	// Force accepts it also over another version than Base, unless that was
-	// published after Through. It is for operators of a deployment all of whose
-	// instances have missed records, and can't tell what is in force in the log.
+	// Force accepts it even if the version in force isn't Base, unless that was
+	// published after Through. It serves operators of a deployment in which every
+	// instance has missed records and none knows the version in force.
 	Force bool
 }
 
 // Checkpoint repeats the version in force, so that it outlives the log's
-// retention. A reader that has the state ignores it.
+// retention. A replica that already has the state ignores it.
 type Checkpoint struct {
 	State State
-	// Through is the position up to which its writer had folded the log.
+	// Through is the position up to which the writer had folded the log.
 	Through journal.Position
 }
 
-// recordKind tells the entries of journal.KindRules apart. The numbers stand in
-// the log: never reuse one.
+// recordKind distinguishes the entries of journal.KindRules. The numbers are
+// stored in the log: never reuse one.
 type recordKind uint8
 
 const (
-	recordPublish    recordKind = 1
-	recordCheckpoint recordKind = 2
-	// recordAsk asks for a checkpoint.
-	recordAsk recordKind = 3
+	recordPublication recordKind = 1
+	recordCheckpoint  recordKind = 2
+	// recordCheckpointRequest requests a checkpoint from any instance.
+	recordCheckpointRequest recordKind = 3
 )
 
 // record is the body of an entry of journal.KindRules. The ID of a publication
@@ -72,11 +72,11 @@
 	Author    string     `msgpack:"a,omitempty"`
 	Note      string     `msgpack:"n,omitempty"`
 	At        time.Time  `msgpack:"at"`
-	// Document is compressed, as an entry must fit into one record of the log.
+	// Document is compressed, as an entry must fit into one record.
 	Document []byte `msgpack:"d,omitempty"`
 }
 
-// position is a journal.Position without the text form of a Version.
+// position is a journal.Position that isn't encoded as text like a Version.
 type position journal.Position
 
 func encodeBody(r record) []byte {
@@ -87,9 +87,9 @@
 	return body
 }
 
-func encodePublish(p Publication) []byte {
+func encodePublication(p Publication) []byte {
 	return encodeBody(record{
-		Kind: recordPublish, Base: position(p.Base), Force: p.Force, Through: position{Offset: p.Through},
+		Kind: recordPublication, Base: position(p.Base), Force: p.Force, Through: position{Offset: p.Through},
 		Author: p.Author, Note: p.Note, Document: compress(p.Document),
 	})
 }
@@ -102,7 +102,7 @@
 	})
 }
 
-func encodeAsk() []byte { return encodeBody(record{Kind: recordAsk}) }
+func encodeCheckpointRequest() []byte { return encodeBody(record{Kind: recordCheckpointRequest}) }
 
 func decodeBody(body []byte) (record, error) {
 	var r record
@@ -124,21 +124,21 @@
 	}
 }
 
-func (r *record) publish(id string) Publication {
+func (r *record) publication(id string) Publication {
 	return Publication{
 		ID: id, Base: Version(r.Base), Document: r.Document,
 		Author: r.Author, Note: r.Note, Force: r.Force, Through: r.Through.Offset,
 	}
 }
 
-// maxCompressedBytes bounds a document in the log. With the rest of its entry it
-// fits into a record of the journal.
+// maxCompressedBytes bounds a compressed document, so that it fits into a record
+// of the journal together with the rest of its entry.
 const maxCompressedBytes = 48 << 10
 
 func compress(document []byte) []byte { return s2.EncodeBetter(nil, document) }
 
-// decompress refuses what is larger than a document may be, so that a damaged
-// record can't fill the memory.
+// decompress rejects documents larger than MaxDocumentBytes before it allocates
+// them, so that a damaged record can't exhaust the memory.
 func decompress(data []byte) ([]byte, error) {
 	if len(data) == 0 {
 		return nil, nil
--- a/rules/book.go
+++ b/rules/replica.go
@@ -10,40 +10,41 @@
 	"tamarackchute/journal"
 )
 
-// freshRecord is the greatest age of a publication whose document is compiled
-// when it is read. Older ones are compiled when a request wants them.
-const freshRecord = 5 * time.Second
+// maxEagerCompileAge is the greatest age of a publication whose document is
+// compiled when it is folded. Older ones are compiled when a request needs them.
+const maxEagerCompileAge = 5 * time.Second
 
-// ReplicaOptions sets a Book up.
+// ReplicaOptions configures a Replica.
 type ReplicaOptions struct {
-	// Logger takes reports of faults; slog.Default if nil.
+	// Logger receives reports of faults; slog.Default if nil.
 	Logger *slog.Logger
-	// Observe, if set, is called with each verdict, in the order in which they
-	// became certain. It must not call the book.
+	// Observe, if set, is called with each verdict in the order in which they
+	// are reached. It must not call the replica.
 	Observe func(Verdict)
 }
 
-// Replica folds the log's rules entries. It implements journal.Folder and
-// journal.Trimmer; register it for journal.KindRules. Its other methods may be
-// called from any goroutine.
+// Replica is this process's copy of the published rules, built by folding the
+// log's rules entries. It implements journal.Folder and journal.Trimmer;
+// register it for journal.KindRules. Its other methods may be called from any
+// goroutine.
 type Replica struct {
 	options ReplicaOptions
-	// current is what requests get, swapped whole.
+	// current decides requests; it is replaced atomically.
 	current atomic.Pointer[snapshot]
 
 	mu   sync.Mutex
 	fold fold
-	// offered is the newest state that a peer gave, settled the newest that can
-	// stand in for a checkpoint.
-	offered        State
-	settledOffer   *Checkpoint
-	verdicts       verdictCache
-	history        history
-	carried        carried
-	askedAt        time.Time
-	unsettledSince time.Time
-	faults         Faults
-	changed        chan struct{}
+	// peerState is the newest state received from a peer, settledPeerState the
+	// newest one that can replace a checkpoint.
+	peerState        State
+	settledPeerState *Checkpoint
+	verdicts         verdictCache
+	history          history
+	stateRecord      recordTimes
+	requestedAt      time.Time
+	unsettledSince   time.Time
+	faults           Faults
+	changed          chan struct{}
 }
 
 var (
@@ -51,25 +52,24 @@
 	_ journal.Trimmer = (*Replica)(nil)
 )
 
-// carried is when a record that holds the state in force was read last.
-type carried struct {
-	// logTime is by the log's clock, readAt by the reader's.
+// recordTimes are the times of the last record that holds the state in force.
+type recordTimes struct {
+	// logTime is by the log's clock, readAt by this process's.
 	logTime time.Time
 	readAt  time.Time
 }
 
-// Faults counts what a book has met that should never happen.
+// Faults counts events that a correct deployment never produces.
 type Faults struct {
-	// Undecodable counts entries that weren't in the form of a record.
+	// Undecodable counts entries that couldn't be decoded as a record.
 	Undecodable int `json:"undecodable"`
-	// Contradictions counts checkpoints and peers' states that contradict the
-	// log.
+	// Contradictions counts checkpoints and peer states that contradict the log.
 	Contradictions int `json:"contradictions"`
 	// Uncompiled counts versions whose document doesn't compile here.
 	Uncompiled int `json:"uncompiled"`
 }
 
-// NewReplica returns the book of a log that has no rules yet.
+// NewReplica returns a replica of a log that has no rules yet.
 func NewReplica(o ReplicaOptions) *Replica {
 	if o.Logger == nil {
 		o.Logger = slog.Default()
@@ -79,9 +79,9 @@
 	return b
 }
 
-// Current returns the rules in force, or nil if none are known: the log's
-// beginning has expired and no checkpoint or peer has told the state. A process
-// that hasn't caught up yet may still get the zero version, or an old one.
+// Current returns the rules in force, or nil if they aren't known: the beginning
+// of the log has expired, and no checkpoint or peer has supplied the state.
+// Until a process has caught up, it may get the zero version or an old one.
 func (b *Replica) Current() *InForce {
 	s := b.current.Load()
 	if s == nil {
@@ -91,44 +91,44 @@
 	return inForce
 }
 
-// Verdict returns the verdict on a publication, if it was read lately.
+// Verdict returns the verdict on a publication, if it is among the latest.
 func (b *Replica) Verdict(id string) (Verdict, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.verdicts.get(id)
 }
 
-// History returns the verdicts read lately, newest first.
+// History returns the latest verdicts, newest first.
 func (b *Replica) History() []Verdict {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.history.list()
 }
 
-// Changed returns a channel that is closed at the next change of the book.
+// Changed returns a channel that is closed when the replica next changes.
 func (b *Replica) Changed() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.changed
 }
 
-// Status is what a book knows, for operators.
+// Status describes a replica for operators.
 type Status struct {
-	// InForce decides requests. Accepted is the newest version known; it differs
-	// only if its document doesn't compile here, or no rules are known at all.
+	// InForce decides requests. Accepted is the newest known version; the two
+	// differ only if its document doesn't compile here or no rules are known.
 	InForce  Version `json:"in_force"`
 	Accepted Version `json:"accepted"`
-	// Settled is false if records expired unread: publications are then not
-	// decided until a checkpoint comes.
+	// Settled is false if records expired before they were read: publications
+	// are then undecided until a checkpoint arrives.
 	Settled bool   `json:"settled"`
 	Pending int    `json:"pending"`
 	Problem string `json:"problem,omitempty"`
 	Faults  Faults `json:"faults"`
-	// Failures counts conditions of the set in force that failed.
+	// Failures counts evaluations of conditions in force that failed.
 	Failures uint64 `json:"failures"`
 }
 
-// Status returns the book's status.
+// Status returns the replica's status.
 func (b *Replica) Status() Status {
 	var status Status
 	if s := b.current.Load(); s != nil {
@@ -155,42 +155,42 @@
 	defer b.notify()
 	if err != nil {
 		b.faults.Undecodable++
-		b.options.Logger.Error("rules entry can't be read; it is left out", "position", p.Position, "err", err)
+		b.options.Logger.Error("rules entry can't be decoded; ignored", "position", p.Position, "err", err)
 		return
 	}
 	switch r.Kind {
-	case recordPublish:
-		b.applyPublish(p, r.publish(p.Entry.ID))
+	case recordPublication:
+		b.applyPublish(p, r.publication(p.Entry.ID))
 	case recordCheckpoint:
 		b.applyCheckpoint(p, r.checkpoint())
-	case recordAsk:
-		b.askedAt = p.ReadAt
+	case recordCheckpointRequest:
+		b.requestedAt = p.ReadAt
 	}
 }
 
 func (b *Replica) applyPublish(p journal.Placed, publish Publication) {
-	verdicts := b.fold.publish(placedPublish{at: p.Position, logTime: p.At, Publication: publish})
+	verdicts := b.fold.publish(loggedPublication{at: p.Position, logTime: p.At, Publication: publish})
 	if b.fold.state.Version == Version(p.Position) {
-		b.carried = carried{logTime: p.At, readAt: p.ReadAt}
+		b.stateRecord = recordTimes{logTime: p.At, readAt: p.ReadAt}
 	}
-	b.note(verdicts)
-	b.refresh(p.ReadAt.Sub(p.At) < freshRecord)
+	b.recordVerdicts(verdicts)
+	b.refresh(p.ReadAt.Sub(p.At) < maxEagerCompileAge)
 }
 
 func (b *Replica) applyCheckpoint(p journal.Placed, c Checkpoint) {
-	b.askedAt = time.Time{}
+	b.requestedAt = time.Time{}
 	verdicts, consistent := b.fold.checkpoint(p.Position, c)
 	if !consistent {
 		b.faults.Contradictions++
-		b.options.Logger.Error("checkpoint contradicts the log; it is left out", "position", p.Position,
+		b.options.Logger.Error("checkpoint contradicts the log; ignored", "position", p.Position,
 			"writer", p.Entry.Writer, "version", c.State.Version.String(), "own", b.fold.state.Version.String())
 		return
 	}
 	if b.fold.state.Version == c.State.Version {
-		b.carried = carried{logTime: p.At, readAt: p.ReadAt}
+		b.stateRecord = recordTimes{logTime: p.At, readAt: p.ReadAt}
 	}
-	b.note(verdicts)
-	b.refresh(p.ReadAt.Sub(p.At) < freshRecord)
+	b.recordVerdicts(verdicts)
+	b.refresh(p.ReadAt.Sub(p.At) < maxEagerCompileAge)
 }
 
 // Trimmed implements journal.Trimmer.
@@ -198,9 +198,9 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	defer b.notify()
-	b.note(b.fold.trimmed(oldest))
-	if b.settledOffer != nil {
-		b.note(b.fold.adopt(*b.settledOffer))
+	b.recordVerdicts(b.fold.trimmed(oldest))
+	if b.settledPeerState != nil {
+		b.recordVerdicts(b.fold.adopt(*b.settledPeerState))
 	}
 	if !b.fold.settled && b.unsettledSince.IsZero() {
 		b.unsettledSince = time.Now()
@@ -208,8 +208,8 @@
 	b.refresh(true)
 }
 
-// note records verdicts.
-func (b *Replica) note(verdicts []Verdict) {
+// recordVerdicts stores verdicts and passes them to the observer.
+func (b *Replica) recordVerdicts(verdicts []Verdict) {
 	for _, v := range verdicts {
 		b.verdicts.put(v)
 		b.history.add(v)
@@ -222,13 +222,13 @@
 	}
 }
 
-// refresh puts the newest known version in force. The version never falls: a
-// peer's state only stands in until the log has told as much.
+// refresh puts the newest known version in force. The version never decreases: a
+// peer's state applies until the log has reached the same version.
 func (b *Replica) refresh(compile bool) {
 	newest := b.fold.state
-	if newest.Version.Less(b.offered.Version) {
-		newest = b.offered
-		b.checkOffered()
+	if newest.Version.Less(b.peerState.Version) {
+		newest = b.peerState
+		b.checkPeerState()
 	}
 	now := b.current.Load()
 	if newest.Version.IsZero() && !b.fold.settled {
@@ -240,7 +240,7 @@
 	}
 	next := newSnapshot(newest, now)
 	if compile {
-		// Before the swap: no request waits for it.
+		// Compile before the swap, so that no request waits for it.
 		b.compile(next)
 	}
 	b.current.Store(next)
@@ -249,12 +249,12 @@
 func (b *Replica) compile(s *snapshot) {
 	if _, err := s.resolve(); err != nil {
 		b.faults.Uncompiled++
-		b.options.Logger.Error("accepted rules don't compile here; the former stay in force",
+		b.options.Logger.Error("accepted rules don't compile here; the previous rules stay in force",
 			"version", s.state.Version.String(), "err", err)
 	}
 }
 
-// notify wakes those who wait for a change.
+// notify wakes the goroutines that wait on Changed.
 func (b *Replica) notify() {
 	close(b.changed)
 	b.changed = make(chan struct{})
--- a/rules/rules.go
+++ b/rules/rules.go
@@ -1,6 +1,6 @@
-// Package rules holds the operators' ordered rule set: its document form, its
-// check before publication, the match of a request against it, and the fold
-// that gives every instance the same version from the log.
+// Package rules implements the operators' ordered rule set: its document format,
+// validation and publication, matching requests against it, and folding the log so
+// that all instances use the same version.
 //
 // A document is JSON with comments:
 //
@@ -9,12 +9,12 @@
 //	   "then": {"pool": "booking", "protected": true, "deadline_ms": 5000}},
 //	]}
 //
-// The first rule whose condition holds decides. No rule after it is looked at.
+// The first rule whose condition holds decides.
 package rules
 
 import "time"
 
-// Document is a rule set as operators write it.
+// Document is a rule set as written by operators.
 type Document struct {
 	Rules []Rule `json:"rules"`
 }
@@ -25,7 +25,7 @@
 	Name string `json:"name"`
 	// When is the condition: an expression over the request's environment.
 	When string `json:"when"`
-	// Then says what becomes of a request for which When holds.
+	// Then says how a request for which When holds is handled.
 	Then Then `json:"then"`
 }
 
@@ -35,29 +35,31 @@
 	Pool string `json:"pool,omitempty"`
 	// Priority orders work within an upstream: higher goes first.
 	Priority int `json:"priority,omitempty"`
-	// DeadlineMillis bounds the time to the whole answer, in milliseconds; 0
-	// leaves the default of the settings.
+	// DeadlineMillis bounds the time to the complete response, in milliseconds;
+	// 0 means the default of the settings.
 	DeadlineMillis int `json:"deadline_ms,omitempty"`
-	// Protected makes the request run at most once. It needs a caller's
+	// Protected makes the request run at most once. The caller must send an
 	// Idempotency-Key.
 	Protected bool `json:"protected,omitempty"`
-	// Retry says what a retry may repeat; empty means RetryUnsent.
+	// Retry says after which failures a request is retried; empty means
+	// RetryUnsent.
 	Retry RetryClass `json:"retry,omitempty"`
-	// Refuse refuses the request as not run.
+	// Refuse refuses the request without running it.
 	Refuse *Refusal `json:"refuse,omitempty"`
-	// Limit bounds what the rule lets through.
+	// Limit bounds the requests that the rule admits.
 	Limit *Limit `json:"limit,omitempty"`
-	// Class sorts the request for the reserve of engine time; empty leaves it
-	// to the estimated number of tokens.
+	// Class decides whether the request may use the engine time reserved for
+	// short ones; empty means that the estimated number of tokens decides.
 	Class Class `json:"class,omitempty"`
 }
 
-// Deadline returns the time to the whole answer, or 0 if the rule sets none.
+// Deadline returns the bound on the time to the complete response, or 0 if the
+// rule sets none.
 func (t Then) Deadline() time.Duration {
 	return time.Duration(t.DeadlineMillis) * time.Millisecond
 }
 
-// RetryClass returns the retry class in force.
+// RetryClass returns the retry class that applies, with the default filled in.
 func (t Then) RetryClass() RetryClass {
 	if t.Retry == "" {
 		return RetryUnsent
@@ -72,13 +74,13 @@
 const (
 	// RetryNever sends a request once.
 	RetryNever RetryClass = "never"
-	// RetryUnsent sends it again only if no byte of it went out.
+	// RetryUnsent sends it again only if no byte of it was sent.
 	RetryUnsent RetryClass = "unsent"
 	// RetryRepeatable sends it again after any failure; the call is idempotent.
 	RetryRepeatable RetryClass = "repeatable"
 )
 
-// Class sorts requests by the length of their work.
+// Class groups requests by how long they run.
 type Class string
 
 // The classes.
@@ -87,25 +89,25 @@
 	ClassLong  Class = "long"
 )
 
-// Refusal is the answer to a request that a rule refuses.
+// Refusal is the response to a request that a rule refuses.
 type Refusal struct {
 	// Status is the HTTP status, from 400 to 599.
 	Status int `json:"status"`
-	// Reason is told to the caller.
+	// Reason is returned to the caller.
 	Reason string `json:"reason"`
 }
 
-// Limit bounds the requests that a rule lets through on one instance.
+// Limit bounds the requests that a rule admits on one instance.
 type Limit struct {
-	// RequestsPerSecond bounds their rate; 0 leaves it free.
+	// RequestsPerSecond bounds their rate; 0 means no bound.
 	RequestsPerSecond float64 `json:"requests_per_s,omitempty"`
-	// Concurrent bounds those in flight; 0 leaves it free.
+	// Concurrent bounds the requests in flight; 0 means no bound.
 	Concurrent int `json:"concurrent,omitempty"`
-	// Per says whose requests are counted together; empty means LimitAll.
+	// Per says which requests are counted together; empty means LimitAll.
 	Per LimitScope `json:"per,omitempty"`
 }
 
-// LimitScope says whose requests a limit counts together.
+// LimitScope says which requests a limit counts together.
 type LimitScope string
 
 // The scopes of a limit.
@@ -114,7 +116,8 @@
 	LimitOrganisation LimitScope = "organisation"
 )
 
-// Request is what conditions see of a request. Match keeps none of its strings.
+// Request holds the properties of a request that conditions can use. Match
+// retains none of its strings.
 type Request struct {
 	Model        string
 	Path         string
@@ -127,15 +130,15 @@
 	PromptTokens int
 	OutputTokens int
 	DataCentre   string
-	// Load is the work in flight as a share of what the local upstreams can
-	// take: 0 is idle, 1 is full, above 1 requests wait.
+	// Load is the work in flight as a share of the capacity of the local
+	// upstreams: 0 is idle, 1 is full, above 1 requests wait.
 	Load   float64
 	Stream bool
 }
 
 // Decision is the result of a match.
 type Decision struct {
-	// Rule and Index name the rule that matched; "" and -1 if none did.
+	// Rule and Index identify the rule that matched; "" and -1 if none did.
 	Rule  string
 	Index int
 	// Then is the rule's consequence. Without a match it is a refusal.
@@ -143,8 +146,8 @@
 	Matched bool
 }
 
-// NoMatchStatus and NoMatchReason make up the refusal of a request for which no
-// rule holds. Such a request isn't run.
+// NoMatchStatus and NoMatchReason are the refusal of a request for which no rule
+// holds. Such a request isn't run.
 const (
 	NoMatchStatus = 404
 	NoMatchReason = "no rule matches"
@@ -155,7 +158,8 @@
 	Then:  Then{Refuse: &Refusal{Status: NoMatchStatus, Reason: NoMatchReason}},
 }
 
-// KnownNames lists the names that a set may use. A nil list isn't checked.
+// KnownNames lists the names that a rule set may use. A nil list disables the
+// check.
 type KnownNames struct {
 	Pools       []string
 	Models      []string
--- a/rules/set.go
+++ b/rules/set.go
@@ -8,8 +8,7 @@
 	"github.com/expr-lang/expr/vm"
 )
 
-// Set is a checked rule set, ready to match requests. It is safe for use by
-// many goroutines and never changes.
+// Set is a compiled rule set. It is immutable and safe for concurrent use.
 type Set struct {
 	document []byte
 	rules    []Rule
@@ -31,7 +30,7 @@
 	sources := decode(c)
 	s := &Set{document: src}
 	s.machines.New = func() any { return new(vm.VM) }
-	forms := make([]form, len(sources))
+	forms := make([]normalForm, len(sources))
 	config := conditionConfig()
 	for i := range sources {
 		var compiled compiledRule
@@ -47,45 +46,45 @@
 	return s, nil
 }
 
-func compileRule(c *collector, config *conf.Config, s *source, known KnownNames) (compiledRule, form) {
-	if s.whole {
+func compileRule(c *collector, config *conf.Config, s *ruleSource, known KnownNames) (compiledRule, normalForm) {
+	if s.complete {
 		checkThen(c, s, known)
 	}
 	if s.raw == nil || s.raw[0] != '"' {
-		return compiledRule{}, form{}
+		return compiledRule{}, normalForm{}
 	}
 	if len(s.rule.When) > MaxConditionBytes {
 		c.add(s.when, s.rule.Name, "when has %d bytes, more than %d", len(s.rule.When), MaxConditionBytes)
-		return compiledRule{}, form{}
+		return compiledRule{}, normalForm{}
 	}
 	program, f, fault := compileCondition(config, s.rule.When)
 	if fault != nil {
 		c.add(s.when+literalOffset(s.raw, fault.at), s.rule.Name, "when: %s", fault.message)
-		return compiledRule{}, form{}
+		return compiledRule{}, normalForm{}
 	}
 	checkConstants(c, s, known)
-	guards, whole := newGuards(f)
-	if whole {
+	guards, complete := newGuards(f)
+	if complete {
 		program = nil
 	}
 	return compiledRule{guards: guards, program: program}, f
 }
 
-// Document returns the set as it was published. The caller must not change it.
+// Document returns the source of the set. The caller must not change it.
 func (s *Set) Document() []byte { return s.document }
 
 // Rules returns the rules in their order. The caller must not change them.
 func (s *Set) Rules() []Rule { return s.rules }
 
-// Failures counts the conditions that failed when evaluated, such as a division
-// by zero. Each counted as no match.
+// Failures returns how often the evaluation of a condition failed, for example by
+// a division by zero. Each failure counts as no match.
 func (s *Set) Failures() uint64 { return s.failures.Load() }
 
-// Match returns the decision of the first rule that holds. It keeps no
-// reference to the request's strings in the decision.
+// Match returns the decision of the first rule that holds. The decision doesn't
+// refer to the request's strings.
 func (s *Set) Match(r Request) Decision {
 	var e evaluation
-	defer e.end(s)
+	defer e.release(s)
 	for i := range s.compiled {
 		rule := &s.compiled[i]
 		if !rule.guardsHold(&r) {
@@ -108,7 +107,7 @@
 	return true
 }
 
-// evaluation runs programs for one request. Its parts are made when the first
+// evaluation runs programs for one request. It is initialised when the first
 // program runs, as most requests need none.
 type evaluation struct {
 	machine     *vm.VM
@@ -129,9 +128,9 @@
 	return holds
 }
 
-// end gives the machine back. Its stack is emptied first, for it may refer to
-// the request's strings, whose memory the HTTP library reuses.
-func (e *evaluation) end(s *Set) {
+// release returns the machine to the pool. Its stack is cleared first, as it may refer
+// to the request's strings, whose memory the HTTP library reuses.
+func (e *evaluation) release(s *Set) {
 	if e.machine == nil {
 		return
 	}
--- a/rules/set_test.go
+++ b/rules/set_test.go
@@ -16,7 +16,7 @@
 	DataCentres: []string{"cesis-a", "valmiera-b"},
 }
 
-// rule renders one rule on one line.
+// rule returns one rule as JSON on one line.
 func rule(name, when, then string) string {
 	return fmt.Sprintf(`{"name": %q, "when": "%s", "then": {%s}}`, name, strings.ReplaceAll(when, `"`, `\"`), then)
 }
@@ -27,8 +27,8 @@
 
 const toAgronomy = `"pool": "agronomy"`
 
-// Each expected problem is the text that stands at its place, and the message.
-func TestParseReportsEachFaultWithItsPlace(t *testing.T) {
+// Each expected problem is the text at its position, and the message.
+func TestParseReportsPositionOfEachFault(t *testing.T) {
 	cases := []struct {
 		name, document string
 		want           [][2]string
@@ -85,7 +85,7 @@
 			for i, p := range invalid.Problems {
 				require.Equal(t, c.want[i][1], p.Message)
 				text := string([]rune(lines[p.Line-1])[p.Column-1:])
-				require.True(t, strings.HasPrefix(text, c.want[i][0]), "%s: stands at %s", p, text)
+				require.True(t, strings.HasPrefix(text, c.want[i][0]), "%s: points at %s", p, text)
 			}
 		})
 	}
@@ -146,8 +146,7 @@
 	require.Equal(t, &Refusal{Status: 404, Reason: "no rule matches"}, s.Match(Request{Model: "soil"}).Then.Refuse)
 }
 
-// The guards decide most conditions in place of the evaluator, so each verdict
-// must be the evaluator's.
+// The guards decide most conditions instead of the evaluator, so both must agree.
 func TestGuardsAgreeWithTheEvaluator(t *testing.T) {
 	atoms := []string{
 		`model == "a"`, `"b" != model`, `path in ["a", "b"]`, `not (path in ["a"])`, `prompt_tokens > 1`,
@@ -167,12 +166,12 @@
 		}
 		result, err := new(vm.VM).Run(program, newEnvironment(&r))
 		want := err == nil && result.(bool)
-		guards, whole := newGuards(f)
+		guards, complete := newGuards(f)
 		guarded := (&compiledRule{guards: guards}).guardsHold(&r)
-		if whole {
+		if complete {
 			require.Equal(t, want, guarded)
 		}
-		require.False(t, want && !guarded, "a guard passes over a rule that holds")
+		require.False(t, want && !guarded, "the guards reject a condition that holds")
 		require.False(t, want && f.neverHolds())
 		if err == nil {
 			require.False(t, !want && f.alwaysHolds())
@@ -191,7 +190,7 @@
 		}
 		for _, p := range err.(*InvalidError).Problems {
 			if p.Line < 1 || p.Column < 1 || p.Message == "" {
-				t.Fatalf("no place or message: %+v", p)
+				t.Fatalf("no position or message: %+v", p)
 			}
 		}
 	})
--- a/rules/version.go
+++ b/rules/version.go
@@ -10,11 +10,11 @@
 	"tamarackchute/journal"
 )
 
-// Version names a published rule set by the position of its publication in the
-// log. The zero version is that of a deployment without rules.
+// Version identifies a published rule set by the position of its publication in
+// the log. The zero version means a deployment without rules.
 type Version journal.Position
 
-// noVersion is the text of the zero version.
+// noVersion is the text form of the zero version.
 const noVersion = "none"
 
 // Less reports whether v is older than w.
@@ -23,7 +23,7 @@
 // IsZero reports whether v is the version of a deployment without rules.
 func (v Version) IsZero() bool { return v == Version{} }
 
-// String gives the version as operators write it: "1042.0", or "none".
+// String returns the version as operators write it: "1042.0", or "none".
 func (v Version) String() string {
 	if v.IsZero() {
 		return noVersion
@@ -31,7 +31,7 @@
 	return strconv.FormatUint(uint64(v.Offset), 10) + "." + strconv.FormatUint(uint64(v.Index), 10)
 }
 
-// ParseVersion reads what String gives.
+// ParseVersion parses the result of String.
 func ParseVersion(s string) (Version, error) {
 	if s == noVersion {
 		return Version{}, nil
