--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -80,7 +80,7 @@
 // third engine. One poisonous request and ten others, from three instances, are in
 // flight when engine a crashes. All are retried in isolation, and the poisonous one
 // crashes a second engine.
-func TestPoisonAmongInnocents(t *testing.T) {
+func TestOnlyThePoisonousRequestIsQuarantined(t *testing.T) {
 	for poison := range 11 {
 		l := newFakeLog(3)
 		inFlight := make([][]Digest, 3)
@@ -182,12 +182,12 @@
 			iso.End(background, true)
 			crash(l.guards[1], "c", "1")
 		}, Suspected},
-		{"completed recently, so probably not the cause", func(l *fakeLog) {
+		{"succeeded recently, so probably not the cause", func(l *fakeLog) {
 			l.guards[0].Answered(d)
 			crash(l.guards[0], "a", "1")
 			crash(l.guards[0], "b", "1")
 		}, Clean},
-		{"completed recently, but three crashes", func(l *fakeLog) {
+		{"succeeded recently, but three crashes", func(l *fakeLog) {
 			l.guards[0].Answered(d)
 			for _, u := range []string{"a", "b", "c"} {
 				crash(l.guards[0], u, "1")
@@ -246,7 +246,7 @@
 		require.Equal(t, Clean, statusOf(g, freed))
 	}
 	l.at = l.at.Add(31 * time.Minute)
-	require.Equal(t, Clean, statusOf(late, bad), "a checkpoint doesn't extend the quarantine")
+	require.Equal(t, Clean, statusOf(late, bad), "a checkpoint does not prolong it")
 }
 
 // An engine crashes while the log is down. Its requests must become suspects in
@@ -348,7 +348,7 @@
 
 // All processes that have folded the same entries must refuse the same requests,
 // and the state must stay bounded whatever is reported.
-func TestFoldIsAlikeAndBounded(t *testing.T) {
+func TestFoldIsDeterministicAndBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := DefaultConfig()
 		cfg.MaxDigests = 5
