--- a/rolepolicy/balance_test.go
+++ b/rolepolicy/balance_test.go
@@ -9,17 +9,18 @@
 	"tamarackchute/upstream"
 )
 
-// picture is of engines that read beside generating at less than half the speed, and
-// are out of service for 3 s when they change. Demand and load are in engines.
-func picture(prefill, decode int, demand, generating float64) Pool {
+// testPool returns a pool whose decode engines prefill at less than half the rate, and
+// whose engines are out of service for 3 s when they change. Demand and load are in
+// engines.
+func testPool(prefill, decode int, demand, decodeLoad float64) Pool {
 	return Pool{
 		Prefill: prefill, Decode: decode, ConcurrentPrefillRate: 0.44, SwitchTime: 3 * time.Second,
-		PrefillDemand: demand, DecodeLoad: generating,
+		PrefillDemand: demand, DecodeLoad: decodeLoad,
 	}
 }
 
-// decideFor asks every half second while a picture lasts and returns the first
-// change and when it came.
+// decideFor calls Decide every half second for a duration and returns the first
+// change and its time.
 func decideFor(b *Balancer, p Pool, d time.Duration) (Change, time.Duration, bool) {
 	start := time.Unix(1000, 0)
 	for t := time.Duration(0); t <= d; t += 500 * time.Millisecond {
@@ -30,17 +31,17 @@
 	return Change{}, 0, false
 }
 
-// A release has replaced all engines that read prompts by ones that generate.
-// Every prompt is read beside streams until some change: soon.
-func TestLackOfPrefillEnginesIsMended(t *testing.T) {
-	c, after, ok := decideFor(NewBalancer(DefaultBalancerConfig()), picture(0, 8, 2.2, 2.5), 5*time.Second)
+// All prefill engines were replaced by decode engines, so that all prompts compete
+// with streams. Some engines must change soon.
+func TestAddsPrefillEngines(t *testing.T) {
+	c, after, ok := decideFor(NewBalancer(DefaultBalancerConfig()), testPool(0, 8, 2.2, 2.5), 5*time.Second)
 	require.True(t, ok)
 	require.Equal(t, upstream.RolePrefill, c.To)
 	require.LessOrEqual(t, after, 2*time.Second)
 }
 
-// A burst of prompts that is over within two seconds isn't worth an engine's
-// absence of several.
+// A burst of prompts that ends within two seconds isn't worth a role change, which
+// takes an engine out of service for longer.
 func TestShortBurstsChangeNothing(t *testing.T) {
 	b := NewBalancer(DefaultBalancerConfig())
 	now := time.Unix(1000, 0)
@@ -50,7 +51,7 @@
 			if i >= 4 {
 				demand = 1.1
 			}
-			_, ok := b.Decide(picture(3, 5, demand, 0.8), now)
+			_, ok := b.Decide(testPool(3, 5, demand, 0.8), now)
 			require.False(t, ok)
 			now = now.Add(500 * time.Millisecond)
 		}
@@ -58,36 +59,35 @@
 }
 
 func TestSteadyMixChangesNothing(t *testing.T) {
-	_, _, ok := decideFor(NewBalancer(DefaultBalancerConfig()), picture(3, 5, 2.7, 2.1), time.Minute)
+	_, _, ok := decideFor(NewBalancer(DefaultBalancerConfig()), testPool(3, 5, 2.7, 2.1), time.Minute)
 	require.False(t, ok)
 }
 
-// Streams have no room left: an engine goes back to generating.
-func TestStreamsWithoutRoom(t *testing.T) {
-	c, _, ok := decideFor(NewBalancer(DefaultBalancerConfig()), picture(4, 4, 2.2, 3.9), 5*time.Second)
+// The decode engines have no room left: an engine must change back to decode.
+func TestAddsDecodeEngines(t *testing.T) {
+	c, _, ok := decideFor(NewBalancer(DefaultBalancerConfig()), testPool(4, 4, 2.2, 3.9), 5*time.Second)
 	require.True(t, ok)
 	require.Equal(t, upstream.RoleDecode, c.To)
 }
 
-// Engines that generate are taken away while others have been changed to read
-// prompts. One is left for all streams: an engine must go back, though that one
-// isn't full by a little.
-func TestTooFewEnginesGenerate(t *testing.T) {
-	c, after, ok := decideFor(NewBalancer(DefaultBalancerConfig()), picture(4, 1, 4.4, 0.8), 5*time.Second)
+// Decode engines are removed after others have changed to prefill, and one is left
+// for all streams. An engine must change back although that one isn't quite full.
+func TestTooFewDecodeEngines(t *testing.T) {
+	c, after, ok := decideFor(NewBalancer(DefaultBalancerConfig()), testPool(4, 1, 4.4, 0.8), 5*time.Second)
 	require.True(t, ok)
 	require.Equal(t, upstream.RoleDecode, c.To)
 	require.LessOrEqual(t, after, 2500*time.Millisecond)
-	_, _, ok = decideFor(NewBalancer(DefaultBalancerConfig()), picture(3, 2, 2.2, 0.8), 5*time.Second)
+	_, _, ok = decideFor(NewBalancer(DefaultBalancerConfig()), testPool(3, 2, 2.2, 0.8), 5*time.Second)
 	require.False(t, ok)
 }
 
-// However many prompts wait, enough engines go on generating for the load that there
-// is and for the loss of one, and only few change at a time.
+// However many prompts wait, there must stay enough decode engines for the present
+// load and for the loss of one, and only few may change concurrently.
 func TestBoundsOfChanges(t *testing.T) {
 	cfg := DefaultBalancerConfig()
 	for _, load := range []float64{0, 0.5, 1.3, 2.9, 4.4} {
 		for prefill := 0; prefill <= 8; prefill++ {
-			c, _, ok := decideFor(NewBalancer(cfg), picture(prefill, 8-prefill, 20, load), time.Minute)
+			c, _, ok := decideFor(NewBalancer(cfg), testPool(prefill, 8-prefill, 20, load), time.Minute)
 			if ok && c.To == upstream.RolePrefill {
 				left := float64(8 - prefill - 1)
 				require.GreaterOrEqual(t, left, 2.0)
@@ -95,20 +95,20 @@
 			}
 		}
 	}
-	busy := picture(1, 7, 20, 0)
+	busy := testPool(1, 7, 20, 0)
 	busy.Changing = 2
 	_, _, ok := decideFor(NewBalancer(DefaultBalancerConfig()), busy, time.Minute)
 	require.False(t, ok)
 }
 
-// A pool of ninety engines has a third of the readers that its prompts need, and
-// refuses half of them, while its streams fill a quarter of the others. No change is
-// ever made: one engine more adds less than a share of what ninety do. The shortage
-// must end within seconds, and the streams must keep their room.
+// Guards against a minimum gain relative to the pool, which one of ninety engines
+// never reaches: with a third of the prefill engines that the prompts need, and
+// decode engines at a quarter of their capacity, no change would ever be made. The
+// shortage must end within seconds, and the streams must keep their room.
 func TestLargePoolsChangeToo(t *testing.T) {
 	cfg := DefaultBalancerConfig()
 	b := NewBalancer(cfg)
-	p := picture(32, 58, 90, 14)
+	p := testPool(32, 58, 90, 14)
 	now := time.Unix(1000, 0)
 	for range 20 {
 		if c, ok := b.Decide(p, now); ok {
@@ -123,9 +123,9 @@
 	require.LessOrEqual(t, p.DecodeLoad, cfg.LowWatermark*float64(p.Decode))
 }
 
-// Demand that rises and falls within seconds moves no more engines than it needed
-// all the while: the highest of a second is no measure of the next minute.
-func TestChangesFollowTheLeastDemandOfTheirTime(t *testing.T) {
+// Demand that rises and falls within seconds must change no more engines than its
+// minimum requires: a peak of one second doesn't predict the next minute.
+func TestChangesFollowMinimumDemand(t *testing.T) {
 	b := NewBalancer(DefaultBalancerConfig())
 	now := time.Unix(1000, 0)
 	for i := range 20 {
@@ -133,7 +133,7 @@
 		if i%2 == 0 {
 			demand = 80
 		}
-		if c, ok := b.Decide(picture(32, 58, demand, 14), now); ok {
+		if c, ok := b.Decide(testPool(32, 58, demand, 14), now); ok {
 			require.LessOrEqual(t, c.Engines, 8)
 			return
 		}
--- a/rolepolicy/baselines.go
+++ b/rolepolicy/baselines.go
@@ -9,33 +9,33 @@
 	"tamarackchute/upstream"
 )
 
-// Fixed changes nothing: the engines keep the roles of the settings.
+// Fixed is a policy without changes: the engines keep the roles of the settings.
 type Fixed struct{}
 
 // Decide returns no decision.
 func (Fixed) Decide(State, time.Time) []Decision { return nil }
 
-// Split is how many engines of the whole fleet have each role.
+// Split is the number of engines of the fleet in each role.
 type Split struct {
 	Prefill int `json:"prefill"`
 	Decode  int `json:"decode"`
 	Mixed   int `json:"mixed"`
 }
 
-// Total is the number of engines in the split.
+// Total returns the number of engines in the split.
 func (s Split) Total() int { return s.Prefill + s.Decode + s.Mixed }
 
-// Step is a split that holds from a time on.
+// Step is a split that applies from a time on.
 type Step struct {
 	At    time.Time
 	Split Split
 }
 
-// Plan is a list of steps in order of time.
+// Plan is a list of steps.
 type Plan []Step
 
 // Schedule follows a plan made with the mix known in advance. It is the upper
-// bound in experiments and serves deployments whose day never varies.
+// bound in experiments and suits deployments with the same load every day.
 type Schedule struct {
 	plan Plan
 }
@@ -47,7 +47,7 @@
 	return &Schedule{plan: sorted}
 }
 
-// Decide changes each engine of the data centre whose role is not the plan's.
+// Decide changes each engine of the data centre whose role differs from the plan.
 func (p *Schedule) Decide(s State, now time.Time) []Decision {
 	step, ok := p.current(now)
 	if !ok {
@@ -75,12 +75,11 @@
 	return Step{}, false
 }
 
-// Assign gives each engine a role, in the order of the argument. Every leader
-// that knows the same engines comes to the same result, and two splits differ
-// in as few engines as their counts allow. Data centres are dealt out in turn,
-// so that none of them is left with one role alone.
+// Assign returns the role of each engine, in the order of the argument. Leaders
+// that know the same engines get the same result, and two splits differ in as few
+// engines as their counts allow. Each role is spread over the data centres.
 func (s Split) Assign(engines []Engine) []upstream.Role {
-	order := dealt(engines)
+	order := interleaved(engines)
 	roles := make([]upstream.Role, len(engines))
 	for place, i := range order {
 		switch {
@@ -95,9 +94,9 @@
 	return roles
 }
 
-// dealt orders engines by their rank within the data centre, then by data
-// centre.
-func dealt(engines []Engine) []int {
+// interleaved returns the indexes of the engines, ordered by their rank within the
+// data centre, then by data centre.
+func interleaved(engines []Engine) []int {
 	byName := make([]int, len(engines))
 	for i := range byName {
 		byName[i] = i
@@ -116,24 +115,24 @@
 	return byName
 }
 
-// Threshold is the usual rule of thumb: where one kind of work waits in the
-// engines' reports and the other doesn't, one engine goes over. It looks at
-// reported load alone, without forecast, cost or dwell.
+// Threshold is the common heuristic: if the engines report a high load of one kind
+// of work and not of the other, it changes one engine. It uses only the reported
+// load, without forecast, cost or dwell time.
 type Threshold struct {
 	maxAtOnce int
 	maxAge    time.Duration
 }
 
 // thresholdLoad is the load, as a share of capacity, above which a kind of work
-// is short of engines, and below which it can give one away.
+// needs more engines, and below which it can release one.
 const thresholdLoad = 0.8
 
-// NewThreshold returns the policy; it uses MaxAtOnce and MaxPictureAge alone.
+// NewThreshold returns the policy. Of c it uses only MaxAtOnce and MaxReportAge.
 func NewThreshold(c Config) *Threshold {
 	return &Threshold{maxAtOnce: max(1, c.MaxAtOnce), maxAge: c.MaxReportAge}
 }
 
-// Decide moves one engine of the data centre if the reports ask for it.
+// Decide changes one engine of the data centre if the reports call for it.
 func (p *Threshold) Decide(s State, _ time.Time) []Decision {
 	var prefill, decode, changing float64
 	var count float64
@@ -165,7 +164,7 @@
 	return nil
 }
 
-// move picks the first engine in service that doesn't have the role yet.
+// move changes the first engine in service that doesn't have the role yet.
 func (p *Threshold) move(s State, to upstream.Role, prefill, decode float64) []Decision {
 	for _, e := range s.Engines {
 		if e.DataCentre != s.DataCentre || e.Changing || !e.InService || e.Role == to {
@@ -177,7 +176,7 @@
 	return nil
 }
 
-// prefillLoad is the seconds of prompt that wait in the engine, 1 at most.
+// prefillLoad is the engine's queued prefill in seconds, at most 1.
 func prefillLoad(e Engine) float64 {
 	if e.Reported.Prefill <= 0 {
 		return 0
@@ -185,7 +184,7 @@
 	return min(1, float64(e.QueuedPrompt)/e.Reported.Prefill)
 }
 
-// decodeLoad is the share of the batch in use, 1 at most.
+// decodeLoad is the share of the batch in use, at most 1.
 func decodeLoad(e Engine) float64 {
 	if e.MaxBatch <= 0 {
 		return 0
--- a/rolepolicy/capacity.go
+++ b/rolepolicy/capacity.go
@@ -6,7 +6,7 @@
 	"tamarackchute/upstream"
 )
 
-// roleIndex orders the roles for arrays.
+// roleIndex is the index of a role in arrays.
 type roleIndex int
 
 const (
@@ -16,7 +16,7 @@
 	roleCount
 )
 
-// roleNames gives the role of an index.
+// roleNames maps indexes to roles.
 var roleNames = [roleCount]upstream.Role{upstream.RolePrefill, upstream.RoleDecode, upstream.RoleMixed}
 
 // indexOf returns the index of a role; an unknown role counts as mixed.
@@ -31,11 +31,11 @@
 	}
 }
 
-// rateTable is what one engine serves in each role.
+// rateTable holds the rates of one engine in each role.
 type rateTable [roleCount]Rates
 
-// priorTable holds the shares of an engine's best rates that each role gives,
-// until reports have shown better: a prefill engine decodes at a quarter.
+// priorTable holds the rates in each role as shares of an engine's best rates,
+// assumed until reports are available.
 var priorTable = rateTable{
 	prefill: {Prefill: 1, Decode: 0.25},
 	decode:  {Prefill: 0.25, Decode: 1},
@@ -49,8 +49,8 @@
 
 func newLearner() learner { return learner{seen: map[string]*rateTable{}} }
 
-// observe takes in an engine's report. An engine in the middle of a change
-// reports rates that belong to neither role.
+// observe records an engine's report. Reports during a role change are ignored, as
+// their rates belong to neither role.
 func (l learner) observe(e Engine) {
 	if e.Changing || !e.InService || e.Reported.Prefill <= 0 || e.Reported.Decode <= 0 {
 		return
@@ -63,7 +63,7 @@
 	t[indexOf(e.Role)] = e.Reported
 }
 
-// forget drops the engines that are not in the picture any more.
+// forget drops the engines that no longer exist.
 func (l learner) forget(engines []Engine) {
 	if len(l.seen) <= len(engines) {
 		return
@@ -79,10 +79,10 @@
 	}
 }
 
-// rates returns the table for a group of engines: per role the median of what
-// was reported, which one engine with wrong figures doesn't move; a role that
-// nobody has reported is worked out from the others by the prior table. It
-// returns false if no engine has reported any rate.
+// rates returns the table for a group of engines: for each role the median of the
+// reported rates, which is robust against an engine that reports wrong values. A
+// role without reports is derived from the others with the prior table. It returns
+// false if no engine has reported any rate.
 func (l learner) rates(engines []Engine) (rateTable, bool) {
 	var reported [roleCount]struct{ p, d []float64 }
 	var base struct{ p, d []float64 }
@@ -122,12 +122,12 @@
 	return v[len(v)/2]
 }
 
-// counts is how many engines have each role.
+// counts is the number of engines in each role.
 type counts [roleCount]int
 
 func (c counts) total() int { return c[prefill] + c[decode] + c[mixed] }
 
-// capacity is what a group serves of each kind of work if it does nothing else.
+// capacity returns a group's rate for each kind of work if it does no other.
 func (t *rateTable) capacity(c counts) Rates {
 	var sum Rates
 	for r := range roleCount {
@@ -138,49 +138,50 @@
 }
 
 const (
-	// usable is the share of its reported rates that an engine reaches with
-	// answers that come in time: its batch is seldom full, prompts wait for
-	// decode steps, and above it queues grow faster than the deadlines allow.
-	usable = 0.7
-	// lending is the share of its weaker rate that an engine set up for the
-	// other kind of work reaches: what it does so slowly is often late.
-	lending = 0.5
+	// usableShare is the share of its reported rates that an engine reaches with
+	// responses within the deadline: its batch is seldom full, prefill waits for
+	// decode steps, and at higher rates queues grow faster than deadlines allow.
+	usableShare = 0.7
+	// offRoleShare is the share of that rate that an engine reaches in the kind of
+	// work that its role isn't meant for: such slow work is often late.
+	offRoleShare = 0.5
 )
 
-// effective is what an engine of a role serves in time of each kind of work.
+// effective returns the rates at which an engine of a role serves each kind of
+// work within the deadline.
 func (t *rateTable) effective(r roleIndex) Rates {
-	e := Rates{Prefill: usable * t[r].Prefill, Decode: usable * t[r].Decode}
+	e := Rates{Prefill: usableShare * t[r].Prefill, Decode: usableShare * t[r].Decode}
 	switch r {
 	case prefill:
-		e.Decode *= lending
+		e.Decode *= offRoleShare
 	case decode:
-		e.Prefill *= lending
+		e.Prefill *= offRoleShare
 	}
 	return e
 }
 
-// byAdvantage orders the roles by how much better they are at prefill than at
-// decode; routing gives prefill to the first and decode to the last.
+// byAdvantage orders the roles by their advantage at prefill over decode; routing
+// sends prefill to the first and decode to the last.
 var byAdvantage = [roleCount]roleIndex{prefill, mixed, decode}
 
-// served is the share of the demanded requests that the roles can answer in
-// time. An engine divides its time between the two kinds of work, and each
-// request needs both. Routing fills the roles by their advantage, so that at
-// most one role has to divide its time; that role is searched for.
+// served returns the share of the demanded requests that the engines can complete
+// within the deadline. Each request needs both kinds of work. Routing fills the
+// roles in the order of their advantage, so that at most one role divides its time
+// between the two; the loop finds that role.
 func (t *rateTable) served(c counts, demand Rates) float64 {
 	if demand.Prefill <= 0 && demand.Decode <= 0 {
 		return 1
 	}
-	// a and b are the capacity for prefill and decode as multiples of the
-	// demand, the first roles working on prefill alone.
+	// a and b are the capacities for prefill and decode as multiples of the
+	// demand, if the roles visited so far only prefill and the others only decode.
 	a, b := 0.0, 0.0
 	for r := range roleCount {
-		b += over(float64(c[r])*t.effective(r).Decode, demand.Decode)
+		b += multipleOf(float64(c[r])*t.effective(r).Decode, demand.Decode)
 	}
 	for _, r := range byAdvantage {
 		e := t.effective(r)
-		da := over(float64(c[r])*e.Prefill, demand.Prefill)
-		db := over(float64(c[r])*e.Decode, demand.Decode)
+		da := multipleOf(float64(c[r])*e.Prefill, demand.Prefill)
+		db := multipleOf(float64(c[r])*e.Decode, demand.Decode)
 		if a+da >= b-db {
 			if da+db <= 0 {
 				return min(1, a, b)
@@ -193,16 +194,16 @@
 	return min(1, a)
 }
 
-// enough stands for more capacity than any demand can use.
-const enough = 1e9
+// unlimited is a multiple larger than any that matters.
+const unlimited = 1e9
 
-// over is a capacity as a multiple of the demand.
-func over(capacity, demand float64) float64 {
+// multipleOf returns a capacity as a multiple of the demand.
+func multipleOf(capacity, demand float64) float64 {
 	if demand <= 0 {
 		if capacity <= 0 {
 			return 0
 		}
-		return enough
+		return unlimited
 	}
 	return capacity / demand
 }
--- a/rolepolicy/choose.go
+++ b/rolepolicy/choose.go
@@ -8,12 +8,12 @@
 	"tamarackchute/upstream"
 )
 
-// patience is how many change times a leader waits for another data centre's
-// leader to make the change that is its turn.
-const patience = 3
+// maxOverdueChanges is how many mean change durations a leader waits for another
+// data centre's leader to make the change that is its turn.
+const maxOverdueChanges = 3
 
-// choose names the engines for the plan's first steps and keeps those of this
-// data centre.
+// choose selects engines for the first steps of the plan and returns the decisions
+// for those of this data centre.
 func (g *Gain) choose(sit situation, found plan, engines []Engine, centre string, now time.Time, room int) []Decision {
 	var out []Decision
 	taken := map[string]bool{}
@@ -56,9 +56,9 @@
 	return busy
 }
 
-// candidate picks the engine whose turn it is: from the data centre with the
-// fewest changes going on, then the one that changed longest ago, then by
-// name. It passes over engines whose own leader has let its turn go by.
+// candidate returns the engine whose turn it is: from the data centre with the
+// fewest ongoing changes, then the one that changed longest ago, then by name. It
+// skips engines whose leader has missed its turn.
 func (g *Gain) candidate(engines []Engine, role upstream.Role, centre string,
 	taken map[string]bool, busy map[string]int, now time.Time) (Engine, bool) {
 	var free []Engine
@@ -79,26 +79,26 @@
 	return Engine{}, false
 }
 
-// free is whether the engine may change now.
+// free reports whether the engine may change now.
 func (g *Gain) free(e Engine, now time.Time) bool {
 	return !e.Changing && e.InService &&
 		(e.LastChange.IsZero() || now.Sub(e.LastChange) >= g.c.Dwell)
 }
 
-// overdue is whether another data centre's engine has been the candidate for
-// so long that its leader evidently won't change it: that leader is cut off or
-// sees another picture.
+// overdue reports whether another data centre's engine has been the candidate for
+// so long that its leader evidently won't change it: that leader is partitioned or
+// has a different view.
 func (g *Gain) overdue(name string, now time.Time) bool {
 	since, ok := g.chosen[name]
 	if !ok {
 		g.chosen[name] = now
 		return false
 	}
-	return now.Sub(since) > patience*g.changes.mean
+	return now.Sub(since) > maxOverdueChanges*g.changes.mean
 }
 
-// forgetChosen drops the engines that are no candidates any more. One that was
-// passed over as overdue gets its turn again at the next decision.
+// forgetChosen drops the engines that are no longer candidates. One that was
+// skipped as overdue gets its turn again at the next decision.
 func (g *Gain) forgetChosen(taken map[string]bool) {
 	for name := range g.chosen {
 		if !taken[name] {
--- a/rolepolicy/config.go
+++ b/rolepolicy/config.go
@@ -6,28 +6,28 @@
 	"github.com/rotisserie/eris"
 )
 
-// Config sets the policies. All durations are in the deployment's own time.
+// Config configures the policies. All durations are in the deployment's time, which
+// may be scaled.
 type Config struct {
-	// ChangeWeight multiplies the capacity that a change loses: 1 counts
-	// goodput alone, higher values make changes rarer.
+	// ChangeWeight multiplies the cost of a change: 1 counts only the lost
+	// goodput, higher values make changes rarer.
 	ChangeWeight float64
-	// Dwell is the least time between two changes of one engine.
+	// Dwell is the minimum time between two changes of one engine.
 	Dwell time.Duration
-	// ChangeDuration is how long an engine is out of service for a change, the drain
-	// before it included.
+	// ChangeDuration is how long an engine is out of service for a change.
 	ChangeDuration time.Duration
-	// MaxAtOnce bounds the engines of one data centre changing at once.
+	// MaxAtOnce bounds the engines of one data centre that change concurrently.
 	MaxAtOnce int
-	// MaxReportAge is the oldest demand and engine report acted on.
+	// MaxReportAge is the maximum age of demand values and engine reports.
 	MaxReportAge time.Duration
-	// Horizon is how long a shift is expected to last until shifts have been
-	// seen; 0 means forty times Change.
+	// Horizon is how long a mix is expected to last until shifts have been
+	// observed; 0 means forty times ChangeDuration.
 	Horizon time.Duration
-	// Schedule is for the "schedule" policy only.
+	// Schedule is used only by the "schedule" policy.
 	Schedule Plan
 }
 
-// The names under which New knows the policies.
+// The names of the policies.
 const (
 	NameGain      = "gain"
 	NameFixed     = "fixed"
--- a/rolepolicy/demand.go
+++ b/rolepolicy/demand.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// total is the demand on one pool, summed over entries and models.
-type total struct {
+// poolDemand is the demand on one pool, summed over entries and models.
+type poolDemand struct {
 	Rates
 	requests float64
-	// age is how old the oldest part is, in seconds.
+	// age is the age of the oldest value, in seconds.
 	age float64
 }
 
-// goneAges is how many times the oldest age acted on an entry is silent until
-// it counts as gone. Else the entries that were replaced over the weeks would
-// one day outnumber those that report, and the picture never be fresh again.
-const goneAges = 6
+// entryExpiryAges is the silence, in multiples of the maximum age, after which an
+// entry counts as removed. Otherwise replaced entries would eventually outnumber
+// those that report, and the demand would never count as fresh again.
+const entryExpiryAges = 6
 
-// sum adds up what the entries saw of a pool's models. Values older than
-// maxAge are left out; fresh is the share of the entries that are recent.
-func sum(p pool, demand []Demand, now time.Time, maxAge time.Duration) (t total, fresh float64) {
+// sumDemand adds up the demand that the entries measured for a pool's models. Values
+// older than maxAge are excluded; fresh is the share of the entries with a recent
+// value.
+func sumDemand(p pool, demand []Demand, now time.Time, maxAge time.Duration) (t poolDemand, fresh float64) {
 	serves := make(map[string]bool, len(p.models))
 	for _, m := range p.models {
 		serves[m] = true
@@ -29,7 +30,7 @@
 	recent := map[string]bool{}
 	for _, d := range demand {
 		age := now.Sub(d.At)
-		if !serves[d.Model] || (maxAge > 0 && age > goneAges*maxAge) {
+		if !serves[d.Model] || (maxAge > 0 && age > entryExpiryAges*maxAge) {
 			continue
 		}
 		all[d.Entry] = true
@@ -43,46 +44,45 @@
 		t.requests += d.RequestsPerSec
 	}
 	if len(all) == 0 {
-		return total{}, 0
+		return poolDemand{}, 0
 	}
 	return t, float64(len(recent)) / float64(len(all))
 }
 
-// history smooths a pool's demand: a level and a trend per kind of work, and
-// how far single values stray from the level.
+// history smooths a pool's demand: a level and a trend for each kind of work, and
+// the mean deviation of single values from the level.
 type history struct {
-	last     time.Time
-	level    total
-	trend    Rates
-	strayP   float64 // mean relative distance of a value from the level
-	strayD   float64
-	interval float64 // mean seconds between two values
-	first    time.Time
-	regime   regime
-	missed   missed
+	last             time.Time
+	level            poolDemand
+	trend            Rates
+	prefillDeviation float64 // mean relative deviation from the level
+	decodeDeviation  float64
+	interval         float64 // mean seconds between two values
+	first            time.Time
+	regime           regime
+	missed           missedGoodput
 }
 
-// The smoothing constants: trendSlower says how much slower the trend follows
-// than the level, trendDamped how
-// much of the trend the forecast uses.
+// The smoothing constants: trendSlower is the ratio of the trend's time constant to
+// the level's, trendDamped the share of the trend that the forecast uses.
 const (
 	trendSlower = 2.0
 	trendDamped = 0.5
-	// strayPrior is assumed of the values until they have shown their own.
-	strayPrior = 0.25
-	// warmUp is how many time constants pass before the level counts.
+	// priorDeviation is the deviation assumed initially.
+	priorDeviation = 0.25
+	// warmUp is the number of time constants until the level is used.
 	warmUp = 3
-	// maxStray bounds the uncertainty in one step, so that a step of demand
-	// isn't taken for noise.
-	maxStray = 0.5
+	// maxDeviation bounds the deviation of one value, so that a step in demand
+	// doesn't count as noise.
+	maxDeviation = 0.5
 )
 
-// add takes in a value. The level's time constant is tau seconds, or two
-// intervals if values come more rarely than that.
-func (h *history) add(v total, now time.Time, tau float64) {
+// add records a value. The level's time constant is tau seconds, or two intervals
+// between values if that is longer.
+func (h *history) add(v poolDemand, now time.Time, tau float64) {
 	if h.last.IsZero() {
 		h.first, h.last, h.level = now, now, v
-		h.strayP, h.strayD = strayPrior, strayPrior
+		h.prefillDeviation, h.decodeDeviation = priorDeviation, priorDeviation
 		return
 	}
 	dt := now.Sub(h.last).Seconds()
@@ -98,8 +98,8 @@
 	a := 1 - math.Exp(-dt/tau)
 	b := 1 - math.Exp(-dt/(tau*trendSlower))
 	slow := 1 - math.Exp(-dt/(tau*10))
-	h.strayP += slow * (stray(v.Prefill, h.level.Prefill) - h.strayP)
-	h.strayD += slow * (stray(v.Decode, h.level.Decode) - h.strayD)
+	h.prefillDeviation += slow * (deviation(v.Prefill, h.level.Prefill) - h.prefillDeviation)
+	h.decodeDeviation += slow * (deviation(v.Decode, h.level.Decode) - h.decodeDeviation)
 	before := h.level
 	h.level.age = v.age
 	h.level.Prefill += a * (v.Prefill - h.level.Prefill)
@@ -109,55 +109,55 @@
 	h.trend.Decode += b * ((h.level.Decode-before.Decode)/dt - h.trend.Decode)
 }
 
-func stray(v, level float64) float64 {
+func deviation(v, level float64) float64 {
 	if level <= 0 {
 		return 0
 	}
-	return min(maxStray, math.Abs(v-level)/level)
+	return min(maxDeviation, math.Abs(v-level)/level)
 }
 
-// settled is whether enough values have come in to act on. Without it, the
-// first noisy values of a new leader would change roles in a steady mix.
+// settled reports whether there are enough values to act on. Otherwise the first
+// noisy values of a new leader would change roles in a steady mix.
 func (h *history) settled(tau float64) bool {
 	return h.last.Sub(h.first).Seconds() >= warmUp*max(tau, 2*h.interval)
 }
 
-// forecast is the demand expected some seconds ahead of now.
-func (h *history) forecast(ahead float64) total {
+// forecast returns the demand expected in ahead seconds.
+func (h *history) forecast(ahead float64) poolDemand {
 	f := h.level
 	ahead += f.age
-	f.Prefill = followed(f.Prefill, ahead*h.trend.Prefill)
-	f.Decode = followed(f.Decode, ahead*h.trend.Decode)
+	f.Prefill = extrapolate(f.Prefill, ahead*h.trend.Prefill)
+	f.Decode = extrapolate(f.Decode, ahead*h.trend.Decode)
 	return f
 }
 
-// followed follows a trend from a level, by half of the level at most: beyond
-// that a shift's steep flank would be taken for the next mix.
-func followed(level, change float64) float64 {
+// extrapolate adds a damped trend to a level, limited to half of the level: beyond
+// that the steep edge of a shift would be mistaken for the next mix.
+func extrapolate(level, change float64) float64 {
 	return min(1.5*level, max(0.5*level, level+trendDamped*change))
 }
 
-// doubt is how wrong the level's ratio of prompt to output may be.
-func (h *history) doubt() float64 {
-	return min(0.3, max(0.05, 0.6*(h.strayP+h.strayD)/2))
+// uncertainty is the assumed relative error of the level's ratio of prompt to output.
+func (h *history) uncertainty() float64 {
+	return min(0.3, max(0.05, 0.6*(h.prefillDeviation+h.decodeDeviation)/2))
 }
 
-// regime measures how long the mix stays on one side: more prefill work than
-// decode work in the capacity's measure, or less.
+// regime measures how long the mix stays on one side: more prefill than decode
+// work, relative to capacity, or less.
 type regime struct {
 	side  int
 	since time.Time
-	mean  float64 // seconds; begins as a guess
+	mean  float64 // seconds; starts with Config.Horizon
 }
 
-// The share by which one side must outweigh the other for a new regime, and
-// the weight of the newest regime in the mean.
+// regimeBand is the ratio by which one side must exceed the other for a new regime,
+// regimeNewest the weight of the newest regime in the mean.
 const (
 	regimeBand   = 1.25
 	regimeNewest = 0.3
 )
 
-// add takes in the ratio of prefill work to decode work, 1 being balanced.
+// add records the ratio of prefill work to decode work; 1 is balanced.
 func (r *regime) add(ratio float64, now time.Time) {
 	side := r.side
 	switch {
@@ -179,9 +179,9 @@
 	r.side, r.since = side, now
 }
 
-// remaining is how many more seconds the present mix is expected to last:
-// what is left of the mean length, but at least half of it, for a shift that
-// has outlasted the mean tells nothing about its end.
+// remaining is how many more seconds the present mix is expected to last: the rest
+// of the mean length, but at least half of it, as the age of a mix that has
+// outlasted the mean doesn't predict its end.
 func (r *regime) remaining(now time.Time) float64 {
 	age := 0.0
 	if !r.since.IsZero() {
@@ -190,15 +190,15 @@
 	return max(r.mean/2, r.mean-age)
 }
 
-// missed adds up the goodput that was missed by not changing, in requests. It
-// falls back to nothing as soon as no change would pay: a noisy value then
-// starts from the beginning, a lasting shift gets through.
-type missed struct {
+// missedGoodput accumulates the goodput missed by not changing, in requests. It is
+// reset as soon as no change would be worth its cost, so that noisy values don't
+// add up but a lasting shift does.
+type missedGoodput struct {
 	sum  float64
 	last time.Time
 }
 
-func (m *missed) add(rate float64, now time.Time) {
+func (m *missedGoodput) add(rate float64, now time.Time) {
 	dt := now.Sub(m.last).Seconds()
 	if rate <= 0 || m.last.IsZero() {
 		m.sum, m.last = 0, now
--- a/rolepolicy/duration.go
+++ b/rolepolicy/duration.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// durations measures how long changes take from the decision to the engine's
-// return. The drain before an order lasts as long as the answers in flight,
-// which no setting knows.
+// durations measures how long changes take from the decision until the engine is
+// back in service. That includes the drain, which lasts as long as the responses
+// in flight and so can't be configured.
 type durations struct {
 	begun map[string]time.Time
 	mean  time.Duration
@@ -17,7 +17,7 @@
 	return durations{begun: map[string]time.Time{}, mean: prior}
 }
 
-// observe takes in which engines are changing.
+// observe records which engines are changing.
 func (d *durations) observe(engines []Engine, now time.Time) {
 	present := make(map[string]bool, len(engines))
 	for _, e := range engines {
--- a/rolepolicy/fluid_test.go
+++ b/rolepolicy/fluid_test.go
@@ -10,9 +10,9 @@
 	"tamarackchute/upstream"
 )
 
-// fluid runs a policy against a series of demand served by the capacity model:
-// no queues, no network, one step a second. It ranks policies; it measures
-// nothing about the system.
+// fluid simulates a policy against demand that is served according to the capacity
+// model: no queues, no network, one step a second. It ranks policies but doesn't
+// predict the performance of the system.
 type fluid struct {
 	engines []Engine
 	truth   rateTable
@@ -20,12 +20,12 @@
 	change  time.Duration
 	rng     *rand.Rand
 	lag     time.Duration // of the reports
-	wrong   float64       // the most by which an engine's reported rates err
+	wrong   float64       // the maximum relative error of an engine's reported rates
 	errs    map[string]float64
 	past    []Demand
 }
 
-// phase is a mix, in tokens and requests a second.
+// phase is a period with a constant mix, in tokens and requests a second.
 type phase struct {
 	length                   time.Duration
 	prompt, output, requests float64
@@ -79,7 +79,7 @@
 	return o
 }
 
-// share is the part of the phase's requests that the engines in service serve.
+// share returns the share of the phase's requests that the engines in service serve.
 func (f *fluid) share(ph phase) float64 {
 	var c counts
 	for _, e := range f.engines {
@@ -90,7 +90,7 @@
 	return f.truth.served(c, Rates{Prefill: ph.prompt, Decode: ph.output})
 }
 
-// step measures the demand with the noise of a few requests a second and ends
+// step records the demand with noise as from a few requests a second, and completes
 // the changes that are due.
 func (f *fluid) step(ph phase, now time.Time) {
 	noise := func() float64 { return 1 + 0.25*f.rng.NormFloat64() }
@@ -114,7 +114,7 @@
 	}
 }
 
-// apply asks one data centre's policy and begins what it decides.
+// apply calls one data centre's policy and starts the changes that it decides.
 func (f *fluid) apply(dc string, p Policy, now time.Time) int {
 	s := State{DataCentre: dc, Engines: append([]Engine(nil), f.engines...)}
 	at := max(0, len(f.past)-1-int(f.lag/time.Second))
@@ -131,13 +131,15 @@
 	return len(ds)
 }
 
-// mix is a phase at a share of the fleet's specialised capacity.
+// mix returns a phase whose prompt and output tokens are shares of the capacity of
+// engines that all have the best role for that kind of work.
 func mix(length time.Duration, engines int, prompt, output, requests float64) phase {
 	n := float64(engines)
 	return phase{length, prompt * n * fluidP, output * n * fluidD, requests}
 }
 
-// swings alternates long bundles and bursts of short queries for 20 minutes.
+// swings returns 20 minutes of phases that alternate between long prompts and long
+// outputs.
 func swings(engines int, seed uint64) []phase {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	var out []phase
--- a/rolepolicy/gain.go
+++ b/rolepolicy/gain.go
@@ -7,35 +7,35 @@
 	"tamarackchute/upstream"
 )
 
-// Gain changes a role where the goodput won over the expected length of the
-// shift exceeds the capacity lost by the change, times its weight.
+// Gain changes a role if the goodput gained over the expected length of the shift
+// exceeds the weighted capacity lost by the change.
 //
-// Every leader plans for the engines of all data centres and orders the
-// candidates in the same way, then decides on its own alone; so leaders with
-// the same picture don't both answer one shortage.
+// Every leader plans for the engines of all data centres and orders the candidates
+// in the same way, but decides only about its own engines. Leaders with the same
+// view therefore don't react twice to one shortage.
 type Gain struct {
 	c       Config
 	learner learner
 	history map[string]*history
 	changes durations
-	// chosen is since when an engine of another data centre has been a
-	// candidate that its own leader did not change.
+	// chosen is the time since which an engine of another data centre has been
+	// the candidate without a change by its own leader.
 	chosen map[string]time.Time
 }
 
 // Defaults of Gain's settings.
 const (
-	// horizonChanges is how many times the time of a change the first mix is
-	// expected to last.
+	// horizonChanges is the expected length of the first mix, in multiples of
+	// ChangeDuration.
 	horizonChanges = 40
-	// minFresh is the share of entries and of engines that must have
-	// reported for the picture to count.
+	// minFresh is the share of entries and of engines that must be exceeded by
+	// those with recent reports before any decision.
 	minFresh = 0.5
-	// drainPrior is how many times its own length a change is taken to last,
-	// drain included, until changes have been seen.
+	// drainPrior is the assumed length of a change with its drain, in multiples
+	// of ChangeDuration, until changes have been observed.
 	drainPrior = 2
-	// persistence is the goodput that must have been missed before a change,
-	// in changes' costs: it keeps out what only one noisy value asks for.
+	// persistence is the goodput that must have been missed before a change, as a
+	// share of the cost of a change: it filters out single noisy values.
 	persistence = 0.1
 )
 
@@ -54,7 +54,8 @@
 	}
 }
 
-// Decide returns the changes that pay, at most MaxAtOnce less those going on.
+// Decide returns the changes that are worth their cost, at most MaxAtOnce less the
+// ongoing ones.
 func (g *Gain) Decide(s State, now time.Time) []Decision {
 	for _, e := range s.Engines {
 		if g.reported(e) {
@@ -90,7 +91,7 @@
 		h = &history{regime: regime{mean: g.c.Horizon.Seconds()}}
 		g.history[p.key()] = h
 	}
-	seen, fresh := sum(p, s.Demand, now, g.c.MaxReportAge)
+	seen, fresh := sumDemand(p, s.Demand, now, g.c.MaxReportAge)
 	if fresh <= minFresh {
 		return nil
 	}
@@ -115,13 +116,13 @@
 	return g.choose(sit, found, serving, s.DataCentre, now, room)
 }
 
-// reported is whether the engine's report is recent enough to rest on.
+// reported reports whether the engine's report is recent enough to use.
 func (g *Gain) reported(e Engine) bool {
 	return g.c.MaxReportAge <= 0 || e.ReportAge <= g.c.MaxReportAge
 }
 
-// servingEngines are those that serve now or will after their change. An engine
-// without a recent report counts as lost.
+// servingEngines returns the engines that serve now or will after their change. An
+// engine without a recent report counts as lost.
 func (g *Gain) servingEngines(p pool) []Engine {
 	var out []Engine
 	for _, e := range p.engines {
@@ -132,7 +133,7 @@
 	return out
 }
 
-// roleAfter is the role that the engine has, or will have after its change.
+// roleAfter returns the role that the engine has, or will have after its change.
 func roleAfter(e Engine) upstream.Role {
 	if e.Changing && e.To != "" {
 		return e.To
@@ -151,29 +152,30 @@
 		s.now[indexOf(roleAfter(e))]++
 	}
 	ahead := h.forecast(s.change)
-	doubt := h.doubt()
-	s.demands = []total{ahead, skewed(ahead, 1+doubt), skewed(ahead, 1-doubt), less(ahead, 1-doubt)}
+	uncertainty := h.uncertainty()
+	s.demands = []poolDemand{ahead, skewed(ahead, 1+uncertainty), skewed(ahead, 1-uncertainty), scaled(ahead, 1-uncertainty)}
 	h.regime.add(s.table.ratio(ahead.Rates), now)
 	s.horizon = h.regime.remaining(now)
 	return s
 }
 
-// skewed is the demand with its prompt part times f and its output part less.
-func skewed(t total, f float64) total {
+// skewed returns the demand with its prompt tokens multiplied and its output tokens
+// divided by f.
+func skewed(t poolDemand, f float64) poolDemand {
 	t.Prefill *= f
 	t.Decode /= f
 	return t
 }
 
-// less is the demand with all its parts times f.
-func less(t total, f float64) total {
+// scaled returns the demand multiplied by f.
+func scaled(t poolDemand, f float64) poolDemand {
 	t.Prefill *= f
 	t.Decode *= f
 	t.requests *= f
 	return t
 }
 
-// ratio is prefill work to decode work, in the measure of the best rates.
+// ratio returns the ratio of prefill to decode work, each relative to the best rate.
 func (t *rateTable) ratio(demand Rates) float64 {
 	if demand.Decode <= 0 || t[prefill].Prefill <= 0 {
 		return 1
@@ -181,7 +183,7 @@
 	return (demand.Prefill / t[prefill].Prefill) / (demand.Decode / t[decode].Decode)
 }
 
-// parallel is how many changes can run at once over all data centres.
+// parallel returns how many changes can run concurrently over all data centres.
 func (g *Gain) parallel(engines []Engine) int {
 	centres := map[string]bool{}
 	for _, e := range engines {
@@ -194,7 +196,7 @@
 	d := sit.demands[0]
 	have := sit.table.capacity(sit.now)
 	return fmt.Sprintf("gain: demand %.0f prompt and %.0f output tokens/s against %.0f and %.0f served; "+
-		"%d/%d/%d prefill/decode/mixed to %d/%d/%d wins %.0f requests over %.0f s, costs %.0f",
+		"%d/%d/%d prefill/decode/mixed to %d/%d/%d gains %.0f requests over %.0f s, costs %.0f",
 		d.Prefill, d.Decode, have.Prefill, have.Decode,
 		sit.now[prefill], sit.now[decode], sit.now[mixed],
 		found.target[prefill], found.target[decode], found.target[mixed],
--- a/rolepolicy/optimise.go
+++ b/rolepolicy/optimise.go
@@ -1,19 +1,20 @@
 package rolepolicy
 
-// situation is one pool's question: which role counts pay from here.
+// situation is the optimisation problem of one pool: which number of engines in
+// each role is worth the changes to reach it.
 type situation struct {
 	table   rateTable
 	now     counts
-	demands []total // the likely demand first, then how it may be wrong
+	demands []poolDemand // the forecast, then its possible errors
 	// horizon is how long the mix is expected to last, change how long one
-	// change takes, both in seconds; parallel is how many run at once.
+	// change takes, both in seconds; parallel is how many run concurrently.
 	horizon  float64
 	change   float64
 	parallel int
 	weight   float64
 }
 
-// plan is the answer: the counts to reach and what they bring, in requests.
+// plan is the solution: the target counts with their gain and cost, in requests.
 type plan struct {
 	target counts
 	moves  int
@@ -22,14 +23,13 @@
 	cost   float64
 }
 
-// costUnit is what one change costs beside the capacity that it measurably
-// loses, at weight 1: this many times the work that one engine would have done
-// meanwhile. It covers what the model doesn't see: streams that move, a cold
-// prefix cache, a picture that was wrong.
+// costUnit is the additional cost of one change, as a multiple of the work that the
+// engine would have done meanwhile, at weight 1. It covers what the model ignores:
+// streams that move to another engine, a cold prefix cache, inaccurate reports.
 const costUnit = 1.0
 
-// best tries every split of the pool and returns the one whose gain exceeds
-// its cost by most; moves is 0 if none does.
+// best tries every split of the pool and returns the one whose gain exceeds its
+// cost the most; moves is 0 if there is none.
 func (s situation) best() plan {
 	n := s.now.total()
 	now := s.shares(s.now)
@@ -57,13 +57,13 @@
 	return found
 }
 
-// delay is how long it takes on average until a change takes effect.
+// delay is the mean time in seconds until a change takes effect.
 func (s situation) delay(moves int) float64 {
 	rounds := (moves + s.parallel - 1) / s.parallel
 	return s.change * float64(1+rounds) / 2
 }
 
-// shares is the share served of each possible demand.
+// shares returns the share served of each possible demand.
 func (s situation) shares(c counts) []float64 {
 	out := make([]float64, len(s.demands))
 	for i, d := range s.demands {
@@ -72,7 +72,7 @@
 	return out
 }
 
-// gain is how many more requests a second the target serves in the least
+// gain returns how many more requests a second the target serves in the least
 // favourable of the possible demands.
 func (s situation) gain(now []float64, target counts) float64 {
 	least := 0.0
@@ -85,8 +85,8 @@
 	return least
 }
 
-// unitCost is what one change costs, in requests: an engine's part of the
-// present goodput for the time of the change, weighted.
+// unitCost returns the cost of one change, in requests: an engine's share of the
+// present goodput during the change, weighted.
 func (s situation) unitCost() float64 {
 	n := s.now.total()
 	if n == 0 {
@@ -96,7 +96,7 @@
 	return s.weight * (1 + costUnit) * s.change * perEngine
 }
 
-// distance is how many engines change between two splits of equal size.
+// distance returns how many engines change between two splits of equal size.
 func distance(a, b counts) int {
 	moves := 0
 	for r := range roleCount {
@@ -105,7 +105,7 @@
 	return moves
 }
 
-// step picks the single change towards the target that brings most at once.
+// step returns the single change towards the target with the largest immediate gain.
 func (s situation) step(from, target counts) (give, take roleIndex, ok bool) {
 	best := -1.0
 	for g := range roleCount {
--- a/rolepolicy/policy.go
+++ b/rolepolicy/policy.go
@@ -1,10 +1,10 @@
 // Package rolepolicy decides which engines change their role (prefill, decode
 // or mixed) as the mix of prompt and output tokens shifts.
 //
-// A policy is pure: it gets a picture of the fleet and the time, and answers
-// with decisions. It keeps the history of demand that it needs, but does no
-// I/O, starts no goroutine and reads no clock. One policy value belongs to one
-// data centre's leader; only that data centre's engines are in its decisions.
+// A policy maps a snapshot of the fleet and the time to decisions. It keeps the
+// history of demand that it needs, but does no I/O, starts no goroutine and reads
+// no clock. Each data centre's leader has its own policy value, which decides only
+// about that data centre's engines.
 package rolepolicy
 
 import (
@@ -13,25 +13,25 @@
 	"tamarackchute/upstream"
 )
 
-// Policy decides on role changes. Decide is called every second or so, by one
-// goroutine at a time; an empty answer means that all engines stay as they are.
+// Policy decides on role changes. Decide is called about once a second, by one
+// goroutine at a time; an empty result means no changes.
 type Policy interface {
 	Decide(s State, now time.Time) []Decision
 }
 
-// State is the picture on which one decision rests.
+// State is the snapshot of the fleet on which one decision is based.
 type State struct {
-	// DataCentre is the one whose engines the decisions may name.
+	// DataCentre is the one whose engines may be changed.
 	DataCentre string
-	// Engines are the engines of all data centres that are known, the others'
-	// from their summaries. Engines that are gone are left out.
+	// Engines are the known engines of all data centres, those of other data
+	// centres from summaries. Engines that no longer exist are omitted.
 	Engines []Engine
-	// Demand is what the entries of all data centres saw: one value per entry
-	// and model.
+	// Demand is the demand measured by the entries of all data centres: one value
+	// for each entry and model.
 	Demand []Demand
 }
 
-// Engine is what is known about one engine.
+// Engine is the known state of one engine.
 type Engine struct {
 	Name       string
 	DataCentre string
@@ -39,7 +39,7 @@
 	// Models are the models that the engine serves.
 	Models []string
 	// InService is false while the engine takes no work: it is down, draining
-	// for another reason than a role change, or leaving.
+	// for another reason than a role change, or shutting down.
 	InService bool
 	// Changing is true from the decision until the change is done or undone.
 	Changing bool
@@ -47,49 +47,49 @@
 	To upstream.Role
 	// LastChange is when the last change ended; zero if none is known.
 	LastChange time.Time
-	// ReportAge is how old the engine's last load report is, its own lag
-	// included.
+	// ReportAge is the age of the engine's last load report, including the lag
+	// of its contents.
 	ReportAge time.Duration
-	// Reported are the rates that the engine reports for its present role;
-	// zero if it has not reported.
+	// Reported are the rates that the engine reports for its present role; zero
+	// if it hasn't reported any.
 	Reported Rates
 	// Running, Waiting and QueuedPrompt (tokens) are the reported load.
 	Running, Waiting, QueuedPrompt int
-	// MaxBatch is the most sequences that the engine decodes at once; 0 if
-	// not known.
+	// MaxBatch is the maximum number of sequences that the engine decodes
+	// concurrently; 0 if not known.
 	MaxBatch int
 }
 
-// Rates is how fast an engine works, in tokens a second.
+// Rates are an engine's processing rates, in tokens a second.
 type Rates struct {
 	Prefill float64
 	Decode  float64
 }
 
-// Demand is what one entry saw of one model, refused requests included.
+// Demand is the demand for one model at one entry, refused requests included.
 type Demand struct {
 	Entry string
 	Model string
-	// At is when the entry measured.
+	// At is the time of the measurement.
 	At time.Time
-	// PromptPerSec and OutputPerSec are tokens a second, output as asked for
-	// or estimated; RequestsPerSec is requests a second.
+	// PromptPerSec and OutputPerSec are tokens a second, with the output as
+	// requested or estimated; RequestsPerSec is requests a second.
 	PromptPerSec   float64
 	OutputPerSec   float64
 	RequestsPerSec float64
-	// Queued is how many requests wait in the entry.
+	// Queued is the number of requests queued in the entry.
 	Queued int
 }
 
-// Decision is one role change that should be carried out.
+// Decision is one role change to carry out.
 type Decision struct {
 	Engine string
 	From   upstream.Role
 	To     upstream.Role
-	// Reason tells an operator why, with the figures.
+	// Reason explains the decision to operators, with the measurements.
 	Reason string
-	// Gain is the expected win and Cost the expected loss including the
-	// change's weight, both in requests answered in time.
+	// Gain is the expected gain and Cost the expected, weighted loss, both in
+	// requests completed within the deadline.
 	Gain float64
 	Cost float64
 }
--- a/rolepolicy/policy_test.go
+++ b/rolepolicy/policy_test.go
@@ -18,9 +18,9 @@
 func gainPolicy() Policy  { return NewGain(testConfig) }
 func fixedPolicy() Policy { return Fixed{} }
 
-// A fleet with fixed roles answers two thirds of a swinging mix. The policy
-// must win most of the rest, also when reports are 5 s old and each engine's
-// rates wrong by up to 30%.
+// A fleet with fixed roles serves two thirds of an alternating mix. The policy must
+// serve most of the rest, even if reports are 5 s old and each engine's rates are
+// wrong by up to 30%.
 func TestGainFollowsSwings(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -45,7 +45,7 @@
 	}
 }
 
-// A steady mix that the fleet can serve gives no reason for any change.
+// A steady mix that the fleet can serve must not cause any change.
 func TestGainLeavesSteadyMixAlone(t *testing.T) {
 	for seed := uint64(1); seed <= 5; seed++ {
 		f := newFluid(seed, []int{3, 3, 3, 2}, testConfig.ChangeDuration)
@@ -54,7 +54,7 @@
 	}
 }
 
-// shortOfPrefill is a settled picture that asks for prefill engines.
+// shortOfPrefill returns a policy with settled demand that needs prefill engines.
 func shortOfPrefill(t *testing.T, centre string) (*Gain, State, time.Time) {
 	f := newFluid(1, []int{3, 3, 2}, testConfig.ChangeDuration)
 	f.step(phase{}, time.Unix(1000, 0))
@@ -73,7 +73,7 @@
 	return g, s, now
 }
 
-func TestGainRefusesToActOnABadPicture(t *testing.T) {
+func TestGainIgnoresUnreliableState(t *testing.T) {
 	cases := map[string]func(s *State, now time.Time){
 		"demand older than the bound": func(s *State, now time.Time) {
 			s.Demand[0].At = now.Add(-11 * time.Second)
@@ -100,24 +100,24 @@
 		"a change going on": func(s *State, _ time.Time) {
 			s.Engines[0].Changing, s.Engines[0].To = true, upstream.RolePrefill
 		},
-		"all engines changed lately": func(s *State, now time.Time) {
+		"all engines changed recently": func(s *State, now time.Time) {
 			for i := range s.Engines {
 				s.Engines[i].LastChange = now.Add(-29 * time.Second)
 			}
 		},
 	}
-	for name, spoil := range cases {
+	for name, modify := range cases {
 		t.Run(name, func(t *testing.T) {
 			g, s, now := shortOfPrefill(t, "dc0")
-			spoil(&s, now)
+			modify(&s, now)
 			assert.Empty(t, g.Decide(s, now))
 		})
 	}
 }
 
-// Over the weeks more entries were replaced than serve now. The leader still
-// holds their last pictures; they must not make the picture look stale.
-func TestEntriesLongGoneDontBlock(t *testing.T) {
+// Guards against entries that no longer exist. The leader still holds their last
+// demand, which must not make the present demand count as stale.
+func TestExpiredEntriesAreIgnored(t *testing.T) {
 	g, s, now := shortOfPrefill(t, "dc0")
 	for _, name := range []string{"old-1", "old-2"} {
 		s.Demand = append(s.Demand, Demand{Entry: name, Model: "m", At: now.Add(-time.Hour)})
@@ -125,8 +125,8 @@
 	assert.Len(t, g.Decide(s, now), 1)
 }
 
-// Three leaders see one shortage that one engine answers. If each leader
-// answered it alone, three engines would change at once.
+// Three leaders observe one shortage that a single engine ends. Leaders that don't
+// coordinate would change three engines at once.
 func TestOneShortageIsAnsweredOnce(t *testing.T) {
 	f := newFluid(1, []int{3, 3, 2}, testConfig.ChangeDuration)
 	policies := []Policy{gainPolicy(), gainPolicy(), gainPolicy()}
@@ -194,7 +194,7 @@
 	}
 }
 
-func TestSplitsDifferInAsFewEnginesAsTheirCounts(t *testing.T) {
+func TestSplitsDifferInFewEngines(t *testing.T) {
 	f := newFluid(1, []int{3, 3, 2}, 0)
 	a := Split{Prefill: 6, Decode: 2}.Assign(f.engines)
 	b := Split{Prefill: 2, Decode: 5, Mixed: 1}.Assign(f.engines)
@@ -207,7 +207,7 @@
 	assert.Equal(t, 4, differ)
 }
 
-func TestScheduleHoldsTheStepInForce(t *testing.T) {
+func TestScheduleAppliesCurrentStep(t *testing.T) {
 	f := newFluid(1, []int{3, 3, 2}, 0)
 	start := time.Unix(1000, 0)
 	p := NewSchedule(Plan{{At: start.Add(time.Minute), Split: Split{Prefill: 8}}, {At: start, Split: Split{Mixed: 8}}})
@@ -235,9 +235,9 @@
 	}
 }
 
-// The settings say that a change takes 5 s, but draining takes 25 s more. A
-// policy that doesn't notice counts each change at a sixth of its cost.
-func TestDurationsAreLearnt(t *testing.T) {
+// By the settings a change takes 5 s, but draining adds 25 s. A policy that doesn't
+// measure this assumes a sixth of each change's cost.
+func TestChangeDurationsAreLearned(t *testing.T) {
 	d := newDurations(5 * time.Second)
 	now := time.Unix(1000, 0)
 	for range 10 {
--- a/rolepolicy/pool.go
+++ b/rolepolicy/pool.go
@@ -5,17 +5,17 @@
 	"strings"
 )
 
-// pool is a group of engines that share models, directly or by way of other
-// engines, with the models' names. Engines don't help beyond their pool.
+// pool is a group of engines connected by common models, directly or through other
+// engines. Engines serve only requests for models of their pool.
 type pool struct {
 	models  []string
 	engines []Engine
 }
 
-// key names the pool; it changes only if the set of models changes.
+// key identifies the pool; it changes only if the set of models changes.
 func (p pool) key() string { return strings.Join(p.models, ",") }
 
-// pools groups the engines, in a deterministic order.
+// pools returns the pools of the engines in a deterministic order.
 func pools(engines []Engine) []pool {
 	byList := map[string]*pool{}
 	for _, e := range engines {
@@ -35,7 +35,7 @@
 	return merged(groups)
 }
 
-// merged joins the groups that have a model in common.
+// merged merges groups that have a model in common.
 func merged(groups []pool) []pool {
 	var out []pool
 	for _, g := range groups {
--- a/rolepolicy/split.go
+++ b/rolepolicy/split.go
@@ -1,12 +1,12 @@
 package rolepolicy
 
-// BestSplit returns the split of so many engines that serves most of a demand,
-// and the share that it serves. best are an engine's rates in the role for
-// each kind of work; the other roles follow the prior shares. Among equal
-// splits it takes the one with the most capacity left over.
+// BestSplit returns the split of a number of engines that serves the largest share
+// of a demand, and that share. best are an engine's rates in the best role for each
+// kind of work; the rates in other roles follow from the prior table. Among equal
+// splits it returns the one with the most spare capacity.
 func BestSplit(engines int, best, demand Rates) (Split, float64) {
 	table := scaledPrior(best)
-	// Twice the demand tells apart the splits that serve all of it.
+	// Doubling the demand distinguishes between splits that serve all of it.
 	double := Rates{Prefill: 2 * demand.Prefill, Decode: 2 * demand.Decode}
 	var found counts
 	most := -1.0
@@ -22,14 +22,14 @@
 	return split, table.served(found, demand)
 }
 
-// Served is the share of a demand that the split serves, by the capacity
-// model.
+// Served returns the share of a demand that the split serves according to the
+// capacity model.
 func (s Split) Served(best, demand Rates) float64 {
 	table := scaledPrior(best)
 	return table.served(counts{prefill: s.Prefill, decode: s.Decode, mixed: s.Mixed}, demand)
 }
 
-// scaledPrior is the rate table of an engine with these best rates.
+// scaledPrior returns the rate table of an engine with the given best rates.
 func scaledPrior(best Rates) rateTable {
 	var table rateTable
 	for r := range roleCount {
