--- a/rolepolicy/capacity.go
+++ b/rolepolicy/capacity.go
@@ -35,7 +35,7 @@
 type rateTable [roleCount]Rates
 
 // priorTable holds the rates in each role as shares of an engine's best rates,
-// assumed until reports are available.
+// assumed until reports are available: a prefill engine decodes at a quarter.
 var priorTable = rateTable{
 	prefill: {Prefill: 1, Decode: 0.25},
 	decode:  {Prefill: 0.25, Decode: 1},
--- a/rules/checkpointer.go
+++ b/rules/checkpointer.go
@@ -59,12 +59,12 @@
 }
 
 // NewCheckpointer returns a checkpointer for the replica that log folds into.
-func NewCheckpointer(log Log, b *Replica, o CheckpointerOptions) *Checkpointer {
+func NewCheckpointer(log Log, replica *Replica, o CheckpointerOptions) *Checkpointer {
 	if o.Logger == nil {
 		o.Logger = slog.Default()
 	}
 	o.Slots = max(o.Slots, 1)
-	return &Checkpointer{options: o, log: log, replica: b}
+	return &Checkpointer{options: o, log: log, replica: replica}
 }
 
 // Serve implements suture.Service.
@@ -167,12 +167,12 @@
 	unsettledSince time.Time
 }
 
-func (b *Replica) view() checkpointView {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (r *Replica) view() checkpointView {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	return checkpointView{
-		settled: b.fold.settled, stateRecord: b.stateRecord,
-		requestedAt: b.requestedAt, unsettledSince: b.unsettledSince,
+		settled: r.fold.settled, stateRecord: r.stateRecord,
+		requestedAt: r.requestedAt, unsettledSince: r.unsettledSince,
 	}
 }
 
@@ -186,8 +186,8 @@
 }
 
 // checkpoint returns the checkpoint to write.
-func (b *Replica) checkpoint(applied journal.Position) Checkpoint {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.checkpointAt(applied)
+func (r *Replica) checkpoint(applied journal.Position) Checkpoint {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.checkpointAt(applied)
 }
--- a/rules/peer.go
+++ b/rules/peer.go
@@ -14,48 +14,48 @@
 
 // PeerState returns the state to send to another process. applied is the position
 // up to which the journal had folded, read before the call.
-func (b *Replica) PeerState(applied journal.Position) PeerState {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.fold.state.Version.Less(b.peerState.Version) {
-		return PeerState{State: b.peerState, Through: journal.Position(b.peerState.Version)}
+func (r *Replica) PeerState(applied journal.Position) PeerState {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.fold.state.Version.Less(r.peerState.Version) {
+		return PeerState{State: r.peerState, Through: journal.Position(r.peerState.Version)}
 	}
-	c := b.checkpointAt(applied)
-	return PeerState{State: c.State, Through: c.Through, Settled: b.fold.settled}
+	c := r.checkpointAt(applied)
+	return PeerState{State: c.State, Through: c.Through, Settled: r.fold.settled}
 }
 
 // checkpointAt returns the state with the latest position that it is known to
 // reflect: no entry between the last folded one and applied was missed.
-func (b *Replica) checkpointAt(applied journal.Position) Checkpoint {
-	through := b.fold.through
+func (r *Replica) checkpointAt(applied journal.Position) Checkpoint {
+	through := r.fold.through
 	if through.Less(applied) {
 		through = applied
 	}
-	return Checkpoint{State: b.fold.state, Through: through}
+	return Checkpoint{State: r.fold.state, Through: through}
 }
 
 // ApplyPeerState merges a peer's state. A version higher than the one in force
 // comes into force at once; the log must later reach it. The result reports
 // whether the state changed anything.
-func (b *Replica) ApplyPeerState(p PeerState) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	before, wasSettled := b.current.Load(), b.fold.settled
+func (r *Replica) ApplyPeerState(p PeerState) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	before, wasSettled := r.current.Load(), r.fold.settled
 	if p.Through.Less(journal.Position(p.State.Version)) {
-		b.faults.Contradictions++
+		r.faults.Contradictions++
 		return false
 	}
-	if b.peerState.Version.Less(p.State.Version) {
-		b.peerState = p.State
+	if r.peerState.Version.Less(p.State.Version) {
+		r.peerState = p.State
 	}
-	if p.Settled && (b.settledPeerState == nil || b.settledPeerState.Through.Less(p.Through)) {
-		b.settledPeerState = &Checkpoint{State: p.State, Through: p.Through}
-		b.recordVerdicts(b.fold.adopt(*b.settledPeerState))
+	if p.Settled && (r.settledPeerState == nil || r.settledPeerState.Through.Less(p.Through)) {
+		r.settledPeerState = &Checkpoint{State: p.State, Through: p.Through}
+		r.recordVerdicts(r.fold.adopt(*r.settledPeerState))
 	}
-	b.refresh(true)
-	used := b.current.Load() != before || b.fold.settled != wasSettled
+	r.refresh(true)
+	used := r.current.Load() != before || r.fold.settled != wasSettled
 	if used {
-		b.notify()
+		r.notify()
 	}
 	return used
 }
@@ -63,11 +63,11 @@
 // checkPeerState reports a peer's version that isn't in the log although the log
 // was read past its position: the peer is faulty, or the log was restored from an
 // older copy. The version stays in force, as rules never go back.
-func (b *Replica) checkPeerState() {
-	if !b.fold.settled || b.fold.through.Less(journal.Position(b.peerState.Version)) {
+func (r *Replica) checkPeerState() {
+	if !r.fold.settled || r.fold.through.Less(journal.Position(r.peerState.Version)) {
 		return
 	}
-	b.faults.Contradictions++
-	b.options.Logger.Error("rules received from a peer are not in the log; they stay in force",
-		"version", b.peerState.Version.String(), "log", b.fold.state.Version.String())
+	r.faults.Contradictions++
+	r.options.Logger.Error("rules received from a peer are not in the log; they stay in force",
+		"version", r.peerState.Version.String(), "log", r.fold.state.Version.String())
 }
--- a/rules/publisher.go
+++ b/rules/publisher.go
@@ -17,9 +17,9 @@
 	known   KnownNames
 }
 
-// NewPublisher returns a publisher for the log that folds into replica b.
-func NewPublisher(log Log, b *Replica, known KnownNames) *Publisher {
-	return &Publisher{log: log, replica: b, known: known}
+// NewPublisher returns a publisher for the log that folds into replica.
+func NewPublisher(log Log, replica *Replica, known KnownNames) *Publisher {
+	return &Publisher{log: log, replica: replica, known: known}
 }
 
 // Result is the outcome of a publication, for its author.
--- a/rules/replica.go
+++ b/rules/replica.go
@@ -74,16 +74,16 @@
 	if o.Logger == nil {
 		o.Logger = slog.Default()
 	}
-	b := &Replica{options: o, fold: newFold(), changed: make(chan struct{})}
-	b.current.Store(newSnapshot(State{}, nil))
-	return b
+	r := &Replica{options: o, fold: newFold(), changed: make(chan struct{})}
+	r.current.Store(newSnapshot(State{}, nil))
+	return r
 }
 
 // Current returns the rules in force, or nil if they aren't known: the beginning
 // of the log has expired, and no checkpoint or peer has supplied the state.
 // Until a process has caught up, it may get the zero version or an old one.
-func (b *Replica) Current() *InForce {
-	s := b.current.Load()
+func (r *Replica) Current() *InForce {
+	s := r.current.Load()
 	if s == nil {
 		return nil
 	}
@@ -92,24 +92,24 @@
 }
 
 // Verdict returns the verdict on a publication, if it is among the latest.
-func (b *Replica) Verdict(id string) (Verdict, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.verdicts.get(id)
+func (r *Replica) Verdict(id string) (Verdict, bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.verdicts.get(id)
 }
 
 // History returns the latest verdicts, newest first.
-func (b *Replica) History() []Verdict {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.history.list()
+func (r *Replica) History() []Verdict {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.history.list()
 }
 
 // Changed returns a channel that is closed when the replica next changes.
-func (b *Replica) Changed() <-chan struct{} {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.changed
+func (r *Replica) Changed() <-chan struct{} {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.changed
 }
 
 // Status describes a replica for operators.
@@ -129,9 +129,9 @@
 }
 
 // Status returns the replica's status.
-func (b *Replica) Status() Status {
+func (r *Replica) Status() Status {
 	var status Status
-	if s := b.current.Load(); s != nil {
+	if s := r.current.Load(); s != nil {
 		inForce, err := s.resolve()
 		status.Accepted = s.state.Version
 		if inForce != nil {
@@ -141,98 +141,98 @@
 			status.Problem = err.Error()
 		}
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	status.Settled, status.Pending, status.Faults = b.fold.settled, len(b.fold.pending), b.faults
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	status.Settled, status.Pending, status.Faults = r.fold.settled, len(r.fold.pending), r.faults
 	return status
 }
 
 // Apply implements journal.Folder.
-func (b *Replica) Apply(p journal.Placed) {
-	r, err := decodeBody(p.Entry.Body)
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	defer b.notify()
+func (r *Replica) Apply(p journal.Placed) {
+	rec, err := decodeBody(p.Entry.Body)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	defer r.notify()
 	if err != nil {
-		b.faults.Undecodable++
-		b.options.Logger.Error("rules entry can't be decoded; ignored", "position", p.Position, "err", err)
+		r.faults.Undecodable++
+		r.options.Logger.Error("rules entry can't be decoded; ignored", "position", p.Position, "err", err)
 		return
 	}
-	switch r.Kind {
+	switch rec.Kind {
 	case recordPublication:
-		b.applyPublish(p, r.publication(p.Entry.ID))
+		r.applyPublish(p, rec.publication(p.Entry.ID))
 	case recordCheckpoint:
-		b.applyCheckpoint(p, r.checkpoint())
+		r.applyCheckpoint(p, rec.checkpoint())
 	case recordCheckpointRequest:
-		b.requestedAt = p.ReadAt
+		r.requestedAt = p.ReadAt
 	}
 }
 
-func (b *Replica) applyPublish(p journal.Placed, publish Publication) {
-	verdicts := b.fold.publish(loggedPublication{at: p.Position, logTime: p.At, Publication: publish})
-	if b.fold.state.Version == Version(p.Position) {
-		b.stateRecord = recordTimes{logTime: p.At, readAt: p.ReadAt}
+func (r *Replica) applyPublish(p journal.Placed, publish Publication) {
+	verdicts := r.fold.publish(loggedPublication{at: p.Position, logTime: p.At, Publication: publish})
+	if r.fold.state.Version == Version(p.Position) {
+		r.stateRecord = recordTimes{logTime: p.At, readAt: p.ReadAt}
 	}
-	b.recordVerdicts(verdicts)
-	b.refresh(p.ReadAt.Sub(p.At) < maxEagerCompileAge)
+	r.recordVerdicts(verdicts)
+	r.refresh(p.ReadAt.Sub(p.At) < maxEagerCompileAge)
 }
 
-func (b *Replica) applyCheckpoint(p journal.Placed, c Checkpoint) {
-	b.requestedAt = time.Time{}
-	verdicts, consistent := b.fold.checkpoint(p.Position, c)
+func (r *Replica) applyCheckpoint(p journal.Placed, c Checkpoint) {
+	r.requestedAt = time.Time{}
+	verdicts, consistent := r.fold.checkpoint(p.Position, c)
 	if !consistent {
-		b.faults.Contradictions++
-		b.options.Logger.Error("checkpoint contradicts the log; ignored", "position", p.Position,
-			"writer", p.Entry.Writer, "version", c.State.Version.String(), "own", b.fold.state.Version.String())
+		r.faults.Contradictions++
+		r.options.Logger.Error("checkpoint contradicts the log; ignored", "position", p.Position,
+			"writer", p.Entry.Writer, "version", c.State.Version.String(), "own", r.fold.state.Version.String())
 		return
 	}
-	if b.fold.state.Version == c.State.Version {
-		b.stateRecord = recordTimes{logTime: p.At, readAt: p.ReadAt}
+	if r.fold.state.Version == c.State.Version {
+		r.stateRecord = recordTimes{logTime: p.At, readAt: p.ReadAt}
 	}
-	b.recordVerdicts(verdicts)
-	b.refresh(p.ReadAt.Sub(p.At) < maxEagerCompileAge)
+	r.recordVerdicts(verdicts)
+	r.refresh(p.ReadAt.Sub(p.At) < maxEagerCompileAge)
 }
 
 // Trimmed implements journal.Trimmer.
-func (b *Replica) Trimmed(oldest infra.Offset) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	defer b.notify()
-	b.recordVerdicts(b.fold.trimmed(oldest))
-	if b.settledPeerState != nil {
-		b.recordVerdicts(b.fold.adopt(*b.settledPeerState))
+func (r *Replica) Trimmed(oldest infra.Offset) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	defer r.notify()
+	r.recordVerdicts(r.fold.trimmed(oldest))
+	if r.settledPeerState != nil {
+		r.recordVerdicts(r.fold.adopt(*r.settledPeerState))
 	}
-	if !b.fold.settled && b.unsettledSince.IsZero() {
-		b.unsettledSince = time.Now()
+	if !r.fold.settled && r.unsettledSince.IsZero() {
+		r.unsettledSince = time.Now()
 	}
-	b.refresh(true)
+	r.refresh(true)
 }
 
 // recordVerdicts stores verdicts and passes them to the observer.
-func (b *Replica) recordVerdicts(verdicts []Verdict) {
+func (r *Replica) recordVerdicts(verdicts []Verdict) {
 	for _, v := range verdicts {
-		b.verdicts.put(v)
-		b.history.add(v)
-		if b.options.Observe != nil {
-			b.options.Observe(v)
+		r.verdicts.put(v)
+		r.history.add(v)
+		if r.options.Observe != nil {
+			r.options.Observe(v)
 		}
 	}
-	if b.fold.settled {
-		b.unsettledSince = time.Time{}
+	if r.fold.settled {
+		r.unsettledSince = time.Time{}
 	}
 }
 
 // refresh puts the newest known version in force. The version never decreases: a
 // peer's state applies until the log has reached the same version.
-func (b *Replica) refresh(compile bool) {
-	newest := b.fold.state
-	if newest.Version.Less(b.peerState.Version) {
-		newest = b.peerState
-		b.checkPeerState()
+func (r *Replica) refresh(compile bool) {
+	newest := r.fold.state
+	if newest.Version.Less(r.peerState.Version) {
+		newest = r.peerState
+		r.checkPeerState()
 	}
-	now := b.current.Load()
-	if newest.Version.IsZero() && !b.fold.settled {
-		b.current.Store(nil)
+	now := r.current.Load()
+	if newest.Version.IsZero() && !r.fold.settled {
+		r.current.Store(nil)
 		return
 	}
 	if now != nil && !now.state.Version.Less(newest.Version) {
@@ -241,21 +241,21 @@
 	next := newSnapshot(newest, now)
 	if compile {
 		// Compile before the swap, so that no request waits for it.
-		b.compile(next)
+		r.compile(next)
 	}
-	b.current.Store(next)
+	r.current.Store(next)
 }
 
-func (b *Replica) compile(s *snapshot) {
+func (r *Replica) compile(s *snapshot) {
 	if _, err := s.resolve(); err != nil {
-		b.faults.Uncompiled++
-		b.options.Logger.Error("accepted rules don't compile here; the previous rules stay in force",
+		r.faults.Uncompiled++
+		r.options.Logger.Error("accepted rules don't compile here; the previous rules stay in force",
 			"version", s.state.Version.String(), "err", err)
 	}
 }
 
 // notify wakes the goroutines that wait on Changed.
-func (b *Replica) notify() {
-	close(b.changed)
-	b.changed = make(chan struct{})
+func (r *Replica) notify() {
+	close(r.changed)
+	r.changed = make(chan struct{})
 }
