--- a/rules/atom.go
+++ b/rules/atom.go
@@ -26,7 +26,7 @@
 	kind atomKind
 	// subject is the text of the compared operand, or of the expression.
 	subject string
-	// negated is for atomHolds.
+	// negated is for atomBool.
 	negated bool
 	// values is for atomOneOf and atomNoneOf.
 	values []string
