--- a/rolepolicy/balance.go
+++ b/rolepolicy/balance.go
@@ -120,7 +120,7 @@
 			To:      upstream.RoleDecode,
 			Engines: n,
 			Gain:    math.Min(shortage, float64(n)),
-			Reason:  fmt.Sprintf("decode load of %.1f engines on %d of %d", p.DecodeLoad, p.Decode, engines),
+			Reason:  fmt.Sprintf("a load of %.1f engines on %d of %d", p.DecodeLoad, p.Decode, engines),
 		}, true
 	}
 	n := b.additionalPrefill(p, maxChanges)
@@ -132,7 +132,7 @@
 		To:      upstream.RolePrefill,
 		Engines: n,
 		Gain:    gain,
-		Reason:  fmt.Sprintf("prefill of %.1f more engines of the %.1f demanded", gain, p.PrefillDemand),
+		Reason:  fmt.Sprintf("%.1f more engines' reading of %.1f asked for", gain, p.PrefillDemand),
 	}, true
 }
 
--- a/rolepolicy/gain.go
+++ b/rolepolicy/gain.go
@@ -196,7 +196,7 @@
 	d := sit.demands[0]
 	have := sit.table.capacity(sit.now)
 	return fmt.Sprintf("gain: demand %.0f prompt and %.0f output tokens/s against %.0f and %.0f served; "+
-		"%d/%d/%d prefill/decode/mixed to %d/%d/%d gains %.0f requests over %.0f s, costs %.0f",
+		"%d/%d/%d prefill/decode/mixed to %d/%d/%d wins %.0f requests over %.0f s, costs %.0f",
 		d.Prefill, d.Decode, have.Prefill, have.Decode,
 		sit.now[prefill], sit.now[decode], sit.now[mixed],
 		found.target[prefill], found.target[decode], found.target[mixed],
--- a/rules/publisher.go
+++ b/rules/publisher.go
@@ -121,5 +121,5 @@
 	if p.replica.Status().Settled {
 		return "the log hasn't shown the publication; it may still arrive"
 	}
-	return "records of the log expired unread, so the version in force isn't certain; waiting for a checkpoint"
+	return "records of the log expired unread, so the version in force isn't certain; a checkpoint is awaited"
 }
