--- a/lease/machine.go
+++ b/lease/machine.go
@@ -40,7 +40,7 @@
 type Authority struct {
 	Scope string
 	// FencingToken is carried by each order.
-	FencingToken uint64 `json:"Fence" msgpack:"Fence"`
+	FencingToken uint64
 	// From is the earliest time for an order, Until the time at which the
 	// authority ends, both by this process's monotonic clock.
 	From  time.Time
