--- a/claim/guard.go
+++ b/claim/guard.go
@@ -1,3 +1,7 @@
+// Package claim runs calls with an idempotency key at most once across all
+// instances. An instance claims the key in the journal before it dispatches the
+// call. The first claim in log order may run, and its outcome is recorded for
+// retries.
 package claim
 
 import (
@@ -14,35 +18,35 @@
 	"tamarackchute/journal"
 )
 
-// Journal is what a Guard needs of a journal.Journal.
+// Journal is the part of journal.Journal that a Guard uses.
 type Journal interface {
 	journal.Writer
-	// Applied is the position up to which all entries were given to folders.
+	// Applied returns the position up to which all entries were passed to the
+	// folders.
 	Applied() journal.Position
 	Health() journal.Health
 }
 
-// Dispatch sends a protected call to its upstream, at most once. It may try
-// several upstreams as long as each before certainly did not run the call. It
-// must send nothing once ctx has ended, and then say DispatchNotRun if it had
-// sent nothing. It may go on running after Do has returned, so it must not hold memory that the
-// caller's HTTP library uses again.
-type Dispatch func(ctx context.Context) (Recorded, DispatchError)
+// Dispatch sends a protected call, to another upstream only if those before did
+// not run it. After the end of ctx it must send nothing, and return
+// DispatchNotRun if it had sent nothing. It may run on after Do has returned, so
+// it must not hold memory that the caller's HTTP library reuses.
+type Dispatch func(ctx context.Context) (Response, DispatchResult)
 
-// Guard runs protected calls at most once. It is registered with the journal
-// as the folder of journal.KindClaim, and its Serve runs below a supervisor
-// for as long as calls may come. The journal must be served longer than the
-// Guard, so that a stopping Guard can still record outcomes.
+// Guard runs protected calls at most once. It must be registered with the journal
+// as the folder of journal.KindClaim, and Serve must run under a supervisor while
+// calls may arrive. The journal must be served longer than the Guard, so that a
+// Guard that shuts down can still record outcomes.
 type Guard struct {
 	cfg     Config
 	journal Journal
 
-	// background is the context of appends that outlive their calls.
+	// background is the context of appends, which may outlive their calls.
 	background context.Context
 	cancel     context.CancelFunc
 	appends    conc.WaitGroup
-	// left has room for one signal that a call or an append has ended.
-	left chan struct{}
+	// ended holds at most one signal that a call or an append has ended.
+	ended chan struct{}
 
 	mu       sync.Mutex
 	core     *Core
@@ -58,8 +62,8 @@
 	_ journal.Trimmer = (*Guard)(nil)
 )
 
-// NewGuard returns a Guard over a journal. It fails if the times in cfg don't
-// fit together.
+// NewGuard returns a Guard over a journal. It fails if the durations in cfg are
+// inconsistent.
 func NewGuard(j Journal, cfg Config) (*Guard, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
@@ -71,7 +75,7 @@
 		journal:    j,
 		background: ctx,
 		cancel:     cancel,
-		left:       make(chan struct{}, 1),
+		ended:      make(chan struct{}, 1),
 		core:       NewCore(cfg, time.Now()),
 		waiters:    map[CallID]chan struct{}{},
 	}, nil
@@ -79,37 +83,35 @@
 
 // Apply implements journal.Folder.
 func (g *Guard) Apply(p journal.Placed) {
-	g.locked(func() { g.core.Apply(p) })
+	g.withCore(func() { g.core.Apply(p) })
 }
 
 // Trimmed implements journal.Trimmer.
 func (g *Guard) Trimmed(oldest infra.Offset) {
-	g.locked(func() { g.core.Trimmed(oldest) })
+	g.withCore(func() { g.core.Trimmed(oldest) })
 }
 
-// Do runs the call with this idempotency key unless it was run before, at any
-// instance, and tells what became of it. The digest tells requests apart that
-// wrongly share a key. The end of ctx is the caller's deadline: Do then returns
-// at once, while a dispatch under way goes on and its outcome is recorded for
-// resends. Keys of different organisations must be made different by the
-// caller of Do.
+// Do runs the call with this idempotency key unless any instance ran it before.
+// The digest detects different requests with the same key; the caller of Do must
+// make the keys of different organisations distinct. At the end of ctx Do
+// returns at once, while an active dispatch goes on and its outcome is recorded.
 func (g *Guard) Do(ctx context.Context, key string, digest uint64, dispatch Dispatch) Result {
-	if !g.enter() {
+	if !g.begin() {
 		return NotRun{Reason: ReasonStopping, RetryAfter: g.cfg.RetryAfter}
 	}
-	defer g.leave()
+	defer g.end()
 	var id CallID
 	changed := make(chan struct{}, 1)
 	step := g.step(func(env Env) (s Step) {
 		id, s = g.core.Start(env, ParseKey(key), digest)
-		// Under the lock of the first step: no change after it is missed.
+		// Under the lock of the first step, so that no later change is missed.
 		g.waiters[id] = changed
 		return s
 	})
-	defer g.forget(id)
+	defer g.removeWaiter(id)
 	for {
 		switch s := step.(type) {
-		case AnswerStep:
+		case ResultStep:
 			return s.Result
 		case ClaimStep:
 			r := g.claim(ctx, s.Entry)
@@ -123,7 +125,7 @@
 	}
 }
 
-// claim appends a claim and tells how that ended.
+// claim appends a claim and returns the result.
 func (g *Guard) claim(ctx context.Context, e journal.Entry) AppendResult {
 	ctx, cancel := context.WithTimeout(ctx, g.cfg.ClaimTimeout)
 	defer cancel()
@@ -139,7 +141,7 @@
 }
 
 // wait waits for a change of the call's key, and reports whether the time is
-// up.
+// up by until or ctx.
 func wait(ctx context.Context, changed <-chan struct{}, until time.Time) bool {
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
@@ -153,8 +155,8 @@
 	}
 }
 
-// dispatch runs the dispatch in a goroutine of its own, so that a caller whose
-// time is up gets its answer, and the upstream's answer still gets recorded.
+// dispatch runs the dispatch in its own goroutine, so that a caller whose
+// deadline passes gets a result, and the upstream's response is still recorded.
 func (g *Guard) dispatch(ctx context.Context, id CallID, dispatch Dispatch) Step {
 	timeUp := ctx.Err() != nil
 	deadline := time.Now().Add(g.cfg.MaxDispatch)
@@ -163,15 +165,15 @@
 	}
 	ended := make(chan Step, 1)
 	var caught panics.Catcher
-	g.locked(func() { g.active++ })
+	g.withCore(func() { g.active++ })
 	g.appends.Go(func() {
-		defer g.leave()
+		defer g.end()
 		// A dispatch that panics may have run.
-		r, e := Recorded{}, DispatchMayHaveRun
-		caught.Try(func() { r, e = bounded(ctx, deadline, dispatch) })
+		r, e := Response{}, DispatchMayHaveRun
+		caught.Try(func() { r, e = dispatchWithDeadline(ctx, deadline, dispatch) })
 		ended <- g.step(func(env Env) Step { return g.core.Dispatched(env, id, r, e) })
 		if p := caught.Recovered(); p != nil {
-			slog.Error("a protected call's dispatch panicked", "err", p.AsError())
+			slog.Error("dispatch of a protected call panicked", "err", p.AsError())
 		}
 	})
 	select {
@@ -179,29 +181,29 @@
 		caught.Repanic()
 		return s
 	case <-ctx.Done():
-		return AnswerStep{Result: MayHaveRun{ReasonRunning}}
+		return ResultStep{Result: MayHaveRun{ReasonRunning}}
 	}
 }
 
-// bounded runs the dispatch, which the caller's leaving doesn't break off. The
-// deadline was set before the last look at the clock: after a pause behind
-// that look nothing is sent any more.
-func bounded(ctx context.Context, deadline time.Time, dispatch Dispatch) (Recorded, DispatchError) {
+// dispatchWithDeadline runs the dispatch, which goes on if the caller gives up.
+// The deadline was set before Confirm checked the clock, so after a pause that
+// follows that check nothing is sent.
+func dispatchWithDeadline(ctx context.Context, deadline time.Time, dispatch Dispatch) (Response, DispatchResult) {
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), deadline)
 	defer cancel()
 	if ctx.Err() != nil {
-		return Recorded{}, DispatchNotRun
+		return Response{}, DispatchNotRun
 	}
 	return dispatch(ctx)
 }
 
-// step runs one step of the core and then what it asks for.
+// step runs one step of the core under the lock.
 func (g *Guard) step(f func(Env) Step) Step {
 	h := g.journal.Health()
 	var s Step
-	g.locked(func() {
-		// A claim may still make it through a failure that is shorter than it
-		// may take.
+	g.withCore(func() {
+		// A failure of the log that is shorter than ClaimTimeout may end before
+		// the claim's append does.
 		now := time.Now()
 		up := h.LogUp || now.Sub(h.LastContact) < g.cfg.ClaimTimeout
 		s = f(Env{Now: now, LogUp: up})
@@ -209,9 +211,9 @@
 	return s
 }
 
-// locked calls f with the core locked, wakes the calls that f changed, and
-// starts the appends that it asked for.
-func (g *Guard) locked(f func()) {
+// withCore calls f with the core locked, wakes the calls that f changed, and
+// starts the appends that it put into the outbox.
+func (g *Guard) withCore(f func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	f()
@@ -225,13 +227,14 @@
 	}
 }
 
-func (g *Guard) forget(id CallID) {
+func (g *Guard) removeWaiter(id CallID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.waiters, id)
 }
 
-func (g *Guard) enter() bool {
+// begin counts a new call; it returns false if the Guard is shutting down.
+func (g *Guard) begin() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.stopping {
@@ -241,13 +244,15 @@
 	return true
 }
 
-func (g *Guard) leave() {
+// end counts the end of a call or an append.
+func (g *Guard) end() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.active--
-	signal(g.left)
+	signal(g.ended)
 }
 
+// signal sends to c without blocking.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/claim/messages.go
+++ b/claim/messages.go
@@ -13,32 +13,32 @@
 	"tamarackchute/upstream"
 )
 
-// messageType stands first in an entry's body. The numbers stand in the log:
-// never reuse one.
+// messageType is the first byte of an entry's body. The numbers are stored in
+// the log: never reuse one.
 type messageType uint8
 
 const (
 	typeClaim      messageType = 1
-	typeAbandoned  messageType = 2
+	typeWithdrawal messageType = 2
 	typeOutcome    messageType = 3
 	typeBrokenOff  messageType = 4
 	typeCheckpoint messageType = 5
 )
 
-// claimed asks for the right to run a key's call.
-type claimed struct {
+// claimRequest asks for the right to run a key's call.
+type claimRequest struct {
 	//lint:ignore U1000 read by msgpack
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Key     KeyID
 	Attempt AttemptID
 	Digest  uint64
-	// MadeMillis is Key.Made as Unix milliseconds, 0 if not known.
-	MadeMillis int64
+	// CreatedAtMillis is Key.CreatedAt in Unix milliseconds, 0 if not known.
+	CreatedAtMillis int64
 }
 
-// abandoned withdraws a claim that was never dispatched and never will be.
-type abandoned struct {
+// withdrawal withdraws a claim that was never dispatched and never will be.
+type withdrawal struct {
 	//lint:ignore U1000 read by msgpack
 	_msgpack struct{} `msgpack:",as_array"`
 
@@ -46,7 +46,7 @@
 	Attempt AttemptID
 }
 
-// outcome records the answer of a run.
+// outcome records the response of a call that ran.
 type outcome struct {
 	//lint:ignore U1000 read by msgpack
 	_msgpack struct{} `msgpack:",as_array"`
@@ -55,14 +55,14 @@
 	Attempt AttemptID
 	Digest  uint64
 	Status  uint16
-	// Kept is whether Headers and Body are the whole answer.
-	Kept bool
-	// Headers holds names and values in turn.
+	// Complete says that Headers and Body are the complete response.
+	Complete bool
+	// Headers holds names and values alternately.
 	Headers []string
 	Body    []byte
 }
 
-// brokenOff records that a run's outcome will never be known.
+// brokenOff records that a dispatch's outcome will never be known.
 type brokenOff struct {
 	//lint:ignore U1000 read by msgpack
 	_msgpack struct{} `msgpack:",as_array"`
@@ -72,8 +72,8 @@
 	Digest  uint64
 }
 
-// checkpoint repeats what a ledger knew at UpTo, in several parts, so that a
-// reader that starts behind expired records learns it.
+// checkpoint is one part of a ledger's snapshot at UpTo, for readers that start
+// after records have expired.
 type checkpoint struct {
 	//lint:ignore U1000 read by msgpack
 	_msgpack struct{} `msgpack:",as_array"`
@@ -81,13 +81,13 @@
 	Set         AttemptID
 	Part, Parts uint32
 	UpTo        journal.Position
-	// NowMillis is the ledger's time at UpTo.
+	// NowMillis is the ledger's time at UpTo in Unix milliseconds.
 	NowMillis int64
-	// Rows holds checkpointRow values, one after the other.
+	// Rows holds concatenated checkpointRow values.
 	Rows []byte
 }
 
-// checkpointRow is a key, or an attempt that was decided against.
+// checkpointRow is a key, or an attempt whose claim was rejected or withdrawn.
 type checkpointRow struct {
 	//lint:ignore U1000 read by msgpack
 	_msgpack struct{} `msgpack:",as_array"`
@@ -101,9 +101,10 @@
 	Writer  uint64
 }
 
-var errCorrupt = eris.New("claim: entry can't be decoded")
+var errCorrupt = eris.New("claim: malformed entry")
 
-// encodeEntry builds a journal entry. The id must be unique to the message.
+// encodeEntry builds a journal entry. The id and the suffix together must be
+// unique to the message.
 func encodeEntry(t messageType, id AttemptID, suffix string, m any) journal.Entry {
 	var b bytes.Buffer
 	enc := msgpack.NewEncoder(&b)
@@ -118,12 +119,12 @@
 	}
 }
 
-func (m claimed) entry() journal.Entry {
+func (m claimRequest) entry() journal.Entry {
 	return encodeEntry(typeClaim, m.Attempt, "c", &m)
 }
 
-func (m abandoned) entry() journal.Entry {
-	return encodeEntry(typeAbandoned, m.Attempt, "a", &m)
+func (m withdrawal) entry() journal.Entry {
+	return encodeEntry(typeWithdrawal, m.Attempt, "a", &m)
 }
 
 func (m outcome) entry() journal.Entry {
@@ -136,16 +137,16 @@
 
 // decodeEntry returns a pointer to one of the message types.
 func decodeEntry(body []byte) (any, error) {
-	// The type is below 128, so it is its own msgpack form.
+	// A type below 128 is encoded as one byte of the same value in msgpack.
 	if len(body) == 0 {
 		return nil, errCorrupt
 	}
 	var m any
 	switch messageType(body[0]) {
 	case typeClaim:
-		m = new(claimed)
-	case typeAbandoned:
-		m = new(abandoned)
+		m = new(claimRequest)
+	case typeWithdrawal:
+		m = new(withdrawal)
 	case typeOutcome:
 		m = new(outcome)
 	case typeBrokenOff:
@@ -161,24 +162,24 @@
 	return m, nil
 }
 
-// recorded is the answer that the outcome holds.
-func (m *outcome) recorded() Recorded {
-	r := Recorded{Status: int(m.Status), Body: m.Body}
+// response returns the response that the outcome holds.
+func (m *outcome) response() Response {
+	r := Response{Status: int(m.Status), Body: m.Body}
 	for i := 0; i+1 < len(m.Headers); i += 2 {
 		r.Headers = append(r.Headers, upstream.Header{Name: m.Headers[i], Value: m.Headers[i+1]})
 	}
 	return r
 }
 
-// newOutcome records an answer, without headers and body if it is larger than
-// maxBytes.
-func newOutcome(key KeyID, attempt AttemptID, digest uint64, r Recorded, maxBytes int) outcome {
+// newOutcome returns the record of a response, without headers and body if it
+// is larger than maxBytes.
+func newOutcome(key KeyID, attempt AttemptID, digest uint64, r Response, maxBytes int) outcome {
 	m := outcome{Key: key, Attempt: attempt, Digest: digest, Status: uint16(r.Status)}
 	if r.size() > maxBytes {
 		return m
 	}
-	m.Kept = true
-	// The caller's HTTP library may use the answer's memory again.
+	m.Complete = true
+	// The caller's HTTP library may reuse the response's memory.
 	m.Body = bytes.Clone(r.Body)
 	for _, h := range r.Headers {
 		m.Headers = append(m.Headers, strings.Clone(h.Name), strings.Clone(h.Value))
