--- a/cmd/chute-member/main.go
+++ b/cmd/chute-member/main.go
@@ -60,7 +60,7 @@
 	m := member.New(member.Config{
 		Settings:         s,
 		Store:            store,
-		Formats:          store,
+		Decoder:          store,
 		Dialect:          platform.Dialect{},
 		Log:              platform.NewLog(store),
 		Engines:          platform.Engines{},
--- a/internal/ctl/daemons.go
+++ b/internal/ctl/daemons.go
@@ -114,7 +114,7 @@
 func leaseOf(l daemonstatus.Lease) string {
 	switch {
 	case l.Held:
-		return "holder, fence " + strconv.FormatUint(l.Fence, 10)
+		return "holder, fence " + strconv.FormatUint(l.FencingToken, 10)
 	case l.Candidate:
 		return "candidate"
 	default:
@@ -134,7 +134,7 @@
 		case p.Up:
 			state = "up"
 		}
-		t.row(p.Instance, p.DataCentre, state, strconv.FormatUint(p.ConfigVersion, 10), ago(p.ToldMS))
+		t.row(p.Instance, p.DataCentre, state, strconv.FormatUint(p.ConfigVersion, 10), ago(p.UpdateAgeMS))
 	}
 	return t.end()
 }
@@ -145,7 +145,7 @@
 	for _, u := range servers {
 		state := "not used"
 		switch {
-		case u.Leaving:
+		case u.Draining:
 			state = "leaving"
 		case u.Usable:
 			state = "used"
@@ -159,7 +159,7 @@
 	fmt.Fprintln(s.Stdout)
 	t := s.table("POOL", "REQUESTS", "REPEATS", "ALLOWED")
 	for _, b := range budgets {
-		t.row(b.Pool, fmt.Sprintf("%.0f", b.Requests), fmt.Sprintf("%.0f", b.Repeats), fmt.Sprintf("%.1f", b.Allowed))
+		t.row(b.Pool, fmt.Sprintf("%.0f", b.Requests), fmt.Sprintf("%.0f", b.Retries), fmt.Sprintf("%.1f", b.Allowed))
 	}
 	return t.end()
 }
--- a/internal/ctl/daemons_test.go
+++ b/internal/ctl/daemons_test.go
@@ -15,16 +15,16 @@
 
 var someDaemon = daemonstatus.Daemon{
 	Instance: "a-1", DataCentre: "a", Ready: true, Requests: 7, ConfigVersion: 12, StoreEra: 2, UpstreamsAgeMS: 640,
-	Lease: daemonstatus.Lease{Candidate: true, Held: true, Fence: 5},
+	Lease: daemonstatus.Lease{Candidate: true, Held: true, FencingToken: 5},
 	Peers: []daemonstatus.Peer{
-		{Instance: "a-2", DataCentre: "a", Up: true, Serving: true, ToldMS: 110, ConfigVersion: 12},
-		{Instance: "b-1", DataCentre: "b", ToldMS: 9_400, ConfigVersion: 11},
+		{Instance: "a-2", DataCentre: "a", Up: true, Serving: true, UpdateAgeMS: 110, ConfigVersion: 12},
+		{Instance: "b-1", DataCentre: "b", UpdateAgeMS: 9_400, ConfigVersion: 11},
 	},
 	Upstreams: []daemonstatus.Upstream{
 		{ID: "e1", Pool: "llm", Address: "10.0.0.1:80", DataCentre: "a", Role: "prefill", Usable: true, Running: 3, Slots: 12},
-		{ID: "s1", Pool: "slips", Address: "10.0.0.2:80", DataCentre: "b", Leaving: true, Slots: 6},
+		{ID: "s1", Pool: "slips", Address: "10.0.0.2:80", DataCentre: "b", Draining: true, Slots: 6},
 	},
-	Budgets: []daemonstatus.Budget{{Pool: "llm", Requests: 900, Repeats: 4, Allowed: 185.4}},
+	Budgets: []daemonstatus.Budget{{Pool: "llm", Requests: 900, Retries: 4, Allowed: 185.4}},
 }
 
 func statusServer(t *testing.T, d daemonstatus.Daemon) string {
--- a/internal/daemonstatus/status.go
+++ b/internal/daemonstatus/status.go
@@ -33,7 +33,7 @@
 	Candidate bool `json:"candidate"`
 	Held      bool `json:"held"`
 	// Fence is the fencing number of a lease that is held.
-	Fence uint64 `json:"fence,omitempty"`
+	FencingToken uint64 `json:"fence,omitempty"`
 }
 
 // Peer is another daemon.
@@ -43,7 +43,7 @@
 	// Up says that it was heard from lately, Serving that it takes callers.
 	Up            bool    `json:"up"`
 	Serving       bool    `json:"serving"`
-	ToldMS        float64 `json:"told_ms"`
+	UpdateAgeMS   float64 `json:"told_ms"`
 	ConfigVersion uint64  `json:"config_version"`
 }
 
@@ -54,8 +54,8 @@
 	Address    string `json:"address"`
 	DataCentre string `json:"data_centre"`
 	// Role is empty for a plain service.
-	Role    string `json:"role,omitempty"`
-	Leaving bool   `json:"leaving"`
+	Role     string `json:"role,omitempty"`
+	Draining bool   `json:"leaving"`
 	// Usable says that it may get requests now: it doesn't leave, isn't ejected
 	// after failures and doesn't change its role.
 	Usable bool `json:"usable"`
@@ -68,7 +68,7 @@
 type Budget struct {
 	Pool     string  `json:"pool"`
 	Requests float64 `json:"requests"`
-	Repeats  float64 `json:"repeats"`
+	Retries  float64 `json:"repeats"`
 	// Allowed is how many repeats this daemon may make in the window.
 	Allowed float64 `json:"allowed"`
 }
--- a/internal/member/catchup.go
+++ b/internal/member/catchup.go
@@ -75,7 +75,7 @@
 // onceMore asks a peer for what was read while this daemon's connections to the others
 // were made: such news is told once, and only to those that are there.
 func (c *catchUp) onceMore(ctx context.Context) {
-	up := c.member.peers.Up()
+	up := c.member.peers.Serving()
 	if len(up) == 0 || ctx.Err() != nil {
 		return
 	}
@@ -100,7 +100,7 @@
 
 // fromPeers asks the peers that serve, one after the other, for what is missing.
 func (c *catchUp) fromPeers(ctx context.Context) {
-	for _, peer := range c.member.peers.Up() {
+	for _, peer := range c.member.peers.Serving() {
 		missing := c.member.books.UnknownCaches()
 		if len(missing) == 0 {
 			return
@@ -141,13 +141,13 @@
 func (c *catchUp) isMine(u *fleet.Upstream) bool {
 	score := func(daemon string) uint64 { return xxhash.Sum64String(daemon + " " + u.ID) }
 	own := score(c.member.self.Peers)
-	return !slices.ContainsFunc(c.member.peers.Up(), func(a wire.MemberAddress) bool { return score(a.Peers) > own })
+	return !slices.ContainsFunc(c.member.peers.Serving(), func(a wire.MemberAddress) bool { return score(a.Peers) > own })
 }
 
 func (c *catchUp) ask(ctx context.Context, u *fleet.Upstream) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
-	parts, err := c.member.cfg.Engines.Kept(ctx, u)
+	parts, err := c.member.cfg.Engines.CachedParts(ctx, u)
 	if err != nil {
 		c.log.Warn("engine didn't say what it keeps", "engine", u.ID, "err", err)
 		return
--- a/internal/member/collector.go
+++ b/internal/member/collector.go
@@ -128,7 +128,7 @@
 		return
 	}
 	own := p.about()
-	totals.Config, totals.ReadAge = own.Config, own.ReadAge
+	totals.Config, totals.ReadAge = own.Config, own.ListAge
 	totals.ListPosition, totals.ListDigest, totals.ListSize = uint64(own.ListPosition), own.ListDigest, own.ListSize
 	reply(totals)
 }
@@ -186,7 +186,7 @@
 }
 
 // Collects reports whether this daemon adds up the loads of all in a large site.
-func (p *Peers) Collects() bool {
+func (p *Peers) Aggregates() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	_, reports := p.collect.to()
@@ -195,7 +195,7 @@
 
 // ReportsNearby reports whether this daemon of a large site reports to another one of its
 // data centre, which hears of everything before it does.
-func (p *Peers) ReportsNearby() bool {
+func (p *Peers) ReportsInDataCentre() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	to, reports := p.collect.to()
@@ -220,7 +220,7 @@
 	answered := c.answered
 	c.answered = nil
 	if above := p.peers[from]; above != nil {
-		above.about.Config, above.about.ReadAge = totals.Config, totals.ReadAge
+		above.about.Config, above.about.ListAge = totals.Config, totals.ReadAge
 		above.about.ListPosition, above.about.ListDigest, above.about.ListSize = Position(totals.ListPosition), totals.ListDigest, totals.ListSize
 		above.told = now
 	}
--- a/internal/member/director.go
+++ b/internal/member/director.go
@@ -98,7 +98,7 @@
 	l := daemonstatus.Lease{Candidate: d.keeper != nil}
 	if d.keeper != nil {
 		authority, held := d.keeper.Authority()
-		l.Held, l.Fence = held, authority.FencingToken
+		l.Held, l.FencingToken = held, authority.FencingToken
 	}
 	d.member.lease.Store(&l)
 }
@@ -136,14 +136,14 @@
 	s := d.member.cfg.Settings
 	incarnation := strconv.FormatUint(d.member.peers.incarnation, 36)
 	writer := s.Instance + "/member/" + incarnation
-	entries := journal.New(d.log, journal.Config{Writer: writer, Retention: s.StoreKeeps, LongPoll: 10 * time.Second, Logger: d.logger})
+	entries := journal.New(d.log, journal.Config{Writer: writer, Retention: s.StoreRetention, LongPoll: 10 * time.Second, Logger: d.logger})
 	view := lease.NewView()
 	entries.Register(journal.KindLease, view)
 	d.keeper = lease.NewKeeper(lease.KeeperConfig{
 		Config: lease.Config{
 			Scope: leaseScope, Instance: s.Instance, Incarnation: incarnation,
 			Term: d.term(), Renew: time.Duration(renewShare * float64(d.term())), Drift: clockDrift,
-			ClaimDelay: claimDelay * time.Duration(d.member.peers.Rank()), Retention: s.StoreKeeps,
+			ClaimDelay: claimDelay * time.Duration(d.member.peers.Rank()), Retention: s.StoreRetention,
 		},
 		Writer: writer,
 	}, entries, view, everyonePresent{}, d.logger)
--- a/internal/member/director_test.go
+++ b/internal/member/director_test.go
@@ -23,7 +23,7 @@
 
 func (e *startedEngine) State(context.Context, *fleet.Upstream) (EngineState, error) {
 	e.asked++
-	return EngineState{Role: upstream.RoleDecode, Orders: 0, Started: e.started}, nil
+	return EngineState{Role: upstream.RoleDecode, AcceptedOrders: 0, Started: e.started}, nil
 }
 
 func (e *startedEngine) SetRole(context.Context, *fleet.Upstream, RoleOrder) (OrderOutcome, error) {
--- a/internal/member/engines.go
+++ b/internal/member/engines.go
@@ -15,7 +15,7 @@
 	// Changing says that an order is being carried out.
 	Changing bool
 	// Orders counts the orders that it has accepted since its start.
-	Orders uint64
+	AcceptedOrders uint64
 	// Started tells its starts apart; zero if it doesn't say.
 	Started time.Time
 }
@@ -25,12 +25,12 @@
 	Role upstream.Role
 	// Holder names the process that gives the order, Fence is its fencing
 	// number.
-	Holder string
-	Fence  uint64
+	Holder       string
+	FencingToken uint64
 	// After is the number of orders that the engine must have accepted before
 	// this one: an order that is carried out late, after a newer one, has no
 	// effect.
-	After uint64
+	ExpectedOrders uint64
 }
 
 // OrderOutcome is what became of an order.
@@ -39,11 +39,11 @@
 // The outcomes.
 const (
 	// OrderOpen: no answer; it may be carried out, now or later.
-	OrderOpen OrderOutcome = iota
+	OrderUnknown OrderOutcome = iota
 	// OrderTaken: it is being carried out.
-	OrderTaken
+	OrderAccepted
 	// OrderHolds: the engine has the role already.
-	OrderHolds
+	OrderAlreadyInRole
 	// OrderRefused: it has no effect.
 	OrderRefused
 	// OrderFenced: a newer holder has given orders.
@@ -56,9 +56,9 @@
 
 // Engines are the control calls of model engines.
 type Engines interface {
-	// Kept returns the parts of prompts that an engine keeps in its KV cache, by its
+	// CachedParts returns the parts of prompts that an engine keeps in its KV cache, by its
 	// own word. It costs the engine some time.
-	Kept(ctx context.Context, u *fleet.Upstream) ([]placement.Part, error)
+	CachedParts(ctx context.Context, u *fleet.Upstream) ([]placement.Part, error)
 	State(ctx context.Context, u *fleet.Upstream) (EngineState, error)
 	SetRole(ctx context.Context, u *fleet.Upstream, o RoleOrder) (OrderOutcome, error)
 }
--- a/internal/member/eras.go
+++ b/internal/member/eras.go
@@ -13,7 +13,7 @@
 // Eras follows the era of the store: it rises each time the store comes back from an
 // older copy. What was read or written in an earlier era may be lost. The zero value is that
 // of a store that hasn't answered yet.
-type Eras struct {
+type EraTracker struct {
 	mu      sync.Mutex
 	current uint64
 	known   bool
@@ -22,7 +22,7 @@
 }
 
 // Current returns the latest era told of.
-func (e *Eras) Current() uint64 {
+func (e *EraTracker) Current() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.current
@@ -30,24 +30,24 @@
 
 // Changed returns a channel that closes when the era rises. Take the channel before the
 // era, so that no change falls between the two.
-func (e *Eras) Changed() <-chan struct{} { return e.changes.Changed() }
+func (e *EraTracker) Changed() <-chan struct{} { return e.changes.Changed() }
 
 // LogTo sets where changes are logged.
-func (e *Eras) LogTo(log *slog.Logger) {
+func (e *EraTracker) SetLogger(log *slog.Logger) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.log = log
 }
 
 // Refused logs an era that can't be read.
-func (e *Eras) Refused(named, by string, err error) {
+func (e *EraTracker) LogInvalid(named, by string, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.warn("era of the store not read", "named", named, "by", by, "err", err)
 }
 
 // warn logs if it was said where. e.mu is held.
-func (e *Eras) warn(message string, args ...any) {
+func (e *EraTracker) warn(message string, args ...any) {
 	if e.log != nil {
 		e.log.Warn(message, args...)
 	}
@@ -56,7 +56,7 @@
 // Note takes an era that an answer or another daemon has named, and reports whether it is
 // the current one: an answer of an earlier era came late. by says who told it. The first
 // one told is no change.
-func (e *Eras) Note(era uint64, by string) bool {
+func (e *EraTracker) Observe(era uint64, by string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if era < e.current {
@@ -79,7 +79,7 @@
 
 // eraFollower lets the readers that wait begin anew in a new era.
 type eraFollower struct {
-	eras    *Eras
+	eras    *EraTracker
 	readers []*topicReader
 	daemons func() int
 }
--- a/internal/member/feeds.go
+++ b/internal/member/feeds.go
@@ -12,7 +12,7 @@
 
 // configFeed puts new versions of the configuration into force.
 type configFeed struct {
-	formats Formats
+	formats Decoder
 	state   *fleet.State
 	log     *slog.Logger
 }
@@ -46,7 +46,7 @@
 			f.log.Warn("daemon's entry left out", "key", e.Key, "err", err)
 			continue
 		}
-		f.peers.Learn(a)
+		f.peers.Add(a)
 	}
 }
 
--- a/internal/member/feeds_test.go
+++ b/internal/member/feeds_test.go
@@ -215,10 +215,10 @@
 	changes []Position
 	expire  bool
 	fail    bool
-	eras    Eras
+	eras    EraTracker
 }
 
-func (s *scriptedStore) Eras() *Eras { return &s.eras }
+func (s *scriptedStore) Eras() *EraTracker { return &s.eras }
 
 func (s *scriptedStore) Newest(context.Context, Topic) ([]Entry, Position, error) {
 	s.mu.Lock()
--- a/internal/member/large_test.go
+++ b/internal/member/large_test.go
@@ -42,7 +42,7 @@
 		t.Cleanup(kill)
 	}
 	for _, r := range rigs {
-		r.Learn(addresses...)
+		r.Add(addresses...)
 		r.start()
 	}
 	return rigs
@@ -146,7 +146,7 @@
 		others[i].Capacity = -1
 	}
 	others[3].Capacity = 1
-	r.Learn(others...)
+	r.Add(others...)
 	require.Equal(t, 1, r.Rank())
 	ask := func(now time.Time) {
 		r.mu.Lock()
@@ -192,7 +192,7 @@
 	r := newPeersRig("a")
 	for _, other := range site(meshLimit + 1) {
 		other.Capacity = 1 // stands before this one
-		r.Learn(other)
+		r.Add(other)
 	}
 	above, reports := r.collect.to()
 	require.True(t, reports)
@@ -217,7 +217,7 @@
 func TestTotalsEndInAShrunkSite(t *testing.T) {
 	r := newPeersRig("a")
 	for _, other := range site(meshLimit + 1) {
-		r.Learn(other)
+		r.Add(other)
 	}
 	require.False(t, r.meshed())
 	r.noteTotals(wire.LoadTotals{Loads: []placement.UpstreamLoad{{Upstream: r.books.KeyOf("e"), Load: placement.Load{Running: 3}}}})
--- a/internal/member/learnt.go
+++ b/internal/member/learnt.go
@@ -52,7 +52,7 @@
 		e.backoff.await(ctx)
 		began := time.Now()
 		call, cancel := context.WithTimeout(ctx, recallTimeout)
-		entries, _, err := e.store.Newest(call, TopicLearnt)
+		entries, _, err := e.store.Newest(call, TopicObservations)
 		cancel()
 		if err == nil {
 			e.backoff.succeeded()
@@ -87,7 +87,7 @@
 			continue
 		}
 		call, cancel := context.WithTimeout(ctx, callSlack)
-		err = e.store.Put(call, TopicLearnt, Entry{Key: pool, Value: value})
+		err = e.store.Put(call, TopicObservations, Entry{Key: pool, Value: value})
 		cancel()
 		if err != nil {
 			e.log.Warn("what was learnt of a pool's engines not kept", "pool", pool, "err", err)
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -49,7 +49,7 @@
 type Config struct {
 	Settings Settings
 	Store    Store
-	Formats  Formats
+	Decoder  Decoder
 	Dialect  relay.Dialect
 	// Log and Engines are for the changes of roles.
 	Log     infra.Log
@@ -88,7 +88,7 @@
 	s := cfg.Settings
 	m := &Member{cfg: cfg, log: cfg.Logger, state: fleet.NewState(), books: placement.NewTracker(nil), callers: graceful.New(cfg.Logger), pages: graceful.New(cfg.Logger)}
 	m.self = wire.MemberAddress{Instance: s.Instance, DataCentre: s.DataCentre, Callers: s.Callers, Peers: s.PeerAddress, Capacity: s.Capacity}
-	cfg.Store.Eras().LogTo(m.log)
+	cfg.Store.Eras().SetLogger(m.log)
 	m.settings.Store(&s)
 	m.budget = relay.NewBudget(s.RetryRatio, m.retrySlack, s.RetryWindow, nil)
 	m.relay = relay.New(relay.Config{
@@ -100,7 +100,7 @@
 		Logger:        m.log,
 		Metrics:       cfg.Metrics.Scope,
 		Refresh:       func(ctx context.Context) { m.peers.Refresh(ctx) },
-		Replaced:      func(id string) { m.peers.SendAway(id, "", replacedFor) },
+		Replaced:      func(id string) { m.peers.MarkUnavailable(id, "", replacedFor) },
 		MinRetryAfter: minRetryAfter,
 	})
 	m.peers = newPeers(m.self, m.wireConfig(), m.books, m.log)
@@ -124,7 +124,7 @@
 // has. Where entries are doubted it has to read for itself: a peer says that the list is
 // the same, not that they were written again.
 func (m *Member) readSame(at Position, digest uint64, age time.Duration) {
-	if at == 0 || !m.cfg.Store.Eras().Note(at.Era(), "another daemon") {
+	if at == 0 || !m.cfg.Store.Eras().Observe(at.Era(), "another daemon") {
 		return
 	}
 	if m.upstreams.doubts() {
@@ -139,7 +139,7 @@
 // retrySlack is this daemon's part of the repeats that all may make beyond their
 // share of requests.
 func (m *Member) retrySlack() float64 {
-	return m.settings.Load().RetrySlack / float64(max(expectedDaemons, m.peers.Known()))
+	return m.settings.Load().RetrySlack / float64(max(expectedDaemons, m.peers.KnownCount()))
 }
 
 func (m *Member) wireConfig() wire.Config {
@@ -150,13 +150,13 @@
 }
 
 func (m *Member) buildFeeds() {
-	store, formats := m.cfg.Store, m.cfg.Formats
-	m.backoff = newBackoff(m.peers.Known)
+	store, formats := m.cfg.Store, m.cfg.Decoder
+	m.backoff = newBackoff(m.peers.KnownCount)
 	configs := &configFeed{formats: formats, state: m.state, log: m.log}
-	m.upstreams = newUpstreamFeed(formats, m.state, m.cfg.Settings.ReturnWithin, m.log)
+	m.upstreams = newUpstreamFeed(formats, m.state, m.cfg.Settings.LapsedEntryGrace, m.log)
 	members := &memberFeed{peers: m.peers, log: m.log}
 	upstreams := &topicReader{
-		store: store, topic: TopicUpstreams, name: "upstreams", every: upstreamsEvery, spread: upstreamsSpread, first: m.peers.Collects,
+		store: store, topic: TopicUpstreams, name: "upstreams", every: upstreamsEvery, spread: upstreamsSpread, first: m.peers.Aggregates,
 		reset: m.upstreams.reset, resetCopy: m.upstreams.resetCopy, apply: m.upstreams.apply, backoff: m.backoff, log: m.log,
 	}
 	m.upstreams.age = upstreams.age
@@ -169,7 +169,7 @@
 		upstreams,
 		{store: store, topic: TopicConfig, name: "configuration", wait: longWait, reset: configs.take, apply: configs.take, backoff: m.backoff, log: m.log},
 		{
-			store: store, topic: TopicMembers, name: "daemons", wait: longWait, every: time.Second, rests: m.peers.ReportsNearby,
+			store: store, topic: TopicMembers, name: "daemons", wait: longWait, every: time.Second, rests: m.peers.ReportsInDataCentre,
 			reset: members.take, apply: members.take, backoff: m.backoff, log: m.log,
 		},
 	}
@@ -180,10 +180,10 @@
 	return !m.leaving.Load() && m.state.Snapshot().Config != nil
 }
 
-func (m *Member) about() About {
+func (m *Member) about() Summary {
 	s := m.state.Snapshot()
-	a := About{
-		Serving: m.Ready(), ReadAge: m.readers[0].age(),
+	a := Summary{
+		Serving: m.Ready(), ListAge: m.readers[0].age(),
 		ListPosition: m.readers[0].position(), ListDigest: m.upstreams.digest.Load(),
 		ListSize: len(s.Upstreams),
 	}
@@ -208,7 +208,7 @@
 // there if there are two or more, since each crossing costs time and bytes, and
 // to all otherwise.
 func (m *Member) Where(dataCentre string) ([]string, time.Duration) {
-	up := m.peers.Up()
+	up := m.peers.Serving()
 	if m.Ready() {
 		up = append(up, m.self)
 	}
@@ -278,12 +278,12 @@
 	for _, r := range m.readers {
 		learning.Add(r)
 	}
-	learning.Add(&eraFollower{eras: m.cfg.Store.Eras(), readers: m.readers, daemons: m.peers.Known})
+	learning.Add(&eraFollower{eras: m.cfg.Store.Eras(), readers: m.readers, daemons: m.peers.KnownCount})
 	learning.Add(&peerView{member: m})
 	learning.Add(&catchUp{member: m, log: m.log})
 	learning.Add(&engineMemory{store: m.cfg.Store, books: m.books, peers: m.peers, backoff: m.backoff, log: m.log})
 	learning.Add(&figuresTeller{books: m.books, scope: m.cfg.Metrics.Scope, log: m.log})
-	learning.Add(&announcer{store: m.cfg.Store, self: m.self, backoff: m.backoff, daemons: m.peers.Known, log: m.log})
+	learning.Add(&announcer{store: m.cfg.Store, self: m.self, backoff: m.backoff, daemons: m.peers.KnownCount, log: m.log})
 	exchange := suture.New("exchange", spec)
 	exchange.Add(wire.NewServer(m.wireConfig(), m.self.Peers, m.peers, m.log))
 	exchange.Add(m.peers)
@@ -317,7 +317,7 @@
 		CloseIdle: m.callers.CloseIdle,
 	}
 	known := time.Now().Add(stop.Keep)
-	m.relay.Leave(known, known.Add(stop.Grace), func() bool { return len(m.peers.Up()) > 0 })
+	m.relay.Leave(known, known.Add(stop.Grace), func() bool { return len(m.peers.Serving()) > 0 })
 	stop.Drain(nil, m.callers.Active, m.log)
 	m.pages.CloseIdle()
 	m.callers.Wait()
--- a/internal/member/peers.go
+++ b/internal/member/peers.go
@@ -45,7 +45,7 @@
 	cfg    wire.Config
 	books  *placement.Tracker
 	log    *slog.Logger
-	about  func() About
+	about  func() Summary
 	view   func(configOnly bool) wire.ViewReply
 	change func()
 	links  *suture.Supervisor
@@ -78,7 +78,7 @@
 }
 
 // About is what a daemon says of itself beside its load.
-type About struct {
+type Summary struct {
 	Serving bool
 	Config  uint64
 	// ListPosition, ListDigest, ListSize and ReadAge are of the list of upstreams.
@@ -86,7 +86,7 @@
 	ListDigest   uint64
 	// ListSize is the number of its upstreams.
 	ListSize int
-	ReadAge  time.Duration
+	ListAge  time.Duration
 }
 
 type peer struct {
@@ -95,7 +95,7 @@
 	outgoing
 	incarnation uint64
 	seq         uint64
-	about       About
+	about       Summary
 	demands     map[string]wire.MemberDemand
 	// heard is when its last state came, told when the last word on what it knows
 	// did, as a state or with the totals.
@@ -133,7 +133,7 @@
 func (p *Peers) String() string { return "peers" }
 
 // Learn adds daemons whose addresses were heard of.
-func (p *Peers) Learn(addresses ...wire.MemberAddress) {
+func (p *Peers) Add(addresses ...wire.MemberAddress) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, a := range addresses {
@@ -194,9 +194,9 @@
 	forget := m.Incarnation != from.incarnation || (from.meshed && !m.Meshed)
 	from.meshed = m.Meshed
 	from.incarnation, from.seq = m.Incarnation, m.Seq
-	from.about = About{
+	from.about = Summary{
 		Serving: m.Serving, Config: m.Config,
-		ListPosition: Position(m.ListPosition), ListDigest: m.ListDigest, ListSize: m.ListSize, ReadAge: m.ReadAge,
+		ListPosition: Position(m.ListPosition), ListDigest: m.ListDigest, ListSize: m.ListSize, ListAge: m.ReadAge,
 	}
 	if m.Demands != nil {
 		from.demands = m.Demands
--- a/internal/member/peers_test.go
+++ b/internal/member/peers_test.go
@@ -16,7 +16,7 @@
 type peersRig struct {
 	*Peers
 	books *placement.Tracker
-	about About
+	about Summary
 }
 
 func newPeersRig(address string) *peersRig {
@@ -24,10 +24,10 @@
 }
 
 func newPeersRigOf(self wire.MemberAddress, cfg wire.Config) *peersRig {
-	r := &peersRig{books: placement.NewTracker(nil), about: About{Serving: true, Config: 1, ListPosition: 2, ListDigest: 3}}
+	r := &peersRig{books: placement.NewTracker(nil), about: Summary{Serving: true, Config: 1, ListPosition: 2, ListDigest: 3}}
 	r.books.Sync([]placement.Member{{ID: "e", DataCentre: "d", Role: upstream.RoleDecode, Slots: 4, KVTokens: 1000}})
 	r.Peers = newPeers(self, cfg, r.books, quiet)
-	r.Peers.about = func() About { return r.about }
+	r.Peers.about = func() Summary { return r.about }
 	r.Peers.demand = func() map[string]wire.MemberDemand { return nil }
 	r.Peers.change = func() {}
 	r.Peers.waiting = func() bool { return false }
@@ -64,10 +64,10 @@
 
 	// The list has grown older by as much as has passed: nothing new.
 	now = now.Add(time.Second)
-	r.about.ReadAge = time.Second
+	r.about.ListAge = time.Second
 	r.books.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
 	require.IsType(t, wire.MemberLoads{}, r.changes(now))
-	r.about.ReadAge = 0 // read just now
+	r.about.ListAge = 0 // read just now
 	r.books.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
 	require.IsType(t, wire.MemberState{}, r.changes(now))
 }
@@ -104,12 +104,12 @@
 // first says so. If all others took its whole list, its link would be full for
 // seconds, and the server would get new requests meanwhile.
 func TestLargeListsComeFromTheStore(t *testing.T) {
-	small, large := About{ListSize: largeList, Config: 2}, About{ListSize: largeList + 1, Config: 2}
-	own := About{Config: 2}
+	small, large := Summary{ListSize: largeList, Config: 2}, Summary{ListSize: largeList + 1, Config: 2}
+	own := Summary{Config: 2}
 	require.Equal(t, source{whole: true}, sourceOf(own, small, false))
 	require.Equal(t, source{store: true}, sourceOf(own, large, false))
 	require.Equal(t, source{whole: true}, sourceOf(own, large, true), "the store can't be read")
-	require.Equal(t, source{config: true, store: true}, sourceOf(About{Config: 1}, large, false))
+	require.Equal(t, source{config: true, store: true}, sourceOf(Summary{Config: 1}, large, false))
 }
 
 // A reader that rests for long must read at once when a peer says that there is
--- a/internal/member/peerview.go
+++ b/internal/member/peerview.go
@@ -15,7 +15,7 @@
 
 // SendAway keeps the requests of all daemons from an engine for some time, or
 // until it has a role; "" if it doesn't change.
-func (p *Peers) SendAway(id string, to upstream.Role, d time.Duration) {
+func (p *Peers) MarkUnavailable(id string, to upstream.Role, d time.Duration) {
 	at := p.books.KeyOf(id)
 	p.books.MarkUnavailable(at, to, d)
 	p.mu.Lock()
@@ -51,7 +51,7 @@
 // of a large site is told it; for those that another one there doesn't hear the average of
 // the others stands in.
 func (p *Peers) Demand(pool string) wire.MemberDemand {
-	if p.Collects() {
+	if p.Aggregates() {
 		return p.tally.demand(pool)
 	}
 	sum := p.demand()[pool]
@@ -86,7 +86,7 @@
 }
 
 // Up returns the daemons heard from lately that serve callers.
-func (p *Peers) Up() []wire.MemberAddress {
+func (p *Peers) Serving() []wire.MemberAddress {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var up []wire.MemberAddress
@@ -101,17 +101,17 @@
 // Better returns the peer address of a daemon with a newer configuration than
 // this one's, or else one with another list of upstreams that was read later, and
 // what it says of itself; "" if there is none.
-func (p *Peers) Better(own About) (string, About) {
+func (p *Peers) Freshest(own Summary) (string, Summary) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	best, newest, youngest := "", own.Config, own.ReadAge-youngerBy
-	var about About
+	best, newest, youngest := "", own.Config, own.ListAge-youngerBy
+	var about Summary
 	for address, other := range p.peers {
 		if time.Since(other.told) > silentAfter {
 			continue
 		}
 		a := other.about
-		age := a.ReadAge + time.Since(other.told)
+		age := a.ListAge + time.Since(other.told)
 		newerList := a.ListPosition > own.ListPosition && a.ListDigest != own.ListDigest && age < youngest
 		if a.Config > newest || (a.Config == newest && newerList) {
 			best, newest, about = address, a.Config, a
@@ -125,7 +125,7 @@
 
 // Known returns the number of daemons that are or lately were part of the
 // system, this one included.
-func (p *Peers) Known() int {
+func (p *Peers) KnownCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return 1 + len(p.peers)
--- a/internal/member/reload.go
+++ b/internal/member/reload.go
@@ -28,8 +28,8 @@
 	{"capacity", func(s *Settings) any { return s.Capacity }, nil},
 	{"retry window", func(s *Settings) any { return s.RetryWindow }, nil},
 	{"lease term", func(s *Settings) any { return s.LeaseTerm }, nil},
-	{"store's retention", func(s *Settings) any { return s.StoreKeeps }, nil},
-	{"return of lapsed entries", func(s *Settings) any { return s.ReturnWithin }, nil},
+	{"store's retention", func(s *Settings) any { return s.StoreRetention }, nil},
+	{"return of lapsed entries", func(s *Settings) any { return s.LapsedEntryGrace }, nil},
 	{"seeds", func(s *Settings) any { return s.Seeds }, func(now, next *Settings) { now.Seeds = next.Seeds }},
 	{"memory", func(s *Settings) any { return s.MemoryBytes }, func(now, next *Settings) { now.MemoryBytes = next.MemoryBytes }},
 	{"grace", func(s *Settings) any { return s.Grace }, func(now, next *Settings) { now.Grace = next.Grace }},
@@ -63,6 +63,6 @@
 	m.budget.SetRatio(s.RetryRatio)
 	limitMemory(s.MemoryBytes)
 	for _, seed := range s.Seeds {
-		m.peers.Learn(wire.MemberAddress{Peers: seed})
+		m.peers.Add(wire.MemberAddress{Peers: seed})
 	}
 }
--- a/internal/member/roleorders.go
+++ b/internal/member/roleorders.go
@@ -46,18 +46,18 @@
 		return
 	}
 	outcome, err := d.engines.SetRole(ctx, u, RoleOrder{
-		Role: c.To, Holder: d.member.self.Instance, Fence: authority.FencingToken, After: state.Orders,
+		Role: c.To, Holder: d.member.self.Instance, FencingToken: authority.FencingToken, ExpectedOrders: state.AcceptedOrders,
 	})
 	d.logger.Info("role ordered", "engine", u.ID, "from", u.Role, "to", c.To, "fence", authority.FencingToken,
-		"after", state.Orders, "outcome", outcome.String(), "reason", c.Reason, "err", err)
+		"after", state.AcceptedOrders, "outcome", outcome.String(), "reason", c.Reason, "err", err)
 	switch outcome {
-	case OrderTaken:
+	case OrderAccepted:
 		// Whatever is sent there before its entry shows the new role is turned
 		// away. Each daemon ends that by itself, whoever leads then.
 		d.changes[u.ID] = roleChange{of: u, to: c.To, since: time.Now()}
-		d.member.peers.SendAway(u.ID, c.To, changeLimit)
-	case OrderOpen:
-		d.member.peers.SendAway(u.ID, c.To, openLimit)
+		d.member.peers.MarkUnavailable(u.ID, c.To, changeLimit)
+	case OrderUnknown:
+		d.member.peers.MarkUnavailable(u.ID, c.To, openLimit)
 	case OrderFenced:
 		// Somebody else has led since: this authority is worth nothing.
 		d.distrust = time.Now().Add(d.term())
--- a/internal/member/serve.go
+++ b/internal/member/serve.go
@@ -97,11 +97,11 @@
 	s.Gauge("config_version").Update(float64(about.Config))
 	s.Gauge("store_era").Update(float64(m.cfg.Store.Eras().Current()))
 	s.Gauge("upstreams").Update(float64(len(m.state.Snapshot().Upstreams)))
-	s.Gauge("upstreams_age_seconds").Update(about.ReadAge.Seconds())
-	s.Gauge("daemons_known").Update(float64(m.peers.Known()))
-	s.Gauge("daemons_serving").Update(float64(len(m.peers.Up())))
+	s.Gauge("upstreams_age_seconds").Update(about.ListAge.Seconds())
+	s.Gauge("daemons_known").Update(float64(m.peers.KnownCount()))
+	s.Gauge("daemons_serving").Update(float64(len(m.peers.Serving())))
 	collects := 0.0
-	if m.peers.Collects() {
+	if m.peers.Aggregates() {
 		collects = 1
 	}
 	s.Gauge("collects_loads").Update(collects)
--- a/internal/member/settings.go
+++ b/internal/member/settings.go
@@ -34,7 +34,7 @@
 	Grace time.Duration
 	// ReturnWithin is the time after an outage of the store in which entries
 	// that lapsed meanwhile come back.
-	ReturnWithin time.Duration
+	LapsedEntryGrace time.Duration
 	// RetryRatio, RetryWindow and RetrySlack bound repeats: in each window a
 	// pool gets at most ratio x requests + slack of them from all daemons.
 	RetryRatio  float64
@@ -43,7 +43,7 @@
 	// LeaseTerm is how long one daemon's right to order engines lasts.
 	LeaseTerm time.Duration
 	// StoreKeeps is how long the store keeps records.
-	StoreKeeps time.Duration
+	StoreRetention time.Duration
 	// DirectoryTTL is the longest time that callers keep a directory's answer.
 	DirectoryTTL time.Duration
 }
--- a/internal/member/status.go
+++ b/internal/member/status.go
@@ -18,14 +18,14 @@
 	d := daemonstatus.Daemon{
 		Instance: m.self.Instance, DataCentre: m.self.DataCentre, Callers: m.self.Callers,
 		Ready: about.Serving, Stopping: m.leaving.Load(), Requests: m.relay.Active(),
-		ConfigVersion: about.Config, StoreEra: m.cfg.Store.Eras().Current(), UpstreamsAgeMS: telemetry.Millis(about.ReadAge),
+		ConfigVersion: about.Config, StoreEra: m.cfg.Store.Eras().Current(), UpstreamsAgeMS: telemetry.Millis(about.ListAge),
 		Peers: m.peers.statuses(time.Now()), Upstreams: m.reportUpstreams(m.state.Snapshot()), Budgets: []daemonstatus.Budget{},
 	}
 	if l := m.lease.Load(); l != nil {
 		d.Lease = *l
 	}
 	for _, b := range m.budget.State() {
-		d.Budgets = append(d.Budgets, daemonstatus.Budget{Pool: b.Pool, Requests: b.Requests, Repeats: b.Repeats, Allowed: b.Allowed})
+		d.Budgets = append(d.Budgets, daemonstatus.Budget{Pool: b.Pool, Requests: b.Requests, Retries: b.Repeats, Allowed: b.Allowed})
 	}
 	return d
 }
@@ -35,7 +35,7 @@
 	for _, u := range s.Upstreams {
 		r := daemonstatus.Upstream{
 			ID: u.ID, Pool: u.Pool, Address: u.Address, DataCentre: u.DataCentre, Role: string(u.Role),
-			Leaving: u.Leaving, Slots: u.Slots,
+			Draining: u.Leaving, Slots: u.Slots,
 		}
 		if engines := m.books.Engines([]string{u.ID}); len(engines) > 0 {
 			r.Usable, r.Running = !u.Leaving, engines[0].Running
@@ -56,7 +56,7 @@
 	for _, other := range p.peers {
 		all = append(all, daemonstatus.Peer{
 			Instance: other.Instance, DataCentre: other.DataCentre, Up: other.up, Serving: other.about.Serving,
-			ToldMS: telemetry.Millis(now.Sub(other.told)), ConfigVersion: other.about.Config,
+			UpdateAgeMS: telemetry.Millis(now.Sub(other.told)), ConfigVersion: other.about.Config,
 		})
 	}
 	slices.SortFunc(all, func(a, b daemonstatus.Peer) int { return strings.Compare(a.Instance, b.Instance) })
--- a/internal/member/store.go
+++ b/internal/member/store.go
@@ -21,7 +21,7 @@
 	// TopicMembers holds an entry of each daemon of the system.
 	TopicMembers
 	// TopicLearnt holds what was learnt of the engines of each pool.
-	TopicLearnt
+	TopicObservations
 )
 
 // Entry is the newest record of a key. A nil value says that the key is gone.
@@ -49,11 +49,11 @@
 	// Put writes an entry; a nil value removes the key.
 	Put(ctx context.Context, t Topic, e Entry) error
 	// Eras tells in which era the store is.
-	Eras() *Eras
+	Eras() *EraTracker
 }
 
 // Formats reads what the store holds.
-type Formats interface {
+type Decoder interface {
 	// Config reads an entry of TopicConfig; ok is false for keys that are none.
 	Config(e Entry) (c *fleet.Config, ok bool, err error)
 	// ConfigDocument reads a configuration as the store holds it.
--- a/internal/member/telling.go
+++ b/internal/member/telling.go
@@ -26,7 +26,7 @@
 
 // toldAbout is what the last state said of this daemon, and when.
 type toldAbout struct {
-	About
+	Summary
 	at time.Time
 }
 
@@ -36,19 +36,19 @@
 
 // covers reports whether what was told still holds, but for the time that has
 // passed.
-func (t toldAbout) covers(now About, at time.Time) bool {
+func (t toldAbout) covers(now Summary, at time.Time) bool {
 	same := t.Serving == now.Serving && t.Config == now.Config &&
 		t.ListPosition == now.ListPosition && t.ListDigest == now.ListDigest
-	return same && now.ReadAge > t.ReadAge+at.Sub(t.at)-readSlack
+	return same && now.ListAge > t.ListAge+at.Sub(t.at)-readSlack
 }
 
 // stateOf returns the state to be told. p.mu is held.
-func (p *Peers) stateOf(about About, loads []placement.UpstreamLoad, reads []placement.PrefillEvent, now time.Time) wire.MemberState {
+func (p *Peers) stateOf(about Summary, loads []placement.UpstreamLoad, reads []placement.PrefillEvent, now time.Time) wire.MemberState {
 	p.seq++
 	p.toldAbout = toldAbout{about, now}
 	return wire.MemberState{
 		MemberAddress: p.self, Incarnation: p.incarnation, Seq: p.seq,
-		Serving: about.Serving, Config: about.Config, ReadAge: about.ReadAge,
+		Serving: about.Serving, Config: about.Config, ReadAge: about.ListAge,
 		ListPosition: uint64(about.ListPosition), ListDigest: about.ListDigest, ListSize: about.ListSize,
 		Meshed: p.full, Loads: loads, Reads: reads, Away: p.awayNow(),
 	}
--- a/internal/member/upstreams.go
+++ b/internal/member/upstreams.go
@@ -16,7 +16,7 @@
 
 // upstreamFeed keeps the list of upstreams.
 type upstreamFeed struct {
-	formats Formats
+	formats Decoder
 	state   *fleet.State
 	log     *slog.Logger
 	// returnWithin is how long after an outage a lapsed entry may come back.
@@ -42,7 +42,7 @@
 	doubted map[string]time.Time
 }
 
-func newUpstreamFeed(formats Formats, state *fleet.State, returnWithin time.Duration, log *slog.Logger) *upstreamFeed {
+func newUpstreamFeed(formats Decoder, state *fleet.State, returnWithin time.Duration, log *slog.Logger) *upstreamFeed {
 	return &upstreamFeed{
 		formats: formats, state: state, log: log, returnWithin: returnWithin,
 		raw: make(map[string][]byte), list: make(map[string]*fleet.Upstream), doubted: make(map[string]time.Time),
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -56,7 +56,7 @@
 }
 
 // sourceOf chooses the cheaper way to what a peer knows more.
-func sourceOf(own, peer About, storeDown bool) source {
+func sourceOf(own, peer Summary, storeDown bool) source {
 	if peer.ListSize <= largeList || storeDown {
 		return source{whole: true}
 	}
@@ -67,7 +67,7 @@
 func (v *peerView) look(ctx context.Context) {
 	m := v.member
 	own := m.about()
-	peer, about := m.peers.Better(own)
+	peer, about := m.peers.Freshest(own)
 	if peer == "" {
 		return
 	}
@@ -103,7 +103,7 @@
 }
 
 func (v *peerView) takeConfig(peer string, document []byte) {
-	c, err := v.member.cfg.Formats.ConfigDocument(document)
+	c, err := v.member.cfg.Decoder.ConfigDocument(document)
 	if err != nil {
 		v.member.log.Warn("peer's configuration refused", "peer", peer, "err", err)
 		return
@@ -120,7 +120,7 @@
 	if Position(reply.Position) <= m.readers[0].position() || age >= own {
 		return
 	}
-	if !m.cfg.Store.Eras().Note(Position(reply.Position).Era(), "another daemon") {
+	if !m.cfg.Store.Eras().Observe(Position(reply.Position).Era(), "another daemon") {
 		return
 	}
 	m.log.Info("upstreams from a peer", "peer", peer, "age_ms", age.Milliseconds(), "own_age_ms", own.Milliseconds())
