--- a/internal/member/backoff_test.go
+++ b/internal/member/backoff_test.go
@@ -15,13 +15,13 @@
 	start := time.Unix(1000, 0)
 	calls := 0
 	for range readers { // all are under way when it begins
-		b.failed(start, start.Add(time.Millisecond))
+		b.recordFailure(start, start.Add(time.Millisecond))
 	}
-	for now := start; now.Before(start.Add(outage)); now = now.Add(restPiece) {
+	for now := start; now.Before(start.Add(outage)); now = now.Add(wakeInterval) {
 		for range readers {
-			if b.wait(now) <= 0 {
+			if b.reserve(now) <= 0 {
 				calls++
-				b.failed(now, now.Add(time.Millisecond))
+				b.recordFailure(now, now.Add(time.Millisecond))
 			}
 		}
 	}
@@ -42,25 +42,25 @@
 
 // The store is back: one reader looks, and the others don't wait their time out.
 func TestAllGoOnOnceOneHasAnAnswer(t *testing.T) {
-	b := newBackoff(alone)
+	b := newBackoff(oneDaemon)
 	now := time.Unix(1000, 0)
-	require.Zero(t, b.wait(now))
-	b.failed(now, now)
-	now = b.until
-	require.Zero(t, b.wait(now), "one looks")
-	require.Positive(t, b.wait(now), "the others wait for it")
-	b.succeeded()
-	require.Zero(t, b.wait(now))
-	require.Zero(t, b.wait(now))
+	require.Zero(t, b.reserve(now))
+	b.recordFailure(now, now)
+	now = b.retryAt
+	require.Zero(t, b.reserve(now), "one looks")
+	require.Positive(t, b.reserve(now), "the others wait for it")
+	b.recordSuccess()
+	require.Zero(t, b.reserve(now))
+	require.Zero(t, b.reserve(now))
 }
 
 // The reader that looks is held up. Another one looks then: a call that hangs must not keep
 // the daemon from the store for longer than it may take.
 func TestAHangingLookIsntWaitedFor(t *testing.T) {
-	b := newBackoff(alone)
+	b := newBackoff(oneDaemon)
 	now := time.Unix(1000, 0)
-	b.failed(now, now)
-	now = b.until
-	require.Zero(t, b.wait(now))
-	require.Zero(t, b.wait(now.Add(probeLimit)))
+	b.recordFailure(now, now)
+	now = b.retryAt
+	require.Zero(t, b.reserve(now))
+	require.Zero(t, b.reserve(now.Add(probeTimeout)))
 }
--- a/internal/member/catchup.go
+++ b/internal/member/catchup.go
@@ -20,18 +20,18 @@
 const (
 	// catchUpEvery is how often a daemon that has just started looks for a peer that
 	// knows the engines.
-	catchUpEvery = 100 * time.Millisecond
+	catchUpInterval = 100 * time.Millisecond
 	// askOwn is how long after its start it asks its part of the engines themselves:
 	// peers are heard within a beat or two if there are any. askAll is when it asks
 	// whichever nobody has told it of.
-	askOwn = 400 * time.Millisecond
-	askAll = 1500 * time.Millisecond
+	queryOwnShareAfter = 400 * time.Millisecond
+	queryAllAfter      = 1500 * time.Millisecond
 	// giveUpAfter is when it takes those that can't be asked to keep nothing.
 	giveUpAfter = 5 * time.Second
 	// askOnceMore is how long after that a peer is asked a last time.
-	askOnceMore = 3 * time.Second
+	finalQueryDelay = 3 * time.Second
 	// listTimeout bounds the question to an engine what it keeps.
-	listTimeout = time.Second
+	cacheListTimeout = time.Second
 )
 
 // catchUp learns at the start what is known of the engines: from the peers, or, if all
@@ -49,41 +49,41 @@
 
 // Serve implements suture.Service. It ends once there is nothing more to learn.
 func (c *catchUp) Serve(ctx context.Context) error {
-	began := time.Now()
+	start := time.Now()
 	for ctx.Err() == nil {
-		sleep(ctx, catchUpEvery)
+		sleep(ctx, catchUpInterval)
 		if len(c.engines()) == 0 {
-			began = time.Now()
+			start = time.Now()
 			continue
 		}
 		c.fromPeers(ctx)
-		passed := time.Since(began)
-		if passed > askOwn {
-			c.fromEngines(ctx, passed > askAll)
+		elapsed := time.Since(start)
+		if elapsed > queryOwnShareAfter {
+			c.fromEngines(ctx, elapsed > queryAllAfter)
 		}
-		if len(c.member.books.UnknownCaches()) == 0 || passed > giveUpAfter {
+		if len(c.member.tracker.UnknownCaches()) == 0 || elapsed > giveUpAfter {
 			break
 		}
 	}
-	c.member.books.AssumeNewEnginesEmpty()
-	c.log.Info("caught up", "unknown_engines", len(c.member.books.UnknownCaches()))
-	sleep(ctx, askOnceMore)
-	c.onceMore(ctx)
+	c.member.tracker.AssumeNewEnginesEmpty()
+	c.log.Info("caught up", "unknown_engines", len(c.member.tracker.UnknownCaches()))
+	sleep(ctx, finalQueryDelay)
+	c.finalQuery(ctx)
 	return suture.ErrDoNotRestart
 }
 
 // onceMore asks a peer for what was read while this daemon's connections to the others
 // were made: such news is told once, and only to those that are there.
-func (c *catchUp) onceMore(ctx context.Context) {
-	up := c.member.peers.Serving()
-	if len(up) == 0 || ctx.Err() != nil {
+func (c *catchUp) finalQuery(ctx context.Context) {
+	serving := c.member.peers.Serving()
+	if len(serving) == 0 || ctx.Err() != nil {
 		return
 	}
 	var all []placement.Key
 	for _, u := range c.engines() {
 		all = append(all, placement.KeyOf(u.ID, u.Started))
 	}
-	c.fromPeer(ctx, up[rand.IntN(len(up))].Peers, all)
+	c.fromPeer(ctx, serving[rand.IntN(len(serving))].Peers, all)
 }
 
 // engines returns the engines of all pools, ordered by ID.
@@ -101,7 +101,7 @@
 // fromPeers asks the peers that serve, one after the other, for what is missing.
 func (c *catchUp) fromPeers(ctx context.Context) {
 	for _, peer := range c.member.peers.Serving() {
-		missing := c.member.books.UnknownCaches()
+		missing := c.member.tracker.UnknownCaches()
 		if len(missing) == 0 {
 			return
 		}
@@ -121,37 +121,37 @@
 	if !ok {
 		return
 	}
-	c.member.books.Restore(peer, reply.Beliefs)
+	c.member.tracker.Restore(peer, reply.Beliefs)
 	c.log.Info("beliefs of a peer", "peer", peer, "missing", len(missing), "engines", len(reply.Beliefs.Cached))
 }
 
 // fromEngines asks the engines that are still missing what they keep: this daemon's
 // part of them, as the other daemons ask the rest and all tell each other, or all.
 func (c *catchUp) fromEngines(ctx context.Context, all bool) {
-	missing := c.member.books.UnknownCaches()
+	missing := c.member.tracker.UnknownCaches()
 	for _, u := range c.engines() {
-		if ctx.Err() == nil && slices.Contains(missing, placement.KeyOf(u.ID, u.Started)) && (all || c.isMine(u)) {
-			c.ask(ctx, u)
+		if ctx.Err() == nil && slices.Contains(missing, placement.KeyOf(u.ID, u.Started)) && (all || c.isOwnShare(u)) {
+			c.queryEngine(ctx, u)
 		}
 	}
 }
 
 // isMine reports whether this daemon is the one to ask an engine, by rendezvous
 // hashing among those that serve.
-func (c *catchUp) isMine(u *fleet.Upstream) bool {
+func (c *catchUp) isOwnShare(u *fleet.Upstream) bool {
 	score := func(daemon string) uint64 { return xxhash.Sum64String(daemon + " " + u.ID) }
-	own := score(c.member.self.Peers)
-	return !slices.ContainsFunc(c.member.peers.Serving(), func(a wire.MemberAddress) bool { return score(a.Peers) > own })
+	local := score(c.member.self.Peers)
+	return !slices.ContainsFunc(c.member.peers.Serving(), func(a wire.MemberAddress) bool { return score(a.Peers) > local })
 }
 
-func (c *catchUp) ask(ctx context.Context, u *fleet.Upstream) {
-	ctx, cancel := context.WithTimeout(ctx, listTimeout)
+func (c *catchUp) queryEngine(ctx context.Context, u *fleet.Upstream) {
+	ctx, cancel := context.WithTimeout(ctx, cacheListTimeout)
 	defer cancel()
 	parts, err := c.member.cfg.Engines.CachedParts(ctx, u)
 	if err != nil {
 		c.log.Warn("engine didn't say what it keeps", "engine", u.ID, "err", err)
 		return
 	}
-	c.member.books.SetCachedParts(u.ID, parts)
+	c.member.tracker.SetCachedParts(u.ID, parts)
 	c.log.Info("engine said what it keeps", "engine", u.ID, "parts", len(parts))
 }
--- a/internal/member/collector_test.go
+++ b/internal/member/collector_test.go
@@ -13,14 +13,14 @@
 	"tamarackchute/placement"
 )
 
-func loadsOf(running int, sent uint32) wire.Loads {
+func testLoads(running int, sent uint32) wire.Loads {
 	return wire.Loads{{Upstream: 1, Load: placement.Load{Running: running, PrefillSent: sent}}}
 }
 
 // reported books a report and returns the totals in the answer.
-func reported(t *testing.T, c *tally, m wire.LoadReport, now time.Time) wire.LoadTotals {
+func applyReport(t *testing.T, c *loadAggregate, m wire.LoadReport, now time.Time) wire.LoadTotals {
 	t.Helper()
-	totals, ok := c.take(m, now)
+	totals, ok := c.applyReport(m, now)
 	require.True(t, ok)
 	return totals
 }
@@ -28,20 +28,20 @@
 // Each daemon is told what the others have, not its own; one that falls silent is
 // forgotten, and a full report makes up for lost ones.
 func TestTotalsOfTheOthers(t *testing.T) {
-	c := newTally()
+	c := newLoadAggregate()
 	now := time.Unix(1000, 0)
-	require.Equal(t, loadsOf(0, 0), reported(t, c, wire.LoadReport{Peers: "a", Loads: loadsOf(1, 10)}, now).Loads)
-	require.Equal(t, loadsOf(1, 10), reported(t, c, wire.LoadReport{Peers: "b", Loads: loadsOf(2, 20)}, now).Loads)
-	totals := reported(t, c, wire.LoadReport{Peers: "c"}, now)
-	require.Equal(t, loadsOf(3, 30), totals.Loads)
+	require.Equal(t, testLoads(0, 0), applyReport(t, c, wire.LoadReport{Peers: "a", Loads: testLoads(1, 10)}, now).Loads)
+	require.Equal(t, testLoads(1, 10), applyReport(t, c, wire.LoadReport{Peers: "b", Loads: testLoads(2, 20)}, now).Loads)
+	totals := applyReport(t, c, wire.LoadReport{Peers: "c"}, now)
+	require.Equal(t, testLoads(3, 30), totals.Loads)
 	require.Equal(t, 2, totals.Senders)
 
-	reported(t, c, wire.LoadReport{Peers: "a", Full: true}, now)
-	require.Equal(t, loadsOf(2, 20), reported(t, c, wire.LoadReport{Peers: "c"}, now).Loads)
+	applyReport(t, c, wire.LoadReport{Peers: "a", Full: true}, now)
+	require.Equal(t, testLoads(2, 20), applyReport(t, c, wire.LoadReport{Peers: "c"}, now).Loads)
 
-	now = now.Add(2 * silentAfter)
-	totals = reported(t, c, wire.LoadReport{Peers: "c"}, now)
-	require.Equal(t, loadsOf(0, 0), totals.Loads, "all are told that nobody has work there")
+	now = now.Add(2 * peerTimeout)
+	totals = applyReport(t, c, wire.LoadReport{Peers: "c"}, now)
+	require.Equal(t, testLoads(0, 0), totals.Loads, "all are told that nobody has work there")
 	require.Zero(t, totals.Senders)
 }
 
@@ -49,13 +49,13 @@
 // others weren't told that this work is gone, the engine would look busy to them
 // for good, and stand idle.
 func TestWorkOfTheDeadIsTakenBack(t *testing.T) {
-	c := newTally()
+	c := newLoadAggregate()
 	now := time.Unix(1000, 0)
-	reported(t, c, wire.LoadReport{Peers: "dead", Loads: loadsOf(5, 10)}, now)
-	require.Equal(t, loadsOf(5, 10), reported(t, c, wire.LoadReport{Peers: "a"}, now).Loads)
+	applyReport(t, c, wire.LoadReport{Peers: "dead", Loads: testLoads(5, 10)}, now)
+	require.Equal(t, testLoads(5, 10), applyReport(t, c, wire.LoadReport{Peers: "a"}, now).Loads)
 	for range 40 {
-		now = now.Add(silentAfter / 20)
-		for _, l := range reported(t, c, wire.LoadReport{Peers: "a"}, now).Loads {
+		now = now.Add(peerTimeout / 20)
+		for _, l := range applyReport(t, c, wire.LoadReport{Peers: "a"}, now).Loads {
 			if l.Load == (placement.Load{}) {
 				return
 			}
@@ -69,7 +69,7 @@
 // that is lost is made up for by the next full report.
 func TestAnswersAddUpToTheTotals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := newTally()
+		c := newLoadAggregate()
 		now := time.Unix(1000, 0)
 		have := make(map[string]map[placement.Key]placement.Load)
 		known := make(map[placement.Key]placement.Load)
@@ -90,7 +90,7 @@
 				}
 			}
 			lost := from == "me" && !m.Full && rapid.IntRange(0, 9).Draw(t, "lost") == 0
-			answer, ok := c.take(m, now)
+			answer, ok := c.applyReport(m, now)
 			require.True(t, ok)
 			if from != "me" || lost {
 				continue
@@ -103,7 +103,7 @@
 		for at, l := range have["me"] {
 			m.Loads = append(m.Loads, placement.UpstreamLoad{Upstream: at, Load: l})
 		}
-		answer, ok := c.take(m, now)
+		answer, ok := c.applyReport(m, now)
 		require.True(t, ok)
 		for _, l := range answer.Loads {
 			known[l.Upstream] = l.Load
@@ -128,16 +128,16 @@
 // All daemons come to the same line of collectors, whatever order they learnt the
 // others in: those with the most capacity first.
 func TestLineOfCollectors(t *testing.T) {
-	all := site(30)
+	all := testSite(30)
 	for i := range all {
 		all[i].Capacity = i % 3
 	}
-	line := ranked(all)
+	line := rankAggregators(all)
 	require.Equal(t, 2, line[0].Capacity)
 	require.Equal(t, 0, line[29].Capacity)
 	for i := range all {
 		turned := append(append([]wire.MemberAddress{}, all[i:]...), all[:i]...)
-		require.Equal(t, line, ranked(turned))
+		require.Equal(t, line, rankAggregators(turned))
 	}
 }
 
@@ -146,7 +146,7 @@
 func BenchmarkTotals(b *testing.B) {
 	for _, size := range []struct{ daemons, upstreams int }{{74, 34}, {300, 3000}} {
 		b.Run(fmt.Sprintf("%d daemons, %d upstreams", size.daemons, size.upstreams), func(b *testing.B) {
-			t := newTally()
+			t := newLoadAggregate()
 			now := time.Now()
 			reports := make([]wire.LoadReport, size.daemons)
 			for i := range reports {
@@ -155,46 +155,46 @@
 					at := placement.KeyOf(fmt.Sprint((i*7+j*13)%size.upstreams), time.Time{})
 					reports[i].Loads = append(reports[i].Loads, placement.UpstreamLoad{Upstream: at, Load: placement.Load{Running: 1, PrefillSent: uint32(i + j)}})
 				}
-				t.take(reports[i], now)
+				t.applyReport(reports[i], now)
 			}
 			b.ResetTimer()
 			for i := range b.N {
 				r := reports[i%size.daemons]
 				r.Full = false
 				r.Loads = r.Loads[:3]
-				t.take(r, now)
+				t.applyReport(r, now)
 			}
 		})
 	}
 }
 
 // fullRounds is the number of rounds of which one is in full.
-const fullRounds = 20
+const fullReportPeriod = 20
 
 // tree is the daemons of a site, of which each reports to the first in its line that
 // is alive.
-type tree struct {
+type siteTree struct {
 	all     []wire.MemberAddress
-	tallies map[string]*tally
-	have    map[string]map[placement.Key]placement.Load
+	tallies map[string]*loadAggregate
+	loads   map[string]map[placement.Key]placement.Load
 	dead    map[string]bool
 	// told is what each daemon was told.
-	told map[string][]wire.LoadTotals
-	now  time.Time
+	received map[string][]wire.LoadTotals
+	now      time.Time
 }
 
-func newTree(all []wire.MemberAddress) *tree {
-	s := &tree{all: all, tallies: map[string]*tally{}, have: map[string]map[placement.Key]placement.Load{}, dead: map[string]bool{}, told: map[string][]wire.LoadTotals{}, now: time.Unix(1000, 0)}
+func newTree(all []wire.MemberAddress) *siteTree {
+	s := &siteTree{all: all, tallies: map[string]*loadAggregate{}, loads: map[string]map[placement.Key]placement.Load{}, dead: map[string]bool{}, received: map[string][]wire.LoadTotals{}, now: time.Unix(1000, 0)}
 	for _, a := range all {
-		s.tallies[a.Peers] = newTally()
-		s.have[a.Peers] = map[placement.Key]placement.Load{}
+		s.tallies[a.Peers] = newLoadAggregate()
+		s.loads[a.Peers] = map[placement.Key]placement.Load{}
 	}
 	return s
 }
 
 // above is whom a daemon reports to.
-func (s *tree) above(self wire.MemberAddress) (string, bool) {
-	for _, a := range reportLine(self, s.all) {
+func (s *siteTree) parentOf(self wire.MemberAddress) (string, bool) {
+	for _, a := range parentCandidates(self, s.all) {
 		if !s.dead[a.Peers] {
 			return a.Peers, true
 		}
@@ -203,7 +203,7 @@
 }
 
 // round lets each daemon that lives report once, in any order.
-func (s *tree) round(t require.TestingT, order []wire.MemberAddress, full bool) {
+func (s *siteTree) round(t require.TestingT, order []wire.MemberAddress, full bool) {
 	s.now = s.now.Add(40 * time.Millisecond)
 	for _, a := range order {
 		if s.dead[a.Peers] {
@@ -211,27 +211,27 @@
 		}
 		c := s.tallies[a.Peers]
 		own := wire.LoadReport{Peers: a.Peers, Full: full, Daemons: 1}
-		for at, l := range s.have[a.Peers] {
+		for at, l := range s.loads[a.Peers] {
 			own.Loads = append(own.Loads, placement.UpstreamLoad{Upstream: at, Load: l})
 		}
-		answer, ok := c.take(own, s.now)
+		answer, ok := c.applyReport(own, s.now)
 		require.True(t, ok)
-		s.told[a.Peers] = append(s.told[a.Peers], answer)
-		above, ok := s.above(a)
+		s.received[a.Peers] = append(s.received[a.Peers], answer)
+		above, ok := s.parentOf(a)
 		if !ok {
 			continue
 		}
-		answer, ok = s.tallies[above].take(c.reportAbove(a.Peers, full, s.now), s.now)
+		answer, ok = s.tallies[above].applyReport(c.parentReport(a.Peers, full, s.now), s.now)
 		require.True(t, ok)
-		c.takeAbove(answer, s.now)
-		s.told[a.Peers] = append(s.told[a.Peers], c.totalsFor(a.Peers, s.now))
+		c.applyParentTotals(answer, s.now)
+		s.received[a.Peers] = append(s.received[a.Peers], c.totalsFor(a.Peers, s.now))
 	}
 }
 
 // others is what a daemon knows of the others.
-func (s *tree) others(t require.TestingT, self string) map[placement.Key]placement.Load {
+func (s *siteTree) knownLoads(t require.TestingT, self string) map[placement.Key]placement.Load {
 	c := s.tallies[self]
-	c.reports[self].told = 0
+	c.children[self].sentVersion = 0
 	known := make(map[placement.Key]placement.Load)
 	for _, l := range c.totalsFor(self, s.now).Loads {
 		if l.Load != (placement.Load{}) {
@@ -247,7 +247,7 @@
 // overloads them.
 func TestTotalsOverDataCentres(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all := site(rapid.IntRange(2, 24).Draw(t, "daemons"))
+		all := testSite(rapid.IntRange(2, 24).Draw(t, "daemons"))
 		for i := range all {
 			all[i].Capacity = rapid.IntRange(0, 2).Draw(t, "capacity")
 		}
@@ -256,7 +256,7 @@
 			for _, a := range all {
 				if rapid.Bool().Draw(t, "changes") {
 					at := placement.Key(rapid.IntRange(1, 3).Draw(t, "at"))
-					s.have[a.Peers][at] = placement.Load{Running: rapid.IntRange(0, 5).Draw(t, "running")}
+					s.loads[a.Peers][at] = placement.Load{Running: rapid.IntRange(0, 5).Draw(t, "running")}
 				}
 			}
 			if rapid.Bool().Draw(t, "dies") {
@@ -264,7 +264,7 @@
 			}
 			order := rapid.Permutation(all).Draw(t, "order")
 			for i := range 60 { // the dead are silent for long enough
-				s.round(t, order, i%fullRounds == 0)
+				s.round(t, order, i%fullReportPeriod == 0)
 			}
 		}
 		for _, a := range all {
@@ -276,13 +276,13 @@
 				if other.Peers == a.Peers || s.dead[other.Peers] {
 					continue
 				}
-				for at, l := range s.have[other.Peers] {
+				for at, l := range s.loads[other.Peers] {
 					if want[at] = want[at].Plus(l); want[at] == (placement.Load{}) {
 						delete(want, at)
 					}
 				}
 			}
-			require.Equal(t, want, s.others(t, a.Peers))
+			require.Equal(t, want, s.knownLoads(t, a.Peers))
 		}
 	})
 }
@@ -290,12 +290,12 @@
 // Only one daemon of a data centre reports beyond it, and no daemon reports to one
 // that reports to it, however long the chain.
 func TestReportLinesStayInTheDataCentre(t *testing.T) {
-	all := site(40)
+	all := testSite(40)
 	s := newTree(all)
 	beyond := map[string]int{}
 	roots := 0
 	for _, a := range all {
-		above, ok := s.above(a)
+		above, ok := s.parentOf(a)
 		if !ok {
 			roots++
 			continue
@@ -315,15 +315,15 @@
 // each round would count all work again. The reports come from ever deeper down, and
 // are turned away.
 func TestReportsInACircleEnd(t *testing.T) {
-	a, b := newTally(), newTally()
+	a, b := newLoadAggregate(), newLoadAggregate()
 	now := time.Unix(1000, 0)
-	reported(t, a, wire.LoadReport{Peers: "a", Loads: loadsOf(1, 0), Daemons: 1}, now)
+	applyReport(t, a, wire.LoadReport{Peers: "a", Loads: testLoads(1, 0), Daemons: 1}, now)
 	for range 100 {
 		now = now.Add(10 * time.Millisecond)
-		if _, ok := b.take(a.reportAbove("a", true, now), now); !ok {
+		if _, ok := b.applyReport(a.parentReport("a", true, now), now); !ok {
 			return
 		}
-		if _, ok := a.take(b.reportAbove("b", true, now), now); !ok {
+		if _, ok := a.applyReport(b.parentReport("b", true, now), now); !ok {
 			return
 		}
 	}
@@ -334,20 +334,20 @@
 // neighbours. The other daemons see engines without work and send theirs there, to be
 // turned away. Each daemon of the site must hear of it, once.
 func TestEveryDaemonHearsOfEnginesThatChange(t *testing.T) {
-	all := site(30)
+	all := testSite(30)
 	s := newTree(all)
 	for range 3 {
 		s.round(t, all, false)
 	}
 	leader := s.tallies[all[17].Peers]
-	_, ok := leader.take(wire.LoadReport{Peers: all[17].Peers, Daemons: 1, Away: []wire.AwayEngine{{At: 7, To: "prefill", Left: changeLimit}}}, s.now)
+	_, ok := leader.applyReport(wire.LoadReport{Peers: all[17].Peers, Daemons: 1, Away: []wire.AwayEngine{{At: 7, To: "prefill", Left: changeTimeout}}}, s.now)
 	require.True(t, ok)
 	for range 40 {
 		s.round(t, all, false)
 	}
 	for i, a := range all {
 		heard := 0
-		for _, told := range s.told[a.Peers] {
+		for _, told := range s.received[a.Peers] {
 			heard += len(told.Away)
 		}
 		if i != 17 {
@@ -360,13 +360,13 @@
 // read, and had it read again elsewhere. Each must hear of each prompt once: one that is
 // heard of twice pushes others out of what the engine is believed to keep.
 func TestEveryDaemonHearsOfPromptsOnce(t *testing.T) {
-	all := site(30)
+	all := testSite(30)
 	s := newTree(all)
 	for range 5 {
 		s.round(t, all, false)
 	}
 	read := placement.PrefillEvent{Engine: 3, State: placement.PrefillFinished, LastShared: placement.Part{ID: 9, Tokens: 100}}
-	answer, ok := s.tallies[all[17].Peers].take(wire.LoadReport{Peers: all[17].Peers, Daemons: 1, Reads: []placement.PrefillEvent{read}}, s.now)
+	answer, ok := s.tallies[all[17].Peers].applyReport(wire.LoadReport{Peers: all[17].Peers, Daemons: 1, Reads: []placement.PrefillEvent{read}}, s.now)
 	require.True(t, ok)
 	require.Empty(t, answer.Reads)
 	for range 10 {
@@ -374,7 +374,7 @@
 	}
 	for i, a := range all {
 		var heard []placement.PrefillEvent
-		for _, told := range s.told[a.Peers] {
+		for _, told := range s.received[a.Peers] {
 			heard = append(heard, told.Reads...)
 		}
 		if i == 17 {
@@ -394,45 +394,45 @@
 	asked := func(name string, readers float64) wire.LoadReport {
 		return wire.LoadReport{Peers: name, Full: true, Daemons: 1, Demands: map[string]wire.MemberDemand{"p": {Readers: readers}}}
 	}
-	leaf, near, first := newTally(), newTally(), newTally()
-	reported(t, leaf, asked("leaf", 2), now)
-	reported(t, near, asked("near", 3), now)
-	reported(t, near, leaf.reportAbove("leaf", true, now), now)
-	reported(t, first, asked("first", 1), now)
-	reported(t, first, near.reportAbove("near", true, now), now)
+	leaf, near, first := newLoadAggregate(), newLoadAggregate(), newLoadAggregate()
+	applyReport(t, leaf, asked("leaf", 2), now)
+	applyReport(t, near, asked("near", 3), now)
+	applyReport(t, near, leaf.parentReport("leaf", true, now), now)
+	applyReport(t, first, asked("first", 1), now)
+	applyReport(t, first, near.parentReport("near", true, now), now)
 	require.Equal(t, wire.MemberDemand{Readers: 6}, first.demand("p"))
-	reported(t, first, near.reportAbove("near", false, now), now)
+	applyReport(t, first, near.parentReport("near", false, now), now)
 	require.Equal(t, wire.MemberDemand{Readers: 6}, first.demand("p"))
-	now = now.Add(2 * silentAfter)
-	reported(t, first, asked("first", 1), now)
+	now = now.Add(2 * peerTimeout)
+	applyReport(t, first, asked("first", 1), now)
 	require.Equal(t, wire.MemberDemand{Readers: 1}, first.demand("p"), "the others have fallen silent")
 }
 
 // A daemon tells its work and wants no answer, as nothing is to be decided there. What others
 // have done meanwhile must come with the next answer, and a report without news says so.
 func TestWhatWasNotAnsweredIsToldLater(t *testing.T) {
-	c := newTally()
+	c := newLoadAggregate()
 	now := time.Unix(1000, 0)
-	reported(t, c, wire.LoadReport{Peers: "a"}, now)
-	reported(t, c, wire.LoadReport{Peers: "b", Loads: loadsOf(2, 20), Reads: []placement.PrefillEvent{{Engine: 3}}}, now)
-	require.Empty(t, reported(t, c, wire.LoadReport{Peers: "a", Loads: loadsOf(1, 10), Unanswered: true}, now))
-	totals := reported(t, c, wire.LoadReport{Peers: "a"}, now)
-	require.Equal(t, loadsOf(2, 20), totals.Loads)
+	applyReport(t, c, wire.LoadReport{Peers: "a"}, now)
+	applyReport(t, c, wire.LoadReport{Peers: "b", Loads: testLoads(2, 20), Reads: []placement.PrefillEvent{{Engine: 3}}}, now)
+	require.Empty(t, applyReport(t, c, wire.LoadReport{Peers: "a", Loads: testLoads(1, 10), Unanswered: true}, now))
+	totals := applyReport(t, c, wire.LoadReport{Peers: "a"}, now)
+	require.Equal(t, testLoads(2, 20), totals.Loads)
 	require.Len(t, totals.Reads, 1)
-	require.True(t, c.reportAbove("a", false, now).HasNews())
-	require.False(t, c.reportAbove("a", false, now).HasNews())
+	require.True(t, c.parentReport("a", false, now).HasNews())
+	require.False(t, c.parentReport("a", false, now).HasNews())
 }
 
 // What a daemon is told of the others it must not report back: at a site with much to
 // tell, most of a report would be what its receiver has just said.
 func TestWhatComesFromAboveIsntReportedBack(t *testing.T) {
-	c := newTally()
+	c := newLoadAggregate()
 	now := time.Unix(1000, 0)
-	reported(t, c, wire.LoadReport{Peers: "a", Loads: loadsOf(1, 10), Daemons: 1}, now)
-	require.Equal(t, loadsOf(1, 10), c.reportAbove("a", false, now).Loads)
-	c.takeAbove(wire.LoadTotals{Loads: append(loadsOf(7, 70), placement.UpstreamLoad{Upstream: 2, Load: placement.Load{Running: 5}})}, now)
-	require.Empty(t, c.reportAbove("a", false, now).Loads)
-	require.Equal(t, loadsOf(1, 10), c.reportAbove("a", true, now).Loads, "in full only its own")
-	reported(t, c, wire.LoadReport{Peers: "a", Loads: loadsOf(2, 20), Daemons: 1}, now)
-	require.Equal(t, loadsOf(2, 20), c.reportAbove("a", false, now).Loads)
+	applyReport(t, c, wire.LoadReport{Peers: "a", Loads: testLoads(1, 10), Daemons: 1}, now)
+	require.Equal(t, testLoads(1, 10), c.parentReport("a", false, now).Loads)
+	c.applyParentTotals(wire.LoadTotals{Loads: append(testLoads(7, 70), placement.UpstreamLoad{Upstream: 2, Load: placement.Load{Running: 5}})}, now)
+	require.Empty(t, c.parentReport("a", false, now).Loads)
+	require.Equal(t, testLoads(1, 10), c.parentReport("a", true, now).Loads, "in full only its own")
+	applyReport(t, c, wire.LoadReport{Peers: "a", Loads: testLoads(2, 20), Daemons: 1}, now)
+	require.Equal(t, testLoads(2, 20), c.parentReport("a", false, now).Loads)
 }
--- a/internal/member/director.go
+++ b/internal/member/director.go
@@ -19,14 +19,14 @@
 
 const (
 	// directEvery is how often roles are looked at.
-	directEvery = 500 * time.Millisecond
+	roleCheckInterval = 500 * time.Millisecond
 	// candidates is the number of daemons that try to lead at a time; the
 	// others neither read nor write the journal.
-	candidates = 2
+	maxCandidates = 2
 	// renewShare is the time between renewals as a share of the lease's term.
-	renewShare = 0.35
+	renewRatio = 0.35
 	// clockDrift is the most by which clocks' rates may differ.
-	clockDrift = 0.01
+	maxClockDrift = 0.01
 	// claimDelay sets claimants apart.
 	claimDelay = 400 * time.Millisecond
 	// quietMargin is added to the time for which a new leader gives no order.
@@ -36,8 +36,8 @@
 	// changeLimit is the time after which an engine that hasn't changed is given
 	// work again: it ends its running streams first, which takes seconds.
 	// openLimit is that for an order without an answer.
-	changeLimit = 12 * time.Second
-	openLimit   = 2 * time.Second
+	changeTimeout       = 12 * time.Second
+	unknownOrderTimeout = 2 * time.Second
 	// clockJump is the difference between the steady clock and the time of day
 	// from which the process may have been suspended.
 	clockJump  = 700 * time.Millisecond
@@ -53,25 +53,25 @@
 	policy  map[string]*rolepolicy.Balancer
 	logger  *slog.Logger
 
-	keeper *lease.Keeper
-	stop   func()
+	keeper    *lease.Keeper
+	stopLease func()
 	// leadsSince is when the present authority began without a break.
-	leadsSince time.Time
+	heldSince time.Time
 	// distrust is the time until which a clock that has jumped forbids orders.
-	distrust time.Time
-	steady   time.Time
-	wall     time.Time
+	blockedUntil  time.Time
+	lastMonotonic time.Time
+	lastWall      time.Time
 	// changes are the orders given and not seen to be done.
 	changes map[string]roleChange
 	// logged is when the picture of each pool was logged last.
-	logged map[string]time.Time
+	lastLogged map[string]time.Time
 }
 
 // roleChange is an order under way.
 type roleChange struct {
-	of    *fleet.Upstream
-	to    upstream.Role
-	since time.Time
+	engine *fleet.Upstream
+	to     upstream.Role
+	since  time.Time
 }
 
 // String names the service for the supervisor.
@@ -79,22 +79,22 @@
 
 // Serve implements suture.Service.
 func (d *director) Serve(ctx context.Context) error {
-	defer d.stand(false)
+	defer d.setCandidate(false)
 	for ctx.Err() == nil {
-		sleep(ctx, directEvery)
+		sleep(ctx, roleCheckInterval)
 		d.checkClock()
-		d.stand(d.member.Ready() && d.member.peers.Rank() < candidates)
-		leads := d.leads()
-		d.tellLease()
-		if leads {
-			d.direct(ctx)
+		d.setCandidate(d.member.Ready() && d.member.peers.Rank() < maxCandidates)
+		mayOrder := d.mayOrder()
+		d.publishLease()
+		if mayOrder {
+			d.balance(ctx)
 		}
 	}
 	return ctx.Err()
 }
 
 // tellLease keeps this daemon's part in the lease for operators.
-func (d *director) tellLease() {
+func (d *director) publishLease() {
 	l := daemonstatus.Lease{Candidate: d.keeper != nil}
 	if d.keeper != nil {
 		authority, held := d.keeper.Authority()
@@ -108,31 +108,31 @@
 func (d *director) checkClock() {
 	now := time.Now()
 	wall := now.Round(0)
-	if !d.steady.IsZero() {
-		if skew := wall.Sub(d.wall) - now.Sub(d.steady); skew > clockJump || skew < -clockJump {
-			d.distrust = now.Add(d.term())
+	if !d.lastMonotonic.IsZero() {
+		if skew := wall.Sub(d.lastWall) - now.Sub(d.lastMonotonic); skew > clockJump || skew < -clockJump {
+			d.blockedUntil = now.Add(d.term())
 			d.logger.Warn("clock jumped; no orders for a term", "by_ms", skew.Milliseconds())
 		}
 	}
-	d.steady, d.wall = now, wall
+	d.lastMonotonic, d.lastWall = now, wall
 }
 
 func (d *director) term() time.Duration { return d.member.cfg.Settings.LeaseTerm }
 
 // stand begins or ends the part in the lease.
-func (d *director) stand(candidate bool) {
+func (d *director) setCandidate(candidate bool) {
 	switch {
-	case candidate && d.stop == nil:
-		d.begin()
-	case !candidate && d.stop != nil:
-		d.stop()
-		d.stop, d.keeper = nil, nil
-		d.leadsSince = time.Time{}
+	case candidate && d.stopLease == nil:
+		d.startLease()
+	case !candidate && d.stopLease != nil:
+		d.stopLease()
+		d.stopLease, d.keeper = nil, nil
+		d.heldSince = time.Time{}
 		d.logger.Info("no candidate for the lease any more")
 	}
 }
 
-func (d *director) begin() {
+func (d *director) startLease() {
 	s := d.member.cfg.Settings
 	incarnation := strconv.FormatUint(d.member.peers.incarnation, 36)
 	writer := s.Instance + "/member/" + incarnation
@@ -142,17 +142,17 @@
 	d.keeper = lease.NewKeeper(lease.KeeperConfig{
 		Config: lease.Config{
 			Scope: leaseScope, Instance: s.Instance, Incarnation: incarnation,
-			Term: d.term(), Renew: time.Duration(renewShare * float64(d.term())), Drift: clockDrift,
+			Term: d.term(), Renew: time.Duration(renewRatio * float64(d.term())), Drift: maxClockDrift,
 			ClaimDelay: claimDelay * time.Duration(d.member.peers.Rank()), Retention: s.StoreRetention,
 		},
 		Writer: writer,
-	}, entries, view, everyonePresent{}, d.logger)
+	}, entries, view, alwaysPresent{}, d.logger)
 	ctx, cancel := context.WithCancel(context.Background())
-	tree := suture.New("lease", suture.Spec{EventHook: d.member.hook, FailureBackoff: time.Second})
+	tree := suture.New("lease", suture.Spec{EventHook: d.member.logEvent, FailureBackoff: time.Second})
 	tree.Add(entries)
 	tree.Add(d.keeper)
 	done := tree.ServeBackground(ctx)
-	d.stop = func() {
+	d.stopLease = func() {
 		cancel()
 		<-done
 	}
@@ -161,40 +161,40 @@
 
 // everyonePresent makes the lease pass by time alone: the engines of the platform
 // check fencing numbers.
-type everyonePresent struct{}
+type alwaysPresent struct{}
 
 // Gone implements lease.Presence.
-func (everyonePresent) Gone(string, time.Time) bool { return false }
+func (alwaysPresent) Gone(string, time.Time) bool { return false }
 
 // Listed implements lease.Presence.
-func (everyonePresent) Listed(string) bool { return true }
+func (alwaysPresent) Listed(string) bool { return true }
 
 // leads reports whether this daemon may give orders. A new leader stays quiet for
 // a term first: the former one's last order may have been given at the very end
 // of its term.
-func (d *director) leads() bool {
+func (d *director) mayOrder() bool {
 	now := time.Now()
 	if d.keeper == nil {
 		return false
 	}
 	if _, ok := d.keeper.Authority(); !ok {
-		d.leadsSince = time.Time{}
+		d.heldSince = time.Time{}
 		return false
 	}
-	if d.leadsSince.IsZero() {
-		d.leadsSince = now
+	if d.heldSince.IsZero() {
+		d.heldSince = now
 		d.logger.Info("leads the roles", "quiet_ms", (d.term() + quietMargin).Milliseconds())
 	}
-	return now.Sub(d.leadsSince) > d.term()+quietMargin && now.After(d.distrust)
+	return now.Sub(d.heldSince) > d.term()+quietMargin && now.After(d.blockedUntil)
 }
 
 // direct looks at each pool of engines.
-func (d *director) direct(ctx context.Context) {
+func (d *director) balance(ctx context.Context) {
 	s := d.member.state.Snapshot()
 	if s.Config == nil {
 		return
 	}
-	d.follow(s)
+	d.trackChanges(s)
 	for name, pool := range s.Config.Pools {
 		if pool.Engine == nil || len(s.Pools[name]) == 0 {
 			continue
@@ -204,9 +204,9 @@
 			policy = rolepolicy.NewBalancer(rolepolicy.DefaultBalancerConfig())
 			d.policy[name] = policy
 		}
-		picture, engines := d.picture(s, name, pool)
-		change, ok := policy.Decide(picture, time.Now())
-		d.logPicture(name, picture)
+		state, engines := d.poolState(s, name, pool)
+		change, ok := policy.Decide(state, time.Now())
+		d.logPool(name, state)
 		if !ok {
 			continue
 		}
--- a/internal/member/director_test.go
+++ b/internal/member/director_test.go
@@ -36,7 +36,7 @@
 // fit, would send the new one into a change that nobody decided on.
 func TestNoOrderToAnotherStart(t *testing.T) {
 	e := &startedEngine{t: t, started: time.UnixMilli(200)}
-	d := &director{engines: e, logger: quiet}
+	d := &director{engines: e, logger: discardLogger}
 	d.order(t.Context(), &fleet.Upstream{ID: "e", Started: time.UnixMilli(100)}, rolepolicy.Change{To: upstream.RolePrefill})
 	require.Equal(t, 1, e.asked)
 }
@@ -59,14 +59,14 @@
 func TestSilentEnginesDontHoldTheLeaderUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &silentEngines{}
-		d := &director{engines: e, logger: quiet}
+		d := &director{engines: e, logger: discardLogger}
 		engines := make([]*fleet.Upstream, 24)
 		for i := range engines {
 			engines[i] = &fleet.Upstream{ID: "e"}
 		}
-		begun := time.Now()
+		start := time.Now()
 		d.orderAll(t.Context(), engines, rolepolicy.Change{To: upstream.RolePrefill, Engines: len(engines)})
-		require.LessOrEqual(t, time.Since(begun), directEvery+2*orderTimeout)
+		require.LessOrEqual(t, time.Since(start), roleCheckInterval+2*orderTimeout)
 		require.Equal(t, 1, e.asked)
 	})
 }
--- a/internal/member/eras.go
+++ b/internal/member/eras.go
@@ -14,11 +14,11 @@
 // older copy. What was read or written in an earlier era may be lost. The zero value is that
 // of a store that hasn't answered yet.
 type EraTracker struct {
-	mu      sync.Mutex
-	current uint64
-	known   bool
-	log     *slog.Logger
-	changes notify.Changes
+	mu       sync.Mutex
+	current  uint64
+	observed bool
+	log      *slog.Logger
+	changes  notify.Changes
 }
 
 // Current returns the latest era told of.
@@ -40,10 +40,10 @@
 }
 
 // Refused logs an era that can't be read.
-func (e *EraTracker) LogInvalid(named, by string, err error) {
+func (e *EraTracker) LogInvalid(value, source string, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.warn("era of the store not read", "named", named, "by", by, "err", err)
+	e.warn("era of the store not read", "named", value, "by", source, "err", err)
 }
 
 // warn logs if it was said where. e.mu is held.
@@ -56,18 +56,18 @@
 // Note takes an era that an answer or another daemon has named, and reports whether it is
 // the current one: an answer of an earlier era came late. by says who told it. The first
 // one told is no change.
-func (e *EraTracker) Observe(era uint64, by string) bool {
+func (e *EraTracker) Observe(era uint64, source string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if era < e.current {
 		return false
 	}
-	rises := e.known && era > e.current
-	if rises {
-		e.warn("store restored from an older copy", "era", era, "before", e.current, "by", by)
+	risen := e.observed && era > e.current
+	if risen {
+		e.warn("store restored from an older copy", "era", era, "before", e.current, "by", source)
 	}
-	e.current, e.known = era, true
-	if rises {
+	e.current, e.observed = era, true
+	if risen {
 		e.changes.Wake()
 	}
 	return true
@@ -75,7 +75,7 @@
 
 // restartPerDaemon spreads the first reads and writes of a new era, by the number of
 // daemons that make them.
-const restartPerDaemon = 4 * time.Millisecond
+const restartSpreadPerDaemon = 4 * time.Millisecond
 
 // eraFollower lets the readers that wait begin anew in a new era.
 type eraFollower struct {
@@ -96,15 +96,15 @@
 			return ctx.Err()
 		case <-changed:
 		}
-		sleep(ctx, turn(f.daemons()))
+		sleep(ctx, spreadDelay(f.daemons()))
 		for _, r := range f.readers {
-			r.restart()
-			r.hurry()
+			r.restartRead()
+			r.expedite()
 		}
 	}
 }
 
 // turn draws a time to wait, so that all daemons together call the store at a bounded rate.
-func turn(daemons int) time.Duration {
-	return rand.N(time.Duration(max(1, daemons)) * restartPerDaemon)
+func spreadDelay(daemons int) time.Duration {
+	return rand.N(time.Duration(max(1, daemons)) * restartSpreadPerDaemon)
 }
--- a/internal/member/feeds.go
+++ b/internal/member/feeds.go
@@ -12,14 +12,14 @@
 
 // configFeed puts new versions of the configuration into force.
 type configFeed struct {
-	formats Decoder
+	decoder Decoder
 	state   *fleet.State
 	log     *slog.Logger
 }
 
-func (f *configFeed) take(entries []Entry) {
+func (f *configFeed) apply(entries []Entry) {
 	for _, e := range entries {
-		c, ok, err := f.formats.Config(e)
+		c, ok, err := f.decoder.Config(e)
 		if err != nil {
 			f.log.Warn("configuration refused; the one in force stays", "err", err)
 			continue
@@ -36,7 +36,7 @@
 	log   *slog.Logger
 }
 
-func (f *memberFeed) take(entries []Entry) {
+func (f *memberFeed) apply(entries []Entry) {
 	for _, e := range entries {
 		if e.Value == nil {
 			continue
@@ -71,23 +71,23 @@
 	}
 	for ctx.Err() == nil {
 		a.backoff.await(ctx)
-		began := time.Now()
+		start := time.Now()
 		restored := a.store.Eras().Changed()
-		call, cancel := context.WithTimeout(ctx, callSlack)
+		call, cancel := context.WithTimeout(ctx, callTimeout)
 		err := a.store.Put(call, TopicMembers, Entry{Key: a.self.Instance, Value: value})
 		cancel()
 		if err == nil {
-			a.backoff.succeeded()
+			a.backoff.recordSuccess()
 			a.log.Info("announced", "address", a.self.Peers, "era", a.store.Eras().Current())
 			select {
 			case <-ctx.Done():
 			case <-restored:
-				sleep(ctx, turn(a.daemons()))
+				sleep(ctx, spreadDelay(a.daemons()))
 			}
 			continue
 		}
 		a.log.Warn("not announced", "err", err)
-		a.backoff.failed(began, time.Now())
+		a.backoff.recordFailure(start, time.Now())
 	}
 	return ctx.Err()
 }
--- a/internal/member/feeds_test.go
+++ b/internal/member/feeds_test.go
@@ -19,23 +19,23 @@
 )
 
 // alone is the number of daemons of a site of one.
-func alone() int { return 1 }
+func oneDaemon() int { return 1 }
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLogger = slog.New(slog.DiscardHandler)
 
 // plainFormats reads entries as "pool address [started=N] [revision=N] [leaving]" and configurations as
 // their version.
-type plainFormats struct{}
+type textDecoder struct{}
 
-func (plainFormats) Config(e Entry) (*fleet.Config, bool, error) {
+func (textDecoder) Config(e Entry) (*fleet.Config, bool, error) {
 	if e.Key != "config" {
 		return nil, false, nil
 	}
-	c, err := plainFormats{}.ConfigDocument(e.Value)
+	c, err := textDecoder{}.ConfigDocument(e.Value)
 	return c, true, err
 }
 
-func (plainFormats) ConfigDocument(document []byte) (*fleet.Config, error) {
+func (textDecoder) ConfigDocument(document []byte) (*fleet.Config, error) {
 	v, err := strconv.ParseUint(string(document), 10, 64)
 	if err != nil {
 		return nil, err
@@ -43,7 +43,7 @@
 	return &fleet.Config{Version: v, Rules: pathset.New(nil), Document: document}, nil
 }
 
-func (plainFormats) Upstream(e Entry) (*fleet.Upstream, error) {
+func (textDecoder) Upstream(e Entry) (*fleet.Upstream, error) {
 	fields := strings.Fields(string(e.Value))
 	if len(fields) < 2 {
 		return nil, fmt.Errorf("entry %q", e.Value)
@@ -78,20 +78,20 @@
 	return Entry{Key: key, Value: []byte(value)}
 }
 
-type feedRig struct {
+type feedHarness struct {
 	feed  *upstreamFeed
 	state *fleet.State
 	age   time.Duration
 }
 
-func newFeedRig() *feedRig {
-	r := &feedRig{state: fleet.NewState()}
-	r.feed = newUpstreamFeed(plainFormats{}, r.state, 30*time.Millisecond, quiet)
+func newFeedHarness() *feedHarness {
+	r := &feedHarness{state: fleet.NewState()}
+	r.feed = newUpstreamFeed(textDecoder{}, r.state, 30*time.Millisecond, discardLogger)
 	r.feed.age = func() time.Duration { return r.age }
 	return r
 }
 
-func (r *feedRig) ids() string {
+func (r *feedHarness) ids() string {
 	var all []string
 	for _, pool := range []string{"p", "q"} {
 		for _, u := range r.state.Snapshot().Pools[pool] {
@@ -108,7 +108,7 @@
 // Servers are found, change, leave and go; an entry that makes no sense is left
 // out and harms no other.
 func TestUpstreamsFollowTheirEntries(t *testing.T) {
-	r := newFeedRig()
+	r := newFeedHarness()
 	r.feed.reset([]Entry{entry("b", "p 1:1"), entry("a", "p 1:2"), entry("c", "nonsense"), entry("d", "q 1:3")})
 	require.Equal(t, "a,b,d", r.ids())
 	r.feed.apply([]Entry{entry("a", "p 1:2 leaving"), entry("e", "p 1:4")})
@@ -123,9 +123,9 @@
 // go on being used until the servers have had time to write again; those that
 // don't come back are gone.
 func TestEntriesThatLapseInAnOutage(t *testing.T) {
-	r := newFeedRig()
+	r := newFeedHarness()
 	r.feed.reset([]Entry{entry("a", "p 1:1"), entry("b", "p 1:2")})
-	r.age = 2 * outageAfter
+	r.age = 2 * outageThreshold
 	r.feed.apply([]Entry{entry("a", ""), entry("b", "")})
 	require.Equal(t, "a,b", r.ids())
 	r.age = 0
@@ -143,9 +143,9 @@
 // takes over the first one's list, as that was read later. If the doubted entry
 // came with it, nothing would ever take it out again: its removal is behind.
 func TestDoubtedEntriesAreNotHandedOn(t *testing.T) {
-	r := newFeedRig()
+	r := newFeedHarness()
 	r.feed.reset([]Entry{entry("a", "p 1:1"), entry("b", "p 1:2")})
-	r.age = 2 * outageAfter
+	r.age = 2 * outageThreshold
 	r.feed.apply([]Entry{entry("a", "")})
 	require.Equal(t, "a,b", r.ids(), "goes on being used here")
 	require.Equal(t, map[string][]byte{"b": []byte("p 1:2")}, r.feed.entries())
@@ -154,19 +154,19 @@
 // As before, and then nothing is written to the store any more, or another daemon
 // reads it for this one. The doubt must end all the same.
 func TestDoubtEndsByItself(t *testing.T) {
-	r := newFeedRig()
+	r := newFeedHarness()
 	r.feed.reset([]Entry{entry("a", "p 1:1"), entry("b", "p 1:2")})
-	r.age = 2 * outageAfter
+	r.age = 2 * outageThreshold
 	r.feed.apply([]Entry{entry("a", "")})
 	time.Sleep(40 * time.Millisecond) // beyond the feed's time to return
-	r.feed.expire()
+	r.feed.expireLapsed()
 	require.Equal(t, "b", r.ids())
 }
 
 // Lists with the same upstreams have the same digest, whatever order they were
 // read in; a server that leaves, or changes its role, changes it.
 func TestDigestsTellListsApart(t *testing.T) {
-	one, two := newFeedRig(), newFeedRig()
+	one, two := newFeedHarness(), newFeedHarness()
 	one.feed.reset([]Entry{entry("a", "p 1:1"), entry("b", "p 1:2")})
 	two.feed.apply([]Entry{entry("b", "p 1:2")})
 	require.NotEqual(t, one.feed.digest.Load(), two.feed.digest.Load())
@@ -180,16 +180,16 @@
 // that has grown old, and goes on from the place that the other had reached.
 func TestAnotherDaemonsReadingIsAsGood(t *testing.T) {
 	store := &scriptedStore{}
-	r := &topicReader{backoff: newBackoff(alone), store: store, every: time.Hour, reset: func([]Entry) {}, apply: func([]Entry) {}, log: quiet}
+	r := &topicReader{backoff: newBackoff(oneDaemon), store: store, interval: time.Hour, applyAll: func([]Entry) {}, applyChanges: func([]Entry) {}, log: discardLogger}
 	require.NoError(t, r.read(context.Background()))
 	require.EqualValues(t, 10, r.position())
-	require.Positive(t, r.hold())
+	require.Positive(t, r.delay())
 	r.readAt = time.Now().Add(-2 * time.Hour)
-	require.Negative(t, r.hold())
-	r.heard(70, time.Minute)
-	require.Positive(t, r.hold())
-	r.heard(60, 90*time.Minute)
-	require.Positive(t, r.hold(), "an older reading changes nothing")
+	require.Negative(t, r.delay())
+	r.adopt(70, time.Minute)
+	require.Positive(t, r.delay())
+	r.adopt(60, 90*time.Minute)
+	require.Positive(t, r.delay(), "an older reading changes nothing")
 	require.NoError(t, r.read(context.Background()))
 	require.Equal(t, []Position{70}, store.changes)
 }
@@ -198,13 +198,13 @@
 // one that can't be read leaves the version in force as it is.
 func TestConfigurationNeverGoesBack(t *testing.T) {
 	state := fleet.NewState()
-	feed := &configFeed{formats: plainFormats{}, state: state, log: quiet}
+	feed := &configFeed{decoder: textDecoder{}, state: state, log: discardLogger}
 	version := func() uint64 { return state.Snapshot().Config.Version }
-	feed.take([]Entry{entry("config", "5")})
+	feed.apply([]Entry{entry("config", "5")})
 	require.EqualValues(t, 5, version())
-	feed.take([]Entry{entry("config", "9"), entry("config", "7"), entry("other", "12")})
+	feed.apply([]Entry{entry("config", "9"), entry("config", "7"), entry("other", "12")})
 	require.EqualValues(t, 9, version())
-	feed.take([]Entry{entry("config", "broken"), entry("config", "3")})
+	feed.apply([]Entry{entry("config", "broken"), entry("config", "3")})
 	require.EqualValues(t, 9, version())
 }
 
@@ -251,8 +251,8 @@
 func TestReaderStartsAnewWhenHistoryIsDropped(t *testing.T) {
 	store := &scriptedStore{}
 	state := fleet.NewState()
-	feed := &configFeed{formats: plainFormats{}, state: state, log: quiet}
-	r := &topicReader{backoff: newBackoff(alone), store: store, topic: TopicConfig, name: "configuration", every: time.Millisecond, reset: feed.take, apply: feed.take, log: quiet}
+	feed := &configFeed{decoder: textDecoder{}, state: state, log: discardLogger}
+	r := &topicReader{backoff: newBackoff(oneDaemon), store: store, topic: TopicConfig, name: "configuration", interval: time.Millisecond, applyAll: feed.apply, applyChanges: feed.apply, log: discardLogger}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -312,8 +312,8 @@
 func TestWaitingReadBeginsAnewAfterAnOutage(t *testing.T) {
 	store := &hangingStore{hung: make(chan struct{})}
 	state := fleet.NewState()
-	feed := &configFeed{formats: plainFormats{}, state: state, log: quiet}
-	r := &topicReader{backoff: newBackoff(alone), store: store, wait: time.Hour, reset: feed.take, apply: feed.take, log: quiet}
+	feed := &configFeed{decoder: textDecoder{}, state: state, log: discardLogger}
+	r := &topicReader{backoff: newBackoff(oneDaemon), store: store, longPoll: time.Hour, applyAll: feed.apply, applyChanges: feed.apply, log: discardLogger}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -325,9 +325,9 @@
 		<-done
 	}()
 	<-store.hung
-	other := &topicReader{backoff: newBackoff(alone), log: quiet, returned: r.restart}
-	other.lost(ctx, errors.New("cut off"))
-	other.done(1, time.Now())
+	other := &topicReader{backoff: newBackoff(oneDaemon), log: discardLogger, onRecovered: r.restartRead}
+	other.recordFailure(ctx, errors.New("cut off"))
+	other.recordRead(1, time.Now())
 	require.Eventually(t, func() bool { return state.Snapshot().Config.Version == 77 }, 10*time.Second, time.Millisecond)
 }
 
@@ -335,7 +335,7 @@
 // arrives late: it must not make the former start the one that requests are for, nor
 // bring it back once the server is gone.
 func TestFormerStartStaysGone(t *testing.T) {
-	r := newFeedRig()
+	r := newFeedHarness()
 	started := func() time.Time { return r.state.Snapshot().Upstreams["a"].Started }
 	r.feed.reset([]Entry{entry("a", "p 1:1 started=100")})
 	r.feed.apply([]Entry{entry("a", "p 1:1 started=200")})
@@ -353,7 +353,7 @@
 // Another program writes under a server's key. Requests went on to an address that
 // nobody vouches for any more; and each further reading wrote the same warning.
 func TestEntryOfAnotherWriterNamesNoServer(t *testing.T) {
-	r := newFeedRig()
+	r := newFeedHarness()
 	var lines bytes.Buffer
 	r.feed.log = slog.New(slog.NewTextHandler(&lines, nil))
 	r.feed.reset([]Entry{entry("a", "p 1:1"), entry("b", "p 1:2")})
@@ -362,7 +362,7 @@
 		require.Equal(t, "b", r.ids())
 	}
 	require.Equal(t, 1, strings.Count(lines.String(), "left out"))
-	require.EqualValues(t, 1, r.feed.refused())
+	require.EqualValues(t, 1, r.feed.rejectedEntries())
 	r.feed.apply([]Entry{entry("a", "p 1:1")})
 	require.Equal(t, "a,b", r.ids())
 }
--- a/internal/member/figures.go
+++ b/internal/member/figures.go
@@ -12,40 +12,40 @@
 )
 
 // figuresEvery is how often what was learnt of the engines is logged and published.
-const figuresEvery = 5 * time.Second
+const parametersInterval = 5 * time.Second
 
 // figuresTeller tells operators what this daemon has learnt of the engines, which its
 // decisions rest on, and how far its predictions were off.
-type figuresTeller struct {
-	books *placement.Tracker
-	scope metrics.Scope
-	log   *slog.Logger
+type parametersReporter struct {
+	tracker *placement.Tracker
+	scope   metrics.Scope
+	log     *slog.Logger
 }
 
 // String names the service for the supervisor.
-func (f *figuresTeller) String() string { return "figures of the engines" }
+func (r *parametersReporter) String() string { return "figures of the engines" }
 
 // Serve implements suture.Service.
-func (f *figuresTeller) Serve(ctx context.Context) error {
+func (r *parametersReporter) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
-		sleep(ctx, figuresEvery)
-		for pool, figures := range f.books.Parameters() {
-			f.tell(pool, figures)
+		sleep(ctx, parametersInterval)
+		for pool, parameters := range r.tracker.Parameters() {
+			r.report(pool, parameters)
 		}
 	}
 	return ctx.Err()
 }
 
-func (f *figuresTeller) tell(pool string, p placement.PoolParameters) {
-	f.log.Info("engines learnt", "pool", pool, "figures", p.Parameters.Coefficients(),
+func (r *parametersReporter) report(pool string, p placement.PoolParameters) {
+	r.log.Info("engines learnt", "pool", pool, "figures", p.Parameters.Coefficients(),
 		"prefill_readings", p.PrefillError.Count, "prefill_error_p50", p.PrefillError.P50, "prefill_error_p90", p.PrefillError.P90,
 		"decode_readings", p.DecodeError.Count, "decode_error_p50", p.DecodeError.P50, "decode_error_p90", p.DecodeError.P90)
-	f.publish(pool, "prefill", p.PrefillError)
-	f.publish(pool, "decode", p.DecodeError)
+	r.publish(pool, "prefill", p.PrefillError)
+	r.publish(pool, "decode", p.DecodeError)
 }
 
-func (f *figuresTeller) publish(pool, role string, e enginemodel.Error) {
-	s := f.scope.Tagged(map[string]string{"pool": pool, "role": role})
+func (r *parametersReporter) publish(pool, role string, e enginemodel.Error) {
+	s := r.scope.Tagged(map[string]string{"pool": pool, "role": role})
 	s.Gauge("reading_error_p50").Update(e.P50)
 	s.Gauge("reading_error_p90").Update(e.P90)
 }
--- a/internal/member/large_test.go
+++ b/internal/member/large_test.go
@@ -14,25 +14,25 @@
 )
 
 // daemonRig is a daemon's exchange with the others over loopback.
-type daemonRig struct {
-	*peersRig
+type daemonHarness struct {
+	*peersHarness
 	// start begins the exchange, kill ends it and the server.
 	start, kill func()
 }
 
 // largeSite starts more daemons than tell each other all, in three data centres.
-func largeSite(t *testing.T, n int) []*daemonRig {
+func largeSite(t *testing.T, n int) []*daemonHarness {
 	t.Helper()
-	rigs := make([]*daemonRig, n)
+	rigs := make([]*daemonHarness, n)
 	var addresses []wire.MemberAddress
 	for i := range rigs {
 		cfg := wire.Config{Name: fmt.Sprint("i", i), Secret: []byte("s"), Limits: wire.Limits{RetryMax: 100 * time.Millisecond}}
-		r := &daemonRig{}
+		r := &daemonHarness{}
 		self := wire.MemberAddress{Instance: fmt.Sprint("i", i), DataCentre: fmt.Sprint("d", i%3)}
-		server := wire.NewServer(cfg, "127.0.0.1:0", wireHandler{r}, quiet)
+		server := wire.NewServer(cfg, "127.0.0.1:0", wireHandler{r}, discardLogger)
 		require.NoError(t, server.Bind())
 		self.Peers = server.Addr().String()
-		r.peersRig = newPeersRigOf(self, cfg)
+		r.peersHarness = newPeersHarnessAt(self, cfg)
 		ctx, kill := context.WithCancel(t.Context())
 		r.kill = kill
 		r.start = func() { go func() { _ = r.Serve(ctx) }() }
@@ -50,25 +50,25 @@
 
 // wireHandler hands messages to a daemon that is made after the server's address is
 // known.
-type wireHandler struct{ to *daemonRig }
+type wireHandler struct{ to *daemonHarness }
 
 func (h wireHandler) Handle(from string, m wire.Message, reply func(wire.Message)) {
 	h.to.Handle(from, m, reply)
 }
 
 // kept is what the engine is believed to keep of a prompt of one part.
-func (r *daemonRig) kept(part placement.Part) int {
-	return r.books.Engines([]string{"e"})[0].Cached([]placement.Part{part}).Ready
+func (r *daemonHarness) cachedTokens(part placement.Part) int {
+	return r.tracker.Engines([]string{"e"})[0].Cached([]placement.Part{part}).Ready
 }
 
 // The daemon that adds up for all dies, and one that adds up for its data centre.
 // Their own work must be forgotten, and every daemon must go on to hear of what the
 // others begin and of the prompts that were read for them.
 func TestLargeSiteOutlivesItsCollectors(t *testing.T) {
-	rigs := largeSite(t, meshLimit+5)
+	rigs := largeSite(t, maxFullMesh+5)
 	live := rigs
-	begun := 0
-	all := func(holds func(r *daemonRig) bool) {
+	started := 0
+	all := func(holds func(r *daemonHarness) bool) {
 		t.Helper()
 		require.Eventually(t, func() bool {
 			for _, r := range live {
@@ -82,14 +82,14 @@
 	share := func(part placement.Part) {
 		t.Helper()
 		for _, r := range live {
-			r.books.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
+			r.tracker.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
 		}
-		begun++
-		all(func(r *daemonRig) bool { return r.running() == begun*len(live) })
-		ticket := live[0].books.Begin("e", placement.Work{Parts: []placement.Part{part, {ID: 1, Tokens: 1}}})
+		started++
+		all(func(r *daemonHarness) bool { return r.running() == started*len(live) })
+		ticket := live[0].tracker.Begin("e", placement.Work{Parts: []placement.Part{part, {ID: 1, Tokens: 1}}})
 		ticket.PrefillDone()
 		ticket.End(placement.Done)
-		all(func(r *daemonRig) bool { return r.kept(part) == part.Tokens }) // most only hear of it
+		all(func(r *daemonHarness) bool { return r.cachedTokens(part) == part.Tokens }) // most only hear of it
 	}
 	share(placement.Part{ID: 10, Tokens: 100})
 
@@ -97,7 +97,7 @@
 	for i, r := range rigs {
 		site[i] = r.self
 	}
-	line := ranked(site)
+	line := rankAggregators(site)
 	second := line[1:]
 	for second[0].DataCentre == line[0].DataCentre {
 		second = second[1:]
@@ -118,9 +118,9 @@
 // read and wrote the store for it. There must be one that comes first and one second, and
 // another first when that one dies.
 func TestOneDaemonComesFirstInALargeSite(t *testing.T) {
-	rigs := largeSite(t, meshLimit+5)
-	dead := make(map[*daemonRig]bool)
-	ranked := func(rank int) (found []*daemonRig) {
+	rigs := largeSite(t, maxFullMesh+5)
+	dead := make(map[*daemonHarness]bool)
+	ranked := func(rank int) (found []*daemonHarness) {
 		for _, r := range rigs {
 			if !dead[r] && r.Rank() == rank {
 				found = append(found, r)
@@ -140,8 +140,8 @@
 // one again now and then, in case it is back: meanwhile it must stay first, or nobody leads
 // for half a second of each three. Once the other answers, it is second again.
 func TestAskingTheDeadAgainChangesNoRank(t *testing.T) {
-	r := newPeersRig("a")
-	others := site(meshLimit + 1)
+	r := newPeersHarness("a")
+	others := testSite(maxFullMesh + 1)
 	for i := range others {
 		others[i].Capacity = -1
 	}
@@ -151,17 +151,17 @@
 	ask := func(now time.Time) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.collector(now)
+		r.parentLink(now)
 	}
-	now := r.collect.heard.Add(2 * collectorSilent)
+	now := r.parent.lastAnswer.Add(2 * aggregatorTimeout)
 	ask(now)
 	require.Zero(t, r.Rank())
-	ask(now.Add(2 * collectorRetry))
-	to, asks := r.collect.to()
+	ask(now.Add(2 * aggregatorRetry))
+	to, asks := r.parent.candidate()
 	require.True(t, asks)
 	require.Equal(t, others[3].Peers, to.Peers)
 	require.Zero(t, r.Rank(), "it hasn't answered")
-	r.takeTotals(to.Peers, wire.LoadTotals{})
+	r.applyTotals(to.Peers, wire.LoadTotals{})
 	require.Equal(t, 1, r.Rank())
 }
 
@@ -169,18 +169,18 @@
 // From then on that work comes with the totals. Booked from before as well, it would
 // count twice for as long as its daemon lives, and engines would stand idle.
 func TestWorkIsNotCountedTwiceInAGrownSite(t *testing.T) {
-	a, b := newPeersRig("a"), newPeersRig("b")
+	a, b := newPeersHarness("a"), newPeersHarness("b")
 	now := time.Now()
-	a.books.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
-	b.Handle("", a.state(now), nil)
+	a.tracker.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
+	b.Handle("", a.heartbeatState(now), nil)
 	require.Equal(t, 1, b.running())
 
-	for _, r := range []*peersRig{a, b} {
-		r.full = false // others have come
+	for _, r := range []*peersHarness{a, b} {
+		r.fullMesh = false // others have come
 	}
-	b.Handle("", a.state(now), nil)
+	b.Handle("", a.heartbeatState(now), nil)
 	require.Zero(t, b.running(), "told with the totals from now on")
-	b.noteTotals(wire.LoadTotals{Loads: a.books.LocalLoads(true)})
+	b.recordTotals(wire.LoadTotals{Loads: a.tracker.LocalLoads(true)})
 	require.Equal(t, 1, b.running())
 }
 
@@ -189,46 +189,46 @@
 // asked for once, however many requests come, and those that wait must see what they say;
 // totals that have just come do.
 func TestTotalsAreAskedForBeforeADecision(t *testing.T) {
-	r := newPeersRig("a")
-	for _, other := range site(meshLimit + 1) {
+	r := newPeersHarness("a")
+	for _, other := range testSite(maxFullMesh + 1) {
 		other.Capacity = 1 // stands before this one
 		r.Add(other)
 	}
-	above, reports := r.collect.to()
+	above, reports := r.parent.candidate()
 	require.True(t, reports)
-	now := r.collect.heard.Add(2 * freshFor)
-	answered := r.askTotals(now)
+	now := r.parent.lastAnswer.Add(2 * maxTotalsAge)
+	answered := r.queryTotals(now)
 	require.NotNil(t, answered)
-	require.Equal(t, answered, r.askTotals(now.Add(askLimit/2)), "asked for already")
+	require.Equal(t, answered, r.queryTotals(now.Add(totalsTimeout/2)), "asked for already")
 	select {
 	case <-answered:
 		t.Fatal("nothing has come yet")
 	default:
 	}
-	r.takeTotals(above.Peers, wire.LoadTotals{Loads: []placement.UpstreamLoad{{Upstream: r.books.KeyOf("e"), Load: placement.Load{Running: 3}}}})
+	r.applyTotals(above.Peers, wire.LoadTotals{Loads: []placement.UpstreamLoad{{Upstream: r.tracker.KeyOf("e"), Load: placement.Load{Running: 3}}}})
 	<-answered
 	require.Equal(t, 3, r.running())
-	require.Nil(t, r.askTotals(r.collect.heard.Add(freshFor/2)), "fresh")
-	require.NotNil(t, r.askTotals(r.collect.heard.Add(2*freshFor)))
+	require.Nil(t, r.queryTotals(r.parent.lastAnswer.Add(maxTotalsAge/2)), "fresh")
+	require.NotNil(t, r.queryTotals(r.parent.lastAnswer.Add(2*maxTotalsAge)))
 }
 
 // A site shrinks to the number up to which each daemon tells all others its work. The
 // totals must not count any more.
 func TestTotalsEndInAShrunkSite(t *testing.T) {
-	r := newPeersRig("a")
-	for _, other := range site(meshLimit + 1) {
+	r := newPeersHarness("a")
+	for _, other := range testSite(maxFullMesh + 1) {
 		r.Add(other)
 	}
-	require.False(t, r.meshed())
-	r.noteTotals(wire.LoadTotals{Loads: []placement.UpstreamLoad{{Upstream: r.books.KeyOf("e"), Load: placement.Load{Running: 3}}}})
+	require.False(t, r.isFullMesh())
+	r.recordTotals(wire.LoadTotals{Loads: []placement.UpstreamLoad{{Upstream: r.tracker.KeyOf("e"), Load: placement.Load{Running: 3}}}})
 	require.Equal(t, 3, r.running())
 	for address, other := range r.peers {
-		other.named = time.Now().Add(-2 * forgetAfter)
+		other.lastNamed = time.Now().Add(-2 * forgetPeerAfter)
 		r.checkSilence(time.Now())
 		require.NotContains(t, r.peers, address)
 		break
 	}
-	require.True(t, r.meshed())
+	require.True(t, r.isFullMesh())
 	require.Zero(t, r.running())
-	require.Nil(t, r.collect.link)
+	require.Nil(t, r.parent.link)
 }
--- a/internal/member/learnt_test.go
+++ b/internal/member/learnt_test.go
@@ -14,13 +14,13 @@
 )
 
 // entriesOnly is a store that keeps the newest entries of one topic, and fails at first.
-type entriesOnly struct {
+type mapStore struct {
 	Store
 	failures int
 	entries  map[string][]byte
 }
 
-func (s *entriesOnly) Newest(context.Context, Topic) ([]Entry, Position, error) {
+func (s *mapStore) Newest(context.Context, Topic) ([]Entry, Position, error) {
 	if s.failures--; s.failures >= 0 {
 		return nil, 0, errors.New("the store is away")
 	}
@@ -31,7 +31,7 @@
 	return all, 0, nil
 }
 
-func (s *entriesOnly) Put(_ context.Context, _ Topic, e Entry) error {
+func (s *mapStore) Put(_ context.Context, _ Topic, e Entry) error {
 	s.entries[e.Key] = e.Value
 	return nil
 }
@@ -52,12 +52,12 @@
 		ticket.End(placement.Done)
 		now = now.Add(time.Second)
 	}
-	store := &entriesOnly{failures: 1, entries: map[string][]byte{"q": []byte("not json")}}
-	(&engineMemory{store: store, books: before, backoff: newBackoff(alone), log: quiet}).keep(t.Context())
+	store := &mapStore{failures: 1, entries: map[string][]byte{"q": []byte("not json")}}
+	(&observationSync{store: store, tracker: before, backoff: newBackoff(oneDaemon), log: discardLogger}).save(t.Context())
 	require.Len(t, store.entries, 2)
 
 	after := placement.NewTracker(nil)
-	(&engineMemory{store: store, books: after, backoff: newBackoff(alone), log: quiet}).recall(t.Context())
+	(&observationSync{store: store, tracker: after, backoff: newBackoff(oneDaemon), log: discardLogger}).load(t.Context())
 	prompt := enginemodel.Prompt{Tokens: 5000}
 	want := before.PrefillMillis("p", upstream.RolePrefill, prompt)
 	require.Greater(t, want, 100.0)
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -25,22 +25,22 @@
 	// keepAnswer is how long callers may keep an answer of where to connect.
 	// Short, so that a daemon that falls silent is soon left alone; each answer
 	// costs little.
-	keepAnswer = time.Second
+	directoryTTL = time.Second
 	// keepFactor covers callers that keep an answer longer than they are told.
-	keepFactor = 3
+	directoryTTLFactor = 3
 	// stopMargin is the part of the grace kept back for the end of the process.
 	stopMargin = 450 * time.Millisecond
 	// expectedDaemons is the least number by which what all daemons share is
 	// divided: one that has just started knows too few peers, and would take too
 	// large a part.
-	expectedDaemons = 10
+	minAssumedDaemons = 10
 	// peerSecret isn't secret: the platform's network is closed, and its
 	// settings hold nothing that only the system's processes know. It keeps
 	// other protocols apart.
 	peerSecret = "tamarackchute member exchange, protocol 3"
 	// replacedFor is how long all daemons leave an upstream alone whose address
 	// belongs to another one: its entry lapses after three heartbeats.
-	replacedFor = 3 * time.Second
+	replacedTimeout = 3 * time.Second
 	// minRetryAfter is the time to come back that a refusal names at least.
 	minRetryAfter = 400 * time.Millisecond
 )
@@ -63,19 +63,19 @@
 
 // Member is the daemon.
 type Member struct {
-	cfg   Config
-	log   *slog.Logger
-	state *fleet.State
-	books *placement.Tracker
-	relay *relay.Relay
+	cfg     Config
+	log     *slog.Logger
+	state   *fleet.State
+	tracker *placement.Tracker
+	relay   *relay.Relay
 	// callers are connections to the callers' address, pages those to the others.
-	callers, pages *graceful.Connections
-	peers          *Peers
-	upstreams      *upstreamFeed
-	readers        []*topicReader
-	budget         *relay.Budget
-	self           wire.MemberAddress
-	leaving        atomic.Bool
+	callerConns, otherConns *graceful.Connections
+	peers                   *Peers
+	upstreams               *upstreamFeed
+	readers                 []*topicReader
+	budget                  *relay.Budget
+	self                    wire.MemberAddress
+	draining                atomic.Bool
 	// settings are those in force, lease is this daemon's part in it.
 	settings atomic.Pointer[Settings]
 	lease    atomic.Pointer[daemonstatus.Lease]
@@ -86,7 +86,7 @@
 // New builds a daemon.
 func New(cfg Config) *Member {
 	s := cfg.Settings
-	m := &Member{cfg: cfg, log: cfg.Logger, state: fleet.NewState(), books: placement.NewTracker(nil), callers: graceful.New(cfg.Logger), pages: graceful.New(cfg.Logger)}
+	m := &Member{cfg: cfg, log: cfg.Logger, state: fleet.NewState(), tracker: placement.NewTracker(nil), callerConns: graceful.New(cfg.Logger), otherConns: graceful.New(cfg.Logger)}
 	m.self = wire.MemberAddress{Instance: s.Instance, DataCentre: s.DataCentre, Callers: s.Callers, Peers: s.PeerAddress, Capacity: s.Capacity}
 	cfg.Store.Eras().SetLogger(m.log)
 	m.settings.Store(&s)
@@ -95,24 +95,24 @@
 		DataCentre:    s.DataCentre,
 		Dialect:       cfg.Dialect,
 		State:         m.state,
-		Books:         m.books,
+		Books:         m.tracker,
 		Budget:        m.budget,
 		Logger:        m.log,
 		Metrics:       cfg.Metrics.Scope,
 		Refresh:       func(ctx context.Context) { m.peers.Refresh(ctx) },
-		Replaced:      func(id string) { m.peers.MarkUnavailable(id, "", replacedFor) },
+		Replaced:      func(id string) { m.peers.MarkUnavailable(id, "", replacedTimeout) },
 		MinRetryAfter: minRetryAfter,
 	})
-	m.peers = newPeers(m.self, m.wireConfig(), m.books, m.log)
-	m.peers.demand = m.demand
-	m.peers.waiting = m.relay.Waiting
-	m.peers.sameList = m.readSame
-	m.peers.about, m.peers.view, m.peers.change = m.about, m.view, m.relay.Changed
+	m.peers = newPeers(m.self, m.wireConfig(), m.tracker, m.log)
+	m.peers.localDemand = m.localDemand
+	m.peers.requestsWaiting = m.relay.Waiting
+	m.peers.onPeerList = m.confirmList
+	m.peers.summary, m.peers.view, m.peers.onUpdate = m.summary, m.view, m.relay.Changed
 	m.buildFeeds()
 	return m
 }
 
-func (m *Member) demand() map[string]wire.MemberDemand {
+func (m *Member) localDemand() map[string]wire.MemberDemand {
 	all := make(map[string]wire.MemberDemand)
 	for pool, d := range m.relay.Demand() {
 		all[pool] = wire.MemberDemand{Readers: d.Readers}
@@ -123,23 +123,23 @@
 // readSame takes over that a peer has read the list of upstreams that this daemon
 // has. Where entries are doubted it has to read for itself: a peer says that the list is
 // the same, not that they were written again.
-func (m *Member) readSame(at Position, digest uint64, age time.Duration) {
-	if at == 0 || !m.cfg.Store.Eras().Observe(at.Era(), "another daemon") {
+func (m *Member) confirmList(position Position, digest uint64, age time.Duration) {
+	if position == 0 || !m.cfg.Store.Eras().Observe(position.Era(), "another daemon") {
 		return
 	}
-	if m.upstreams.doubts() {
+	if m.upstreams.hasLapsed() {
 		return
 	}
-	age += transit
-	if digest == m.upstreams.digest.Load() && digest != 0 && age+youngerBy < m.readers[0].age() {
-		m.readers[0].heard(at, age)
+	age += transitAllowance
+	if digest == m.upstreams.digest.Load() && digest != 0 && age+minAgeGain < m.readers[0].age() {
+		m.readers[0].adopt(position, age)
 	}
 }
 
 // retrySlack is this daemon's part of the repeats that all may make beyond their
 // share of requests.
 func (m *Member) retrySlack() float64 {
-	return m.settings.Load().RetrySlack / float64(max(expectedDaemons, m.peers.KnownCount()))
+	return m.settings.Load().RetrySlack / float64(max(minAssumedDaemons, m.peers.KnownCount()))
 }
 
 func (m *Member) wireConfig() wire.Config {
@@ -150,37 +150,37 @@
 }
 
 func (m *Member) buildFeeds() {
-	store, formats := m.cfg.Store, m.cfg.Decoder
+	store, decoder := m.cfg.Store, m.cfg.Decoder
 	m.backoff = newBackoff(m.peers.KnownCount)
-	configs := &configFeed{formats: formats, state: m.state, log: m.log}
-	m.upstreams = newUpstreamFeed(formats, m.state, m.cfg.Settings.LapsedEntryGrace, m.log)
+	configs := &configFeed{decoder: decoder, state: m.state, log: m.log}
+	m.upstreams = newUpstreamFeed(decoder, m.state, m.cfg.Settings.LapsedEntryGrace, m.log)
 	members := &memberFeed{peers: m.peers, log: m.log}
 	upstreams := &topicReader{
-		store: store, topic: TopicUpstreams, name: "upstreams", every: upstreamsEvery, spread: upstreamsSpread, first: m.peers.Aggregates,
-		reset: m.upstreams.reset, resetCopy: m.upstreams.resetCopy, apply: m.upstreams.apply, backoff: m.backoff, log: m.log,
+		store: store, topic: TopicUpstreams, name: "upstreams", interval: upstreamsInterval, jitter: upstreamsJitter, readsFirst: m.peers.Aggregates,
+		applyAll: m.upstreams.reset, applyRestored: m.upstreams.resetRestored, applyChanges: m.upstreams.apply, backoff: m.backoff, log: m.log,
 	}
 	m.upstreams.age = upstreams.age
-	upstreams.returned = func() {
+	upstreams.onRecovered = func() {
 		for _, r := range m.readers[1:] {
-			r.restart()
+			r.restartRead()
 		}
 	}
 	m.readers = []*topicReader{
 		upstreams,
-		{store: store, topic: TopicConfig, name: "configuration", wait: longWait, reset: configs.take, apply: configs.take, backoff: m.backoff, log: m.log},
+		{store: store, topic: TopicConfig, name: "configuration", longPoll: longPollTimeout, applyAll: configs.apply, applyChanges: configs.apply, backoff: m.backoff, log: m.log},
 		{
-			store: store, topic: TopicMembers, name: "daemons", wait: longWait, every: time.Second, rests: m.peers.ReportsInDataCentre,
-			reset: members.take, apply: members.take, backoff: m.backoff, log: m.log,
+			store: store, topic: TopicMembers, name: "daemons", longPoll: longPollTimeout, interval: time.Second, peersNotify: m.peers.ReportsInDataCentre,
+			applyAll: members.apply, applyChanges: members.apply, backoff: m.backoff, log: m.log,
 		},
 	}
 }
 
 // Ready reports whether callers may be sent here.
 func (m *Member) Ready() bool {
-	return !m.leaving.Load() && m.state.Snapshot().Config != nil
+	return !m.draining.Load() && m.state.Snapshot().Config != nil
 }
 
-func (m *Member) about() Summary {
+func (m *Member) summary() Summary {
 	s := m.state.Snapshot()
 	a := Summary{
 		Serving: m.Ready(), ListAge: m.readers[0].age(),
@@ -208,30 +208,30 @@
 // there if there are two or more, since each crossing costs time and bytes, and
 // to all otherwise.
 func (m *Member) Where(dataCentre string) ([]string, time.Duration) {
-	up := m.peers.Serving()
+	serving := m.peers.Serving()
 	if m.Ready() {
-		up = append(up, m.self)
+		serving = append(serving, m.self)
 	}
-	var near, all []string
-	for _, a := range up {
+	var local, all []string
+	for _, a := range serving {
 		all = append(all, a.Callers)
 		if a.DataCentre == dataCentre {
-			near = append(near, a.Callers)
+			local = append(local, a.Callers)
 		}
 	}
-	keep := keepAnswer
+	ttl := directoryTTL
 	if limit := m.settings.Load().DirectoryTTL; limit > 0 {
-		keep = min(keep, limit)
+		ttl = min(ttl, limit)
 	}
-	if len(near) >= minNear {
-		return near, keep
+	if len(local) >= minLocalDaemons {
+		return local, ttl
 	}
-	return all, keep
+	return all, ttl
 }
 
 // minNear is the number of daemons in a data centre from which its callers are
 // sent nowhere else: with one, its loss would leave them without any.
-const minNear = 2
+const minLocalDaemons = 2
 
 // Run serves until the context ends, and then until a graceful stop is done.
 func (m *Member) Run(ctx context.Context) error {
@@ -242,7 +242,7 @@
 	}
 	work, stopWork := context.WithCancel(context.Background())
 	defer stopWork()
-	done := m.tree(servers).ServeBackground(work)
+	done := m.supervisorTree(servers).ServeBackground(work)
 	m.log.Info("started", "instance", m.self.Instance, "data_centre", m.self.DataCentre, "callers", m.self.Callers)
 	select {
 	case err := <-done:
@@ -272,8 +272,8 @@
 //	│   └── director of roles, with journal and lease where it is a candidate
 //	└── serving
 //	    └── callers, directory, ready, metrics
-func (m *Member) tree(servers []*httpService) *suture.Supervisor {
-	spec := suture.Spec{EventHook: m.hook, FailureBackoff: time.Second, Timeout: 2 * time.Second}
+func (m *Member) supervisorTree(servers []*httpService) *suture.Supervisor {
+	spec := suture.Spec{EventHook: m.logEvent, FailureBackoff: time.Second, Timeout: 2 * time.Second}
 	learning := suture.New("learning", spec)
 	for _, r := range m.readers {
 		learning.Add(r)
@@ -281,8 +281,8 @@
 	learning.Add(&eraFollower{eras: m.cfg.Store.Eras(), readers: m.readers, daemons: m.peers.KnownCount})
 	learning.Add(&peerView{member: m})
 	learning.Add(&catchUp{member: m, log: m.log})
-	learning.Add(&engineMemory{store: m.cfg.Store, books: m.books, peers: m.peers, backoff: m.backoff, log: m.log})
-	learning.Add(&figuresTeller{books: m.books, scope: m.cfg.Metrics.Scope, log: m.log})
+	learning.Add(&observationSync{store: m.cfg.Store, tracker: m.tracker, peers: m.peers, backoff: m.backoff, log: m.log})
+	learning.Add(&parametersReporter{tracker: m.tracker, scope: m.cfg.Metrics.Scope, log: m.log})
 	learning.Add(&announcer{store: m.cfg.Store, self: m.self, backoff: m.backoff, daemons: m.peers.KnownCount, log: m.log})
 	exchange := suture.New("exchange", spec)
 	exchange.Add(wire.NewServer(m.wireConfig(), m.self.Peers, m.peers, m.log))
@@ -295,7 +295,7 @@
 	directing.Add(&director{
 		member: m, log: m.cfg.Log, engines: m.cfg.Engines, logger: m.log,
 		policy: make(map[string]*rolepolicy.Balancer), changes: make(map[string]roleChange),
-		logged: make(map[string]time.Time),
+		lastLogged: make(map[string]time.Time),
 	})
 	root := suture.New("member", spec)
 	root.Add(directing)
@@ -305,20 +305,20 @@
 	return root
 }
 
-func (m *Member) hook(e suture.Event) {
+func (m *Member) logEvent(e suture.Event) {
 	m.log.Warn("supervisor", "event", e.String())
 }
 
 // drain stops taking callers and returns when the process may exit.
 func (m *Member) drain() {
-	m.leaving.Store(true)
+	m.draining.Store(true)
 	stop := shutdown.State{
-		Keep: keepFactor * keepAnswer, Grace: m.settings.Load().Grace - keepFactor*keepAnswer - stopMargin,
-		CloseIdle: m.callers.CloseIdle,
+		Keep: directoryTTLFactor * directoryTTL, Grace: m.settings.Load().Grace - directoryTTLFactor*directoryTTL - stopMargin,
+		CloseIdle: m.callerConns.CloseIdle,
 	}
-	known := time.Now().Add(stop.Keep)
-	m.relay.Leave(known, known.Add(stop.Grace), func() bool { return len(m.peers.Serving()) > 0 })
-	stop.Drain(nil, m.callers.Active, m.log)
-	m.pages.CloseIdle()
-	m.callers.Wait()
+	directoriesExpired := time.Now().Add(stop.Keep)
+	m.relay.Leave(directoriesExpired, directoriesExpired.Add(stop.Grace), func() bool { return len(m.peers.Serving()) > 0 })
+	stop.Drain(nil, m.callerConns.Active, m.log)
+	m.otherConns.CloseIdle()
+	m.callerConns.Wait()
 }
--- a/internal/member/neighbours.go
+++ b/internal/member/neighbours.go
@@ -13,11 +13,11 @@
 	// meshLimit is the number of other daemons up to which each tells all of
 	// them its state. Beyond it the traffic of a full mesh would grow with the
 	// square of their number.
-	meshLimit = 16
+	maxFullMesh = 16
 	// nearNeighbours and farNeighbours are how many a daemon tells otherwise, on
 	// each side of it on a ring: of its data centre, and of the whole site.
-	nearNeighbours = 6
-	farNeighbours  = 2
+	localNeighbours = 6
+	siteNeighbours  = 2
 )
 
 // neighbours returns the peer addresses that a daemon tells its state. The
@@ -25,27 +25,27 @@
 // that know the same others agree.
 func neighbours(self wire.MemberAddress, others []wire.MemberAddress) map[string]bool {
 	wanted := make(map[string]bool)
-	if len(others) <= meshLimit {
+	if len(others) <= maxFullMesh {
 		for _, a := range others {
 			wanted[a.Peers] = true
 		}
 		return wanted
 	}
-	var near []wire.MemberAddress
+	var local []wire.MemberAddress
 	for _, a := range others {
 		// One whose data centre isn't known yet is only an address.
 		if a.DataCentre == self.DataCentre || a.DataCentre == "" {
-			near = append(near, a)
+			local = append(local, a)
 		}
 	}
-	aroundOnRing(wanted, self, near, nearNeighbours)
-	aroundOnRing(wanted, self, others, farNeighbours)
+	addRingNeighbours(wanted, self, local, localNeighbours)
+	addRingNeighbours(wanted, self, others, siteNeighbours)
 	return wanted
 }
 
 // aroundOnRing marks the n daemons on each side of self on the ring of their
 // addresses' hashes.
-func aroundOnRing(wanted map[string]bool, self wire.MemberAddress, others []wire.MemberAddress, n int) {
+func addRingNeighbours(wanted map[string]bool, self wire.MemberAddress, others []wire.MemberAddress, n int) {
 	ring := append(slices.Clone(others), self)
 	slices.SortFunc(ring, func(a, b wire.MemberAddress) int {
 		return cmp.Compare(xxhash.Sum64String(a.Peers), xxhash.Sum64String(b.Peers))
--- a/internal/member/neighbours_test.go
+++ b/internal/member/neighbours_test.go
@@ -9,15 +9,15 @@
 	"tamarackchute/internal/wire"
 )
 
-func site(n int) []wire.MemberAddress {
-	all := make([]wire.MemberAddress, n)
-	for i := range all {
-		all[i] = wire.MemberAddress{Instance: fmt.Sprint("i", i), DataCentre: fmt.Sprint("d", i%3), Peers: fmt.Sprintf("10.0.0.%d:1", i)}
+func testSite(n int) []wire.MemberAddress {
+	addresses := make([]wire.MemberAddress, n)
+	for i := range addresses {
+		addresses[i] = wire.MemberAddress{Instance: fmt.Sprint("i", i), DataCentre: fmt.Sprint("d", i%3), Peers: fmt.Sprintf("10.0.0.%d:1", i)}
 	}
-	return all
+	return addresses
 }
 
-func without(all []wire.MemberAddress, self wire.MemberAddress) []wire.MemberAddress {
+func allExcept(all []wire.MemberAddress, self wire.MemberAddress) []wire.MemberAddress {
 	var others []wire.MemberAddress
 	for _, a := range all {
 		if a != self {
@@ -29,19 +29,19 @@
 
 // In a small site everybody hears everybody.
 func TestSmallSitesAreMeshed(t *testing.T) {
-	all := site(meshLimit + 1)
-	require.Len(t, neighbours(all[0], all[1:]), meshLimit)
+	all := testSite(maxFullMesh + 1)
+	require.Len(t, neighbours(all[0], all[1:]), maxFullMesh)
 }
 
 // In a large one a daemon's traffic doesn't grow with the site, whoever is told
 // by another tells it too, and news still reach all.
 func TestLargeSitesKeepToNeighbours(t *testing.T) {
 	for _, n := range []int{18, 74, 300} {
-		all := site(n)
+		all := testSite(n)
 		told := make(map[string]map[string]bool)
 		for _, self := range all {
-			told[self.Peers] = neighbours(self, without(all, self))
-			require.LessOrEqual(t, len(told[self.Peers]), 2*(nearNeighbours+farNeighbours))
+			told[self.Peers] = neighbours(self, allExcept(all, self))
+			require.LessOrEqual(t, len(told[self.Peers]), 2*(localNeighbours+siteNeighbours))
 			require.NotContains(t, told[self.Peers], self.Peers)
 		}
 		for from, to := range told {
--- a/internal/member/peers.go
+++ b/internal/member/peers.go
@@ -16,65 +16,65 @@
 	// stateEvery is how often changed loads are told to the peers of a small
 	// site: about the time of one prompt's reading, so that a place is seldom
 	// given twice.
-	stateEvery = 5 * time.Millisecond
+	loadInterval = 5 * time.Millisecond
 	// newsEvery is the least time between two reports of a large site's daemon: what a
 	// request changes at once goes together.
-	newsEvery = 2 * time.Millisecond
+	minReportInterval = 2 * time.Millisecond
 	// beatEvery is how often a daemon is heard from when nothing changes, and how often
 	// silence is looked for.
-	beatEvery = 200 * time.Millisecond
+	heartbeatInterval = 200 * time.Millisecond
 	// largeBeatEvery is that in a large site, where work isn't told with the beats: two
 	// may be lost before a daemon counts as silent.
-	largeBeatEvery = 320 * time.Millisecond
+	largeHeartbeatInterval = 320 * time.Millisecond
 	// knownEvery is the number of full states of which one names other daemons.
-	knownEvery = 10
+	addressesPeriod = 10
 	// learntEvery is the number of full states of which one tells what was observed of
 	// the engines.
-	learntEvery = 3
+	observationsPeriod = 3
 	// silentAfter is the silence after which a peer counts as down: no caller is
 	// sent there, and its load is forgotten.
-	silentAfter = time.Second
+	peerTimeout = time.Second
 	// forgetAfter is the silence after which no connection to it is tried any
 	// more until it is named again.
-	forgetAfter = 60 * time.Second
+	forgetPeerAfter = 60 * time.Second
 )
 
 // Peers exchanges states with the other daemons. It is a suture.Service.
 type Peers struct {
-	self   wire.MemberAddress
-	cfg    wire.Config
-	books  *placement.Tracker
-	log    *slog.Logger
-	about  func() Summary
-	view   func(configOnly bool) wire.ViewReply
-	change func()
-	links  *suture.Supervisor
+	self     wire.MemberAddress
+	cfg      wire.Config
+	tracker  *placement.Tracker
+	log      *slog.Logger
+	summary  func() Summary
+	view     func(configOnly bool) wire.ViewReply
+	onUpdate func()
+	links    *suture.Supervisor
 
 	mu          sync.Mutex
 	peers       map[string]*peer // by peer address
 	incarnation uint64
 	seq         uint64
 	// away are engines that this daemon has ordered to change.
-	away map[placement.Key]awayEngine
+	unavailable map[placement.Key]unavailableEngine
 	// sameList is told what list a peer has.
-	sameList func(at Position, digest uint64, age time.Duration)
+	onPeerList func(at Position, digest uint64, age time.Duration)
 	// demand measures what callers ask of this daemon.
-	demand func() map[string]wire.MemberDemand
+	localDemand func() map[string]wire.MemberDemand
 	// beats counts the states of beats.
-	beats int
+	heartbeats int
 	// toldAbout is what the peers were told last of this daemon.
-	toldAbout toldAbout
+	reported reportedSummary
 	// full says that states go to every known peer.
-	full bool
+	fullMesh bool
 	// tally is of the loads that this daemon adds up, collect whom it reports to.
-	tally   *tally
-	collect collection
+	aggregate *loadAggregate
+	parent    parentState
 	// reporting is held while a report is made and sent.
-	reporting sync.Mutex
+	reportMu sync.Mutex
 	// news gets a token when there is something to tell, or the totals are needed.
-	news chan struct{}
+	wake chan struct{}
 	// waiting says whether requests wait for a place here.
-	waiting func() bool
+	requestsWaiting func() bool
 }
 
 // About is what a daemon says of itself beside its load.
@@ -92,39 +92,39 @@
 type peer struct {
 	wire.MemberAddress
 	// outgoing carries states there, if any are sent.
-	outgoing
+	outgoingLink
 	incarnation uint64
 	seq         uint64
-	about       Summary
+	summary     Summary
 	demands     map[string]wire.MemberDemand
 	// heard is when its last state came, told when the last word on what it knows
 	// did, as a state or with the totals.
-	heard, told time.Time
-	named       time.Time
-	up          bool
+	lastState, lastUpdate time.Time
+	lastNamed             time.Time
+	up                    bool
 	// meshed is what its last state said of that.
-	meshed bool
+	fullMesh bool
 }
 
-func newPeers(self wire.MemberAddress, cfg wire.Config, books *placement.Tracker, log *slog.Logger) *Peers {
+func newPeers(self wire.MemberAddress, cfg wire.Config, tracker *placement.Tracker, log *slog.Logger) *Peers {
 	p := &Peers{
-		self: self, cfg: cfg, books: books, log: log,
+		self: self, cfg: cfg, tracker: tracker, log: log,
 		links:       suture.New("peers' links", suture.Spec{FailureBackoff: time.Second}),
 		peers:       make(map[string]*peer),
-		away:        make(map[placement.Key]awayEngine),
-		tally:       newTally(),
+		unavailable: make(map[placement.Key]unavailableEngine),
+		aggregate:   newLoadAggregate(),
 		incarnation: rand.Uint64(),
-		full:        true, // with nobody to tell, everybody is told
-		news:        make(chan struct{}, 1),
+		fullMesh:    true, // with nobody to tell, everybody is told
+		wake:        make(chan struct{}, 1),
 	}
-	books.OnChange(p.noteNews)
+	tracker.OnChange(p.wakeReporter)
 	return p
 }
 
 // noteNews wakes the one that tells the others. It doesn't block.
-func (p *Peers) noteNews() {
+func (p *Peers) wakeReporter() {
 	select {
-	case p.news <- struct{}{}:
+	case p.wake <- struct{}{}:
 	default:
 	}
 }
@@ -137,11 +137,11 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, a := range addresses {
-		p.learn(a)
+		p.add(a)
 	}
 }
 
-func (p *Peers) learn(a wire.MemberAddress) *peer {
+func (p *Peers) add(a wire.MemberAddress) *peer {
 	if a.Peers == "" || a.Peers == p.self.Peers {
 		return nil
 	}
@@ -150,12 +150,12 @@
 		known = &peer{MemberAddress: a}
 		p.peers[a.Peers] = known
 		p.log.Info("peer found", "peer", a.Instance, "address", a.Peers)
-		p.relink()
+		p.updateLinks()
 	} else if a.Instance != "" && known.MemberAddress != a {
 		known.MemberAddress = a
-		p.relink()
+		p.updateLinks()
 	}
-	known.named = time.Now()
+	known.lastNamed = time.Now()
 	return known
 }
 
@@ -163,27 +163,27 @@
 func (p *Peers) Handle(_ string, m wire.Message, reply func(wire.Message)) {
 	switch m := m.(type) {
 	case wire.MemberState:
-		p.take(m)
+		p.applyState(m)
 	case wire.MemberLoads:
-		p.takeLoads(m)
+		p.applyLoads(m)
 	case wire.ViewRequest:
 		reply(p.view(m.ConfigOnly))
 	case wire.BeliefsRequest:
-		reply(wire.BeliefsReply{Beliefs: p.books.Snapshot(m.Of)})
+		reply(wire.BeliefsReply{Beliefs: p.tracker.Snapshot(m.Of)})
 	case wire.LoadReport:
-		p.answerReport(m, reply)
+		p.handleReport(m, reply)
 	}
 }
 
-func (p *Peers) take(m wire.MemberState) {
+func (p *Peers) applyState(m wire.MemberState) {
 	p.mu.Lock()
-	from := p.learn(m.MemberAddress)
+	from := p.add(m.MemberAddress)
 	if from == nil {
 		p.mu.Unlock()
 		return
 	}
 	for _, a := range m.Known {
-		p.learn(a)
+		p.add(a)
 	}
 	if m.Incarnation == from.incarnation && m.Seq <= from.seq {
 		p.mu.Unlock()
@@ -191,37 +191,37 @@
 	}
 	// What it told of its work doesn't hold any more if its former process is gone, or
 	// if that work comes with the totals from now on.
-	forget := m.Incarnation != from.incarnation || (from.meshed && !m.Meshed)
-	from.meshed = m.Meshed
+	forget := m.Incarnation != from.incarnation || (from.fullMesh && !m.Meshed)
+	from.fullMesh = m.Meshed
 	from.incarnation, from.seq = m.Incarnation, m.Seq
-	from.about = Summary{
+	from.summary = Summary{
 		Serving: m.Serving, Config: m.Config,
 		ListPosition: Position(m.ListPosition), ListDigest: m.ListDigest, ListSize: m.ListSize, ListAge: m.ReadAge,
 	}
 	if m.Demands != nil {
 		from.demands = m.Demands
 	}
-	from.heard = time.Now()
-	from.told = from.heard
-	regained := !from.up
+	from.lastState = time.Now()
+	from.lastUpdate = from.lastState
+	recovered := !from.up
 	from.up = true
 	p.mu.Unlock()
-	if regained {
+	if recovered {
 		p.log.Info("peer heard", "peer", m.Instance, "address", m.Peers, "config", m.Config)
 	}
 	if forget {
-		p.books.ForgetPeer(m.Peers)
+		p.tracker.ForgetPeer(m.Peers)
 	}
-	p.sameList(Position(m.ListPosition), m.ListDigest, m.ReadAge)
-	p.noteAway(m.Away)
-	p.books.ApplyPeerUpdate(m.Peers, m.Loads, m.Reads)
-	p.books.Merge(m.Peers, m.Learnt)
-	p.change()
+	p.onPeerList(Position(m.ListPosition), m.ListDigest, m.ReadAge)
+	p.applyUnavailable(m.Away)
+	p.tracker.ApplyPeerUpdate(m.Peers, m.Loads, m.Reads)
+	p.tracker.Merge(m.Peers, m.Learnt)
+	p.onUpdate()
 }
 
 // takeLoads books what has changed of a peer's work. One whose state hasn't come
 // yet is left out: its next state says all.
-func (p *Peers) takeLoads(m wire.MemberLoads) {
+func (p *Peers) applyLoads(m wire.MemberLoads) {
 	p.mu.Lock()
 	from := p.byIncarnation(m.Incarnation)
 	if from == nil || m.Seq <= from.seq {
@@ -229,11 +229,11 @@
 		return
 	}
 	from.seq = m.Seq
-	from.heard = time.Now()
+	from.lastState = time.Now()
 	address := from.Peers
 	p.mu.Unlock()
-	p.books.ApplyPeerUpdate(address, m.Loads, m.Reads)
-	p.change()
+	p.tracker.ApplyPeerUpdate(address, m.Loads, m.Reads)
+	p.onUpdate()
 }
 
 func (p *Peers) byIncarnation(incarnation uint64) *peer {
@@ -250,30 +250,30 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for address, other := range p.peers {
-		if other.up && now.Sub(other.heard) > silentAfter {
+		if other.up && now.Sub(other.lastState) > peerTimeout {
 			other.up = false
-			p.books.ForgetPeer(address)
-			p.log.Warn("peer silent", "peer", other.Instance, "address", address, "silent_ms", now.Sub(other.heard).Milliseconds())
+			p.tracker.ForgetPeer(address)
+			p.log.Warn("peer silent", "peer", other.Instance, "address", address, "silent_ms", now.Sub(other.lastState).Milliseconds())
 		}
-		if !other.up && now.Sub(other.named) > forgetAfter {
-			p.shut(&other.outgoing)
+		if !other.up && now.Sub(other.lastNamed) > forgetPeerAfter {
+			p.closeLink(&other.outgoingLink)
 			delete(p.peers, address)
-			p.relink()
+			p.updateLinks()
 		}
 	}
 }
 
 // unheard is the number of daemons for each one heard whose loads aren't told
 // to this one.
-func (p *Peers) unheard() float64 {
-	heard := 0
+func (p *Peers) unreportedRatio() float64 {
+	reporting := 0
 	for _, other := range p.peers {
 		if other.up {
-			heard++
+			reporting++
 		}
 	}
-	if p.full || heard == 0 {
+	if p.fullMesh || reporting == 0 {
 		return 0
 	}
-	return float64(len(p.peers)-heard) / float64(heard)
+	return float64(len(p.peers)-reporting) / float64(reporting)
 }
--- a/internal/member/peers_test.go
+++ b/internal/member/peers_test.go
@@ -13,88 +13,88 @@
 )
 
 // peersRig is a daemon's exchange with books of one engine, and no links.
-type peersRig struct {
+type peersHarness struct {
 	*Peers
-	books *placement.Tracker
-	about Summary
+	tracker *placement.Tracker
+	summary Summary
 }
 
-func newPeersRig(address string) *peersRig {
-	return newPeersRigOf(wire.MemberAddress{Instance: address, Peers: address}, wire.Config{})
+func newPeersHarness(address string) *peersHarness {
+	return newPeersHarnessAt(wire.MemberAddress{Instance: address, Peers: address}, wire.Config{})
 }
 
-func newPeersRigOf(self wire.MemberAddress, cfg wire.Config) *peersRig {
-	r := &peersRig{books: placement.NewTracker(nil), about: Summary{Serving: true, Config: 1, ListPosition: 2, ListDigest: 3}}
-	r.books.Sync([]placement.Member{{ID: "e", DataCentre: "d", Role: upstream.RoleDecode, Slots: 4, KVTokens: 1000}})
-	r.Peers = newPeers(self, cfg, r.books, quiet)
-	r.Peers.about = func() Summary { return r.about }
-	r.Peers.demand = func() map[string]wire.MemberDemand { return nil }
-	r.Peers.change = func() {}
-	r.Peers.waiting = func() bool { return false }
-	r.Peers.sameList = func(Position, uint64, time.Duration) {}
+func newPeersHarnessAt(self wire.MemberAddress, cfg wire.Config) *peersHarness {
+	r := &peersHarness{tracker: placement.NewTracker(nil), summary: Summary{Serving: true, Config: 1, ListPosition: 2, ListDigest: 3}}
+	r.tracker.Sync([]placement.Member{{ID: "e", DataCentre: "d", Role: upstream.RoleDecode, Slots: 4, KVTokens: 1000}})
+	r.Peers = newPeers(self, cfg, r.tracker, discardLogger)
+	r.Peers.summary = func() Summary { return r.summary }
+	r.Peers.localDemand = func() map[string]wire.MemberDemand { return nil }
+	r.Peers.onUpdate = func() {}
+	r.Peers.requestsWaiting = func() bool { return false }
+	r.Peers.onPeerList = func(Position, uint64, time.Duration) {}
 	return r
 }
 
-func (r *peersRig) running() int { return r.books.Engines([]string{"e"})[0].Running }
+func (r *peersHarness) running() int { return r.tracker.Engines([]string{"e"})[0].Running }
 
 // Between two beats only the loads go out; but a new configuration, list or
 // reading is told at once, or peers would read the store for themselves.
 func TestOnlyLoadsAreToldBetweenBeats(t *testing.T) {
-	r := newPeersRig("a")
+	r := newPeersHarness("a")
 	now := time.Now()
-	require.Nil(t, r.changes(now), "nothing has changed")
-	r.state(now)
+	require.Nil(t, r.loadUpdate(now), "nothing has changed")
+	r.heartbeatState(now)
 
-	r.books.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
-	loads, ok := r.changes(now).(wire.MemberLoads)
+	r.tracker.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
+	loads, ok := r.loadUpdate(now).(wire.MemberLoads)
 	require.True(t, ok)
 	require.Len(t, loads.Loads, 1)
-	require.Nil(t, r.changes(now))
+	require.Nil(t, r.loadUpdate(now))
 
 	for _, change := range []func(){
-		func() { r.about.Config++ },
-		func() { r.about.ListPosition++ },
-		func() { r.about.ListDigest++ },
-		func() { r.about.Serving = false },
+		func() { r.summary.Config++ },
+		func() { r.summary.ListPosition++ },
+		func() { r.summary.ListDigest++ },
+		func() { r.summary.Serving = false },
 	} {
 		change()
-		r.books.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
-		require.IsType(t, wire.MemberState{}, r.changes(now))
+		r.tracker.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
+		require.IsType(t, wire.MemberState{}, r.loadUpdate(now))
 	}
 
 	// The list has grown older by as much as has passed: nothing new.
 	now = now.Add(time.Second)
-	r.about.ListAge = time.Second
-	r.books.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
-	require.IsType(t, wire.MemberLoads{}, r.changes(now))
-	r.about.ListAge = 0 // read just now
-	r.books.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
-	require.IsType(t, wire.MemberState{}, r.changes(now))
+	r.summary.ListAge = time.Second
+	r.tracker.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
+	require.IsType(t, wire.MemberLoads{}, r.loadUpdate(now))
+	r.summary.ListAge = 0 // read just now
+	r.tracker.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
+	require.IsType(t, wire.MemberState{}, r.loadUpdate(now))
 }
 
 // A peer's loads are booked once its state has told whose they are; those of its
 // former process, or overtaken ones, are not.
 func TestLoadsOfAPeer(t *testing.T) {
-	a, b := newPeersRig("a"), newPeersRig("b")
+	a, b := newPeersHarness("a"), newPeersHarness("b")
 	now := time.Now()
-	a.books.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
-	a.state(now) // lost on the way
-	a.books.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
-	early := a.changes(now)
+	a.tracker.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
+	a.heartbeatState(now) // lost on the way
+	a.tracker.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
+	early := a.loadUpdate(now)
 	b.Handle("", early, nil)
 	require.Zero(t, b.running(), "whose are they?")
 
-	b.Handle("", a.state(now), nil)
+	b.Handle("", a.heartbeatState(now), nil)
 	require.Equal(t, 2, b.running())
-	a.books.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
-	later := a.changes(now)
+	a.tracker.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
+	later := a.loadUpdate(now)
 	b.Handle("", later, nil)
 	require.Equal(t, 3, b.running())
 	b.Handle("", early, nil)
 	require.Equal(t, 3, b.running(), "overtaken")
 
-	restarted := newPeersRig("a")
-	b.Handle("", restarted.state(now), nil)
+	restarted := newPeersHarness("a")
+	b.Handle("", restarted.heartbeatState(now), nil)
 	require.Zero(t, b.running())
 	b.Handle("", later, nil)
 	require.Zero(t, b.running(), "of the former process")
@@ -104,21 +104,21 @@
 // first says so. If all others took its whole list, its link would be full for
 // seconds, and the server would get new requests meanwhile.
 func TestLargeListsComeFromTheStore(t *testing.T) {
-	small, large := Summary{ListSize: largeList, Config: 2}, Summary{ListSize: largeList + 1, Config: 2}
+	small, large := Summary{ListSize: largeListSize, Config: 2}, Summary{ListSize: largeListSize + 1, Config: 2}
 	own := Summary{Config: 2}
-	require.Equal(t, source{whole: true}, sourceOf(own, small, false))
-	require.Equal(t, source{store: true}, sourceOf(own, large, false))
-	require.Equal(t, source{whole: true}, sourceOf(own, large, true), "the store can't be read")
-	require.Equal(t, source{config: true, store: true}, sourceOf(Summary{Config: 1}, large, false))
+	require.Equal(t, listSource{full: true}, chooseSource(own, small, false))
+	require.Equal(t, listSource{store: true}, chooseSource(own, large, false))
+	require.Equal(t, listSource{full: true}, chooseSource(own, large, true), "the store can't be read")
+	require.Equal(t, listSource{config: true, store: true}, chooseSource(Summary{Config: 1}, large, false))
 }
 
 // A reader that rests for long must read at once when a peer says that there is
 // something new.
 func TestHurriedReaderDoesNotRest(t *testing.T) {
-	r := &topicReader{backoff: newBackoff(alone), every: time.Hour, readAt: time.Now()}
-	require.Positive(t, r.hold())
-	go r.hurry()
-	r.rest(t.Context(), time.Hour)
-	require.Zero(t, r.hold())
-	require.Positive(t, r.hold(), "one read only")
+	r := &topicReader{backoff: newBackoff(oneDaemon), interval: time.Hour, readAt: time.Now()}
+	require.Positive(t, r.delay())
+	go r.expedite()
+	r.pause(t.Context(), time.Hour)
+	require.Zero(t, r.delay())
+	require.Positive(t, r.delay(), "one read only")
 }
--- a/internal/member/peerview.go
+++ b/internal/member/peerview.go
@@ -8,7 +8,7 @@
 )
 
 // awayEngine is an engine that takes no work until a time, or until it has a role.
-type awayEngine struct {
+type unavailableEngine struct {
 	to    upstream.Role
 	until time.Time
 }
@@ -16,30 +16,30 @@
 // SendAway keeps the requests of all daemons from an engine for some time, or
 // until it has a role; "" if it doesn't change.
 func (p *Peers) MarkUnavailable(id string, to upstream.Role, d time.Duration) {
-	at := p.books.KeyOf(id)
-	p.books.MarkUnavailable(at, to, d)
+	key := p.tracker.KeyOf(id)
+	p.tracker.MarkUnavailable(key, to, d)
 	p.mu.Lock()
-	told := time.Until(p.away[at].until) > d/2
-	p.away[at] = awayEngine{to: to, until: time.Now().Add(d)}
+	reported := time.Until(p.unavailable[key].until) > d/2
+	p.unavailable[key] = unavailableEngine{to: to, until: time.Now().Add(d)}
 	p.mu.Unlock()
-	if !told {
-		p.send(p.state(time.Now()))
+	if !reported {
+		p.broadcast(p.heartbeatState(time.Now()))
 	}
 }
 
 // noteAway takes another daemon's word of engines that take no work.
-func (p *Peers) noteAway(engines []wire.AwayEngine) {
+func (p *Peers) applyUnavailable(engines []wire.AwayEngine) {
 	for _, a := range engines {
-		p.books.MarkUnavailable(a.At, a.To, a.Left)
+		p.tracker.MarkUnavailable(a.At, a.To, a.Left)
 	}
 }
 
-func (p *Peers) awayNow() []wire.AwayEngine {
+func (p *Peers) unavailableEngines() []wire.AwayEngine {
 	var list []wire.AwayEngine
-	for at, e := range p.away {
+	for at, e := range p.unavailable {
 		left := time.Until(e.until)
 		if left <= 0 {
-			delete(p.away, at)
+			delete(p.unavailable, at)
 			continue
 		}
 		list = append(list, wire.AwayEngine{At: at, To: e.to, Left: left})
@@ -52,9 +52,9 @@
 // the others stands in.
 func (p *Peers) Demand(pool string) wire.MemberDemand {
 	if p.Aggregates() {
-		return p.tally.demand(pool)
+		return p.aggregate.demand(pool)
 	}
-	sum := p.demand()[pool]
+	sum := p.localDemand()[pool]
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var others wire.MemberDemand
@@ -63,7 +63,7 @@
 			others = others.Plus(other.demands[pool])
 		}
 	}
-	sum.Readers += (1 + p.unheard()) * others.Readers
+	sum.Readers += (1 + p.unreportedRatio()) * others.Readers
 	return sum
 }
 
@@ -73,12 +73,12 @@
 func (p *Peers) Rank() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.full {
-		return p.collect.rank()
+	if !p.fullMesh {
+		return p.parent.rank()
 	}
 	rank := 0
 	for address, other := range p.peers {
-		if other.up && other.about.Serving && address < p.self.Peers {
+		if other.up && other.summary.Serving && address < p.self.Peers {
 			rank++
 		}
 	}
@@ -91,7 +91,7 @@
 	defer p.mu.Unlock()
 	var up []wire.MemberAddress
 	for _, other := range p.peers {
-		if other.up && other.about.Serving {
+		if other.up && other.summary.Serving {
 			up = append(up, other.MemberAddress)
 		}
 	}
@@ -101,26 +101,26 @@
 // Better returns the peer address of a daemon with a newer configuration than
 // this one's, or else one with another list of upstreams that was read later, and
 // what it says of itself; "" if there is none.
-func (p *Peers) Freshest(own Summary) (string, Summary) {
+func (p *Peers) Freshest(local Summary) (string, Summary) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	best, newest, youngest := "", own.Config, own.ListAge-youngerBy
-	var about Summary
+	best, newest, minAge := "", local.Config, local.ListAge-minAgeGain
+	var summary Summary
 	for address, other := range p.peers {
-		if time.Since(other.told) > silentAfter {
+		if time.Since(other.lastUpdate) > peerTimeout {
 			continue
 		}
-		a := other.about
-		age := a.ListAge + time.Since(other.told)
-		newerList := a.ListPosition > own.ListPosition && a.ListDigest != own.ListDigest && age < youngest
+		a := other.summary
+		age := a.ListAge + time.Since(other.lastUpdate)
+		newerList := a.ListPosition > local.ListPosition && a.ListDigest != local.ListDigest && age < minAge
 		if a.Config > newest || (a.Config == newest && newerList) {
-			best, newest, about = address, a.Config, a
+			best, newest, summary = address, a.Config, a
 			if newerList {
-				youngest = age
+				minAge = age
 			}
 		}
 	}
-	return best, about
+	return best, summary
 }
 
 // Known returns the number of daemons that are or lately were part of the
--- a/internal/member/reload.go
+++ b/internal/member/reload.go
@@ -9,10 +9,10 @@
 // settingsField is a setting by its name in messages.
 type settingsField struct {
 	name string
-	of   func(*Settings) any
+	get  func(*Settings) any
 	// take takes a new value over in a running daemon; nil for what its sockets
 	// and its part in the lease are built on.
-	take func(now, next *Settings)
+	apply func(now, next *Settings)
 }
 
 var settingsFields = []settingsField{
@@ -45,9 +45,9 @@
 	now := *m.settings.Load()
 	for _, f := range settingsFields {
 		switch {
-		case reflect.DeepEqual(f.of(&now), f.of(&next)):
-		case f.take != nil:
-			f.take(&now, &next)
+		case reflect.DeepEqual(f.get(&now), f.get(&next)):
+		case f.apply != nil:
+			f.apply(&now, &next)
 			applied = append(applied, f.name)
 		default:
 			pending = append(pending, f.name)
--- a/internal/member/restore_test.go
+++ b/internal/member/restore_test.go
@@ -16,12 +16,12 @@
 // Guards against requests to a server that has said it leaves, as an older entry of it is in
 // force again.
 func TestLeavingServerStaysLeavingOverARestore(t *testing.T) {
-	r := newFeedRig()
+	r := newFeedHarness()
 	r.feed.reset([]Entry{entry("a", "p 1:1 started=5 revision=1"), entry("b", "p 1:2 started=5 revision=1")})
 	r.feed.apply([]Entry{entry("a", "p 1:1 started=5 revision=2 leaving")})
 	require.Equal(t, "a leaving,b", r.ids())
 
-	r.feed.resetCopy([]Entry{entry("a", "p 1:1 started=5 revision=1"), entry("b", "p 1:2 started=5 revision=1")})
+	r.feed.resetRestored([]Entry{entry("a", "p 1:1 started=5 revision=1"), entry("b", "p 1:2 started=5 revision=1")})
 	require.Equal(t, "a leaving,b", r.ids())
 	r.feed.apply([]Entry{entry("a", "p 1:1 started=5 revision=1")})
 	require.Equal(t, "a leaving,b", r.ids(), "written again late")
@@ -31,10 +31,10 @@
 
 // Guards against requests to a server that has gone and that only the copy still has.
 func TestServerThatOnlyTheCopyHasWaitsForItsEntry(t *testing.T) {
-	r := newFeedRig()
+	r := newFeedHarness()
 	r.feed.reset([]Entry{entry("a", "p 1:1"), entry("gone", "p 1:2")})
 	r.feed.apply([]Entry{entry("gone", "")})
-	r.feed.resetCopy([]Entry{entry("a", "p 1:1"), entry("gone", "p 1:2"), entry("alive", "p 1:3")})
+	r.feed.resetRestored([]Entry{entry("a", "p 1:1"), entry("gone", "p 1:2"), entry("alive", "p 1:3")})
 	require.Equal(t, "a", r.ids())
 	r.feed.apply([]Entry{entry("alive", "p 1:3")})
 	require.Equal(t, "a,alive", r.ids())
@@ -43,13 +43,13 @@
 // Guards against a server that gets no requests because the copy is older than its entry, and
 // against one that keeps getting them though it has gone.
 func TestServerThatTheCopyLacksIsDoubted(t *testing.T) {
-	r := newFeedRig()
+	r := newFeedHarness()
 	r.feed.reset([]Entry{entry("a", "p 1:1"), entry("b", "p 1:2")})
-	r.feed.resetCopy([]Entry{})
+	r.feed.resetRestored([]Entry{})
 	require.Equal(t, "a,b", r.ids())
 	r.feed.apply([]Entry{entry("a", "p 1:1")})
-	time.Sleep(2 * r.feed.returnWithin)
-	r.feed.expire()
+	time.Sleep(2 * r.feed.lapsedGrace)
+	r.feed.expireLapsed()
 	require.Equal(t, "a", r.ids())
 }
 
@@ -86,10 +86,10 @@
 		store := &eraStore{}
 		copies := make(chan []Entry, 1)
 		r := &topicReader{
-			backoff: newBackoff(alone), store: store, wait: time.Hour, reset: func([]Entry) {}, apply: func([]Entry) {},
-			resetCopy: func(e []Entry) { copies <- e }, log: quiet,
+			backoff: newBackoff(oneDaemon), store: store, longPoll: time.Hour, applyAll: func([]Entry) {}, applyChanges: func([]Entry) {},
+			applyRestored: func(e []Entry) { copies <- e }, log: discardLogger,
 		}
-		follower := &eraFollower{eras: store.Eras(), readers: []*topicReader{r}, daemons: alone}
+		follower := &eraFollower{eras: store.Eras(), readers: []*topicReader{r}, daemons: oneDaemon}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go func() { _ = r.Serve(ctx) }()
@@ -107,11 +107,11 @@
 
 // Guards against a position of an earlier era that is taken for a later one.
 func TestPositionsOfALaterEraComeAfterAllBefore(t *testing.T) {
-	r := &topicReader{log: quiet}
-	r.heard(infra.NewOffset(0, 1000), time.Second)
-	r.heard(infra.NewOffset(1, 10), time.Second)
+	r := &topicReader{log: discardLogger}
+	r.adopt(infra.NewOffset(0, 1000), time.Second)
+	r.adopt(infra.NewOffset(1, 10), time.Second)
 	require.Equal(t, infra.NewOffset(1, 10), r.position())
-	r.heard(infra.NewOffset(0, 2000), time.Second)
+	r.adopt(infra.NewOffset(0, 2000), time.Second)
 	require.Equal(t, infra.NewOffset(1, 10), r.position())
 	require.Equal(t, "1/10", r.position().String())
 }
@@ -120,7 +120,7 @@
 func TestDaemonAnnouncesItselfInEachEra(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &eraStore{puts: make(chan Entry)}
-		a := &announcer{store: store, self: wire.MemberAddress{Instance: "i"}, backoff: newBackoff(alone), daemons: alone, log: quiet}
+		a := &announcer{store: store, self: wire.MemberAddress{Instance: "i"}, backoff: newBackoff(oneDaemon), daemons: oneDaemon, log: discardLogger}
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() { _ = a.Serve(ctx) }()
 		store.Eras().Observe(0, "the store")
@@ -136,26 +136,26 @@
 // Guards against a configuration that goes back to the copy's.
 func TestConfigurationStaysOverARestore(t *testing.T) {
 	state := fleet.NewState()
-	feed := &configFeed{formats: plainFormats{}, state: state, log: quiet}
-	feed.take([]Entry{entry("config", "7")})
-	feed.take([]Entry{entry("config", "5")})
+	feed := &configFeed{decoder: textDecoder{}, state: state, log: discardLogger}
+	feed.apply([]Entry{entry("config", "7")})
+	feed.apply([]Entry{entry("config", "5")})
 	require.EqualValues(t, 7, state.Snapshot().Config.Version)
 }
 
 // Guards against servers that count as gone though they have written again: a daemon that doubts
 // them went by another's word that its list is the same, and never read that.
 func TestDaemonThatDoubtsReadsForItself(t *testing.T) {
-	rig := newFeedRig()
+	rig := newFeedHarness()
 	rig.feed.reset([]Entry{entry("a", "p 1:1")})
-	r := &topicReader{log: quiet}
-	r.done(10, time.Now().Add(-time.Minute))
+	r := &topicReader{log: discardLogger}
+	r.recordRead(10, time.Now().Add(-time.Minute))
 	m := &Member{cfg: Config{Store: &scriptedStore{}}, upstreams: rig.feed, readers: []*topicReader{r}}
 	same := rig.feed.digest.Load()
 
-	rig.feed.resetCopy(nil)
-	m.readSame(20, same, 0)
+	rig.feed.resetRestored(nil)
+	m.confirmList(20, same, 0)
 	require.EqualValues(t, 10, r.position())
 	rig.feed.apply([]Entry{entry("a", "p 1:1")})
-	m.readSame(20, same, 0)
+	m.confirmList(20, same, 0)
 	require.EqualValues(t, 20, r.position())
 }
--- a/internal/member/roleorders.go
+++ b/internal/member/roleorders.go
@@ -11,9 +11,9 @@
 // orderAll gives a change's orders one after the other, until the next look is due:
 // engines that don't answer must not keep the leader from looking.
 func (d *director) orderAll(ctx context.Context, engines []*fleet.Upstream, c rolepolicy.Change) {
-	begun := time.Now()
+	start := time.Now()
 	for i, u := range engines {
-		if time.Since(begun) > directEvery {
+		if time.Since(start) > roleCheckInterval {
 			d.logger.Warn("orders left for the next look", "left", len(engines)-i, "of", len(engines), "to", c.To)
 			return
 		}
@@ -42,7 +42,7 @@
 		return
 	}
 	defer done()
-	if !d.leads() {
+	if !d.mayOrder() {
 		return
 	}
 	outcome, err := d.engines.SetRole(ctx, u, RoleOrder{
@@ -54,29 +54,29 @@
 	case OrderAccepted:
 		// Whatever is sent there before its entry shows the new role is turned
 		// away. Each daemon ends that by itself, whoever leads then.
-		d.changes[u.ID] = roleChange{of: u, to: c.To, since: time.Now()}
-		d.member.peers.MarkUnavailable(u.ID, c.To, changeLimit)
+		d.changes[u.ID] = roleChange{engine: u, to: c.To, since: time.Now()}
+		d.member.peers.MarkUnavailable(u.ID, c.To, changeTimeout)
 	case OrderUnknown:
-		d.member.peers.MarkUnavailable(u.ID, c.To, openLimit)
+		d.member.peers.MarkUnavailable(u.ID, c.To, unknownOrderTimeout)
 	case OrderFenced:
 		// Somebody else has led since: this authority is worth nothing.
-		d.distrust = time.Now().Add(d.term())
+		d.blockedUntil = time.Now().Add(d.term())
 		d.keeper.Renumber()
 	}
 }
 
 // follow notes what became of the orders given.
-func (d *director) follow(s *fleet.Snapshot) {
+func (d *director) trackChanges(s *fleet.Snapshot) {
 	for id, c := range d.changes {
 		took := time.Since(c.since)
 		u := s.Upstreams[id]
 		switch {
-		case u == nil || u.Leaving || !u.SameStart(c.of):
+		case u == nil || u.Leaving || !u.SameStart(c.engine):
 			delete(d.changes, id)
 		case u.Role == c.to:
 			delete(d.changes, id)
 			d.logger.Info("role changed", "engine", id, "to", c.to, "took_ms", took.Milliseconds())
-		case took > changeLimit:
+		case took > changeTimeout:
 			delete(d.changes, id)
 			d.logger.Warn("role not changed in time", "engine", id, "to", c.to)
 		}
--- a/internal/member/rolepicture.go
+++ b/internal/member/rolepicture.go
@@ -14,15 +14,15 @@
 )
 
 // picture gathers what the policy looks at.
-func (d *director) picture(s *fleet.Snapshot, name string, pool *fleet.Pool) (rolepolicy.Pool, []placement.Engine) {
-	books := d.member.books
+func (d *director) poolState(s *fleet.Snapshot, name string, pool *fleet.Pool) (rolepolicy.Pool, []placement.Engine) {
+	tracker := d.member.tracker
 	demand := d.member.peers.Demand(name)
 	p := rolepolicy.Pool{PrefillDemand: demand.Readers, SwitchTime: pool.Engine.SwitchTime}
 	var ids []string
 	for _, u := range s.Pools[name] {
 		switch {
 		case u.Leaving:
-		case books.Unavailable(u.ID):
+		case tracker.Unavailable(u.ID):
 			// It is on its way to the role that it hasn't.
 			p.Changing++
 			if u.Role == upstream.RolePrefill {
@@ -38,20 +38,20 @@
 			ids = append(ids, u.ID)
 		}
 	}
-	engines := books.Engines(ids)
+	engines := tracker.Engines(ids)
 	p.DecodeLoad = placement.DecodeDemand(engines)
-	p.ConcurrentPrefillRate = beside(engines)
+	p.ConcurrentPrefillRate = concurrentPrefillRate(engines)
 	return p, engines
 }
 
 // beside is how fast engines that generate read, as a share of those that only read:
 // of a typical prompt.
-func beside(engines []placement.Engine) float64 {
+func concurrentPrefillRate(engines []placement.Engine) float64 {
 	for _, e := range engines {
 		if e.Model == nil {
 			continue
 		}
-		prompt := enginemodel.Prompt{Tokens: typicalPrompt}
+		prompt := enginemodel.Prompt{Tokens: typicalPromptTokens}
 		return e.Model.PrefillMillis(upstream.RolePrefill, prompt) / e.Model.PrefillMillis(upstream.RoleDecode, prompt)
 	}
 	return 1
@@ -59,7 +59,7 @@
 
 // typicalPrompt is the length of the prompt by which roles are compared, in tokens.
 // What a token takes hardly depends on it.
-const typicalPrompt = 1000
+const typicalPromptTokens = 1000
 
 // chooseEngines returns the engines whose change disturbs least: those with the
 // fewest long streams, which they would have to end first, and the fewest requests.
@@ -82,11 +82,11 @@
 }
 
 // pictureEvery is how often the leader logs what it looks at.
-const pictureEvery = 2 * time.Second
+const poolLogInterval = 2 * time.Second
 
-func (d *director) logPicture(pool string, p rolepolicy.Pool) {
-	if now := time.Now(); now.Sub(d.logged[pool]) >= pictureEvery {
-		d.logged[pool] = now
+func (d *director) logPool(pool string, p rolepolicy.Pool) {
+	if now := time.Now(); now.Sub(d.lastLogged[pool]) >= poolLogInterval {
+		d.lastLogged[pool] = now
 		d.logger.Info("roles looked at", "pool", pool, "prefill", p.Prefill, "decode", p.Decode, "changing", p.Changing,
 			"read_demand", round(p.PrefillDemand), "generating", round(p.DecodeLoad), "beside", round(p.ConcurrentPrefillRate))
 	}
--- a/internal/member/serve.go
+++ b/internal/member/serve.go
@@ -14,14 +14,14 @@
 
 const (
 	// headerTimeout bounds the reading of a request's head.
-	headerTimeout = 5 * time.Second
+	headerReadTimeout = 5 * time.Second
 	// idleTimeout is how long an idle connection is kept: longer than callers
 	// use one, so that none is closed under a request.
 	idleTimeout = 90 * time.Second
 	// maxHeader bounds a request's head in bytes.
-	maxHeader = 64 << 10
+	maxHeaderBytes = 64 << 10
 	// endTimeout bounds the end of the servers after the drain.
-	endTimeout = 100 * time.Millisecond
+	shutdownTimeout = 100 * time.Millisecond
 )
 
 // httpService is one HTTP interface as a supervised service.
@@ -37,7 +37,7 @@
 // Serve implements suture.Service.
 func (s *httpService) Serve(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() {
-		end, cancel := context.WithTimeout(context.Background(), endTimeout)
+		end, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
 		_ = s.server.Shutdown(end) // requests still in progress are cut off by the exit
 	})
@@ -59,7 +59,7 @@
 		{"callers", s.Callers, m.relay},
 		{"ready", s.Ready, m.cfg.ReadyHandler(m.Ready)},
 		{"directory", s.Directory, m.cfg.DirectoryHandler(m)},
-		{"metrics", s.Metrics, m.operatorsPages()},
+		{"metrics", s.Metrics, m.operatorHandler()},
 	}
 	var services []*httpService
 	for _, h := range handlers {
@@ -70,9 +70,9 @@
 		if err != nil {
 			return nil, eris.Wrapf(err, "%s: address %s can't be taken", h.name, h.address)
 		}
-		conns := m.pages
+		conns := m.otherConns
 		if h.address == s.Callers {
-			conns = m.callers
+			conns = m.callerConns
 		}
 		server := newServer(h.handler)
 		server.ConnState = conns.Note
@@ -82,8 +82,8 @@
 }
 
 // metricsPage shows the counters and histograms, and what is believed now.
-func (m *Member) metricsPage(w http.ResponseWriter, _ *http.Request) {
-	m.gauges()
+func (m *Member) serveMetrics(w http.ResponseWriter, _ *http.Request) {
+	m.updateGauges()
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	if _, err := m.cfg.Metrics.Page.WriteTo(w); err != nil {
 		m.log.Warn("metrics page not written", "err", err)
@@ -91,29 +91,29 @@
 }
 
 // gauges brings the figures of the state up to date.
-func (m *Member) gauges() {
+func (m *Member) updateGauges() {
 	s := m.cfg.Metrics.Scope
-	about := m.about()
-	s.Gauge("config_version").Update(float64(about.Config))
+	summary := m.summary()
+	s.Gauge("config_version").Update(float64(summary.Config))
 	s.Gauge("store_era").Update(float64(m.cfg.Store.Eras().Current()))
 	s.Gauge("upstreams").Update(float64(len(m.state.Snapshot().Upstreams)))
-	s.Gauge("upstreams_age_seconds").Update(about.ListAge.Seconds())
+	s.Gauge("upstreams_age_seconds").Update(summary.ListAge.Seconds())
 	s.Gauge("daemons_known").Update(float64(m.peers.KnownCount()))
 	s.Gauge("daemons_serving").Update(float64(len(m.peers.Serving())))
-	collects := 0.0
+	aggregates := 0.0
 	if m.peers.Aggregates() {
-		collects = 1
+		aggregates = 1
 	}
-	s.Gauge("collects_loads").Update(collects)
+	s.Gauge("collects_loads").Update(aggregates)
 	s.Gauge("requests_active").Update(float64(m.relay.Active()))
 }
 
 func newServer(h http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           h,
-		ReadHeaderTimeout: headerTimeout,
+		ReadHeaderTimeout: headerReadTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    maxHeader,
+		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          log.New(io.Discard, "", 0), // broken connections of callers, one line each
 	}
 }
--- a/internal/member/settings.go
+++ b/internal/member/settings.go
@@ -51,19 +51,19 @@
 // Check returns all faults of the settings at once, each naming its field.
 func (s *Settings) Check() error {
 	var faults []error
-	need := func(ok bool, field, problem string) {
+	require := func(ok bool, field, problem string) {
 		if !ok {
 			faults = append(faults, fmt.Errorf("settings: %s %s", field, problem))
 		}
 	}
-	need(s.Instance != "", "instance name", "is missing")
-	need(s.DataCentre != "", "data centre", "is missing")
-	need(s.Store != "", "store address", "is missing")
-	need(s.Callers != "", "callers' address", "is missing")
-	need(s.PeerAddress != "", "peers' address", "is missing")
-	need(s.Grace > 0, "grace", "must be more than 0")
-	need(s.RetryWindow > 0, "retry window", "must be more than 0")
-	need(s.LeaseTerm > 0, "lease term", "must be more than 0")
-	need(s.RetryRatio >= 0, "retry ratio", "must not be negative")
+	require(s.Instance != "", "instance name", "is missing")
+	require(s.DataCentre != "", "data centre", "is missing")
+	require(s.Store != "", "store address", "is missing")
+	require(s.Callers != "", "callers' address", "is missing")
+	require(s.PeerAddress != "", "peers' address", "is missing")
+	require(s.Grace > 0, "grace", "must be more than 0")
+	require(s.RetryWindow > 0, "retry window", "must be more than 0")
+	require(s.LeaseTerm > 0, "lease term", "must be more than 0")
+	require(s.RetryRatio >= 0, "retry ratio", "must not be negative")
 	return errors.Join(faults...)
 }
--- a/internal/member/status.go
+++ b/internal/member/status.go
@@ -14,12 +14,12 @@
 
 // Status returns what the daemon believes now.
 func (m *Member) Status() daemonstatus.Daemon {
-	about := m.about()
+	summary := m.summary()
 	d := daemonstatus.Daemon{
 		Instance: m.self.Instance, DataCentre: m.self.DataCentre, Callers: m.self.Callers,
-		Ready: about.Serving, Stopping: m.leaving.Load(), Requests: m.relay.Active(),
-		ConfigVersion: about.Config, StoreEra: m.cfg.Store.Eras().Current(), UpstreamsAgeMS: telemetry.Millis(about.ListAge),
-		Peers: m.peers.statuses(time.Now()), Upstreams: m.reportUpstreams(m.state.Snapshot()), Budgets: []daemonstatus.Budget{},
+		Ready: summary.Serving, Stopping: m.draining.Load(), Requests: m.relay.Active(),
+		ConfigVersion: summary.Config, StoreEra: m.cfg.Store.Eras().Current(), UpstreamsAgeMS: telemetry.Millis(summary.ListAge),
+		Peers: m.peers.peerStatuses(time.Now()), Upstreams: m.upstreamStatuses(m.state.Snapshot()), Budgets: []daemonstatus.Budget{},
 	}
 	if l := m.lease.Load(); l != nil {
 		d.Lease = *l
@@ -30,14 +30,14 @@
 	return d
 }
 
-func (m *Member) reportUpstreams(s *fleet.Snapshot) []daemonstatus.Upstream {
+func (m *Member) upstreamStatuses(s *fleet.Snapshot) []daemonstatus.Upstream {
 	all := make([]daemonstatus.Upstream, 0, len(s.Upstreams))
 	for _, u := range s.Upstreams {
 		r := daemonstatus.Upstream{
 			ID: u.ID, Pool: u.Pool, Address: u.Address, DataCentre: u.DataCentre, Role: string(u.Role),
 			Draining: u.Leaving, Slots: u.Slots,
 		}
-		if engines := m.books.Engines([]string{u.ID}); len(engines) > 0 {
+		if engines := m.tracker.Engines([]string{u.ID}); len(engines) > 0 {
 			r.Usable, r.Running = !u.Leaving, engines[0].Running
 		}
 		all = append(all, r)
@@ -49,21 +49,21 @@
 }
 
 // statuses returns the other daemons in the order of their names.
-func (p *Peers) statuses(now time.Time) []daemonstatus.Peer {
+func (p *Peers) peerStatuses(now time.Time) []daemonstatus.Peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	all := make([]daemonstatus.Peer, 0, len(p.peers))
 	for _, other := range p.peers {
 		all = append(all, daemonstatus.Peer{
-			Instance: other.Instance, DataCentre: other.DataCentre, Up: other.up, Serving: other.about.Serving,
-			UpdateAgeMS: telemetry.Millis(now.Sub(other.told)), ConfigVersion: other.about.Config,
+			Instance: other.Instance, DataCentre: other.DataCentre, Up: other.up, Serving: other.summary.Serving,
+			UpdateAgeMS: telemetry.Millis(now.Sub(other.lastUpdate)), ConfigVersion: other.summary.Config,
 		})
 	}
 	slices.SortFunc(all, func(a, b daemonstatus.Peer) int { return strings.Compare(a.Instance, b.Instance) })
 	return all
 }
 
-func (m *Member) statusPage(w http.ResponseWriter, _ *http.Request) {
+func (m *Member) serveStatus(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(m.Status()); err != nil {
 		m.log.Warn("status page not written", "err", err)
@@ -71,9 +71,9 @@
 }
 
 // operatorsPages serves the metrics address.
-func (m *Member) operatorsPages() http.Handler {
+func (m *Member) operatorHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+daemonstatus.Path, m.statusPage)
-	mux.HandleFunc("GET /", m.metricsPage)
+	mux.HandleFunc("GET "+daemonstatus.Path, m.serveStatus)
+	mux.HandleFunc("GET /", m.serveMetrics)
 	return mux
 }
--- a/internal/member/tallynews.go
+++ b/internal/member/tallynews.go
@@ -9,33 +9,33 @@
 )
 
 // awayWord is an engine that takes no work, and the tally's version of that word.
-type awayWord struct {
-	awayEngine
+type unavailableEntry struct {
+	unavailableEngine
 	changed uint64
 }
 
 // awaySlack is the difference between two accounts of when an engine takes work again
 // that count as the same: each has been on its way for a while.
-const awaySlack = 200 * time.Millisecond
+const unavailableSlack = 200 * time.Millisecond
 
 // noteAway takes word of engines that take no work. Of two times the later one holds.
-func (t *tally) noteAway(engines []wire.AwayEngine, now time.Time) {
+func (a *loadAggregate) applyUnavailable(engines []wire.AwayEngine, now time.Time) {
 	for _, e := range engines {
 		until := now.Add(e.Left)
-		if known := t.away[e.At]; known.to == e.To && !until.After(known.until.Add(awaySlack)) {
+		if known := a.unavailable[e.At]; known.to == e.To && !until.After(known.until.Add(unavailableSlack)) {
 			continue
 		}
-		t.away[e.At] = awayWord{awayEngine{to: e.To, until: until}, t.version}
+		a.unavailable[e.At] = unavailableEntry{unavailableEngine{to: e.To, until: until}, a.version}
 	}
 }
 
 // awaySince returns the engines that take no work, where that is news since a version.
-func (t *tally) awaySince(version uint64, now time.Time) []wire.AwayEngine {
+func (a *loadAggregate) unavailableSince(version uint64, now time.Time) []wire.AwayEngine {
 	var list []wire.AwayEngine
-	for at, e := range t.away {
+	for at, e := range a.unavailable {
 		switch {
 		case !now.Before(e.until):
-			delete(t.away, at)
+			delete(a.unavailable, at)
 		case e.changed > version:
 			list = append(list, wire.AwayEngine{At: at, To: e.to, Left: e.until.Sub(now)})
 		}
@@ -45,32 +45,32 @@
 
 // maxReads bounds the prompts kept for a daemon that isn't heard from: some hundred
 // milliseconds of a large site. What is dropped is read again somewhere at worst.
-const maxReads = 2000
+const maxPendingPrefills = 2000
 
 // passOn keeps what became of one sender's prompts for all others.
-func (t *tally) passOn(from *report, reads []placement.PrefillEvent) {
+func (a *loadAggregate) forwardPrefills(from *contribution, reads []placement.PrefillEvent) {
 	if len(reads) == 0 {
 		return
 	}
-	for _, to := range t.reports {
+	for _, to := range a.children {
 		if to != from {
-			to.addReads(reads)
+			to.addPrefills(reads)
 		}
 	}
-	if from != t.above {
-		t.above.addReads(reads)
+	if from != a.parent {
+		a.parent.addPrefills(reads)
 	}
 }
 
-func (r *report) addReads(reads []placement.PrefillEvent) {
-	r.reads = append(r.reads, reads...)
-	if over := len(r.reads) - maxReads; over > 0 {
-		r.reads = slices.Delete(r.reads, 0, over)
+func (c *contribution) addPrefills(reads []placement.PrefillEvent) {
+	c.pendingPrefills = append(c.pendingPrefills, reads...)
+	if over := len(c.pendingPrefills) - maxPendingPrefills; over > 0 {
+		c.pendingPrefills = slices.Delete(c.pendingPrefills, 0, over)
 	}
 }
 
-func (r *report) takeReads() []placement.PrefillEvent {
-	reads := r.reads
-	r.reads = nil
+func (c *contribution) takePrefills() []placement.PrefillEvent {
+	reads := c.pendingPrefills
+	c.pendingPrefills = nil
 	return reads
 }
--- a/internal/member/telling.go
+++ b/internal/member/telling.go
@@ -9,69 +9,69 @@
 
 // changes returns what is to be told between two beats, nil if nothing has
 // changed. A whole state goes out only if there is more to tell than loads.
-func (p *Peers) changes(now time.Time) wire.Message {
-	loads := p.books.LocalLoads(false)
+func (p *Peers) loadUpdate(now time.Time) wire.Message {
+	loads := p.tracker.LocalLoads(false)
 	if len(loads) == 0 {
 		return nil
 	}
-	about := p.about()
+	summary := p.summary()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.toldAbout.covers(about, now) {
-		return p.stateOf(about, loads, p.books.PrefillEvents(), now)
+	if !p.reported.covers(summary, now) {
+		return p.newState(summary, loads, p.tracker.PrefillEvents(), now)
 	}
 	p.seq++
-	return wire.MemberLoads{Incarnation: p.incarnation, Seq: p.seq, Loads: loads, Reads: p.books.PrefillEvents()}
+	return wire.MemberLoads{Incarnation: p.incarnation, Seq: p.seq, Loads: loads, Reads: p.tracker.PrefillEvents()}
 }
 
 // toldAbout is what the last state said of this daemon, and when.
-type toldAbout struct {
+type reportedSummary struct {
 	Summary
 	at time.Time
 }
 
 // readSlack is the difference between two accounts of when a list was read that
 // count as the same: they are taken at slightly different times.
-const readSlack = 10 * time.Millisecond
+const listAgeSlack = 10 * time.Millisecond
 
 // covers reports whether what was told still holds, but for the time that has
 // passed.
-func (t toldAbout) covers(now Summary, at time.Time) bool {
+func (t reportedSummary) covers(now Summary, at time.Time) bool {
 	same := t.Serving == now.Serving && t.Config == now.Config &&
 		t.ListPosition == now.ListPosition && t.ListDigest == now.ListDigest
-	return same && now.ListAge > t.ListAge+at.Sub(t.at)-readSlack
+	return same && now.ListAge > t.ListAge+at.Sub(t.at)-listAgeSlack
 }
 
 // stateOf returns the state to be told. p.mu is held.
-func (p *Peers) stateOf(about Summary, loads []placement.UpstreamLoad, reads []placement.PrefillEvent, now time.Time) wire.MemberState {
+func (p *Peers) newState(summary Summary, loads []placement.UpstreamLoad, prefills []placement.PrefillEvent, now time.Time) wire.MemberState {
 	p.seq++
-	p.toldAbout = toldAbout{about, now}
+	p.reported = reportedSummary{summary, now}
 	return wire.MemberState{
 		MemberAddress: p.self, Incarnation: p.incarnation, Seq: p.seq,
-		Serving: about.Serving, Config: about.Config, ReadAge: about.ListAge,
-		ListPosition: uint64(about.ListPosition), ListDigest: about.ListDigest, ListSize: about.ListSize,
-		Meshed: p.full, Loads: loads, Reads: reads, Away: p.awayNow(),
+		Serving: summary.Serving, Config: summary.Config, ReadAge: summary.ListAge,
+		ListPosition: uint64(summary.ListPosition), ListDigest: summary.ListDigest, ListSize: summary.ListSize,
+		Meshed: p.fullMesh, Loads: loads, Reads: prefills, Away: p.unavailableEngines(),
 	}
 }
 
 // state returns the state of a beat: it carries the loads even if they haven't
 // changed, and now and then the addresses of other daemons.
-func (p *Peers) state(now time.Time) wire.MemberState {
+func (p *Peers) heartbeatState(now time.Time) wire.MemberState {
 	var loads []placement.UpstreamLoad
-	var reads []placement.PrefillEvent
-	if p.meshed() {
-		loads, reads = p.books.LocalLoads(true), p.books.PrefillEvents()
+	var prefills []placement.PrefillEvent
+	if p.isFullMesh() {
+		loads, prefills = p.tracker.LocalLoads(true), p.tracker.PrefillEvents()
 	}
-	about := p.about()
+	summary := p.summary()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := p.stateOf(about, loads, reads, now)
-	s.Demands = p.demand()
-	p.beats++
-	if p.beats%learntEvery == 0 {
-		s.Learnt = p.books.LocalObservations()
+	s := p.newState(summary, loads, prefills, now)
+	s.Demands = p.localDemand()
+	p.heartbeats++
+	if p.heartbeats%observationsPeriod == 0 {
+		s.Learnt = p.tracker.LocalObservations()
 	}
-	if p.beats%knownEvery != 1 {
+	if p.heartbeats%addressesPeriod != 1 {
 		return s
 	}
 	for _, other := range p.peers {
@@ -83,7 +83,7 @@
 }
 
 // send tells a message to all neighbours.
-func (p *Peers) send(m wire.Message) {
+func (p *Peers) broadcast(m wire.Message) {
 	encoded, err := wire.Encode(m)
 	if err != nil {
 		p.log.Error("message to peers left out", "kind", m.Kind(), "err", err)
--- a/internal/member/topicreader.go
+++ b/internal/member/topicreader.go
@@ -11,20 +11,20 @@
 
 const (
 	// longWait is how long the store may keep a read waiting for a change.
-	longWait = 20 * time.Second
+	longPollTimeout = 20 * time.Second
 	// upstreamsEvery is the least time between two reads of the upstreams'
 	// entries. Each of them is written about once a second, so a waiting read
 	// returns at once; a change must be known well within a leaving upstream's
 	// last two seconds.
-	upstreamsEvery = 450 * time.Millisecond
+	upstreamsInterval = 450 * time.Millisecond
 	// upstreamsSpread is the random time that is added, so that one daemon reads
 	// and the others hear of it.
-	upstreamsSpread = 300 * time.Millisecond
+	upstreamsJitter = 300 * time.Millisecond
 	// callSlack is added to the wait that the store was asked for.
-	callSlack = 1500 * time.Millisecond
+	callTimeout = 1500 * time.Millisecond
 	// outageAfter is the time without a successful read after which removals
 	// are doubted: entries lapse while their owners can't reach the store.
-	outageAfter = 1500 * time.Millisecond
+	outageThreshold = 1500 * time.Millisecond
 )
 
 // topicReader follows one topic of the store: the newest entries first, then
@@ -34,37 +34,37 @@
 	topic Topic
 	name  string
 	// every is the least time between reads, wait how long one may wait.
-	every, wait time.Duration
+	interval, longPoll time.Duration
 	// rests reports whether it will do to look now and then, since others tell of what is
 	// new; nil is no.
-	rests func() bool
+	peersNotify func() bool
 	// backoff is shared by all that call the store.
 	backoff *backoff
 	// reset takes the newest entries, apply a change.
-	reset func([]Entry)
-	apply func([]Entry)
+	applyAll     func([]Entry)
+	applyChanges func([]Entry)
 	// resetCopy takes the newest entries of a store that has come back from an older copy;
 	// nil is reset.
-	resetCopy func([]Entry)
+	applyRestored func([]Entry)
 	// spread is the random time beyond every by which a read waits while another
 	// daemon's reading is as good; 0 reads always.
-	spread time.Duration
+	jitter time.Duration
 	// first reports whether this daemon is to read before all others; nil is no.
-	first func() bool
-	log   *slog.Logger
+	readsFirst func() bool
+	log        *slog.Logger
 
 	mu sync.Mutex
 	// from is the position to read on from, known says that there is one.
-	from   Position
-	known  bool
-	readAt time.Time
-	down   bool
+	next       Position
+	positioned bool
+	readAt     time.Time
+	down       bool
 	// hurried says that the next read isn't to wait.
-	hurried bool
+	expedited bool
 	// breakOff ends the read that is waiting.
-	breakOff context.CancelFunc
+	cancelRead context.CancelFunc
 	// returned is called when the store is regained.
-	returned func()
+	onRecovered func()
 }
 
 // String names the service for the supervisor.
@@ -83,26 +83,26 @@
 // Serve implements suture.Service.
 func (r *topicReader) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if hold := r.hold(); hold > 0 {
-			r.rest(ctx, hold)
+		if delay := r.delay(); delay > 0 {
+			r.pause(ctx, delay)
 			continue
 		}
 		r.backoff.await(ctx)
-		began := time.Now()
+		start := time.Now()
 		err := r.read(ctx)
 		switch {
 		case err == nil:
-			r.backoff.succeeded()
+			r.backoff.recordSuccess()
 		case errors.Is(err, ErrExpired):
-			r.backoff.succeeded()
+			r.backoff.recordSuccess()
 			r.mu.Lock()
-			r.known = false
+			r.positioned = false
 			r.mu.Unlock()
 		case errors.Is(err, context.Canceled) && ctx.Err() == nil:
 			// Broken off by restart: the next read begins at once.
 		default:
-			r.lost(ctx, err)
-			r.backoff.failed(began, time.Now())
+			r.recordFailure(ctx, err)
+			r.backoff.recordFailure(start, time.Now())
 		}
 	}
 	return ctx.Err()
@@ -110,67 +110,67 @@
 
 // hold returns how long the next read has to wait. The draw of spread lets one
 // daemon read for all that hear of it.
-func (r *topicReader) hold() time.Duration {
-	if r.takeHurry() {
+func (r *topicReader) delay() time.Duration {
+	if r.takeExpedited() {
 		return 0
 	}
-	wait := r.every
-	if r.resting() {
-		wait = restingEvery
+	wait := r.interval
+	if r.pollsRarely() {
+		wait = rarePollInterval
 	}
-	if r.spread > 0 && (r.first == nil || !r.first()) {
-		wait += r.spread/2 + rand.N(r.spread)
+	if r.jitter > 0 && (r.readsFirst == nil || !r.readsFirst()) {
+		wait += r.jitter/2 + rand.N(r.jitter)
 	}
 	return wait - r.age()
 }
 
 // restingEvery is how often a reader looks that others tell of what is new.
-const restingEvery = longWait
+const rarePollInterval = longPollTimeout
 
-func (r *topicReader) resting() bool { return r.rests != nil && r.rests() }
+func (r *topicReader) pollsRarely() bool { return r.peersNotify != nil && r.peersNotify() }
 
 // waits returns how long the next read may wait: not at all if nothing says yet that the
 // store answers again, so that it is known.
-func (r *topicReader) waits() time.Duration {
-	if r.isDown() || r.resting() {
+func (r *topicReader) longPollWait() time.Duration {
+	if r.isDown() || r.pollsRarely() {
 		return 0
 	}
-	return r.wait
+	return r.longPoll
 }
 
 // restPiece is how soon a reader that rests notices that it is to hurry.
-const restPiece = 50 * time.Millisecond
+const wakeInterval = 50 * time.Millisecond
 
 // rest sleeps for a time, or until the reader is to hurry.
-func (r *topicReader) rest(ctx context.Context, d time.Duration) {
+func (r *topicReader) pause(ctx context.Context, d time.Duration) {
 	for until := time.Now().Add(d); ctx.Err() == nil; {
 		left := time.Until(until)
-		if left <= 0 || r.isHurried() {
+		if left <= 0 || r.isExpedited() {
 			return
 		}
-		sleep(ctx, min(left, restPiece))
+		sleep(ctx, min(left, wakeInterval))
 	}
 }
 
 // hurry makes the next read begin soon: something has changed.
-func (r *topicReader) hurry() {
+func (r *topicReader) expedite() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.hurried = true
+	r.expedited = true
 }
 
-func (r *topicReader) isHurried() bool {
+func (r *topicReader) isExpedited() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.hurried
+	return r.expedited
 }
 
-func (r *topicReader) takeHurry() bool {
+func (r *topicReader) takeExpedited() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	hurried := r.hurried
-	r.hurried = false
-	return hurried
+	expedited := r.expedited
+	r.expedited = false
+	return expedited
 }
 
 // isDown reports whether the last read failed.
@@ -181,21 +181,21 @@
 }
 
 func (r *topicReader) read(ctx context.Context) error {
-	wait := r.waits()
-	ctx, cancel := context.WithTimeout(ctx, wait+callSlack)
+	wait := r.longPollWait()
+	ctx, cancel := context.WithTimeout(ctx, wait+callTimeout)
 	defer cancel()
 	r.mu.Lock()
-	from, known := r.from, r.known
-	r.breakOff = cancel
+	from, known := r.next, r.positioned
+	r.cancelRead = cancel
 	r.mu.Unlock()
-	began := time.Now()
+	start := time.Now()
 	if !known {
 		entries, next, err := r.store.Newest(ctx, r.topic)
 		if err != nil {
 			return err
 		}
-		r.takeNewest(entries, next)
-		r.done(next, began)
+		r.applyNewest(entries, next)
+		r.recordRead(next, start)
 		return nil
 	}
 	entries, next, err := r.store.Changes(ctx, r.topic, from, wait)
@@ -203,37 +203,37 @@
 		return err
 	}
 	if len(entries) > 0 {
-		r.apply(entries)
+		r.applyChanges(entries)
 	}
 	if wait > 0 {
-		began = time.Now() // the answer is of the moment of its end
+		start = time.Now() // the answer is of the moment of its end
 	}
-	r.done(next, began)
+	r.recordRead(next, start)
 	return nil
 }
 
-func (r *topicReader) takeNewest(entries []Entry, next Position) {
-	if r.resetCopy != nil && r.isLater(next) {
-		r.resetCopy(entries)
+func (r *topicReader) applyNewest(entries []Entry, next Position) {
+	if r.applyRestored != nil && r.isNewerEra(next) {
+		r.applyRestored(entries)
 		return
 	}
-	r.reset(entries)
+	r.applyAll(entries)
 }
 
 // isLater reports whether a position is of a later era than what was read.
-func (r *topicReader) isLater(at Position) bool {
+func (r *topicReader) isNewerEra(at Position) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !r.readAt.IsZero() && at.Era() > r.from.Era()
+	return !r.readAt.IsZero() && at.Era() > r.next.Era()
 }
 
 // heard takes over that the state as of a position is known as of a time ago, as
 // another daemon has read the same.
-func (r *topicReader) heard(at Position, age time.Duration) {
+func (r *topicReader) adopt(at Position, age time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.known = true
-	r.from = max(r.from, at)
+	r.positioned = true
+	r.next = max(r.next, at)
 	if readAt := time.Now().Add(-age); readAt.After(r.readAt) {
 		r.readAt = readAt
 	}
@@ -242,34 +242,34 @@
 func (r *topicReader) position() Position {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.from
+	return r.next
 }
 
-func (r *topicReader) done(next Position, at time.Time) {
+func (r *topicReader) recordRead(next Position, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.from, r.known = next, true
+	r.next, r.positioned = next, true
 	r.readAt = at
 	if r.down {
 		r.down = false
 		r.log.Info("store regained", "topic", r.name)
-		if r.returned != nil {
-			r.returned()
+		if r.onRecovered != nil {
+			r.onRecovered()
 		}
 	}
 }
 
 // restart breaks a waiting read off. Its connection may have fallen silent while
 // the store was out of reach, and would tell of no change until its time is over.
-func (r *topicReader) restart() {
+func (r *topicReader) restartRead() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.wait > 0 && r.breakOff != nil {
-		r.breakOff()
+	if r.longPoll > 0 && r.cancelRead != nil {
+		r.cancelRead()
 	}
 }
 
-func (r *topicReader) lost(ctx context.Context, err error) {
+func (r *topicReader) recordFailure(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
--- a/internal/member/upstreams.go
+++ b/internal/member/upstreams.go
@@ -16,18 +16,18 @@
 
 // upstreamFeed keeps the list of upstreams.
 type upstreamFeed struct {
-	formats Decoder
+	decoder Decoder
 	state   *fleet.State
 	log     *slog.Logger
 	// returnWithin is how long after an outage a lapsed entry may come back.
-	returnWithin time.Duration
-	age          func() time.Duration
+	lapsedGrace time.Duration
+	age         func() time.Duration
 
 	// newest are the latest starts seen of each ID, refusals the entries left out, by key.
-	newest   map[string]time.Time
-	refusals map[string]uint64
+	latestStart map[string]time.Time
+	rejected    map[string]uint64
 	// left counts the entries left out, each once.
-	left atomic.Int64
+	rejectedCount atomic.Int64
 
 	// digest tells whether two daemons have the same list.
 	digest atomic.Uint64
@@ -39,15 +39,15 @@
 	revisions map[string]uint64
 	// doubted are upstreams whose entries went while the store was away, with
 	// the time at which they count as gone.
-	doubted map[string]time.Time
+	lapsed map[string]time.Time
 }
 
-func newUpstreamFeed(formats Decoder, state *fleet.State, returnWithin time.Duration, log *slog.Logger) *upstreamFeed {
+func newUpstreamFeed(decoder Decoder, state *fleet.State, lapsedGrace time.Duration, log *slog.Logger) *upstreamFeed {
 	return &upstreamFeed{
-		formats: formats, state: state, log: log, returnWithin: returnWithin,
-		raw: make(map[string][]byte), list: make(map[string]*fleet.Upstream), doubted: make(map[string]time.Time),
-		revisions: make(map[string]uint64),
-		newest:    make(map[string]time.Time), refusals: make(map[string]uint64),
+		decoder: decoder, state: state, log: log, lapsedGrace: lapsedGrace,
+		raw: make(map[string][]byte), list: make(map[string]*fleet.Upstream), lapsed: make(map[string]time.Time),
+		revisions:   make(map[string]uint64),
+		latestStart: make(map[string]time.Time), rejected: make(map[string]uint64),
 	}
 }
 
@@ -66,7 +66,7 @@
 			changed = f.remove(id) || changed
 		}
 	}
-	f.finish(changed)
+	f.publish(changed)
 }
 
 // apply takes changes in their order.
@@ -77,29 +77,29 @@
 	for _, e := range entries {
 		changed = f.put(e) || changed
 	}
-	f.finish(changed)
+	f.publish(changed)
 }
 
 func (f *upstreamFeed) put(e Entry) bool {
 	if e.Value == nil {
 		return f.remove(e.Key)
 	}
-	u, err := f.formats.Upstream(e)
+	u, err := f.decoder.Upstream(e)
 	if err != nil {
-		return f.leaveOut(e, err)
+		return f.reject(e, err)
 	}
-	delete(f.refusals, e.Key)
-	if u.Started.Before(f.newest[u.ID]) {
-		f.log.Info("entry of a former start left out", "upstream", u.ID, "started", u.Started, "newest", f.newest[u.ID])
+	delete(f.rejected, e.Key)
+	if u.Started.Before(f.latestStart[u.ID]) {
+		f.log.Info("entry of a former start left out", "upstream", u.ID, "started", u.Started, "newest", f.latestStart[u.ID])
 		return false
 	}
-	if f.older(u) {
+	if f.isOutdated(u) {
 		f.log.Info("older entry left out", "upstream", u.ID, "revision", u.Revision, "newest", f.revisions[u.ID])
 		return false
 	}
-	f.noteStart(u)
+	f.recordStart(u)
 	f.raw[e.Key] = e.Value
-	delete(f.doubted, e.Key)
+	delete(f.lapsed, e.Key)
 	f.revisions[e.Key] = u.Revision
 	old := f.list[e.Key]
 	if old != nil && old.SaysSame(u) {
@@ -112,7 +112,7 @@
 }
 
 // older reports whether an entry was written before the known one of the same start.
-func (f *upstreamFeed) older(u *fleet.Upstream) bool {
+func (f *upstreamFeed) isOutdated(u *fleet.Upstream) bool {
 	known := f.list[u.ID]
 	return known != nil && !u.Started.IsZero() && u.Started.Equal(known.Started) && u.Revision < f.revisions[u.ID]
 }
@@ -121,7 +121,7 @@
 // is known is newer: it stays until servers write again, which each does about once a
 // second. One that the copy lacks counts for as long as one whose entry lapsed in an outage,
 // and one that only the copy has doesn't count before it writes: it may have gone.
-func (f *upstreamFeed) resetCopy(entries []Entry) {
+func (f *upstreamFeed) resetRestored(entries []Entry) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	listed := make(map[string]bool, len(entries))
@@ -136,19 +136,19 @@
 	}
 	for id := range f.list {
 		if !listed[id] {
-			f.doubt(id)
+			f.markLapsed(id)
 		}
 	}
-	f.finish(changed)
+	f.publish(changed)
 }
 
 // leaveOut takes an entry for none: whoever wrote it, it vouches for no server, and the
 // one that it stands in place of may have gone. It is counted and logged once.
-func (f *upstreamFeed) leaveOut(e Entry, err error) bool {
+func (f *upstreamFeed) reject(e Entry, err error) bool {
 	content := xxhash.Sum64(e.Value)
-	if seen, again := f.refusals[e.Key]; !again || seen != content {
-		f.refusals[e.Key] = content
-		f.left.Add(1)
+	if seen, known := f.rejected[e.Key]; !known || seen != content {
+		f.rejected[e.Key] = content
+		f.rejectedCount.Add(1)
 		f.log.Warn("upstream's entry left out", "upstream", e.Key, "bytes", len(e.Value), "err", err)
 	}
 	if f.list[e.Key] == nil {
@@ -159,19 +159,19 @@
 }
 
 // refused returns the number of entries left out.
-func (f *upstreamFeed) refused() int64 { return f.left.Load() }
+func (f *upstreamFeed) rejectedEntries() int64 { return f.rejectedCount.Load() }
 
 // maxStarts bounds the starts remembered of servers that are gone.
-const maxStarts = 10_000
+const maxRememberedStarts = 10_000
 
-func (f *upstreamFeed) noteStart(u *fleet.Upstream) {
+func (f *upstreamFeed) recordStart(u *fleet.Upstream) {
 	if u.Started.IsZero() {
 		return
 	}
-	if len(f.newest) >= maxStarts {
-		maps.DeleteFunc(f.newest, func(id string, _ time.Time) bool { return f.list[id] == nil })
+	if len(f.latestStart) >= maxRememberedStarts {
+		maps.DeleteFunc(f.latestStart, func(id string, _ time.Time) bool { return f.list[id] == nil })
 	}
-	f.newest[u.ID] = u.Started
+	f.latestStart[u.ID] = u.Started
 }
 
 // remove takes an upstream out, or doubts it for a while if the store was away.
@@ -179,11 +179,11 @@
 	if f.list[id] == nil {
 		return false
 	}
-	if f.age() > outageAfter {
-		f.doubt(id)
+	if f.age() > outageThreshold {
+		f.markLapsed(id)
 		return false
 	}
-	if _, doubted := f.doubted[id]; doubted {
+	if _, lapsed := f.lapsed[id]; lapsed {
 		return false
 	}
 	f.drop(id)
@@ -191,18 +191,18 @@
 }
 
 // doubts reports whether any upstream is doubted.
-func (f *upstreamFeed) doubts() bool {
+func (f *upstreamFeed) hasLapsed() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.doubted) > 0
+	return len(f.lapsed) > 0
 }
 
 // doubt lets an upstream count as gone unless it writes again soon.
-func (f *upstreamFeed) doubt(id string) {
-	if _, already := f.doubted[id]; already {
+func (f *upstreamFeed) markLapsed(id string) {
+	if _, already := f.lapsed[id]; already {
 		return
 	}
-	f.doubted[id] = time.Now().Add(f.returnWithin)
+	f.lapsed[id] = time.Now().Add(f.lapsedGrace)
 	f.log.Info("upstream doubted", "upstream", id)
 }
 
@@ -210,25 +210,25 @@
 	delete(f.list, id)
 	delete(f.raw, id)
 	delete(f.revisions, id)
-	delete(f.doubted, id)
+	delete(f.lapsed, id)
 	f.log.Info("upstream gone", "upstream", id)
 }
 
-func (f *upstreamFeed) finish(changed bool) {
+func (f *upstreamFeed) publish(changed bool) {
 	now := time.Now()
-	for id, until := range f.doubted {
+	for id, until := range f.lapsed {
 		if now.After(until) {
 			f.drop(id)
 			changed = true
 		}
 	}
 	if changed {
-		f.digest.Store(digestOf(f.list))
+		f.digest.Store(listDigest(f.list))
 		f.state.SetUpstreams(maps.Clone(f.list))
 	}
 }
 
-func digestOf(list map[string]*fleet.Upstream) uint64 {
+func listDigest(list map[string]*fleet.Upstream) uint64 {
 	h := xxhash.New()
 	for _, id := range slices.Sorted(maps.Keys(list)) {
 		u := list[id]
@@ -239,10 +239,10 @@
 
 // expire drops the upstreams whose doubt has lasted long enough. It is called
 // from time to time: no change may come that would.
-func (f *upstreamFeed) expire() {
+func (f *upstreamFeed) expireLapsed() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.finish(false)
+	f.publish(false)
 }
 
 // entries returns what was read, for a peer that can't reach the store. Doubted
@@ -252,7 +252,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	entries := maps.Clone(f.raw)
-	for id := range f.doubted {
+	for id := range f.lapsed {
 		delete(entries, id)
 	}
 	return entries
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -9,14 +9,14 @@
 
 const (
 	// viewEvery is how often a daemon looks whether a peer knows more.
-	viewEvery = 100 * time.Millisecond
+	viewInterval = 100 * time.Millisecond
 	// viewTimeout bounds the question to a peer.
 	viewTimeout = time.Second
 	// youngerBy is how much younger a peer's reading must be to be taken over,
 	// transit what is added to its age for the way here: without it two daemons
 	// could keep each other's word young.
-	youngerBy = 100 * time.Millisecond
-	transit   = 20 * time.Millisecond
+	minAgeGain       = 100 * time.Millisecond
+	transitAllowance = 20 * time.Millisecond
 )
 
 // peerView learns from a peer what the own reading doesn't show yet. It spares
@@ -33,9 +33,9 @@
 // Serve implements suture.Service.
 func (v *peerView) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
-		sleep(ctx, viewEvery)
-		v.member.upstreams.expire()
-		v.look(ctx)
+		sleep(ctx, viewInterval)
+		v.member.upstreams.expireLapsed()
+		v.check(ctx)
 	}
 	return ctx.Err()
 }
@@ -45,46 +45,46 @@
 // whole list of that size a hundred kilobytes, and all daemons would ask the one
 // that has read it first. A site of several hundred daemons was slow to learn of
 // changes and to recover for that.
-const largeList = 400
+const largeListSize = 400
 
 // source says where a daemon learns what a peer knows and it doesn't.
-type source struct {
+type listSource struct {
 	// whole asks the peer for everything, config for the configuration only.
-	whole, config bool
+	full, config bool
 	// store reads the list from the store.
 	store bool
 }
 
 // sourceOf chooses the cheaper way to what a peer knows more.
-func sourceOf(own, peer Summary, storeDown bool) source {
-	if peer.ListSize <= largeList || storeDown {
-		return source{whole: true}
+func chooseSource(local, peer Summary, storeDown bool) listSource {
+	if peer.ListSize <= largeListSize || storeDown {
+		return listSource{full: true}
 	}
-	return source{config: peer.Config > own.Config, store: true}
+	return listSource{config: peer.Config > local.Config, store: true}
 }
 
 // look learns from a peer that knows more, if there is one.
-func (v *peerView) look(ctx context.Context) {
+func (v *peerView) check(ctx context.Context) {
 	m := v.member
-	own := m.about()
-	peer, about := m.peers.Freshest(own)
+	local := m.summary()
+	peer, peerSummary := m.peers.Freshest(local)
 	if peer == "" {
 		return
 	}
-	from := sourceOf(own, about, m.readers[0].isDown())
-	if from.store {
-		m.readers[0].hurry()
+	source := chooseSource(local, peerSummary, m.readers[0].isDown())
+	if source.store {
+		m.readers[0].expedite()
 	}
-	if from.whole || from.config {
-		v.ask(ctx, peer, wire.ViewRequest{ConfigOnly: !from.whole})
+	if source.full || source.config {
+		v.fetch(ctx, peer, wire.ViewRequest{ConfigOnly: !source.full})
 	}
 }
 
-func (v *peerView) ask(ctx context.Context, peer string, request wire.ViewRequest) {
+func (v *peerView) fetch(ctx context.Context, peer string, request wire.ViewRequest) {
 	m := v.member
 	ctx, cancel := context.WithTimeout(ctx, viewTimeout)
 	defer cancel()
-	asked := time.Now()
+	sent := time.Now()
 	answer, err := wire.Ask(ctx, m.wireConfig(), peer, request)
 	if err != nil {
 		m.log.Warn("peer's view not had", "peer", peer, "err", err)
@@ -95,14 +95,14 @@
 		return
 	}
 	if reply.Config != nil {
-		v.takeConfig(peer, reply.Config)
+		v.applyConfig(peer, reply.Config)
 	}
 	if !request.ConfigOnly {
-		v.takeUpstreams(peer, reply, reply.Age+time.Since(asked))
+		v.applyUpstreams(peer, reply, reply.Age+time.Since(sent))
 	}
 }
 
-func (v *peerView) takeConfig(peer string, document []byte) {
+func (v *peerView) applyConfig(peer string, document []byte) {
 	c, err := v.member.cfg.Decoder.ConfigDocument(document)
 	if err != nil {
 		v.member.log.Warn("peer's configuration refused", "peer", peer, "err", err)
@@ -114,20 +114,20 @@
 }
 
 // takeUpstreams replaces the list by the peer's if that was read later.
-func (v *peerView) takeUpstreams(peer string, reply wire.ViewReply, age time.Duration) {
+func (v *peerView) applyUpstreams(peer string, reply wire.ViewReply, age time.Duration) {
 	m := v.member
-	own := m.readers[0].age()
-	if Position(reply.Position) <= m.readers[0].position() || age >= own {
+	localAge := m.readers[0].age()
+	if Position(reply.Position) <= m.readers[0].position() || age >= localAge {
 		return
 	}
 	if !m.cfg.Store.Eras().Observe(Position(reply.Position).Era(), "another daemon") {
 		return
 	}
-	m.log.Info("upstreams from a peer", "peer", peer, "age_ms", age.Milliseconds(), "own_age_ms", own.Milliseconds())
+	m.log.Info("upstreams from a peer", "peer", peer, "age_ms", age.Milliseconds(), "own_age_ms", localAge.Milliseconds())
 	entries := make([]Entry, 0, len(reply.Upstreams))
 	for id, value := range reply.Upstreams {
 		entries = append(entries, Entry{Key: id, Value: value})
 	}
-	m.readers[0].takeNewest(entries, Position(reply.Position))
-	m.readers[0].heard(Position(reply.Position), age)
+	m.readers[0].applyNewest(entries, Position(reply.Position))
+	m.readers[0].adopt(Position(reply.Position), age)
 }
