--- a/cmd/chute-member/main.go
+++ b/cmd/chute-member/main.go
@@ -1,5 +1,5 @@
-// Command chute-member runs on every machine of a site on the users' platform
-// and serves its callers.
+// Command chute-member is the daemon of a site on the users' platform. It runs on every machine
+// of the site and serves its callers.
 package main
 
 import (
@@ -21,9 +21,9 @@
 const (
 	exitFailed = 1
 	exitUsage  = 2
-	// lookEvery is how often the settings file is looked at: it may change
-	// without a signal.
-	lookEvery = 2 * time.Second
+	// settingsPollInterval is how often the settings file is checked: it may change without a
+	// signal.
+	settingsPollInterval = 2 * time.Second
 )
 
 func main() {
@@ -40,8 +40,8 @@
 }
 
 func run(file string) error {
-	// The signals are taken before anything else: one that comes during the
-	// start must not end the process by its default.
+	// Handle signals before anything else: during startup their default action would end the
+	// process.
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	reload := make(chan os.Signal, 1)
@@ -74,63 +74,63 @@
 	return m.Run(ctx)
 }
 
-// reloader reads the settings file again after a signal or a change.
+// reloader reloads the settings file after a signal or a change.
 type reloader struct {
 	file   string
 	member *member.Member
 	log    *slog.Logger
-	// size and changed are the file's when it was last read.
-	size    int64
-	changed time.Time
-	// unseen says that the file couldn't be looked at the last time.
-	unseen bool
+	// size and modified are those of the file when it was last read.
+	size     int64
+	modified time.Time
+	// inaccessible is set if the last check of the file failed.
+	inaccessible bool
 }
 
 func (r *reloader) run(ctx context.Context, signals <-chan os.Signal) {
-	r.looksNew()
-	look := time.NewTicker(lookEvery)
-	defer look.Stop()
+	r.fileChanged()
+	poll := time.NewTicker(settingsPollInterval)
+	defer poll.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-signals:
-			r.looksNew()
+			r.fileChanged()
 			r.reload()
-		case <-look.C:
-			if r.looksNew() {
+		case <-poll.C:
+			if r.fileChanged() {
 				r.reload()
 			}
 		}
 	}
 }
 
-// looksNew reports whether the file was written since the last look. One that
-// can't be looked at is told once; the settings in force stay.
-func (r *reloader) looksNew() bool {
+// fileChanged reports whether the file has changed since the last check. A file that isn't
+// accessible is logged once; the current settings stay.
+func (r *reloader) fileChanged() bool {
 	info, err := os.Stat(r.file)
 	if err != nil {
-		if !r.unseen {
-			r.log.Warn("settings file can't be looked at; those in force stay", "err", err)
+		if !r.inaccessible {
+			r.log.Warn("settings file not accessible; keeping the current settings", "err", err)
 		}
-		r.unseen = true
+		r.inaccessible = true
 		return false
 	}
-	r.unseen = false
-	if info.Size() == r.size && info.ModTime().Equal(r.changed) {
+	r.inaccessible = false
+	if info.Size() == r.size && info.ModTime().Equal(r.modified) {
 		return false
 	}
-	r.size, r.changed = info.Size(), info.ModTime()
+	r.size, r.modified = info.Size(), info.ModTime()
 	return true
 }
 
-// reload takes the file's settings over. A file with a fault changes nothing.
+// reload applies the settings file. An invalid file changes nothing.
 func (r *reloader) reload() {
 	next, err := platform.ReadSettings(r.file)
 	if err != nil {
-		r.log.Warn("settings refused; those in force stay", "err", err)
+		r.log.Warn("invalid settings; keeping the current ones", "err", err)
 		return
 	}
 	applied, pending := r.member.Reload(next)
-	r.log.Info("settings read again", "applied", applied, "from_next_start", pending)
+	r.log.Info("settings reloaded", "applied", applied, "from_next_start", pending)
 }
--- a/internal/daemonstatus/status.go
+++ b/internal/daemonstatus/status.go
@@ -1,25 +1,25 @@
-// Package daemonstatus holds what a daemon tells operators of itself, as JSON. It is
-// apart from the daemon so that the operators' command line needn't be built with
-// all of it.
+// Package daemonstatus defines the status that a daemon reports to operators as JSON. It is
+// separate from the daemon so that the operators' command line doesn't depend on the daemon's
+// packages.
 package daemonstatus
 
-// Path is where the metrics address serves a Daemon.
+// Path is the path of the status page at the metrics address.
 const Path = "/status"
 
-// Daemon is a daemon and what it believes of its surroundings.
+// Daemon is the status of a daemon and its view of its surroundings.
 type Daemon struct {
 	Instance   string `json:"instance"`
 	DataCentre string `json:"data_centre"`
 	Callers    string `json:"callers"`
 	Ready      bool   `json:"ready"`
 	Stopping   bool   `json:"stopping"`
-	// Requests is the number in progress.
+	// Requests is the number of requests in progress.
 	Requests      int64  `json:"requests"`
 	ConfigVersion uint64 `json:"config_version"`
-	// StoreEra counts how often the store has come back from an older copy.
+	// StoreEra counts how often the store was restored from an older copy.
 	StoreEra uint64 `json:"store_era"`
-	// UpstreamsAgeMS is the time since the list of upstreams was read, here or
-	// by a daemon that has the same.
+	// UpstreamsAgeMS is the time since the list of upstreams was last read, by this daemon or by
+	// a peer with the same list.
 	UpstreamsAgeMS float64    `json:"upstreams_age_ms"`
 	Lease          Lease      `json:"lease"`
 	Peers          []Peer     `json:"peers"`
@@ -27,27 +27,27 @@
 	Budgets        []Budget   `json:"budgets"`
 }
 
-// Lease is the daemon's part in the lease under which engines get orders.
+// Lease is the daemon's status in the lease that allows ordering role changes.
 type Lease struct {
-	// Candidate says that it tries to hold the lease, Held that it does.
+	// Candidate means that the daemon competes for the lease, Held that it holds it.
 	Candidate bool `json:"candidate"`
 	Held      bool `json:"held"`
-	// Fence is the fencing number of a lease that is held.
+	// FencingToken is the token of the lease, if held.
 	FencingToken uint64 `json:"fence,omitempty"`
 }
 
-// Peer is another daemon.
+// Peer is the status of another daemon, as last received.
 type Peer struct {
 	Instance   string `json:"instance"`
 	DataCentre string `json:"data_centre"`
-	// Up says that it was heard from lately, Serving that it takes callers.
+	// Up means that the peer reported recently, Serving that it accepts callers.
 	Up            bool    `json:"up"`
 	Serving       bool    `json:"serving"`
 	UpdateAgeMS   float64 `json:"told_ms"`
 	ConfigVersion uint64  `json:"config_version"`
 }
 
-// Upstream is a server.
+// Upstream is the status of a server.
 type Upstream struct {
 	ID         string `json:"id"`
 	Pool       string `json:"pool"`
@@ -56,19 +56,19 @@
 	// Role is empty for a plain service.
 	Role     string `json:"role,omitempty"`
 	Draining bool   `json:"leaving"`
-	// Usable says that it may get requests now: it doesn't leave, isn't ejected
-	// after failures and doesn't change its role.
+	// Usable means that the upstream may get requests: it isn't draining, ejected after failures
+	// or changing its role.
 	Usable bool `json:"usable"`
 	// Running is the number of requests there from all daemons, as far as known.
 	Running int `json:"running"`
 	Slots   int `json:"slots"`
 }
 
-// Budget is what a pool's repeats have used of their bound in the present window.
+// Budget is a pool's use of its retry budget in the current window.
 type Budget struct {
 	Pool     string  `json:"pool"`
 	Requests float64 `json:"requests"`
 	Retries  float64 `json:"repeats"`
-	// Allowed is how many repeats this daemon may make in the window.
+	// Allowed is how many retries this daemon may make in the window.
 	Allowed float64 `json:"allowed"`
 }
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -22,39 +22,36 @@
 )
 
 const (
-	// keepAnswer is how long callers may keep an answer of where to connect.
-	// Short, so that a daemon that falls silent is soon left alone; each answer
-	// costs little.
+	// directoryTTL is how long callers may cache a directory answer. It is short so that a
+	// failed daemon soon gets no new callers; an answer costs little.
 	directoryTTL = time.Second
-	// keepFactor covers callers that keep an answer longer than they are told.
+	// directoryTTLFactor allows for callers that cache an answer longer than its TTL.
 	directoryTTLFactor = 3
-	// stopMargin is the part of the grace kept back for the end of the process.
+	// stopMargin is the part of the grace period reserved for the exit of the process.
 	stopMargin = 450 * time.Millisecond
-	// expectedDaemons is the least number by which what all daemons share is
-	// divided: one that has just started knows too few peers, and would take too
-	// large a part.
+	// minAssumedDaemons is the minimum divisor for limits that all daemons share: a daemon that
+	// has just started knows too few peers and would take too large a share.
 	minAssumedDaemons = 10
-	// peerSecret isn't secret: the platform's network is closed, and its
-	// settings hold nothing that only the system's processes know. It keeps
-	// other protocols apart.
+	// peerSecret isn't confidential: the platform's network is closed, and its settings hold
+	// nothing known only to the system's processes. It rejects other protocols.
 	peerSecret = "tamarackchute member exchange, protocol 3"
-	// replacedFor is how long all daemons leave an upstream alone whose address
-	// belongs to another one: its entry lapses after three heartbeats.
+	// replacedTimeout is how long all daemons avoid an upstream whose address now belongs to
+	// another one: its store entry expires after three missed heartbeats.
 	replacedTimeout = 3 * time.Second
-	// minRetryAfter is the time to come back that a refusal names at least.
+	// minRetryAfter is the minimum retry delay that a refusal names.
 	minRetryAfter = 400 * time.Millisecond
 )
 
-// Config is what a Member is built of.
+// Config holds the dependencies of a Member.
 type Config struct {
 	Settings Settings
 	Store    Store
 	Decoder  Decoder
 	Dialect  relay.Dialect
-	// Log and Engines are for the changes of roles.
+	// Log and Engines are used for role changes.
 	Log     infra.Log
 	Engines Engines
-	// DirectoryHandler and ReadyHandler make the outer interfaces.
+	// DirectoryHandler and ReadyHandler create the platform's HTTP handlers.
 	DirectoryHandler func(*Member) http.Handler
 	ReadyHandler     func(ready func() bool) http.Handler
 	Logger           *slog.Logger
@@ -68,7 +65,8 @@
 	state   *fleet.State
 	tracker *placement.Tracker
 	relay   *relay.Relay
-	// callers are connections to the callers' address, pages those to the others.
+	// callerConns are the connections to the callers' address, otherConns those to all other
+	// addresses.
 	callerConns, otherConns *graceful.Connections
 	peers                   *Peers
 	upstreams               *upstreamFeed
@@ -76,14 +74,14 @@
 	budget                  *relay.Budget
 	self                    wire.MemberAddress
 	draining                atomic.Bool
-	// settings are those in force, lease is this daemon's part in it.
+	// settings are the current ones, lease is this daemon's lease status.
 	settings atomic.Pointer[Settings]
 	lease    atomic.Pointer[daemonstatus.Lease]
-	// backoff is of calls to the store.
+	// backoff applies to all calls to the store.
 	backoff *backoff
 }
 
-// New builds a daemon.
+// New returns a daemon; Run starts it.
 func New(cfg Config) *Member {
 	s := cfg.Settings
 	m := &Member{cfg: cfg, log: cfg.Logger, state: fleet.NewState(), tracker: placement.NewTracker(nil), callerConns: graceful.New(cfg.Logger), otherConns: graceful.New(cfg.Logger)}
@@ -120,9 +118,9 @@
 	return all
 }
 
-// readSame takes over that a peer has read the list of upstreams that this daemon
-// has. Where entries are doubted it has to read for itself: a peer says that the list is
-// the same, not that they were written again.
+// confirmList records that a peer has read the same list of upstreams as this daemon. It is
+// ignored while entries are lapsed: the peer confirms that the list is unchanged, not that those
+// entries were renewed.
 func (m *Member) confirmList(position Position, digest uint64, age time.Duration) {
 	if position == 0 || !m.cfg.Store.Eras().Observe(position.Era(), "another daemon") {
 		return
@@ -136,8 +134,7 @@
 	}
 }
 
-// retrySlack is this daemon's part of the repeats that all may make beyond their
-// share of requests.
+// retrySlack returns this daemon's share of the retries allowed in addition to the ratio.
 func (m *Member) retrySlack() float64 {
 	return m.settings.Load().RetrySlack / float64(max(minAssumedDaemons, m.peers.KnownCount()))
 }
@@ -175,7 +172,7 @@
 	}
 }
 
-// Ready reports whether callers may be sent here.
+// Ready reports whether the daemon accepts callers.
 func (m *Member) Ready() bool {
 	return !m.draining.Load() && m.state.Snapshot().Config != nil
 }
@@ -204,9 +201,9 @@
 	return v
 }
 
-// Where returns where callers of a data centre may connect: to the daemons
-// there if there are two or more, since each crossing costs time and bytes, and
-// to all otherwise.
+// Where returns the addresses that callers of a data centre may connect to: the daemons there if
+// there are at least two, since traffic between data centres adds latency and cost, and all
+// daemons otherwise.
 func (m *Member) Where(dataCentre string) ([]string, time.Duration) {
 	serving := m.peers.Serving()
 	if m.Ready() {
@@ -229,11 +226,11 @@
 	return all, ttl
 }
 
-// minNear is the number of daemons in a data centre from which its callers are
-// sent nowhere else: with one, its loss would leave them without any.
+// minLocalDaemons is the number of daemons from which the callers of a data centre get only
+// those addresses. With one, its failure would leave them without any.
 const minLocalDaemons = 2
 
-// Run serves until the context ends, and then until a graceful stop is done.
+// Run serves until the context ends, then stops gracefully.
 func (m *Member) Run(ctx context.Context) error {
 	m.applySettings(m.settings.Load())
 	servers, err := m.listen()
@@ -255,21 +252,21 @@
 	return nil
 }
 
-// tree is the supervisor tree:
+// supervisorTree builds the supervisor tree:
 //
 //	member
 //	├── learning
-//	│   ├── feed of upstreams, configuration, daemons
-//	│   ├── eras of the store
-//	│   ├── view of peers, while the store can't be reached
-//	│   ├── catching up on what is known of the engines
-//	│   ├── figures of the engines, for operators, and their memory in the store
+//	│   ├── readers of upstreams, configuration, daemons
+//	│   ├── restarts of the readers in a new era of the store
+//	│   ├── updates from peers that have newer data
+//	│   ├── initial cache state of the engines
+//	│   ├── engine parameters, for operators, and their copy in the store
 //	│   └── announcer
 //	├── exchange
 //	│   ├── wire server
 //	│   └── peers
 //	├── directing
-//	│   └── director of roles, with journal and lease where it is a candidate
+//	│   └── director of roles, with journal and lease while it is a candidate
 //	└── serving
 //	    └── callers, directory, ready, metrics
 func (m *Member) supervisorTree(servers []*httpService) *suture.Supervisor {
@@ -309,7 +306,7 @@
 	m.log.Warn("supervisor", "event", e.String())
 }
 
-// drain stops taking callers and returns when the process may exit.
+// drain stops accepting callers and returns once the process may exit.
 func (m *Member) drain() {
 	m.draining.Store(true)
 	stop := shutdown.State{
--- a/internal/member/memory.go
+++ b/internal/member/memory.go
@@ -2,12 +2,11 @@
 
 import "runtime/debug"
 
-// memoryShare is the share of the instance's memory from which the runtime
-// collects garbage harder rather than be killed.
+// memoryLimitRatio is the share of the memory limit from which the runtime collects garbage more
+// often, so that the process isn't killed for its memory use.
 const memoryLimitRatio = 0.6
 
-// limitMemory tells the runtime how much memory the process may use; 0 leaves it
-// as it is.
+// limitMemory sets the runtime's memory limit; 0 leaves it unchanged.
 func limitMemory(bytes int64) {
 	if bytes > 0 {
 		debug.SetMemoryLimit(int64(float64(bytes) * memoryLimitRatio))
--- a/internal/member/reload.go
+++ b/internal/member/reload.go
@@ -6,12 +6,12 @@
 	"tamarackchute/internal/wire"
 )
 
-// settingsField is a setting by its name in messages.
+// settingsField describes a setting; name is used in messages.
 type settingsField struct {
 	name string
 	get  func(*Settings) any
-	// take takes a new value over in a running daemon; nil for what its sockets
-	// and its part in the lease are built on.
+	// apply copies a new value into the current settings; nil for settings on which sockets or
+	// the lease depend, which need a restart.
 	apply func(now, next *Settings)
 }
 
@@ -38,9 +38,9 @@
 	{"directory's time to keep", func(s *Settings) any { return s.DirectoryTTL }, func(now, next *Settings) { now.DirectoryTTL = next.DirectoryTTL }},
 }
 
-// Reload takes over the settings that may change while the daemon runs. It
-// returns the names of those that it has taken over and of those that count from
-// the next start only. It must not be called twice at a time.
+// Reload applies the settings that may change while the daemon runs. It returns the names of
+// those applied and of those that take effect at the next start. It must not be called
+// concurrently.
 func (m *Member) Reload(next Settings) (applied, pending []string) {
 	now := *m.settings.Load()
 	for _, f := range settingsFields {
@@ -58,7 +58,7 @@
 	return applied, pending
 }
 
-// applySettings hands the live settings to the parts that keep them.
+// applySettings passes the current settings to the components that keep a copy.
 func (m *Member) applySettings(s *Settings) {
 	m.budget.SetRatio(s.RetryRatio)
 	limitMemory(s.MemoryBytes)
--- a/internal/member/serve.go
+++ b/internal/member/serve.go
@@ -13,25 +13,25 @@
 )
 
 const (
-	// headerTimeout bounds the reading of a request's head.
+	// headerReadTimeout limits the time to read a request's header.
 	headerReadTimeout = 5 * time.Second
-	// idleTimeout is how long an idle connection is kept: longer than callers
-	// use one, so that none is closed under a request.
+	// idleTimeout is how long an idle connection is kept. It is longer than callers keep one, so
+	// that no connection is closed while a request is being sent on it.
 	idleTimeout = 90 * time.Second
-	// maxHeader bounds a request's head in bytes.
+	// maxHeaderBytes limits the size of a request's header.
 	maxHeaderBytes = 64 << 10
-	// endTimeout bounds the end of the servers after the drain.
+	// shutdownTimeout limits the shutdown of the servers after the drain.
 	shutdownTimeout = 100 * time.Millisecond
 )
 
-// httpService is one HTTP interface as a supervised service.
+// httpService is an HTTP server run as a supervised service.
 type httpService struct {
 	name     string
 	server   *http.Server
 	listener net.Listener
 }
 
-// String names the service for the supervisor.
+// String implements fmt.Stringer; the supervisor logs it.
 func (s *httpService) String() string { return s.name }
 
 // Serve implements suture.Service.
@@ -49,7 +49,7 @@
 	return eris.Wrap(err, s.name)
 }
 
-// listen binds all interfaces, so that a taken address ends the start.
+// listen binds all addresses, so that the start fails if one is in use.
 func (m *Member) listen() ([]*httpService, error) {
 	s := m.cfg.Settings
 	handlers := []struct {
@@ -81,16 +81,16 @@
 	return services, nil
 }
 
-// metricsPage shows the counters and histograms, and what is believed now.
+// serveMetrics writes the counters, histograms and current gauges.
 func (m *Member) serveMetrics(w http.ResponseWriter, _ *http.Request) {
 	m.updateGauges()
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	if _, err := m.cfg.Metrics.Page.WriteTo(w); err != nil {
-		m.log.Warn("metrics page not written", "err", err)
+		m.log.Warn("writing the metrics page failed", "err", err)
 	}
 }
 
-// gauges brings the figures of the state up to date.
+// updateGauges sets the gauges from the current state.
 func (m *Member) updateGauges() {
 	s := m.cfg.Metrics.Scope
 	summary := m.summary()
@@ -114,6 +114,6 @@
 		ReadHeaderTimeout: headerReadTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
-		ErrorLog:          log.New(io.Discard, "", 0), // broken connections of callers, one line each
+		ErrorLog:          log.New(io.Discard, "", 0), // broken connections of callers would log one line each
 	}
 }
--- a/internal/member/settings.go
+++ b/internal/member/settings.go
@@ -1,7 +1,6 @@
-// Package member is the daemon that runs on every instance of a site whose
-// platform lists its upstreams and holds its configuration: a supervisor tree of
-// the feeds that learn, the exchange with the other daemons, and the relay that
-// serves callers.
+// Package member is the daemon that runs on every instance of a site whose platform lists its
+// upstreams and holds its configuration: a supervisor tree of store readers, the exchange with
+// the other daemons, and the relay that serves callers.
 package member
 
 import (
@@ -10,45 +9,45 @@
 	"time"
 )
 
-// Settings are what a daemon is told at its start.
+// Settings are the start-up settings of a daemon.
 type Settings struct {
-	// Instance names the machine, DataCentre its place.
+	// Instance names the machine, DataCentre its location.
 	Instance, DataCentre string
-	// Callers, Ready and Directory are the addresses to serve at, IP:PORT.
+	// Callers, Ready and Directory are the listen addresses, IP:PORT.
 	Callers, Ready, Directory string
-	// Metrics is the address of the metrics page, IP:PORT; empty for none.
+	// Metrics is the listen address of the metrics page, IP:PORT; empty for none.
 	Metrics string
-	// PeerAddress is where the other daemons reach this one, PeerPort the port
-	// at which all of them listen.
+	// PeerAddress is where the other daemons reach this one, PeerPort the port on which all
+	// daemons listen for each other.
 	PeerAddress string
 	PeerPort    int
 	// Seeds are peer addresses of some daemons; they may be outdated.
 	Seeds []string
 	// Store is the address of the platform's store.
 	Store string
-	// Capacity ranks daemons by what they can do for the others.
+	// Capacity ranks daemons as load aggregators: the highest is preferred.
 	Capacity int
-	// MemoryBytes is the most that the process may use.
+	// MemoryBytes limits the memory of the process.
 	MemoryBytes int64
-	// Grace is the time from the signal to stop to the kill.
+	// Grace is the time between the stop signal and the kill.
 	Grace time.Duration
-	// ReturnWithin is the time after an outage of the store in which entries
-	// that lapsed meanwhile come back.
+	// LapsedEntryGrace is how long upstreams whose entries lapsed during a store outage stay in
+	// use, so that they can write their entries again.
 	LapsedEntryGrace time.Duration
-	// RetryRatio, RetryWindow and RetrySlack bound repeats: in each window a
-	// pool gets at most ratio x requests + slack of them from all daemons.
+	// RetryRatio, RetryWindow and RetrySlack limit retries: in each window all daemons together
+	// may make ratio x requests + slack retries per pool.
 	RetryRatio  float64
 	RetryWindow time.Duration
 	RetrySlack  float64
-	// LeaseTerm is how long one daemon's right to order engines lasts.
+	// LeaseTerm is the term of the lease that allows one daemon to order role changes.
 	LeaseTerm time.Duration
-	// StoreKeeps is how long the store keeps records.
+	// StoreRetention is how long the store keeps records.
 	StoreRetention time.Duration
-	// DirectoryTTL is the longest time that callers keep a directory's answer.
+	// DirectoryTTL limits how long callers cache a directory answer.
 	DirectoryTTL time.Duration
 }
 
-// Check returns all faults of the settings at once, each naming its field.
+// Check returns all errors of the settings at once, each naming its field.
 func (s *Settings) Check() error {
 	var faults []error
 	require := func(ok bool, field, problem string) {
--- a/internal/member/status.go
+++ b/internal/member/status.go
@@ -12,7 +12,7 @@
 	"tamarackchute/internal/telemetry"
 )
 
-// Status returns what the daemon believes now.
+// Status returns the daemon's current view of itself and its surroundings.
 func (m *Member) Status() daemonstatus.Daemon {
 	summary := m.summary()
 	d := daemonstatus.Daemon{
@@ -48,7 +48,7 @@
 	return all
 }
 
-// statuses returns the other daemons in the order of their names.
+// peerStatuses returns the other daemons, ordered by instance name.
 func (p *Peers) peerStatuses(now time.Time) []daemonstatus.Peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -66,11 +66,11 @@
 func (m *Member) serveStatus(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(m.Status()); err != nil {
-		m.log.Warn("status page not written", "err", err)
+		m.log.Warn("writing the status page failed", "err", err)
 	}
 }
 
-// operatorsPages serves the metrics address.
+// operatorHandler serves the metrics address.
 func (m *Member) operatorHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+daemonstatus.Path, m.serveStatus)
--- a/internal/member/store.go
+++ b/internal/member/store.go
@@ -9,55 +9,54 @@
 	"tamarackchute/internal/fleet"
 )
 
-// Topic names what the store keeps for the system.
+// Topic is a set of keyed records in the store.
 type Topic uint8
 
 // The topics.
 const (
 	// TopicConfig holds the operators' configuration.
 	TopicConfig Topic = iota
-	// TopicUpstreams holds an entry of each server.
+	// TopicUpstreams holds an entry for each upstream.
 	TopicUpstreams
-	// TopicMembers holds an entry of each daemon of the system.
+	// TopicMembers holds an entry for each daemon.
 	TopicMembers
-	// TopicLearnt holds what was learnt of the engines of each pool.
+	// TopicObservations holds the observed engine timings of each pool.
 	TopicObservations
 )
 
-// Entry is the newest record of a key. A nil value says that the key is gone.
+// Entry is the newest record of a key. A nil value means that the key was removed.
 type Entry struct {
 	Key   string
 	Value []byte
 }
 
-// Position is a place in a topic. A store that comes back from an older copy begins a new
-// era; its places come after all of the era before.
+// Position is a position in a topic. A store restored from an older copy starts a new era, whose
+// positions come after all of the previous era.
 type Position = infra.Offset
 
-// ErrExpired says that records after a position are no longer kept.
+// ErrExpired means that the records after a position have been deleted.
 var ErrExpired = errors.New("store: records have expired")
 
 // Store is the platform's store.
 type Store interface {
-	// Newest returns the newest entry of each key, and the position from which
-	// to read on.
+	// Newest returns the newest entry of each key and the position from which Changes continues.
 	Newest(ctx context.Context, t Topic) ([]Entry, Position, error)
-	// Changes returns the entries written from a position on, in order, and the
-	// position after them. It waits for one up to a time. ErrExpired means that
-	// Newest is needed: the records have expired, or the store has begun a new era.
+	// Changes returns the entries written from a position on, in order, and the position after
+	// them. It waits up to the given time for one. ErrExpired means that Newest is needed: the
+	// records have expired, or the store has started a new era.
 	Changes(ctx context.Context, t Topic, from Position, wait time.Duration) ([]Entry, Position, error)
 	// Put writes an entry; a nil value removes the key.
 	Put(ctx context.Context, t Topic, e Entry) error
-	// Eras tells in which era the store is.
+	// Eras returns the tracker of the store's era.
 	Eras() *EraTracker
 }
 
-// Formats reads what the store holds.
+// Decoder decodes what the store holds.
 type Decoder interface {
-	// Config reads an entry of TopicConfig; ok is false for keys that are none.
+	// Config decodes an entry of TopicConfig; ok is false if the key holds no configuration.
 	Config(e Entry) (c *fleet.Config, ok bool, err error)
-	// ConfigDocument reads a configuration as the store holds it.
+	// ConfigDocument decodes a configuration document as stored.
 	ConfigDocument(document []byte) (*fleet.Config, error)
-	// Upstream reads an entry of TopicUpstreams.
+	// Upstream decodes an entry of TopicUpstreams.
 	Upstream(e Entry) (*fleet.Upstream, error)
 }
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -8,26 +8,25 @@
 )
 
 const (
-	// viewEvery is how often a daemon looks whether a peer knows more.
+	// viewInterval is how often a daemon checks whether a peer has newer data.
 	viewInterval = 100 * time.Millisecond
-	// viewTimeout bounds the question to a peer.
+	// viewTimeout limits a request to a peer.
 	viewTimeout = time.Second
-	// youngerBy is how much younger a peer's reading must be to be taken over,
-	// transit what is added to its age for the way here: without it two daemons
-	// could keep each other's word young.
+	// minAgeGain is how much more recent a peer's copy must be to be adopted, transitAllowance
+	// is added to its age for the transfer. Without them two daemons could keep refreshing each
+	// other's age although neither reads the store.
 	minAgeGain       = 100 * time.Millisecond
 	transitAllowance = 20 * time.Millisecond
 )
 
-// peerView learns from a peer what the own reading doesn't show yet. It spares
-// the store most reads; and a daemon that is cut off from the store, or starts
-// while it is away, would otherwise serve by an outdated configuration, or not at
-// all.
+// peerView fetches newer data from peers. It saves most reads of the store, and keeps a daemon
+// that is cut off from the store, or starts during an outage, from serving with an outdated
+// configuration or none.
 type peerView struct {
 	member *Member
 }
 
-// String names the service for the supervisor.
+// String implements fmt.Stringer; the supervisor logs it.
 func (v *peerView) String() string { return "view of peers" }
 
 // Serve implements suture.Service.
@@ -40,22 +39,21 @@
 	return ctx.Err()
 }
 
-// largeList is the number of upstreams beyond which a list isn't taken from a
-// peer while the store can be read: a change in the store is some hundred bytes, a
-// whole list of that size a hundred kilobytes, and all daemons would ask the one
-// that has read it first. A site of several hundred daemons was slow to learn of
-// changes and to recover for that.
+// largeListSize is the number of upstreams above which a list is fetched from a peer only while
+// the store is down. A change in the store has some hundred bytes, a list of this size a hundred
+// kilobytes; with hundreds of daemons all fetching it from the first that has read it, changes
+// and recovery are slow.
 const largeListSize = 400
 
-// source says where a daemon learns what a peer knows and it doesn't.
+// listSource says where to get the data that a peer has and this daemon lacks.
 type listSource struct {
-	// whole asks the peer for everything, config for the configuration only.
+	// full fetches everything from the peer, config only the configuration.
 	full, config bool
 	// store reads the list from the store.
 	store bool
 }
 
-// sourceOf chooses the cheaper way to what a peer knows more.
+// chooseSource returns the cheapest source of a peer's newer data.
 func chooseSource(local, peer Summary, storeDown bool) listSource {
 	if peer.ListSize <= largeListSize || storeDown {
 		return listSource{full: true}
@@ -63,7 +61,7 @@
 	return listSource{config: peer.Config > local.Config, store: true}
 }
 
-// look learns from a peer that knows more, if there is one.
+// check fetches data from a peer that has newer data, if there is one.
 func (v *peerView) check(ctx context.Context) {
 	m := v.member
 	local := m.summary()
@@ -87,7 +85,7 @@
 	sent := time.Now()
 	answer, err := wire.Ask(ctx, m.wireConfig(), peer, request)
 	if err != nil {
-		m.log.Warn("peer's view not had", "peer", peer, "err", err)
+		m.log.Warn("request for a peer's view failed", "peer", peer, "err", err)
 		return
 	}
 	reply, ok := answer.(wire.ViewReply)
@@ -105,15 +103,15 @@
 func (v *peerView) applyConfig(peer string, document []byte) {
 	c, err := v.member.cfg.Decoder.ConfigDocument(document)
 	if err != nil {
-		v.member.log.Warn("peer's configuration refused", "peer", peer, "err", err)
+		v.member.log.Warn("invalid configuration from a peer", "peer", peer, "err", err)
 		return
 	}
 	if v.member.state.ApplyConfig(c) {
-		v.member.log.Info("configuration in force", "version", c.Version, "rules", len(c.Rules.Rules()), "from", peer)
+		v.member.log.Info("configuration applied", "version", c.Version, "rules", len(c.Rules.Rules()), "from", peer)
 	}
 }
 
-// takeUpstreams replaces the list by the peer's if that was read later.
+// applyUpstreams replaces the list with the peer's if that was read later.
 func (v *peerView) applyUpstreams(peer string, reply wire.ViewReply, age time.Duration) {
 	m := v.member
 	localAge := m.readers[0].age()
@@ -123,7 +121,7 @@
 	if !m.cfg.Store.Eras().Observe(Position(reply.Position).Era(), "another daemon") {
 		return
 	}
-	m.log.Info("upstreams from a peer", "peer", peer, "age_ms", age.Milliseconds(), "own_age_ms", localAge.Milliseconds())
+	m.log.Info("upstream list taken from a peer", "peer", peer, "age_ms", age.Milliseconds(), "own_age_ms", localAge.Milliseconds())
 	entries := make([]Entry, 0, len(reply.Upstreams))
 	for id, value := range reply.Upstreams {
 		entries = append(entries, Entry{Key: id, Value: value})
