--- a/internal/member/backoff.go
+++ b/internal/member/backoff.go
@@ -8,38 +8,38 @@
 )
 
 const (
-	// retryMin and retryMax bound the wait after a call to the store that failed, at a
-	// site of sharedBy daemons or fewer. At a larger one they grow with the daemons, so
-	// that all together call as often as those; the first that gets an answer tells the
-	// others by its states.
+	// retryMin and retryMax bound the wait after a failed call to the store, at a site of up to
+	// baselineDaemons. At a larger one they grow with the number of daemons, which keeps the
+	// total rate of calls constant; the first daemon that gets an answer passes the result on to
+	// its peers.
 	retryMin        = 100 * time.Millisecond
 	retryMax        = 500 * time.Millisecond
 	baselineDaemons = 10
-	// longestRetry bounds the wait at any size: a daemon counts on the store again some
-	// seconds after it has come back.
+	// maxRetryWait limits the wait at any size, so that a daemon uses the store again within
+	// seconds of its recovery.
 	maxRetryWait = 4 * time.Second
-	// probeLimit is how long others wait for one that looks whether the store is back.
+	// probeTimeout is how long other callers wait for the one that probes the store.
 	probeTimeout = callTimeout
 )
 
-// backoff spaces out the calls of a daemon's readers to a store that fails. Each reader by
-// itself would call two to ten times a second: with 95 daemons, of which a third was turned
-// away for some seconds, 6,700 of a day's 10,400 calls were such.
+// backoff limits the calls of a daemon's readers to a failing store. If each reader retried by
+// itself, two to ten times a second, a third of 95 daemons cut off for some seconds would make
+// 6,700 of a day's 10,400 calls.
 type backoff struct {
-	// daemons is how many share the store.
+	// daemons returns the number of daemons that share the store.
 	daemons func() int
 
 	mu sync.Mutex
-	// pause is the next wait, 0 while the store answers; until is when one may look
-	// again; counted is when a failure was counted last.
+	// interval is the current retry interval, 0 while the store answers; retryAt is when the
+	// next probe may start; lastFailure is when a failure was last counted.
 	interval             time.Duration
 	retryAt, lastFailure time.Time
 }
 
 func newBackoff(daemons func() int) *backoff { return &backoff{daemons: daemons} }
 
-// await waits until the caller may call the store: at once while it answers; else one
-// caller at a time looks, and the others go on once that has succeeded.
+// await waits until the caller may call the store: at once while it answers, otherwise one
+// caller at a time probes it, and the others continue once that succeeds.
 func (b *backoff) await(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait := b.reserve(time.Now())
@@ -50,8 +50,8 @@
 	}
 }
 
-// wait returns how long the caller has to wait for its turn. A turn that is given is
-// taken: for the next one others wait.
+// reserve returns how long the caller has to wait. If that is 0 while the store fails, the probe
+// is the caller's, and others wait.
 func (b *backoff) reserve(now time.Time) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -65,8 +65,7 @@
 	return 0
 }
 
-// failed notes a call without an answer of use. Calls that were under way together fail
-// together, and count once.
+// recordFailure counts a failed call. Concurrent calls that fail together count once.
 func (b *backoff) recordFailure(start, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -79,7 +78,7 @@
 	b.retryAt = now.Add(b.interval/2 + rand.N(b.interval))
 }
 
-// succeeded notes that the store answers.
+// recordSuccess records that the store answers.
 func (b *backoff) recordSuccess() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/member/catchup.go
+++ b/internal/member/catchup.go
@@ -18,36 +18,35 @@
 )
 
 const (
-	// catchUpEvery is how often a daemon that has just started looks for a peer that
-	// knows the engines.
+	// catchUpInterval is how often a daemon that has just started asks its peers for the cache
+	// state of engines.
 	catchUpInterval = 100 * time.Millisecond
-	// askOwn is how long after its start it asks its part of the engines themselves:
-	// peers are heard within a beat or two if there are any. askAll is when it asks
-	// whichever nobody has told it of.
+	// queryOwnShareAfter is how long after its start it queries its share of the engines
+	// directly: peers, if any, report within a heartbeat or two. queryAllAfter is when it
+	// queries all engines that are still unknown.
 	queryOwnShareAfter = 400 * time.Millisecond
 	queryAllAfter      = 1500 * time.Millisecond
-	// giveUpAfter is when it takes those that can't be asked to keep nothing.
+	// giveUpAfter is when the caches of engines that can't be queried are taken to be empty.
 	giveUpAfter = 5 * time.Second
-	// askOnceMore is how long after that a peer is asked a last time.
+	// finalQueryDelay is how long after that a peer is queried once more.
 	finalQueryDelay = 3 * time.Second
-	// listTimeout bounds the question to an engine what it keeps.
+	// cacheListTimeout limits a query of an engine's cached parts.
 	cacheListTimeout = time.Second
 )
 
-// catchUp learns at the start what is known of the engines: from the peers, or, if all
-// have started anew, from the engines. Without it a restart of all daemons was
-// followed by tens of seconds in which three answers in ten were in time rather than
-// eight: each daemon took parts to be missing that engines kept, and their short
-// readings for the engines' speed.
+// catchUp initialises the cache state of the engines from the peers or, if all daemons have
+// restarted, from the engines. Without it 3 of 10 responses rather than 8 meet their objective
+// for tens of seconds after a restart of all daemons: cached parts are taken to be missing, and
+// their short prefills for the speed of the engines.
 type catchUp struct {
 	member *Member
 	log    *slog.Logger
 }
 
-// String names the service for the supervisor.
+// String implements fmt.Stringer; the supervisor logs it.
 func (c *catchUp) String() string { return "catching up" }
 
-// Serve implements suture.Service. It ends once there is nothing more to learn.
+// Serve implements suture.Service. It ends once the caches of all engines are known.
 func (c *catchUp) Serve(ctx context.Context) error {
 	start := time.Now()
 	for ctx.Err() == nil {
@@ -66,14 +65,14 @@
 		}
 	}
 	c.member.tracker.AssumeNewEnginesEmpty()
-	c.log.Info("caught up", "unknown_engines", len(c.member.tracker.UnknownCaches()))
+	c.log.Info("initial cache state complete", "unknown_engines", len(c.member.tracker.UnknownCaches()))
 	sleep(ctx, finalQueryDelay)
 	c.finalQuery(ctx)
 	return suture.ErrDoNotRestart
 }
 
-// onceMore asks a peer for what was read while this daemon's connections to the others
-// were made: such news is told once, and only to those that are there.
+// finalQuery asks a peer for the prefills that happened while this daemon's links were being set
+// up: such updates are sent once, and only to connected peers.
 func (c *catchUp) finalQuery(ctx context.Context) {
 	serving := c.member.peers.Serving()
 	if len(serving) == 0 || ctx.Err() != nil {
@@ -98,7 +97,7 @@
 	return list
 }
 
-// fromPeers asks the peers that serve, one after the other, for what is missing.
+// fromPeers asks the serving peers, one after the other, for what is missing.
 func (c *catchUp) fromPeers(ctx context.Context) {
 	for _, peer := range c.member.peers.Serving() {
 		missing := c.member.tracker.UnknownCaches()
@@ -114,7 +113,7 @@
 	defer cancel()
 	answer, err := wire.Ask(ctx, c.member.wireConfig(), peer, wire.BeliefsRequest{Of: missing})
 	if err != nil {
-		c.log.Warn("peer's beliefs not had", "peer", peer, "err", err)
+		c.log.Warn("request for a peer's cache state failed", "peer", peer, "err", err)
 		return
 	}
 	reply, ok := answer.(wire.BeliefsReply)
@@ -122,11 +121,11 @@
 		return
 	}
 	c.member.tracker.Restore(peer, reply.Beliefs)
-	c.log.Info("beliefs of a peer", "peer", peer, "missing", len(missing), "engines", len(reply.Beliefs.Cached))
+	c.log.Info("cache state received from a peer", "peer", peer, "missing", len(missing), "engines", len(reply.Beliefs.Cached))
 }
 
-// fromEngines asks the engines that are still missing what they keep: this daemon's
-// part of them, as the other daemons ask the rest and all tell each other, or all.
+// fromEngines queries the engines that are still missing: this daemon's share, as the other
+// daemons query the rest and all share the results, or all of them.
 func (c *catchUp) fromEngines(ctx context.Context, all bool) {
 	missing := c.member.tracker.UnknownCaches()
 	for _, u := range c.engines() {
@@ -136,8 +135,8 @@
 	}
 }
 
-// isMine reports whether this daemon is the one to ask an engine, by rendezvous
-// hashing among those that serve.
+// isOwnShare reports whether this daemon is the one to query an engine, by rendezvous hashing
+// among the serving daemons.
 func (c *catchUp) isOwnShare(u *fleet.Upstream) bool {
 	score := func(daemon string) uint64 { return xxhash.Sum64String(daemon + " " + u.ID) }
 	local := score(c.member.self.Peers)
@@ -149,9 +148,9 @@
 	defer cancel()
 	parts, err := c.member.cfg.Engines.CachedParts(ctx, u)
 	if err != nil {
-		c.log.Warn("engine didn't say what it keeps", "engine", u.ID, "err", err)
+		c.log.Warn("listing an engine's cached parts failed", "engine", u.ID, "err", err)
 		return
 	}
 	c.member.tracker.SetCachedParts(u.ID, parts)
-	c.log.Info("engine said what it keeps", "engine", u.ID, "parts", len(parts))
+	c.log.Info("engine's cached parts listed", "engine", u.ID, "parts", len(parts))
 }
--- a/internal/member/collector.go
+++ b/internal/member/collector.go
@@ -8,39 +8,37 @@
 )
 
 const (
-	// collectEvery is how often a daemon of a large site asks for the totals while it
-	// needs them; perDaemon is added for each daemon that reports to the same one, so that
-	// its traffic doesn't grow with the square of their number.
+	// queryInterval is how often a daemon of a large site queries the totals while it needs
+	// them. queryIntervalPerDaemon is added for each daemon of its data centre, so that the
+	// aggregator's traffic doesn't grow with the square of their number.
 	queryInterval          = 10 * time.Millisecond
 	queryIntervalPerDaemon = 150 * time.Microsecond
-	// restEvery is how often a daemon asks for the totals while nothing is to be
-	// decided there: often enough for silence and new lists of upstreams to be noticed.
+	// idleQueryInterval is how often the totals are queried while no decision needs them: often
+	// enough to notice silent daemons and new lists of upstreams.
 	idleQueryInterval = 100 * time.Millisecond
-	// fullEvery is the time between two full reports, which make up for those that were
-	// lost.
+	// fullReportInterval is the interval of full reports, which make up for lost ones.
 	fullReportInterval = 300 * time.Millisecond
-	// freshFor is the age up to which totals do for a decision without being asked for:
-	// daemons of a small site tell each other that often.
+	// maxTotalsAge is the age up to which a decision uses the totals without a query: daemons of
+	// a small site update each other that often.
 	maxTotalsAge = loadInterval
-	// askLimit is how long a decision waits for totals: some times the way within a data
-	// centre and back, and a hundredth of what callers of short answers wait.
+	// totalsTimeout limits how long a decision waits for totals: several round trips within a
+	// data centre, and a hundredth of the caller timeout for short answers.
 	totalsTimeout = 5 * time.Millisecond
-	// collectorSilent is the silence after which the next daemon in line is asked
-	// to collect, collectorRetry the time after which the first is tried again.
+	// aggregatorTimeout is the silence after which a daemon reports to the next candidate,
+	// aggregatorRetry the time after which it tries the first one again.
 	aggregatorTimeout = 500 * time.Millisecond
 	aggregatorRetry   = 3 * time.Second
-	// totalsLogged is the least time between two log lines on the totals.
+	// totalsLogInterval is the minimum time between two log lines on the totals.
 	totalsLogInterval = 2 * time.Second
-	// totalsFrom names the totals in the books.
+	// totalsSource names the totals in the tracker.
 	totalsSource = "totals"
 )
 
-// report books this daemon's load and tells it, with that of those that report to it,
-// where there is news. With ask, and now and then, it wants an answer. Asking every 13 ms
-// whether totals are needed or not takes a third more processor time: 260 s, not 197, of 87
-// daemons over 73 s with eight requests a second each.
+// report records this daemon's load in the aggregate and sends the changes of its subtree to the
+// parent. With query, and at least every idleQueryInterval, it asks for an answer. Asking in
+// every report would take a third more CPU time at a site of 87 daemons.
 func (p *Peers) report(now time.Time, query bool) {
-	// A later report must not overtake this one: what it says replaces this one's.
+	// Reports must not overtake each other: a later one replaces an earlier one.
 	p.reportMu.Lock()
 	defer p.reportMu.Unlock()
 	p.mu.Lock()
@@ -73,14 +71,14 @@
 	}
 }
 
-// needsTotals reports whether the totals are of use here at any moment: requests wait
-// for a place, or other daemons are told them.
+// needsTotals reports whether the totals are needed continuously: requests wait for a slot, or
+// other daemons report to this one.
 func (p *Peers) needsTotals() bool {
 	return p.requestsWaiting() || p.aggregate.hasChildren(p.self.Peers)
 }
 
-// Refresh asks for what the others have in flight before a decision, and waits for the
-// answer, some milliseconds at most.
+// Refresh queries the load of the other daemons before a decision and waits for the answer, for
+// totalsTimeout at most.
 func (p *Peers) Refresh(ctx context.Context) {
 	answered := p.queryTotals(time.Now())
 	if answered == nil {
@@ -95,8 +93,8 @@
 	}
 }
 
-// askTotals asks for the totals, unless they are fresh or have just been asked for. The
-// channel is closed when they have come; nil if there is nothing to wait for.
+// queryTotals queries the totals, unless they are recent enough or a query is pending. The
+// returned channel is closed when they arrive; it is nil if there is nothing to wait for.
 func (p *Peers) queryTotals(now time.Time) <-chan struct{} {
 	p.mu.Lock()
 	parent := &p.parent
@@ -113,15 +111,15 @@
 	parent.pendingAnswer = answered
 	p.mu.Unlock()
 	p.report(now, true)
-	p.wakeReporter() // whoever finds no place needs the totals again soon
+	p.wakeReporter() // a request that finds no slot soon needs the totals again
 	return answered
 }
 
-// answerReport takes another daemon's report.
+// handleReport processes another daemon's report.
 func (p *Peers) handleReport(m wire.LoadReport, reply func(wire.Message)) {
 	totals, ok := p.aggregate.applyReport(m, time.Now())
 	if !ok {
-		p.log.Warn("loads reported in a circle", "from", m.Peers, "depth", m.Depth)
+		p.log.Warn("cyclic load report rejected", "from", m.Peers, "depth", m.Depth)
 		return
 	}
 	if m.Unanswered {
@@ -133,8 +131,8 @@
 	reply(totals)
 }
 
-// collector returns the link to the daemon that is reported to, nil if nobody is.
-// One that has fallen silent is passed over for a while.
+// parentLink returns the link to the daemon that this one reports to, nil if there is none. A
+// silent parent is skipped until aggregatorRetry has passed.
 func (p *Peers) parentLink(now time.Time) *wire.Link {
 	parent := &p.parent
 	to, ok := parent.candidate()
@@ -145,7 +143,7 @@
 		if parent.current == 0 {
 			parent.failedOver = now
 		}
-		p.log.Warn("collector of loads silent", "address", to.Peers)
+		p.log.Warn("load aggregator silent", "address", to.Peers)
 		p.useCandidate(parent.current+1, now)
 	}
 	return parent.link
@@ -161,8 +159,7 @@
 	}
 }
 
-// endCollecting forgets the totals: the site has become small enough for each daemon
-// to tell all others its work.
+// stopAggregation discards the totals: the site has become small enough for a full mesh.
 func (p *Peers) stopAggregation() {
 	if len(p.parent.candidates) == 0 {
 		return
@@ -172,7 +169,7 @@
 	p.tracker.ForgetPeer(totalsSource)
 }
 
-// relineCollectors follows a change of the known daemons.
+// updateCandidates recomputes the possible parents after a change of the known daemons.
 func (p *Peers) updateCandidates(all []wire.MemberAddress, now time.Time) {
 	parent := &p.parent
 	before, hadParent := parent.candidate()
@@ -185,7 +182,7 @@
 	}
 }
 
-// Collects reports whether this daemon adds up the loads of all in a large site.
+// Aggregates reports whether this daemon is the root that adds up the load of a large site.
 func (p *Peers) Aggregates() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -193,8 +190,8 @@
 	return !p.fullMesh && !reports
 }
 
-// ReportsNearby reports whether this daemon of a large site reports to another one of its
-// data centre, which hears of everything before it does.
+// ReportsInDataCentre reports whether this daemon of a large site reports to another one of its
+// data centre, which receives all updates before it does.
 func (p *Peers) ReportsInDataCentre() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -202,7 +199,7 @@
 	return !p.fullMesh && reports && to.DataCentre == p.self.DataCentre
 }
 
-// takeTotals takes the answer of the daemon that is reported to.
+// applyTotals processes an answer of the parent.
 func (p *Peers) applyTotals(from string, m wire.Message) {
 	totals, ok := m.(wire.LoadTotals)
 	if !ok {
@@ -212,7 +209,7 @@
 	parent := &p.parent
 	if to, ok := parent.candidate(); !ok || to.Peers != from {
 		p.mu.Unlock()
-		return // somebody else is reported to meanwhile
+		return // the parent has changed meanwhile
 	}
 	now := time.Now()
 	parent.lastAnswer = now
@@ -226,7 +223,7 @@
 	}
 	if totals.Senders != parent.loggedSenders && now.Sub(parent.loggedAt) > totalsLogInterval {
 		parent.loggedSenders, parent.loggedAt = totals.Senders, now
-		p.log.Info("totals of loads", "collector", from, "senders", totals.Senders)
+		p.log.Info("load totals", "collector", from, "senders", totals.Senders)
 	}
 	p.mu.Unlock()
 	p.onPeerList(Position(totals.ListPosition), totals.ListDigest, totals.ReadAge)
@@ -237,8 +234,8 @@
 	}
 }
 
-// noteTotals books what all others have, as far as it is news. It wakes no request that
-// waits, as a peer's word does: those look every 10 ms by themselves, and totals come about
+// recordTotals records the load of all other daemons in the tracker. Unlike an update from a
+// peer it wakes no waiting requests: those check every 10 ms themselves, and totals arrive about
 // as often.
 func (p *Peers) recordTotals(totals wire.LoadTotals) {
 	p.applyUnavailable(totals.Away)
--- a/internal/member/collectorline.go
+++ b/internal/member/collectorline.go
@@ -10,16 +10,14 @@
 	"tamarackchute/internal/wire"
 )
 
-// In a large site not every daemon can tell every other what it has in flight. Those
-// of a data centre tell one of them, which adds up and tells each what the others
-// have; and the ones that collect in a data centre tell one of the site, which does
-// the same for them. Any daemon can: who does follows from the addresses that all
-// know, and if it falls silent the next one in line does. Nothing is lost with it but
-// a moment's knowledge. With one for all, of every report and answer of other data
-// centres all but a few bytes would cross between them.
+// In a large site a full mesh would cost too much, so loads are aggregated in a tree. The
+// daemons of a data centre report to one of them, which reports to the root of the site; each
+// answers with the totals of all others. Any daemon can be an aggregator: the addresses that all
+// know decide, and if one falls silent the next takes over, at the loss of the latest updates
+// only. One aggregator for all would send almost every report across data centres.
 
-// ranked returns the daemons in the order in which they are to collect: those with
-// the most capacity first.
+// rankAggregators returns the daemons in order of preference as aggregators: highest capacity
+// first, then by the hash of the address.
 func rankAggregators(all []wire.MemberAddress) []wire.MemberAddress {
 	ranking := slices.Clone(all)
 	slices.SortFunc(ranking, func(a, b wire.MemberAddress) int {
@@ -31,9 +29,9 @@
 	return ranking
 }
 
-// reportLine returns the daemons that one reports to, the first that answers alone:
-// those before it in rank, its own data centre's first. As each reports to one before
-// it, none reports in a circle. The first of all has nobody to report to.
+// parentCandidates returns the daemons that one may report to; the first that answers is used.
+// They are those ranked before it, its own data centre's first. As each reports to one ranked
+// before it, there are no cycles. The first in rank, the root, has none.
 func parentCandidates(self wire.MemberAddress, others []wire.MemberAddress) []wire.MemberAddress {
 	all := rankAggregators(append(slices.Clone(others), self))
 	before := all[:slices.IndexFunc(all, func(a wire.MemberAddress) bool { return a.Peers == self.Peers })]
@@ -48,8 +46,8 @@
 	return append(local, remote...)
 }
 
-// reportEvery is the time between two questions for the totals while they are needed. The
-// few daemons that tell them on ask as often as a small site's daemons tell each other.
+// queryIntervalFor returns the interval of queries while totals are needed. The few daemons that
+// report to another data centre query as often as daemons of a small site update each other.
 func queryIntervalFor(self, to wire.MemberAddress, others []wire.MemberAddress) time.Duration {
 	if to.DataCentre != self.DataCentre {
 		return loadInterval
@@ -63,32 +61,33 @@
 	return every
 }
 
-// collection is whom a daemon reports to.
+// parentState describes the daemon that this one reports to, its parent.
 type parentState struct {
 	candidates []wire.MemberAddress
-	// current is the place in line of the one that is reported to; the line's length
-	// if nobody is.
+	// current is the index of the parent in candidates; their number if there is none.
 	current int
 	outgoingLink
-	// interval is the least time between two reports.
+	// interval is the minimum time between two reports.
 	interval time.Duration
-	// heard is when the last answer came, or the one above was chosen; left when the
-	// first in line was given up.
+	// lastAnswer is when the last answer came, or the parent was chosen; failedOver is when the
+	// first candidate was given up.
 	lastAnswer, failedOver time.Time
-	// asked is when the last report went out that wants an answer, full the last full one.
+	// lastQuery is when the last report that asks for an answer was sent, lastFull the last full
+	// one.
 	lastQuery, lastFull time.Time
-	// answering is the address of the daemon above that answered last, alone says that
-	// none does.
+	// answeredBy is the address of the parent that answered last; noParent means that no
+	// candidate answers.
 	answeredBy string
 	noParent   bool
-	// answered is closed when the totals come that a decision waits for; nil if none does.
+	// pendingAnswer is closed when the totals arrive that a decision waits for; nil if none
+	// does.
 	pendingAnswer chan struct{}
-	// senders is the number of daemons in the totals as logged last.
+	// loggedSenders is the number of daemons in the totals that were last logged.
 	loggedSenders int
 	loggedAt      time.Time
 }
 
-// to returns the daemon that is reported to.
+// candidate returns the current parent.
 func (c *parentState) candidate() (wire.MemberAddress, bool) {
 	if c.current >= len(c.candidates) {
 		return wire.MemberAddress{}, false
@@ -96,8 +95,8 @@
 	return c.candidates[c.current], true
 }
 
-// rank returns how many daemons stand before this one in line, the silent ones before the
-// one that answers left out. It is 0 for one daemon of a large site.
+// rank returns the number of daemons ranked before this one, not counting silent ones ranked
+// before the parent that answers. Once all agree, it is 0 for one daemon of a large site.
 func (c *parentState) rank() int {
 	if c.noParent {
 		return 0
--- a/internal/member/director.go
+++ b/internal/member/director.go
@@ -18,34 +18,34 @@
 )
 
 const (
-	// directEvery is how often roles are looked at.
+	// roleCheckInterval is how often the roles are checked.
 	roleCheckInterval = 500 * time.Millisecond
-	// candidates is the number of daemons that try to lead at a time; the
-	// others neither read nor write the journal.
+	// maxCandidates is the number of daemons that compete for the lease; the others neither read
+	// nor write the journal.
 	maxCandidates = 2
-	// renewShare is the time between renewals as a share of the lease's term.
+	// renewRatio is the time between renewals as a share of the lease's term.
 	renewRatio = 0.35
-	// clockDrift is the most by which clocks' rates may differ.
+	// maxClockDrift is the maximum difference between the rates of two clocks.
 	maxClockDrift = 0.01
-	// claimDelay sets claimants apart.
+	// claimDelay is the delay per rank that separates competing claims.
 	claimDelay = 400 * time.Millisecond
-	// quietMargin is added to the time for which a new leader gives no order.
+	// quietMargin is added to the time for which a new lease holder gives no orders.
 	quietMargin = 500 * time.Millisecond
-	// orderTimeout bounds one control call to an engine.
+	// orderTimeout limits one control call to an engine.
 	orderTimeout = 500 * time.Millisecond
-	// changeLimit is the time after which an engine that hasn't changed is given
-	// work again: it ends its running streams first, which takes seconds.
-	// openLimit is that for an order without an answer.
+	// changeTimeout is the time after which an engine that hasn't changed its role gets work
+	// again: it first finishes its running streams, which takes seconds. unknownOrderTimeout is
+	// that after an order without an answer.
 	changeTimeout       = 12 * time.Second
 	unknownOrderTimeout = 2 * time.Second
-	// clockJump is the difference between the steady clock and the time of day
-	// from which the process may have been suspended.
+	// clockJump is the difference between the monotonic and the wall clock from which the
+	// process may have been suspended.
 	clockJump  = 700 * time.Millisecond
 	leaseScope = "roles"
 )
 
-// director changes the roles of engines, if this daemon leads. Only a few daemons
-// take part at a time, so that its cost doesn't grow with their number.
+// director changes the roles of engines while this daemon holds the lease. Only a few daemons
+// compete for it, so that its cost doesn't grow with their number.
 type director struct {
 	member  *Member
 	log     infra.Log
@@ -55,26 +55,26 @@
 
 	keeper    *lease.Keeper
 	stopLease func()
-	// leadsSince is when the present authority began without a break.
+	// heldSince is when the lease was acquired; it has been held without interruption since.
 	heldSince time.Time
-	// distrust is the time until which a clock that has jumped forbids orders.
+	// blockedUntil is when orders are allowed again after a clock jump or a fenced order.
 	blockedUntil  time.Time
 	lastMonotonic time.Time
 	lastWall      time.Time
-	// changes are the orders given and not seen to be done.
+	// changes are the accepted orders that aren't completed yet.
 	changes map[string]roleChange
-	// logged is when the picture of each pool was logged last.
+	// lastLogged is when the state of each pool was last logged.
 	lastLogged map[string]time.Time
 }
 
-// roleChange is an order under way.
+// roleChange is a role change in progress.
 type roleChange struct {
 	engine *fleet.Upstream
 	to     upstream.Role
 	since  time.Time
 }
 
-// String names the service for the supervisor.
+// String implements fmt.Stringer; the supervisor logs it.
 func (d *director) String() string { return "director of roles" }
 
 // Serve implements suture.Service.
@@ -93,7 +93,7 @@
 	return ctx.Err()
 }
 
-// tellLease keeps this daemon's part in the lease for operators.
+// publishLease updates the lease status shown to operators.
 func (d *director) publishLease() {
 	l := daemonstatus.Lease{Candidate: d.keeper != nil}
 	if d.keeper != nil {
@@ -103,15 +103,15 @@
 	d.member.lease.Store(&l)
 }
 
-// checkClock notices that the process was suspended: the steady clock stands
-// still meanwhile, and the lease with it, while others may have taken it.
+// checkClock detects a suspension of the process: the monotonic clock, on which the lease
+// depends, stands still meanwhile, and another daemon may have taken the lease.
 func (d *director) checkClock() {
 	now := time.Now()
 	wall := now.Round(0)
 	if !d.lastMonotonic.IsZero() {
 		if skew := wall.Sub(d.lastWall) - now.Sub(d.lastMonotonic); skew > clockJump || skew < -clockJump {
 			d.blockedUntil = now.Add(d.term())
-			d.logger.Warn("clock jumped; no orders for a term", "by_ms", skew.Milliseconds())
+			d.logger.Warn("clock jump detected; no orders for one lease term", "by_ms", skew.Milliseconds())
 		}
 	}
 	d.lastMonotonic, d.lastWall = now, wall
@@ -119,7 +119,7 @@
 
 func (d *director) term() time.Duration { return d.member.cfg.Settings.LeaseTerm }
 
-// stand begins or ends the part in the lease.
+// setCandidate starts or stops competing for the lease.
 func (d *director) setCandidate(candidate bool) {
 	switch {
 	case candidate && d.stopLease == nil:
@@ -128,7 +128,7 @@
 		d.stopLease()
 		d.stopLease, d.keeper = nil, nil
 		d.heldSince = time.Time{}
-		d.logger.Info("no candidate for the lease any more")
+		d.logger.Info("lease candidacy ended")
 	}
 }
 
@@ -156,11 +156,10 @@
 		cancel()
 		<-done
 	}
-	d.logger.Info("candidate for the lease")
+	d.logger.Info("lease candidacy started")
 }
 
-// everyonePresent makes the lease pass by time alone: the engines of the platform
-// check fencing numbers.
+// alwaysPresent makes leases expire by time alone: the platform's engines check fencing tokens.
 type alwaysPresent struct{}
 
 // Gone implements lease.Presence.
@@ -169,9 +168,8 @@
 // Listed implements lease.Presence.
 func (alwaysPresent) Listed(string) bool { return true }
 
-// leads reports whether this daemon may give orders. A new leader stays quiet for
-// a term first: the former one's last order may have been given at the very end
-// of its term.
+// mayOrder reports whether this daemon may give orders. A new holder waits for a term first: the
+// former one may have given its last order at the very end of its term.
 func (d *director) mayOrder() bool {
 	now := time.Now()
 	if d.keeper == nil {
@@ -183,12 +181,12 @@
 	}
 	if d.heldSince.IsZero() {
 		d.heldSince = now
-		d.logger.Info("leads the roles", "quiet_ms", (d.term() + quietMargin).Milliseconds())
+		d.logger.Info("lease for role changes acquired", "quiet_ms", (d.term() + quietMargin).Milliseconds())
 	}
 	return now.Sub(d.heldSince) > d.term()+quietMargin && now.After(d.blockedUntil)
 }
 
-// direct looks at each pool of engines.
+// balance checks the roles of each pool of engines.
 func (d *director) balance(ctx context.Context) {
 	s := d.member.state.Snapshot()
 	if s.Config == nil {
--- a/internal/member/engines.go
+++ b/internal/member/engines.go
@@ -9,44 +9,42 @@
 	"tamarackchute/upstream"
 )
 
-// EngineState is an engine's own word on its role.
+// EngineState is an engine's state as it reports it.
 type EngineState struct {
 	Role upstream.Role
-	// Changing says that an order is being carried out.
+	// Changing means that it is carrying out a role change.
 	Changing bool
-	// Orders counts the orders that it has accepted since its start.
+	// AcceptedOrders counts the orders accepted since its start.
 	AcceptedOrders uint64
-	// Started tells its starts apart; zero if it doesn't say.
+	// Started identifies the start of its process; zero if not reported.
 	Started time.Time
 }
 
-// RoleOrder asks an engine to change its role.
+// RoleOrder orders an engine to change its role.
 type RoleOrder struct {
 	Role upstream.Role
-	// Holder names the process that gives the order, Fence is its fencing
-	// number.
+	// Holder names the process that holds the lease, FencingToken is the lease's token.
 	Holder       string
 	FencingToken uint64
-	// After is the number of orders that the engine must have accepted before
-	// this one: an order that is carried out late, after a newer one, has no
-	// effect.
+	// ExpectedOrders is the number of orders that the engine must have accepted so far. It
+	// prevents a delayed order from taking effect after a newer one.
 	ExpectedOrders uint64
 }
 
-// OrderOutcome is what became of an order.
+// OrderOutcome is the result of an order.
 type OrderOutcome uint8
 
 // The outcomes.
 const (
-	// OrderOpen: no answer; it may be carried out, now or later.
+	// OrderUnknown means no answer: the order may be carried out, now or later.
 	OrderUnknown OrderOutcome = iota
-	// OrderTaken: it is being carried out.
+	// OrderAccepted means that the order is being carried out.
 	OrderAccepted
-	// OrderHolds: the engine has the role already.
+	// OrderAlreadyInRole means that the engine already has the role.
 	OrderAlreadyInRole
-	// OrderRefused: it has no effect.
+	// OrderRefused means that the order has no effect.
 	OrderRefused
-	// OrderFenced: a newer holder has given orders.
+	// OrderFenced means that a newer lease holder has given orders.
 	OrderFenced
 )
 
@@ -54,10 +52,10 @@
 	return [...]string{"open", "taken", "holds", "refused", "fenced"}[o]
 }
 
-// Engines are the control calls of model engines.
+// Engines calls the control interface of model engines.
 type Engines interface {
-	// CachedParts returns the parts of prompts that an engine keeps in its KV cache, by its
-	// own word. It costs the engine some time.
+	// CachedParts returns the prompt parts in an engine's KV cache, as listed by the engine. The
+	// call takes some of the engine's time.
 	CachedParts(ctx context.Context, u *fleet.Upstream) ([]placement.Part, error)
 	State(ctx context.Context, u *fleet.Upstream) (EngineState, error)
 	SetRole(ctx context.Context, u *fleet.Upstream, o RoleOrder) (OrderOutcome, error)
--- a/internal/member/eras.go
+++ b/internal/member/eras.go
@@ -10,9 +10,9 @@
 	"tamarackchute/internal/notify"
 )
 
-// Eras follows the era of the store: it rises each time the store comes back from an
-// older copy. What was read or written in an earlier era may be lost. The zero value is that
-// of a store that hasn't answered yet.
+// EraTracker tracks the era of the store, which rises each time the store is restored from an
+// older copy. What was read or written in an earlier era may be lost. The zero value is ready
+// for use.
 type EraTracker struct {
 	mu       sync.Mutex
 	current  uint64
@@ -21,41 +21,41 @@
 	changes  notify.Changes
 }
 
-// Current returns the latest era told of.
+// Current returns the latest era observed.
 func (e *EraTracker) Current() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.current
 }
 
-// Changed returns a channel that closes when the era rises. Take the channel before the
-// era, so that no change falls between the two.
+// Changed returns a channel that closes when the era rises. Get the channel before reading the
+// era, so that no change is missed between the two.
 func (e *EraTracker) Changed() <-chan struct{} { return e.changes.Changed() }
 
-// LogTo sets where changes are logged.
+// SetLogger sets where changes are logged.
 func (e *EraTracker) SetLogger(log *slog.Logger) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.log = log
 }
 
-// Refused logs an era that can't be read.
+// LogInvalid logs an era that can't be parsed.
 func (e *EraTracker) LogInvalid(value, source string, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.warn("era of the store not read", "named", value, "by", source, "err", err)
+	e.warn("invalid store era", "named", value, "by", source, "err", err)
 }
 
-// warn logs if it was said where. e.mu is held.
+// warn logs if a logger is set. e.mu is held.
 func (e *EraTracker) warn(message string, args ...any) {
 	if e.log != nil {
 		e.log.Warn(message, args...)
 	}
 }
 
-// Note takes an era that an answer or another daemon has named, and reports whether it is
-// the current one: an answer of an earlier era came late. by says who told it. The first
-// one told is no change.
+// Observe records an era named by an answer or another daemon, and reports whether it is the
+// current one; it isn't if a delayed answer names an earlier one. source says where it came
+// from. The first era observed isn't a change.
 func (e *EraTracker) Observe(era uint64, source string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -73,18 +73,18 @@
 	return true
 }
 
-// restartPerDaemon spreads the first reads and writes of a new era, by the number of
-// daemons that make them.
+// restartSpreadPerDaemon is the time per daemon over which the first reads and writes of a new
+// era are spread.
 const restartSpreadPerDaemon = 4 * time.Millisecond
 
-// eraFollower lets the readers that wait begin anew in a new era.
+// eraFollower restarts the topic readers in a new era.
 type eraFollower struct {
 	eras    *EraTracker
 	readers []*topicReader
 	daemons func() int
 }
 
-// String names the service for the supervisor.
+// String implements fmt.Stringer; the supervisor logs it.
 func (f *eraFollower) String() string { return "eras of the store" }
 
 // Serve implements suture.Service.
@@ -104,7 +104,8 @@
 	}
 }
 
-// turn draws a time to wait, so that all daemons together call the store at a bounded rate.
+// spreadDelay returns a random delay that limits the rate at which all daemons together call the
+// store.
 func spreadDelay(daemons int) time.Duration {
 	return rand.N(time.Duration(max(1, daemons)) * restartSpreadPerDaemon)
 }
--- a/internal/member/feeds.go
+++ b/internal/member/feeds.go
@@ -10,7 +10,7 @@
 	"tamarackchute/internal/wire"
 )
 
-// configFeed puts new versions of the configuration into force.
+// configFeed applies new versions of the configuration.
 type configFeed struct {
 	decoder Decoder
 	state   *fleet.State
@@ -21,16 +21,16 @@
 	for _, e := range entries {
 		c, ok, err := f.decoder.Config(e)
 		if err != nil {
-			f.log.Warn("configuration refused; the one in force stays", "err", err)
+			f.log.Warn("invalid configuration; keeping the current one", "err", err)
 			continue
 		}
 		if ok && f.state.ApplyConfig(c) {
-			f.log.Info("configuration in force", "version", c.Version, "rules", len(c.Rules.Rules()))
+			f.log.Info("configuration applied", "version", c.Version, "rules", len(c.Rules.Rules()))
 		}
 	}
 }
 
-// memberFeed learns of other daemons from their entries.
+// memberFeed adds other daemons from their entries.
 type memberFeed struct {
 	peers *Peers
 	log   *slog.Logger
@@ -43,15 +43,15 @@
 		}
 		var a wire.MemberAddress
 		if err := json.Unmarshal(e.Value, &a); err != nil {
-			f.log.Warn("daemon's entry left out", "key", e.Key, "err", err)
+			f.log.Warn("invalid daemon entry ignored", "key", e.Key, "err", err)
 			continue
 		}
 		f.peers.Add(a)
 	}
 }
 
-// announcer writes this daemon's entry, so that others find it, once in each era of the
-// store: one written just before a restore is lost.
+// announcer writes this daemon's entry, by which others find it, once in each era of the store:
+// an entry written just before a restore is lost.
 type announcer struct {
 	store   Store
 	self    wire.MemberAddress
@@ -60,7 +60,7 @@
 	log     *slog.Logger
 }
 
-// String names the service for the supervisor.
+// String implements fmt.Stringer; the supervisor logs it.
 func (a *announcer) String() string { return "announcer" }
 
 // Serve implements suture.Service.
@@ -78,7 +78,7 @@
 		cancel()
 		if err == nil {
 			a.backoff.recordSuccess()
-			a.log.Info("announced", "address", a.self.Peers, "era", a.store.Eras().Current())
+			a.log.Info("daemon's entry written", "address", a.self.Peers, "era", a.store.Eras().Current())
 			select {
 			case <-ctx.Done():
 			case <-restored:
@@ -86,7 +86,7 @@
 			}
 			continue
 		}
-		a.log.Warn("not announced", "err", err)
+		a.log.Warn("writing the daemon's entry failed", "err", err)
 		a.backoff.recordFailure(start, time.Now())
 	}
 	return ctx.Err()
--- a/internal/member/feeds_test.go
+++ b/internal/member/feeds_test.go
@@ -361,7 +361,7 @@
 		r.feed.apply([]Entry{entry("a", "nonsense")})
 		require.Equal(t, "b", r.ids())
 	}
-	require.Equal(t, 1, strings.Count(lines.String(), "left out"))
+	require.Equal(t, 1, strings.Count(lines.String(), "invalid upstream entry"))
 	require.EqualValues(t, 1, r.feed.rejectedEntries())
 	r.feed.apply([]Entry{entry("a", "p 1:1")})
 	require.Equal(t, "a,b", r.ids())
--- a/internal/member/figures.go
+++ b/internal/member/figures.go
@@ -11,18 +11,18 @@
 	"tamarackchute/placement"
 )
 
-// figuresEvery is how often what was learnt of the engines is logged and published.
+// parametersInterval is how often the estimated engine parameters are logged and published.
 const parametersInterval = 5 * time.Second
 
-// figuresTeller tells operators what this daemon has learnt of the engines, which its
-// decisions rest on, and how far its predictions were off.
+// parametersReporter reports the engine parameters that this daemon has estimated, on which its
+// decisions are based, and the errors of its predictions.
 type parametersReporter struct {
 	tracker *placement.Tracker
 	scope   metrics.Scope
 	log     *slog.Logger
 }
 
-// String names the service for the supervisor.
+// String implements fmt.Stringer; the supervisor logs it.
 func (r *parametersReporter) String() string { return "figures of the engines" }
 
 // Serve implements suture.Service.
@@ -37,7 +37,7 @@
 }
 
 func (r *parametersReporter) report(pool string, p placement.PoolParameters) {
-	r.log.Info("engines learnt", "pool", pool, "figures", p.Parameters.Coefficients(),
+	r.log.Info("engine parameters", "pool", pool, "figures", p.Parameters.Coefficients(),
 		"prefill_readings", p.PrefillError.Count, "prefill_error_p50", p.PrefillError.P50, "prefill_error_p90", p.PrefillError.P90,
 		"decode_readings", p.DecodeError.Count, "decode_error_p50", p.DecodeError.P50, "decode_error_p90", p.DecodeError.P90)
 	r.publish(pool, "prefill", p.PrefillError)
--- a/internal/member/learnt.go
+++ b/internal/member/learnt.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// keepEvery is how often what was learnt of the engines is written to the store, by
-	// one daemon: a call costs little, and figures change slowly.
+	// saveInterval is how often one daemon writes the observations of the engines to the store:
+	// a call costs little, and the observations change slowly.
 	saveInterval = 5 * time.Second
-	// recallTimeout bounds the one reading of it at the start.
+	// loadTimeout limits the one read at the start.
 	loadTimeout = 2 * time.Second
-	// fromStore names what was read from the store among what other daemons say.
+	// storeSource names the store among the sources of observations.
 	storeSource = "store"
 )
 
-// engineMemory keeps what was learnt of the engines in the store. When all daemons are
-// lost at once, nobody else remembers it; learnt anew in the crowd that follows it came
-// out several times wrong, and most answers were late until the next restart.
+// observationSync keeps the observations of the engines in the store. When all daemons are lost
+// at once, no peer has them; estimates made again under the load that follows are several times
+// wrong, and most responses late until the next restart.
 type observationSync struct {
 	store   Store
 	tracker *placement.Tracker
@@ -31,7 +31,7 @@
 	log     *slog.Logger
 }
 
-// String names the service for the supervisor.
+// String implements fmt.Stringer; the supervisor logs it.
 func (s *observationSync) String() string { return "memory of engines" }
 
 // Serve implements suture.Service.
@@ -46,7 +46,7 @@
 	return ctx.Err()
 }
 
-// recall reads what is kept, until the store has answered once.
+// load reads the stored observations, until the store has answered once.
 func (s *observationSync) load(ctx context.Context) {
 	for ctx.Err() == nil {
 		s.backoff.await(ctx)
@@ -59,7 +59,7 @@
 			s.merge(entries)
 			return
 		}
-		s.log.Warn("what was learnt of the engines not read", "err", err)
+		s.log.Warn("reading the engine observations failed", "err", err)
 		s.backoff.recordFailure(start, time.Now())
 	}
 }
@@ -69,28 +69,28 @@
 	for _, entry := range entries {
 		var observations enginemodel.Observations
 		if err := json.Unmarshal(entry.Value, &observations); err != nil {
-			s.log.Warn("what was learnt of a pool's engines can't be read", "pool", entry.Key, "err", err)
+			s.log.Warn("invalid engine observations of a pool", "pool", entry.Key, "err", err)
 			continue
 		}
 		models[entry.Key] = observations
 	}
 	s.tracker.Merge(storeSource, models)
-	s.log.Info("engines remembered", "pools", len(models))
+	s.log.Info("engine observations loaded", "pools", len(models))
 }
 
-// keep writes what all daemons have learnt.
+// save writes the observations of all daemons.
 func (s *observationSync) save(ctx context.Context) {
 	for pool, observations := range s.tracker.AllObservations() {
 		value, err := json.Marshal(observations)
 		if err != nil {
-			s.log.Error("what was learnt of a pool's engines can't be written", "pool", pool, "err", err)
+			s.log.Error("encoding the engine observations of a pool failed", "pool", pool, "err", err)
 			continue
 		}
 		call, cancel := context.WithTimeout(ctx, callTimeout)
 		err = s.store.Put(call, TopicObservations, Entry{Key: pool, Value: value})
 		cancel()
 		if err != nil {
-			s.log.Warn("what was learnt of a pool's engines not kept", "pool", pool, "err", err)
+			s.log.Warn("writing the engine observations of a pool failed", "pool", pool, "err", err)
 		}
 	}
 }
--- a/internal/member/neighbours.go
+++ b/internal/member/neighbours.go
@@ -10,19 +10,18 @@
 )
 
 const (
-	// meshLimit is the number of other daemons up to which each tells all of
-	// them its state. Beyond it the traffic of a full mesh would grow with the
-	// square of their number.
+	// maxFullMesh is the number of other daemons up to which each sends all of them its state.
+	// Beyond it the traffic of a full mesh would grow with the square of their number.
 	maxFullMesh = 16
-	// nearNeighbours and farNeighbours are how many a daemon tells otherwise, on
-	// each side of it on a ring: of its data centre, and of the whole site.
+	// localNeighbours and siteNeighbours are the numbers of receivers in a larger site, on each
+	// side of the daemon on a hash ring: of its data centre, and of the whole site.
 	localNeighbours = 6
 	siteNeighbours  = 2
 )
 
-// neighbours returns the peer addresses that a daemon tells its state. The
-// choice is symmetric: who is told by another tells it as well, and all daemons
-// that know the same others agree.
+// neighbours returns the peer addresses to which a daemon sends its state. The choice is
+// symmetric: each of them sends its state back, and all daemons that know the same addresses
+// agree on it.
 func neighbours(self wire.MemberAddress, others []wire.MemberAddress) map[string]bool {
 	wanted := make(map[string]bool)
 	if len(others) <= maxFullMesh {
@@ -33,7 +32,7 @@
 	}
 	var local []wire.MemberAddress
 	for _, a := range others {
-		// One whose data centre isn't known yet is only an address.
+		// While the data centre is unknown, a daemon is only an address.
 		if a.DataCentre == self.DataCentre || a.DataCentre == "" {
 			local = append(local, a)
 		}
@@ -43,8 +42,8 @@
 	return wanted
 }
 
-// aroundOnRing marks the n daemons on each side of self on the ring of their
-// addresses' hashes.
+// addRingNeighbours adds the n daemons on each side of self on the ring of the hashes of their
+// addresses.
 func addRingNeighbours(wanted map[string]bool, self wire.MemberAddress, others []wire.MemberAddress, n int) {
 	ring := append(slices.Clone(others), self)
 	slices.SortFunc(ring, func(a, b wire.MemberAddress) int {
--- a/internal/member/peerlinks.go
+++ b/internal/member/peerlinks.go
@@ -8,7 +8,7 @@
 	"tamarackchute/internal/wire"
 )
 
-// relink opens and closes connections after a change of the known peers.
+// updateLinks opens and closes links after a change of the known peers.
 func (p *Peers) updateLinks() {
 	addresses := make([]wire.MemberAddress, 0, len(p.peers))
 	for _, other := range p.peers {
@@ -31,14 +31,13 @@
 	}
 }
 
-// outgoing is a connection to another daemon that is kept up; link is nil if there is
-// none.
+// outgoingLink is a permanent link to another daemon; link is nil if there is none.
 type outgoingLink struct {
 	link  *wire.Link
 	token suture.ServiceToken
 }
 
-// open begins to keep up a connection; handle takes what comes back, if anything.
+// openLink opens a permanent link; handle processes the replies and may be nil.
 func (p *Peers) openLink(address string, handle func(wire.Message)) outgoingLink {
 	link := wire.NewLink(p.cfg, address, handle, p.log)
 	return outgoingLink{link: link, token: p.links.Add(link)}
@@ -49,7 +48,7 @@
 		return
 	}
 	if err := p.links.Remove(o.token); err != nil {
-		p.log.Warn("peer's link not removed", "link", o.link.String(), "err", err)
+		p.log.Warn("removing a peer's link failed", "link", o.link.String(), "err", err)
 	}
 	o.link = nil
 }
--- a/internal/member/peers.go
+++ b/internal/member/peers.go
@@ -13,29 +13,28 @@
 )
 
 const (
-	// stateEvery is how often changed loads are told to the peers of a small
-	// site: about the time of one prompt's reading, so that a place is seldom
-	// given twice.
+	// loadInterval is how often changed loads are sent to the peers of a small site: about the
+	// time of one prefill, so that a slot is seldom assigned twice.
 	loadInterval = 5 * time.Millisecond
-	// newsEvery is the least time between two reports of a large site's daemon: what a
-	// request changes at once goes together.
+	// minReportInterval is the minimum time between two reports of a large site's daemon: it
+	// combines the changes that a request makes at once.
 	minReportInterval = 2 * time.Millisecond
-	// beatEvery is how often a daemon is heard from when nothing changes, and how often
-	// silence is looked for.
+	// heartbeatInterval is how often a state is sent when nothing changes, and how often silent
+	// peers are looked for.
 	heartbeatInterval = 200 * time.Millisecond
-	// largeBeatEvery is that in a large site, where work isn't told with the beats: two
+	// largeHeartbeatInterval is the same in a large site, where heartbeats carry no loads: two
 	// may be lost before a daemon counts as silent.
 	largeHeartbeatInterval = 320 * time.Millisecond
-	// knownEvery is the number of full states of which one names other daemons.
+	// addressesPeriod is the number of heartbeats of which one carries peer addresses.
 	addressesPeriod = 10
-	// learntEvery is the number of full states of which one tells what was observed of
+	// observationsPeriod is the number of heartbeats of which one carries the observations of
 	// the engines.
 	observationsPeriod = 3
-	// silentAfter is the silence after which a peer counts as down: no caller is
-	// sent there, and its load is forgotten.
+	// peerTimeout is the silence after which a peer counts as down: callers are no longer sent
+	// there, and its load is forgotten.
 	peerTimeout = time.Second
-	// forgetAfter is the silence after which no connection to it is tried any
-	// more until it is named again.
+	// forgetPeerAfter is the time since it was last named after which a peer that is down is
+	// removed.
 	forgetPeerAfter = 60 * time.Second
 )
 
@@ -54,55 +53,55 @@
 	peers       map[string]*peer // by peer address
 	incarnation uint64
 	seq         uint64
-	// away are engines that this daemon has ordered to change.
+	// unavailable holds the engines that this daemon has reported as unavailable.
 	unavailable map[placement.Key]unavailableEngine
-	// sameList is told what list a peer has.
+	// onPeerList is called with the position, digest and age of a peer's list.
 	onPeerList func(at Position, digest uint64, age time.Duration)
-	// demand measures what callers ask of this daemon.
+	// localDemand returns the demand of this daemon's callers, by pool.
 	localDemand func() map[string]wire.MemberDemand
-	// beats counts the states of beats.
+	// heartbeats counts the heartbeats sent.
 	heartbeats int
-	// toldAbout is what the peers were told last of this daemon.
+	// reported is what was last reported of this daemon.
 	reported reportedSummary
-	// full says that states go to every known peer.
+	// fullMesh means that states go to every known peer.
 	fullMesh bool
-	// tally is of the loads that this daemon adds up, collect whom it reports to.
+	// aggregate adds up the loads of this daemon's subtree; parent is where it reports them.
 	aggregate *loadAggregate
 	parent    parentState
-	// reporting is held while a report is made and sent.
+	// reportMu is held while a report is made and sent.
 	reportMu sync.Mutex
-	// news gets a token when there is something to tell, or the totals are needed.
+	// wake gets a token when there is an update to send, or the totals are needed.
 	wake chan struct{}
-	// waiting says whether requests wait for a place here.
+	// requestsWaiting reports whether requests wait for a slot here.
 	requestsWaiting func() bool
 }
 
-// About is what a daemon says of itself beside its load.
+// Summary is what a daemon reports of itself besides its load.
 type Summary struct {
 	Serving bool
 	Config  uint64
-	// ListPosition, ListDigest, ListSize and ReadAge are of the list of upstreams.
+	// ListPosition, ListDigest, ListSize and ListAge describe the list of upstreams.
 	ListPosition Position
 	ListDigest   uint64
-	// ListSize is the number of its upstreams.
+	// ListSize is the number of upstreams in it.
 	ListSize int
 	ListAge  time.Duration
 }
 
 type peer struct {
 	wire.MemberAddress
-	// outgoing carries states there, if any are sent.
+	// outgoingLink carries states to the peer, if any are sent.
 	outgoingLink
 	incarnation uint64
 	seq         uint64
 	summary     Summary
 	demands     map[string]wire.MemberDemand
-	// heard is when its last state came, told when the last word on what it knows
-	// did, as a state or with the totals.
+	// lastState is when its last state or load update came, lastUpdate when its summary was last
+	// updated, by a state or with the totals.
 	lastState, lastUpdate time.Time
 	lastNamed             time.Time
 	up                    bool
-	// meshed is what its last state said of that.
+	// fullMesh is the value in its last state.
 	fullMesh bool
 }
 
@@ -114,14 +113,14 @@
 		unavailable: make(map[placement.Key]unavailableEngine),
 		aggregate:   newLoadAggregate(),
 		incarnation: rand.Uint64(),
-		fullMesh:    true, // with nobody to tell, everybody is told
+		fullMesh:    true, // a site without peers is a full mesh
 		wake:        make(chan struct{}, 1),
 	}
 	tracker.OnChange(p.wakeReporter)
 	return p
 }
 
-// noteNews wakes the one that tells the others. It doesn't block.
+// wakeReporter triggers a report. It doesn't block.
 func (p *Peers) wakeReporter() {
 	select {
 	case p.wake <- struct{}{}:
@@ -129,10 +128,10 @@
 	}
 }
 
-// String names the service for the supervisor.
+// String implements fmt.Stringer; the supervisor logs it.
 func (p *Peers) String() string { return "peers" }
 
-// Learn adds daemons whose addresses were heard of.
+// Add adds daemons by their addresses.
 func (p *Peers) Add(addresses ...wire.MemberAddress) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -149,7 +148,7 @@
 	if known == nil {
 		known = &peer{MemberAddress: a}
 		p.peers[a.Peers] = known
-		p.log.Info("peer found", "peer", a.Instance, "address", a.Peers)
+		p.log.Info("peer discovered", "peer", a.Instance, "address", a.Peers)
 		p.updateLinks()
 	} else if a.Instance != "" && known.MemberAddress != a {
 		known.MemberAddress = a
@@ -189,8 +188,8 @@
 		p.mu.Unlock()
 		return
 	}
-	// What it told of its work doesn't hold any more if its former process is gone, or
-	// if that work comes with the totals from now on.
+	// Its reported load is outdated if its process has restarted, or if from now on the load is
+	// part of the totals.
 	forget := m.Incarnation != from.incarnation || (from.fullMesh && !m.Meshed)
 	from.fullMesh = m.Meshed
 	from.incarnation, from.seq = m.Incarnation, m.Seq
@@ -219,8 +218,8 @@
 	p.onUpdate()
 }
 
-// takeLoads books what has changed of a peer's work. One whose state hasn't come
-// yet is left out: its next state says all.
+// applyLoads records changed loads of a peer. It ignores them before the peer's first state,
+// which will contain all of them.
 func (p *Peers) applyLoads(m wire.MemberLoads) {
 	p.mu.Lock()
 	from := p.byIncarnation(m.Incarnation)
@@ -245,7 +244,7 @@
 	return nil
 }
 
-// checkSilence marks peers as down that haven't been heard from.
+// checkSilence marks silent peers as down, and removes those that are gone.
 func (p *Peers) checkSilence(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -263,8 +262,8 @@
 	}
 }
 
-// unheard is the number of daemons for each one heard whose loads aren't told
-// to this one.
+// unreportedRatio returns the ratio of the daemons whose state this one doesn't receive to those
+// whose state it does.
 func (p *Peers) unreportedRatio() float64 {
 	reporting := 0
 	for _, other := range p.peers {
--- a/internal/member/peerview.go
+++ b/internal/member/peerview.go
@@ -7,14 +7,14 @@
 	"tamarackchute/upstream"
 )
 
-// awayEngine is an engine that takes no work until a time, or until it has a role.
+// unavailableEngine is an engine that gets no work until a time, or until it has a role.
 type unavailableEngine struct {
 	to    upstream.Role
 	until time.Time
 }
 
-// SendAway keeps the requests of all daemons from an engine for some time, or
-// until it has a role; "" if it doesn't change.
+// MarkUnavailable makes all daemons avoid an engine for a time, or until it has the role to; to
+// is empty if its role doesn't change.
 func (p *Peers) MarkUnavailable(id string, to upstream.Role, d time.Duration) {
 	key := p.tracker.KeyOf(id)
 	p.tracker.MarkUnavailable(key, to, d)
@@ -27,7 +27,7 @@
 	}
 }
 
-// noteAway takes another daemon's word of engines that take no work.
+// applyUnavailable records the unavailable engines that another daemon reports.
 func (p *Peers) applyUnavailable(engines []wire.AwayEngine) {
 	for _, a := range engines {
 		p.tracker.MarkUnavailable(a.At, a.To, a.Left)
@@ -47,9 +47,9 @@
 	return list
 }
 
-// Demand returns what callers ask of a pool at all daemons. The one that adds up the loads
-// of a large site is told it; for those that another one there doesn't hear the average of
-// the others stands in.
+// Demand returns the demand of all daemons' callers for a pool. The root of a large site gets it
+// in reports; other daemons of a large site estimate the rest from the average of those that
+// they hear from.
 func (p *Peers) Demand(pool string) wire.MemberDemand {
 	if p.Aggregates() {
 		return p.aggregate.demand(pool)
@@ -67,9 +67,9 @@
 	return sum
 }
 
-// Rank returns how many daemons come before this one where some act for all. In a small
-// site it is the number of those serving and heard whose address is lower; in a large one,
-// where each hears some only, that of those which stand before it in line as collectors.
+// Rank returns the number of daemons that precede this one for tasks that one daemon does for
+// all. In a small site those are the serving ones with a lower address; in a large one, where
+// each daemon receives the state of a few only, those ranked before it as aggregators.
 func (p *Peers) Rank() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -85,7 +85,7 @@
 	return rank
 }
 
-// Up returns the daemons heard from lately that serve callers.
+// Serving returns the daemons that serve callers, as recently reported.
 func (p *Peers) Serving() []wire.MemberAddress {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -98,9 +98,9 @@
 	return up
 }
 
-// Better returns the peer address of a daemon with a newer configuration than
-// this one's, or else one with another list of upstreams that was read later, and
-// what it says of itself; "" if there is none.
+// Freshest returns the address and summary of the peer with the newest configuration, if newer
+// than the local one, or else of one with a different list of upstreams that was read later; ""
+// if there is none.
 func (p *Peers) Freshest(local Summary) (string, Summary) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -123,8 +123,8 @@
 	return best, summary
 }
 
-// Known returns the number of daemons that are or lately were part of the
-// system, this one included.
+// KnownCount returns the number of daemons that are or recently were part of the system,
+// including this one.
 func (p *Peers) KnownCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/member/roleorders.go
+++ b/internal/member/roleorders.go
@@ -8,21 +8,21 @@
 	"tamarackchute/rolepolicy"
 )
 
-// orderAll gives a change's orders one after the other, until the next look is due:
-// engines that don't answer must not keep the leader from looking.
+// orderAll gives a change's orders one after the other, until the next check is due: engines
+// that don't answer must not delay it.
 func (d *director) orderAll(ctx context.Context, engines []*fleet.Upstream, c rolepolicy.Change) {
 	start := time.Now()
 	for i, u := range engines {
 		if time.Since(start) > roleCheckInterval {
-			d.logger.Warn("orders left for the next look", "left", len(engines)-i, "of", len(engines), "to", c.To)
+			d.logger.Warn("orders postponed to the next check", "left", len(engines)-i, "of", len(engines), "to", c.To)
 			return
 		}
 		d.order(ctx, u, c)
 	}
 }
 
-// order gives one order. Its precondition is the engine's state as just read, so
-// that it has no effect after any other.
+// order gives one order. Its precondition is the engine's state just read, so that it has no
+// effect after any other order.
 func (d *director) order(ctx context.Context, u *fleet.Upstream, c rolepolicy.Change) {
 	ctx, cancel := context.WithTimeout(ctx, 2*orderTimeout)
 	defer cancel()
@@ -32,9 +32,8 @@
 		return
 	}
 	if !state.Started.Equal(u.Started) && !state.Started.IsZero() {
-		// The order would be for the start that the list tells of, with the count of
-		// orders of another one.
-		d.logger.Info("role not changed: the engine has started again", "engine", u.ID, "listed", u.Started, "started", state.Started)
+		// The order would be meant for the listed start but carry the order count of another.
+		d.logger.Info("role not changed: the engine has restarted", "engine", u.ID, "listed", u.Started, "started", state.Started)
 		return
 	}
 	authority, done, ok := d.keeper.Use()
@@ -52,20 +51,20 @@
 		"after", state.AcceptedOrders, "outcome", outcome.String(), "reason", c.Reason, "err", err)
 	switch outcome {
 	case OrderAccepted:
-		// Whatever is sent there before its entry shows the new role is turned
-		// away. Each daemon ends that by itself, whoever leads then.
+		// The engine refuses work until its entry shows the new role. Each daemon ends the
+		// unavailability by itself, whichever holds the lease then.
 		d.changes[u.ID] = roleChange{engine: u, to: c.To, since: time.Now()}
 		d.member.peers.MarkUnavailable(u.ID, c.To, changeTimeout)
 	case OrderUnknown:
 		d.member.peers.MarkUnavailable(u.ID, c.To, unknownOrderTimeout)
 	case OrderFenced:
-		// Somebody else has led since: this authority is worth nothing.
+		// Another daemon has held the lease since: this authority is void.
 		d.blockedUntil = time.Now().Add(d.term())
 		d.keeper.Renumber()
 	}
 }
 
-// follow notes what became of the orders given.
+// trackChanges checks the progress of the accepted orders.
 func (d *director) trackChanges(s *fleet.Snapshot) {
 	for id, c := range d.changes {
 		took := time.Since(c.since)
@@ -78,7 +77,7 @@
 			d.logger.Info("role changed", "engine", id, "to", c.to, "took_ms", took.Milliseconds())
 		case took > changeTimeout:
 			delete(d.changes, id)
-			d.logger.Warn("role not changed in time", "engine", id, "to", c.to)
+			d.logger.Warn("role change timed out", "engine", id, "to", c.to)
 		}
 	}
 }
--- a/internal/member/rolepicture.go
+++ b/internal/member/rolepicture.go
@@ -13,7 +13,7 @@
 	"tamarackchute/upstream"
 )
 
-// picture gathers what the policy looks at.
+// poolState returns the state of a pool on which the policy decides.
 func (d *director) poolState(s *fleet.Snapshot, name string, pool *fleet.Pool) (rolepolicy.Pool, []placement.Engine) {
 	tracker := d.member.tracker
 	demand := d.member.peers.Demand(name)
@@ -23,7 +23,7 @@
 		switch {
 		case u.Leaving:
 		case tracker.Unavailable(u.ID):
-			// It is on its way to the role that it hasn't.
+			// It is changing to the other role.
 			p.Changing++
 			if u.Role == upstream.RolePrefill {
 				p.Decode++
@@ -44,8 +44,8 @@
 	return p, engines
 }
 
-// beside is how fast engines that generate read, as a share of those that only read:
-// of a typical prompt.
+// concurrentPrefillRate returns the prefill rate of decode engines, which prefill concurrently
+// with decoding, as a share of the rate of prefill engines, for a typical prompt.
 func concurrentPrefillRate(engines []placement.Engine) float64 {
 	for _, e := range engines {
 		if e.Model == nil {
@@ -57,12 +57,12 @@
 	return 1
 }
 
-// typicalPrompt is the length of the prompt by which roles are compared, in tokens.
-// What a token takes hardly depends on it.
+// typicalPromptTokens is the prompt length used to compare the roles. The time per token hardly
+// depends on it.
 const typicalPromptTokens = 1000
 
-// chooseEngines returns the engines whose change disturbs least: those with the
-// fewest long streams, which they would have to end first, and the fewest requests.
+// chooseEngines returns the engines whose change is least disruptive: those with the fewest long
+// streams, which they must finish first, and the fewest requests.
 func chooseEngines(s *fleet.Snapshot, engines []placement.Engine, c rolepolicy.Change) []*fleet.Upstream {
 	from := upstream.RoleDecode
 	if c.To == upstream.RoleDecode {
@@ -81,16 +81,16 @@
 	return chosen
 }
 
-// pictureEvery is how often the leader logs what it looks at.
+// poolLogInterval is how often the lease holder logs the state of a pool.
 const poolLogInterval = 2 * time.Second
 
 func (d *director) logPool(pool string, p rolepolicy.Pool) {
 	if now := time.Now(); now.Sub(d.lastLogged[pool]) >= poolLogInterval {
 		d.lastLogged[pool] = now
-		d.logger.Info("roles looked at", "pool", pool, "prefill", p.Prefill, "decode", p.Decode, "changing", p.Changing,
+		d.logger.Info("roles checked", "pool", pool, "prefill", p.Prefill, "decode", p.Decode, "changing", p.Changing,
 			"read_demand", round(p.PrefillDemand), "generating", round(p.DecodeLoad), "beside", round(p.ConcurrentPrefillRate))
 	}
 }
 
-// round keeps two digits behind the point.
+// round rounds to two decimal places.
 func round(x float64) float64 { return math.Round(x*100) / 100 }
--- a/internal/member/schedule.go
+++ b/internal/member/schedule.go
@@ -32,11 +32,11 @@
 	}
 }
 
-// timetable is when the peers were told last, and silence looked for.
+// schedule is when heartbeats and loads were last sent, and silence was checked.
 type schedule struct{ heartbeat, loads, silence time.Time }
 
-// tellNews tells the daemon above what is new, and returns the time until that is due: some
-// changes come close to each other and go together.
+// reportPending reports updates to the parent, and returns the time until that is due: changes
+// in quick succession are combined.
 func (p *Peers) reportPending(t *schedule, now time.Time) time.Duration {
 	if p.isFullMesh() {
 		return loadInterval
@@ -49,7 +49,7 @@
 	return p.updateInterval()
 }
 
-// tell does what is due.
+// sendDue sends what is due.
 func (p *Peers) sendDue(t *schedule, now time.Time) {
 	if now.Sub(t.silence) >= heartbeatInterval {
 		t.silence = now
@@ -73,7 +73,7 @@
 	}
 }
 
-// tellLarge tells the neighbours of this daemon and the one above of its work.
+// sendLarge sends heartbeats to the neighbours and a report to the parent.
 func (p *Peers) sendLarge(t *schedule, now time.Time) {
 	if now.Sub(t.heartbeat) >= largeHeartbeatInterval || p.statusChanged() {
 		t.heartbeat = now
@@ -83,8 +83,8 @@
 	p.report(now, p.needsTotals())
 }
 
-// statusChanged reports whether callers are to be sent here or not other than the peers
-// were told, or the configuration is newer: neither can wait for the next beat.
+// statusChanged reports whether the daemon has started or stopped serving, or got a newer
+// configuration, since its last state: neither can wait for the next heartbeat.
 func (p *Peers) statusChanged() bool {
 	summary := p.summary()
 	p.mu.Lock()
@@ -92,7 +92,7 @@
 	return summary.Serving != p.reported.Serving || summary.Config != p.reported.Config
 }
 
-// tellEvery is the time between two looks at what is to be told.
+// updateInterval returns the time between two checks for updates to send.
 func (p *Peers) updateInterval() time.Duration {
 	busy := p.needsTotals()
 	p.mu.Lock()
@@ -107,9 +107,9 @@
 	}
 }
 
-// blindFor returns how long others' work takes to be known here, on the long side. In a
-// large site that of another data centre goes through three daemons, each of which may have
-// to wait for the next question of the one below it.
+// updateDelay returns how long other daemons' load takes to be known here, as an upper estimate.
+// In a large site, load from another data centre passes through three daemons, each of which may
+// have to wait for the next query of the one below it.
 func (p *Peers) updateDelay() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -119,7 +119,7 @@
 	return 3 * p.parent.interval / 2
 }
 
-// meshed reports whether every daemon tells every other its state.
+// isFullMesh reports whether every daemon sends its state to every other one.
 func (p *Peers) isFullMesh() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/member/tally.go
+++ b/internal/member/tally.go
@@ -10,51 +10,49 @@
 )
 
 const (
-	// silentCheck is how often silent daemons are looked for.
+	// silenceCheckInterval is how often silent daemons are looked for.
 	silenceCheckInterval = 100 * time.Millisecond
-	// totalsKept is how long all are told that nobody has work at an upstream: some
-	// full answers, in the largest site of several hundred daemons.
+	// emptyTotalRetention is how long totals without work are kept, so that all daemons receive
+	// them: several full answers, also in a site of several hundred daemons.
 	emptyTotalRetention = 10 * time.Second
-	// maxDepth is the most daemons that stand below each other where loads are added
-	// up: one of a data centre, the one that collects there or stands in for it, and
-	// the site's. Daemons that know different ones could report in a circle, and each
-	// round would count all work again; a report from deeper down ends that.
+	// maxTreeDepth limits the depth of the aggregation tree: a daemon, the aggregator of its
+	// data centre or its substitute, and the root. Daemons that know different peers could form
+	// a cycle, in which each round would count all work again; the limit ends that.
 	maxTreeDepth = 5
 )
 
-// tally is what the daemons that report to this one have in flight, what it has
-// itself, and what it is told of all others; and the sum of it. The sum is kept up to
-// date with each report: adding all up for each answer would cost the square of the
-// daemons' number. Word of engines that take no work and of prompts goes the same way,
-// to each sender but the one that it came from.
+// loadAggregate adds up the load of this daemon and of those that report to it, its children,
+// and the rest of the site as its parent reports it. The sum is updated with each report: a new
+// sum for each answer would take time quadratic in the number of daemons. Unavailable engines
+// and prefills are passed on likewise, to all but their sender.
 type loadAggregate struct {
 	mu       sync.Mutex
 	children map[string]*contribution
-	// above is the rest of the site, as the daemon that this one reports to tells it.
+	// parent is the load of the rest of the site, as received from the parent.
 	parent *contribution
 	totals map[placement.Key]*total
-	// order holds the sums in the order in which they came up: looked through for each
-	// answer, a list takes a fraction of the map's time.
+	// order holds the totals in order of creation: iterating over a slice for each answer takes
+	// a fraction of the time of iterating over the map.
 	order []*total
-	// away are the engines that take no work, whoever said so.
+	// unavailable are the unavailable engines reported by any daemon.
 	unavailable map[placement.Key]unavailableEntry
-	// version counts the changes of the sum and of what else is told.
+	// version counts the changes of the totals and of what else is sent.
 	version uint64
-	// checked is when silent daemons were last looked for.
+	// lastSilenceCheck is when silent daemons were last looked for.
 	lastSilenceCheck time.Time
 }
 
-// report is one sender's part of the sum.
+// contribution is one sender's part of the totals.
 type contribution struct {
 	loads      map[placement.Key]placement.Load
 	lastReport time.Time
-	// told is the tally's version up to which the sender was told the others' part.
+	// sentVersion is the aggregate's version up to which updates were sent to the sender.
 	sentVersion uint64
-	// daemons is how many the report is of, depth how many stand below each other.
+	// daemons is the number of daemons included, depth the depth of their subtree.
 	daemons, depth int
-	// reads are the others' prompts that the sender wasn't told of yet.
+	// pendingPrefills are prefill events of others not yet sent to the sender.
 	pendingPrefills []placement.PrefillEvent
-	// demands is what callers ask of those daemons, by pool.
+	// demands is the demand at those daemons, by pool.
 	demands map[string]wire.MemberDemand
 }
 
@@ -62,14 +60,14 @@
 	return &contribution{loads: make(map[placement.Key]placement.Load)}
 }
 
-// total is the sum of all reports at one upstream.
+// total is the sum of all contributions at one upstream.
 type total struct {
 	upstream placement.Key
 	load     placement.Load
-	// reports counts those in it.
+	// contributions is the number of contributions included.
 	contributions int
-	// changed is the tally's version of the last change, at its time, below that of the
-	// last one that didn't come from above: only those are reported there.
+	// changed is the aggregate's version of the last change, made at changedAt; changedBelow is
+	// that of the last change not received from the parent: only those are reported there.
 	changed, changedBelow uint64
 	changedAt             time.Time
 }
@@ -81,9 +79,9 @@
 	}
 }
 
-// take books a report and returns the totals of all others, unless its sender wants no
-// answer: what it hasn't been told yet is kept for the next one. ok is false if it comes
-// from too deep down: the daemons report in a circle.
+// applyReport applies a report and returns the totals of all others, unless its sender wants no
+// answer: then they are kept for the next one. ok is false if the report comes from too deep in
+// the tree, as its senders form a cycle.
 func (a *loadAggregate) applyReport(m wire.LoadReport, now time.Time) (others wire.LoadTotals, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -110,7 +108,7 @@
 	return a.changedTotals(r, now), true
 }
 
-// collects reports whether other daemons than this one report here.
+// hasChildren reports whether other daemons report to this one.
 func (a *loadAggregate) hasChildren(self string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -122,7 +120,7 @@
 	return false
 }
 
-// takeAbove books what the daemon that this one reports to tells of the others.
+// applyParentTotals applies the totals received from the parent.
 func (a *loadAggregate) applyParentTotals(m wire.LoadTotals, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -132,8 +130,8 @@
 	a.forwardPrefills(a.parent, m.Reads)
 }
 
-// totalsFor returns what has changed at the others since the sender of a report was
-// told last.
+// totalsFor returns the totals without a sender's own part, as far as they have changed since
+// the last answer to it.
 func (a *loadAggregate) totalsFor(sender string, now time.Time) wire.LoadTotals {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -143,8 +141,8 @@
 	return wire.LoadTotals{}
 }
 
-// reportAbove returns what to report: all but what was told from above, in full or
-// what has changed since the last time.
+// parentReport returns the report to the parent: everything that doesn't come from it, in full
+// or as changed since the last report.
 func (a *loadAggregate) parentReport(self string, full bool, now time.Time) wire.LoadReport {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -172,7 +170,7 @@
 	return m
 }
 
-// demands adds up what callers ask of all that report. t.mu is held.
+// demands adds up the demand of all reporting daemons. a.mu is held.
 func (a *loadAggregate) demands() map[string]wire.MemberDemand {
 	sum := make(map[string]wire.MemberDemand)
 	for _, r := range a.children {
@@ -183,15 +181,15 @@
 	return sum
 }
 
-// demand returns what callers ask of a pool at all daemons that report here.
+// demand returns the demand for a pool of all reporting daemons.
 func (a *loadAggregate) demand(pool string) wire.MemberDemand {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.demands()[pool]
 }
 
-// book takes a report's loads into the sum. If it is full, what it doesn't list is
-// taken out of it.
+// applyLoads applies a contribution's loads to the totals. If they are full, loads not listed
+// are removed.
 func (a *loadAggregate) applyLoads(r *contribution, loads []placement.UpstreamLoad, full bool, now time.Time) {
 	a.version++
 	r.lastReport = now
@@ -215,7 +213,7 @@
 	}
 }
 
-// put takes one load of a report over.
+// put applies one load of a contribution.
 func (a *loadAggregate) put(r *contribution, l placement.UpstreamLoad, now time.Time) {
 	before, known := r.loads[l.Upstream]
 	if known && before == l.Load {
@@ -235,8 +233,8 @@
 	r.loads[l.Upstream] = l.Load
 }
 
-// takeOut takes a load out of a report. An upstream where nobody has work any more
-// stays in the sum for a while, so that all are told.
+// remove removes a load from a contribution. The total of an upstream without any load is kept
+// for a while, so that all daemons receive it.
 func (a *loadAggregate) remove(r *contribution, at placement.Key, now time.Time) {
 	sum := a.totals[at]
 	sum.load = sum.load.Minus(r.loads[at])
@@ -252,9 +250,8 @@
 	}
 }
 
-// forgetSilent drops the daemons that have fallen silent, what was told from above if
-// nothing comes from there any more, and the upstreams where nobody has had work for
-// long.
+// forgetSilent removes the contributions of silent daemons and of a silent parent, and the
+// totals of upstreams that have had no load for long.
 func (a *loadAggregate) forgetSilent(now time.Time) {
 	if now.Sub(a.lastSilenceCheck) < silenceCheckInterval {
 		return
@@ -280,8 +277,8 @@
 	})
 }
 
-// totals returns what all have but the sender of a report, where that has changed
-// since its last answer. Its own changes are told as well; they change nothing.
+// changedTotals returns the totals without the recipient's own part, where they have changed
+// since its last answer. Its own changes are included; they have no effect.
 func (a *loadAggregate) changedTotals(to *contribution, now time.Time) wire.LoadTotals {
 	totals := wire.LoadTotals{Full: to.sentVersion == 0, Senders: a.parent.daemons - to.daemons, Away: a.unavailableSince(to.sentVersion, now), Reads: to.takePrefills()}
 	for _, r := range a.children {
@@ -291,8 +288,8 @@
 	return totals
 }
 
-// others returns the sum without one report, where it has changed since that one's
-// sender was told.
+// others returns the sum without one contribution, where it has changed since the last answer to
+// its sender.
 func (a *loadAggregate) others(recipient *contribution) []placement.UpstreamLoad {
 	var loads []placement.UpstreamLoad
 	for _, sum := range a.order {
--- a/internal/member/tallynews.go
+++ b/internal/member/tallynews.go
@@ -8,17 +8,17 @@
 	"tamarackchute/placement"
 )
 
-// awayWord is an engine that takes no work, and the tally's version of that word.
+// unavailableEntry is an unavailable engine and the aggregate's version that added it.
 type unavailableEntry struct {
 	unavailableEngine
 	changed uint64
 }
 
-// awaySlack is the difference between two accounts of when an engine takes work again
-// that count as the same: each has been on its way for a while.
+// unavailableSlack is the difference up to which two ends of an unavailability count as equal:
+// each report has been on its way for a while.
 const unavailableSlack = 200 * time.Millisecond
 
-// noteAway takes word of engines that take no work. Of two times the later one holds.
+// applyUnavailable records unavailable engines. The later of two ends counts.
 func (a *loadAggregate) applyUnavailable(engines []wire.AwayEngine, now time.Time) {
 	for _, e := range engines {
 		until := now.Add(e.Left)
@@ -29,7 +29,7 @@
 	}
 }
 
-// awaySince returns the engines that take no work, where that is news since a version.
+// unavailableSince returns the unavailable engines that were added after a version.
 func (a *loadAggregate) unavailableSince(version uint64, now time.Time) []wire.AwayEngine {
 	var list []wire.AwayEngine
 	for at, e := range a.unavailable {
@@ -43,11 +43,11 @@
 	return list
 }
 
-// maxReads bounds the prompts kept for a daemon that isn't heard from: some hundred
-// milliseconds of a large site. What is dropped is read again somewhere at worst.
+// maxPendingPrefills limits the prefill events kept for a silent daemon: some hundred
+// milliseconds of a large site. At worst a dropped prompt is prefilled again elsewhere.
 const maxPendingPrefills = 2000
 
-// passOn keeps what became of one sender's prompts for all others.
+// forwardPrefills queues one sender's prefill events for all others.
 func (a *loadAggregate) forwardPrefills(from *contribution, reads []placement.PrefillEvent) {
 	if len(reads) == 0 {
 		return
--- a/internal/member/telling.go
+++ b/internal/member/telling.go
@@ -7,8 +7,8 @@
 	"tamarackchute/placement"
 )
 
-// changes returns what is to be told between two beats, nil if nothing has
-// changed. A whole state goes out only if there is more to tell than loads.
+// loadUpdate returns the message to send between two heartbeats, nil if nothing has changed. It
+// is a full state only if more than the loads has changed.
 func (p *Peers) loadUpdate(now time.Time) wire.Message {
 	loads := p.tracker.LocalLoads(false)
 	if len(loads) == 0 {
@@ -24,25 +24,24 @@
 	return wire.MemberLoads{Incarnation: p.incarnation, Seq: p.seq, Loads: loads, Reads: p.tracker.PrefillEvents()}
 }
 
-// toldAbout is what the last state said of this daemon, and when.
+// reportedSummary is the summary in the last state sent, and when.
 type reportedSummary struct {
 	Summary
 	at time.Time
 }
 
-// readSlack is the difference between two accounts of when a list was read that
-// count as the same: they are taken at slightly different times.
+// listAgeSlack is the difference up to which two ages of a list count as equal: they are
+// measured at slightly different times.
 const listAgeSlack = 10 * time.Millisecond
 
-// covers reports whether what was told still holds, but for the time that has
-// passed.
+// covers reports whether the reported summary still holds, apart from the time passed.
 func (t reportedSummary) covers(now Summary, at time.Time) bool {
 	same := t.Serving == now.Serving && t.Config == now.Config &&
 		t.ListPosition == now.ListPosition && t.ListDigest == now.ListDigest
 	return same && now.ListAge > t.ListAge+at.Sub(t.at)-listAgeSlack
 }
 
-// stateOf returns the state to be told. p.mu is held.
+// newState returns a state to send. p.mu is held.
 func (p *Peers) newState(summary Summary, loads []placement.UpstreamLoad, prefills []placement.PrefillEvent, now time.Time) wire.MemberState {
 	p.seq++
 	p.reported = reportedSummary{summary, now}
@@ -54,8 +53,8 @@
 	}
 }
 
-// state returns the state of a beat: it carries the loads even if they haven't
-// changed, and now and then the addresses of other daemons.
+// heartbeatState returns the state of a heartbeat. It contains the loads even if they haven't
+// changed, and periodically the observations and the addresses of other daemons.
 func (p *Peers) heartbeatState(now time.Time) wire.MemberState {
 	var loads []placement.UpstreamLoad
 	var prefills []placement.PrefillEvent
@@ -82,11 +81,11 @@
 	return s
 }
 
-// send tells a message to all neighbours.
+// broadcast sends a message to all neighbours.
 func (p *Peers) broadcast(m wire.Message) {
 	encoded, err := wire.Encode(m)
 	if err != nil {
-		p.log.Error("message to peers left out", "kind", m.Kind(), "err", err)
+		p.log.Error("encoding a message to peers failed", "kind", m.Kind(), "err", err)
 		return
 	}
 	p.mu.Lock()
--- a/internal/member/topicreader.go
+++ b/internal/member/topicreader.go
@@ -10,64 +10,63 @@
 )
 
 const (
-	// longWait is how long the store may keep a read waiting for a change.
+	// longPollTimeout limits how long the store may hold a read open for a change.
 	longPollTimeout = 20 * time.Second
-	// upstreamsEvery is the least time between two reads of the upstreams'
-	// entries. Each of them is written about once a second, so a waiting read
-	// returns at once; a change must be known well within a leaving upstream's
-	// last two seconds.
+	// upstreamsInterval is the minimum time between two reads of the upstreams' entries. Each
+	// entry is written about once a second, so a long poll would return at once; a change must
+	// be known well within the last two seconds of a draining upstream.
 	upstreamsInterval = 450 * time.Millisecond
-	// upstreamsSpread is the random time that is added, so that one daemon reads
-	// and the others hear of it.
+	// upstreamsJitter is the maximum random delay added, so that one daemon reads and the others
+	// learn the result from it.
 	upstreamsJitter = 300 * time.Millisecond
-	// callSlack is added to the wait that the store was asked for.
+	// callTimeout limits a call to the store, in addition to the requested wait.
 	callTimeout = 1500 * time.Millisecond
-	// outageAfter is the time without a successful read after which removals
-	// are doubted: entries lapse while their owners can't reach the store.
+	// outageThreshold is the time without a successful read after which removals aren't trusted:
+	// entries lapse while their owners can't reach the store.
 	outageThreshold = 1500 * time.Millisecond
 )
 
-// topicReader follows one topic of the store: the newest entries first, then
-// each change, and the newest again if the store has dropped records since.
+// topicReader follows a topic of the store: it reads the newest entries first, then each change,
+// and the newest entries again if the store has deleted records since.
 type topicReader struct {
 	store Store
 	topic Topic
 	name  string
-	// every is the least time between reads, wait how long one may wait.
+	// interval is the minimum time between reads, longPoll how long one may wait for a change.
 	interval, longPoll time.Duration
-	// rests reports whether it will do to look now and then, since others tell of what is
-	// new; nil is no.
+	// peersNotify reports whether peers report all changes, so that occasional polling suffices;
+	// nil means no.
 	peersNotify func() bool
-	// backoff is shared by all that call the store.
+	// backoff is shared by all callers of the store.
 	backoff *backoff
-	// reset takes the newest entries, apply a change.
+	// applyAll processes the newest entries, applyChanges the changes since.
 	applyAll     func([]Entry)
 	applyChanges func([]Entry)
-	// resetCopy takes the newest entries of a store that has come back from an older copy;
-	// nil is reset.
+	// applyRestored processes the newest entries of a store restored from an older copy; nil
+	// means applyAll.
 	applyRestored func([]Entry)
-	// spread is the random time beyond every by which a read waits while another
-	// daemon's reading is as good; 0 reads always.
+	// jitter is the maximum random delay added to interval, during which a peer's read may
+	// replace this one; 0 for none.
 	jitter time.Duration
-	// first reports whether this daemon is to read before all others; nil is no.
+	// readsFirst reports whether this daemon reads without the jitter; nil means no.
 	readsFirst func() bool
 	log        *slog.Logger
 
 	mu sync.Mutex
-	// from is the position to read on from, known says that there is one.
+	// next is the position of the next read, positioned is set if there is one.
 	next       Position
 	positioned bool
 	readAt     time.Time
 	down       bool
-	// hurried says that the next read isn't to wait.
+	// expedited means that the next read must not be delayed.
 	expedited bool
-	// breakOff ends the read that is waiting.
+	// cancelRead cancels the read in progress.
 	cancelRead context.CancelFunc
-	// returned is called when the store is regained.
+	// onRecovered is called when the store is reachable again.
 	onRecovered func()
 }
 
-// String names the service for the supervisor.
+// String implements fmt.Stringer; the supervisor logs it.
 func (r *topicReader) String() string { return "feed of " + r.name }
 
 // age returns the time since the last successful read.
@@ -99,7 +98,7 @@
 			r.positioned = false
 			r.mu.Unlock()
 		case errors.Is(err, context.Canceled) && ctx.Err() == nil:
-			// Broken off by restart: the next read begins at once.
+			// Cancelled by restartRead: the next read starts at once.
 		default:
 			r.recordFailure(ctx, err)
 			r.backoff.recordFailure(start, time.Now())
@@ -108,8 +107,8 @@
 	return ctx.Err()
 }
 
-// hold returns how long the next read has to wait. The draw of spread lets one
-// daemon read for all that hear of it.
+// delay returns how long to wait before the next read. Its jitter lets one daemon read for all
+// that receive its updates.
 func (r *topicReader) delay() time.Duration {
 	if r.takeExpedited() {
 		return 0
@@ -124,13 +123,13 @@
 	return wait - r.age()
 }
 
-// restingEvery is how often a reader looks that others tell of what is new.
+// rarePollInterval is the interval of reads while peers report all changes.
 const rarePollInterval = longPollTimeout
 
 func (r *topicReader) pollsRarely() bool { return r.peersNotify != nil && r.peersNotify() }
 
-// waits returns how long the next read may wait: not at all if nothing says yet that the
-// store answers again, so that it is known.
+// longPollWait returns how long the next read may wait for a change. After a failure it is 0, so
+// that the recovery of the store is noticed at once.
 func (r *topicReader) longPollWait() time.Duration {
 	if r.isDown() || r.pollsRarely() {
 		return 0
@@ -138,10 +137,10 @@
 	return r.longPoll
 }
 
-// restPiece is how soon a reader that rests notices that it is to hurry.
+// wakeInterval is how often a paused reader checks whether it is expedited.
 const wakeInterval = 50 * time.Millisecond
 
-// rest sleeps for a time, or until the reader is to hurry.
+// pause sleeps for a time, or until the reader is expedited.
 func (r *topicReader) pause(ctx context.Context, d time.Duration) {
 	for until := time.Now().Add(d); ctx.Err() == nil; {
 		left := time.Until(until)
@@ -152,7 +151,7 @@
 	}
 }
 
-// hurry makes the next read begin soon: something has changed.
+// expedite makes the next read start soon, as something has changed.
 func (r *topicReader) expedite() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -206,7 +205,7 @@
 		r.applyChanges(entries)
 	}
 	if wait > 0 {
-		start = time.Now() // the answer is of the moment of its end
+		start = time.Now() // a long poll's answer is current when it ends
 	}
 	r.recordRead(next, start)
 	return nil
@@ -220,15 +219,14 @@
 	r.applyAll(entries)
 }
 
-// isLater reports whether a position is of a later era than what was read.
+// isNewerEra reports whether a position is of a later era than the last read.
 func (r *topicReader) isNewerEra(at Position) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !r.readAt.IsZero() && at.Era() > r.next.Era()
 }
 
-// heard takes over that the state as of a position is known as of a time ago, as
-// another daemon has read the same.
+// adopt records that a peer has read the topic up to a position, age ago, with the same result.
 func (r *topicReader) adopt(at Position, age time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -252,15 +250,15 @@
 	r.readAt = at
 	if r.down {
 		r.down = false
-		r.log.Info("store regained", "topic", r.name)
+		r.log.Info("store reachable again", "topic", r.name)
 		if r.onRecovered != nil {
 			r.onRecovered()
 		}
 	}
 }
 
-// restart breaks a waiting read off. Its connection may have fallen silent while
-// the store was out of reach, and would tell of no change until its time is over.
+// restartRead cancels a long poll. Its connection may have failed silently during an outage, and
+// would report no change until it times out.
 func (r *topicReader) restartRead() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/member/upstreams.go
+++ b/internal/member/upstreams.go
@@ -14,22 +14,23 @@
 	"tamarackchute/internal/fleet"
 )
 
-// upstreamFeed keeps the list of upstreams.
+// upstreamFeed maintains the list of upstreams from their entries in the store.
 type upstreamFeed struct {
 	decoder Decoder
 	state   *fleet.State
 	log     *slog.Logger
-	// returnWithin is how long after an outage a lapsed entry may come back.
+	// lapsedGrace is how long an upstream whose entry lapsed in an outage stays listed.
 	lapsedGrace time.Duration
 	age         func() time.Duration
 
-	// newest are the latest starts seen of each ID, refusals the entries left out, by key.
+	// latestStart is the latest start seen of each ID, rejected the hash of each invalid entry,
+	// by key.
 	latestStart map[string]time.Time
 	rejected    map[string]uint64
-	// left counts the entries left out, each once.
+	// rejectedCount counts the invalid entries, each once.
 	rejectedCount atomic.Int64
 
-	// digest tells whether two daemons have the same list.
+	// digest identifies the content of the list, to compare it with a peer's.
 	digest atomic.Uint64
 
 	mu   sync.Mutex
@@ -37,8 +38,8 @@
 	list map[string]*fleet.Upstream
 	// revisions are those of the newest entries.
 	revisions map[string]uint64
-	// doubted are upstreams whose entries went while the store was away, with
-	// the time at which they count as gone.
+	// lapsed holds the upstreams whose entries were removed during an outage of the store, and
+	// when they are dropped.
 	lapsed map[string]time.Time
 }
 
@@ -51,7 +52,7 @@
 	}
 }
 
-// reset takes the newest entries of all upstreams.
+// reset processes the newest entries of all upstreams.
 func (f *upstreamFeed) reset(entries []Entry) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -69,7 +70,7 @@
 	f.publish(changed)
 }
 
-// apply takes changes in their order.
+// apply processes changes in order.
 func (f *upstreamFeed) apply(entries []Entry) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -90,11 +91,11 @@
 	}
 	delete(f.rejected, e.Key)
 	if u.Started.Before(f.latestStart[u.ID]) {
-		f.log.Info("entry of a former start left out", "upstream", u.ID, "started", u.Started, "newest", f.latestStart[u.ID])
+		f.log.Info("entry of an earlier start ignored", "upstream", u.ID, "started", u.Started, "newest", f.latestStart[u.ID])
 		return false
 	}
 	if f.isOutdated(u) {
-		f.log.Info("older entry left out", "upstream", u.ID, "revision", u.Revision, "newest", f.revisions[u.ID])
+		f.log.Info("outdated entry ignored", "upstream", u.ID, "revision", u.Revision, "newest", f.revisions[u.ID])
 		return false
 	}
 	f.recordStart(u)
@@ -111,16 +112,16 @@
 	return true
 }
 
-// older reports whether an entry was written before the known one of the same start.
+// isOutdated reports whether an entry was written before the known one of the same start.
 func (f *upstreamFeed) isOutdated(u *fleet.Upstream) bool {
 	known := f.list[u.ID]
 	return known != nil && !u.Started.IsZero() && u.Started.Equal(known.Started) && u.Revision < f.revisions[u.ID]
 }
 
-// resetCopy takes the newest entries of a store that has come back from an older copy. What
-// is known is newer: it stays until servers write again, which each does about once a
-// second. One that the copy lacks counts for as long as one whose entry lapsed in an outage,
-// and one that only the copy has doesn't count before it writes: it may have gone.
+// resetRestored processes the newest entries of a store restored from an older copy. The known
+// list is newer: it stays until the servers write again, each about once a second. An upstream
+// that the copy lacks counts as lapsed; one that only the copy has isn't used before it writes,
+// as it may be gone.
 func (f *upstreamFeed) resetRestored(entries []Entry) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -129,7 +130,7 @@
 	for _, e := range entries {
 		listed[e.Key] = e.Value != nil
 		if f.list[e.Key] == nil {
-			f.log.Info("upstream of an older copy waits for its entry", "upstream", e.Key)
+			f.log.Info("upstream known only to the restored copy ignored until it writes", "upstream", e.Key)
 			continue
 		}
 		changed = f.put(e) || changed
@@ -142,14 +143,14 @@
 	f.publish(changed)
 }
 
-// leaveOut takes an entry for none: whoever wrote it, it vouches for no server, and the
-// one that it stands in place of may have gone. It is counted and logged once.
+// reject handles an invalid entry: whoever wrote it, it names no server, and the server of the
+// former entry may be gone. Each is counted and logged once.
 func (f *upstreamFeed) reject(e Entry, err error) bool {
 	content := xxhash.Sum64(e.Value)
 	if seen, known := f.rejected[e.Key]; !known || seen != content {
 		f.rejected[e.Key] = content
 		f.rejectedCount.Add(1)
-		f.log.Warn("upstream's entry left out", "upstream", e.Key, "bytes", len(e.Value), "err", err)
+		f.log.Warn("invalid upstream entry ignored", "upstream", e.Key, "bytes", len(e.Value), "err", err)
 	}
 	if f.list[e.Key] == nil {
 		return false
@@ -158,10 +159,10 @@
 	return true
 }
 
-// refused returns the number of entries left out.
+// rejectedEntries returns the number of invalid entries.
 func (f *upstreamFeed) rejectedEntries() int64 { return f.rejectedCount.Load() }
 
-// maxStarts bounds the starts remembered of servers that are gone.
+// maxRememberedStarts limits the starts remembered of servers that are gone.
 const maxRememberedStarts = 10_000
 
 func (f *upstreamFeed) recordStart(u *fleet.Upstream) {
@@ -174,7 +175,7 @@
 	f.latestStart[u.ID] = u.Started
 }
 
-// remove takes an upstream out, or doubts it for a while if the store was away.
+// remove drops an upstream, or marks it as lapsed after an outage of the store.
 func (f *upstreamFeed) remove(id string) bool {
 	if f.list[id] == nil {
 		return false
@@ -190,20 +191,20 @@
 	return true
 }
 
-// doubts reports whether any upstream is doubted.
+// hasLapsed reports whether any upstream is lapsed.
 func (f *upstreamFeed) hasLapsed() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.lapsed) > 0
 }
 
-// doubt lets an upstream count as gone unless it writes again soon.
+// markLapsed schedules an upstream to be dropped unless it writes again in time.
 func (f *upstreamFeed) markLapsed(id string) {
 	if _, already := f.lapsed[id]; already {
 		return
 	}
 	f.lapsed[id] = time.Now().Add(f.lapsedGrace)
-	f.log.Info("upstream doubted", "upstream", id)
+	f.log.Info("upstream entry lapsed during an outage", "upstream", id)
 }
 
 func (f *upstreamFeed) drop(id string) {
@@ -211,7 +212,7 @@
 	delete(f.raw, id)
 	delete(f.revisions, id)
 	delete(f.lapsed, id)
-	f.log.Info("upstream gone", "upstream", id)
+	f.log.Info("upstream removed", "upstream", id)
 }
 
 func (f *upstreamFeed) publish(changed bool) {
@@ -232,22 +233,22 @@
 	h := xxhash.New()
 	for _, id := range slices.Sorted(maps.Keys(list)) {
 		u := list[id]
-		_, _ = fmt.Fprintf(h, "%s %d %s %s %s %t\n", u.ID, u.Started.UnixMilli(), u.Pool, u.Address, u.Role, u.Leaving) // a hash never fails
+		_, _ = fmt.Fprintf(h, "%s %d %s %s %s %t\n", u.ID, u.Started.UnixMilli(), u.Pool, u.Address, u.Role, u.Leaving) // writing to a hash never fails
 	}
 	return h.Sum64()
 }
 
-// expire drops the upstreams whose doubt has lasted long enough. It is called
-// from time to time: no change may come that would.
+// expireLapsed drops the upstreams whose grace has ended. It is called periodically, as no
+// change may arrive that would do it.
 func (f *upstreamFeed) expireLapsed() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.publish(false)
 }
 
-// entries returns what was read, for a peer that can't reach the store. Doubted
-// entries are left out: the peer could not doubt them in turn, and never hears of
-// their removal, which lies before the position that it goes on reading from.
+// entries returns the entries read, for a peer that can't reach the store. Lapsed ones are left
+// out: the peer would neither treat them as lapsed nor receive their removal, which lies before
+// the position from which it continues.
 func (f *upstreamFeed) entries() map[string][]byte {
 	f.mu.Lock()
 	defer f.mu.Unlock()
