--- a/internal/member/collector_test.go
+++ b/internal/member/collector_test.go
@@ -17,7 +17,7 @@
 	return wire.Loads{{Upstream: 1, Load: placement.Load{Running: running, PrefillSent: sent}}}
 }
 
-// reported books a report and returns the totals in the answer.
+// applyReport applies a report and returns the totals in the answer.
 func applyReport(t *testing.T, c *loadAggregate, m wire.LoadReport, now time.Time) wire.LoadTotals {
 	t.Helper()
 	totals, ok := c.applyReport(m, now)
@@ -25,9 +25,9 @@
 	return totals
 }
 
-// Each daemon is told what the others have, not its own; one that falls silent is
-// forgotten, and a full report makes up for lost ones.
-func TestTotalsOfTheOthers(t *testing.T) {
+// Each daemon gets the load of the others without its own; a silent one is removed, and a full
+// report makes up for lost ones.
+func TestTotalsExcludeOwnLoad(t *testing.T) {
 	c := newLoadAggregate()
 	now := time.Unix(1000, 0)
 	require.Equal(t, testLoads(0, 0), applyReport(t, c, wire.LoadReport{Peers: "a", Loads: testLoads(1, 10)}, now).Loads)
@@ -41,14 +41,13 @@
 
 	now = now.Add(2 * peerTimeout)
 	totals = applyReport(t, c, wire.LoadReport{Peers: "c"}, now)
-	require.Equal(t, testLoads(0, 0), totals.Loads, "all are told that nobody has work there")
+	require.Equal(t, testLoads(0, 0), totals.Loads, "the removal is sent")
 	require.Zero(t, totals.Senders)
 }
 
-// A daemon dies with a long stream at an engine that nobody else uses. If the
-// others weren't told that this work is gone, the engine would look busy to them
-// for good, and stand idle.
-func TestWorkOfTheDeadIsTakenBack(t *testing.T) {
+// Guards against an engine that looks busy for good and stands idle, as a daemon failed during a
+// long stream there and the others weren't sent the removal of its load.
+func TestLoadOfFailedDaemonIsRemoved(t *testing.T) {
 	c := newLoadAggregate()
 	now := time.Unix(1000, 0)
 	applyReport(t, c, wire.LoadReport{Peers: "dead", Loads: testLoads(5, 10)}, now)
@@ -61,13 +60,13 @@
 			}
 		}
 	}
-	t.Fatal("never told")
+	t.Fatal("the removal was never sent")
 }
 
-// Daemons come, change what they have, lose reports and fall silent in any order.
-// What one knows by the answers it got must be what the others have; an answer
-// that is lost is made up for by the next full report.
-func TestAnswersAddUpToTheTotals(t *testing.T) {
+// Daemons join, change their load, lose reports and fall silent in any order. The answers that
+// one has received must add up to the load of the others; a full report makes up for a lost
+// answer.
+func TestAnswersMatchTotals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newLoadAggregate()
 		now := time.Unix(1000, 0)
@@ -125,9 +124,9 @@
 	})
 }
 
-// All daemons come to the same line of collectors, whatever order they learnt the
-// others in: those with the most capacity first.
-func TestLineOfCollectors(t *testing.T) {
+// All daemons must compute the same ranking, in whatever order they learned of the others:
+// highest capacity first.
+func TestAggregatorRankingIsConsistent(t *testing.T) {
 	all := testSite(30)
 	for i := range all {
 		all[i].Capacity = i % 3
@@ -141,8 +140,8 @@
 	}
 }
 
-// BenchmarkTotals measures what one report costs the collector of a large site:
-// each daemon has work at 20 of the upstreams.
+// BenchmarkTotals measures one report at the root of a large site: each daemon has load at 20 of
+// the upstreams.
 func BenchmarkTotals(b *testing.B) {
 	for _, size := range []struct{ daemons, upstreams int }{{74, 34}, {300, 3000}} {
 		b.Run(fmt.Sprintf("%d daemons, %d upstreams", size.daemons, size.upstreams), func(b *testing.B) {
@@ -168,31 +167,31 @@
 	}
 }
 
-// fullRounds is the number of rounds of which one is in full.
+// fullReportPeriod is the number of rounds of which one has full reports.
 const fullReportPeriod = 20
 
-// tree is the daemons of a site, of which each reports to the first in its line that
-// is alive.
+// siteTree simulates the daemons of a site, each of which reports to its first candidate that is
+// alive.
 type siteTree struct {
-	all     []wire.MemberAddress
-	tallies map[string]*loadAggregate
-	loads   map[string]map[placement.Key]placement.Load
-	dead    map[string]bool
-	// told is what each daemon was told.
+	all        []wire.MemberAddress
+	aggregates map[string]*loadAggregate
+	loads      map[string]map[placement.Key]placement.Load
+	dead       map[string]bool
+	// received holds the totals that each daemon was sent.
 	received map[string][]wire.LoadTotals
 	now      time.Time
 }
 
 func newTree(all []wire.MemberAddress) *siteTree {
-	s := &siteTree{all: all, tallies: map[string]*loadAggregate{}, loads: map[string]map[placement.Key]placement.Load{}, dead: map[string]bool{}, received: map[string][]wire.LoadTotals{}, now: time.Unix(1000, 0)}
+	s := &siteTree{all: all, aggregates: map[string]*loadAggregate{}, loads: map[string]map[placement.Key]placement.Load{}, dead: map[string]bool{}, received: map[string][]wire.LoadTotals{}, now: time.Unix(1000, 0)}
 	for _, a := range all {
-		s.tallies[a.Peers] = newLoadAggregate()
+		s.aggregates[a.Peers] = newLoadAggregate()
 		s.loads[a.Peers] = map[placement.Key]placement.Load{}
 	}
 	return s
 }
 
-// above is whom a daemon reports to.
+// parentOf returns the daemon that a daemon reports to.
 func (s *siteTree) parentOf(self wire.MemberAddress) (string, bool) {
 	for _, a := range parentCandidates(self, s.all) {
 		if !s.dead[a.Peers] {
@@ -202,14 +201,14 @@
 	return "", false
 }
 
-// round lets each daemon that lives report once, in any order.
+// round lets each live daemon report once, in the given order.
 func (s *siteTree) round(t require.TestingT, order []wire.MemberAddress, full bool) {
 	s.now = s.now.Add(40 * time.Millisecond)
 	for _, a := range order {
 		if s.dead[a.Peers] {
 			continue
 		}
-		c := s.tallies[a.Peers]
+		c := s.aggregates[a.Peers]
 		own := wire.LoadReport{Peers: a.Peers, Full: full, Daemons: 1}
 		for at, l := range s.loads[a.Peers] {
 			own.Loads = append(own.Loads, placement.UpstreamLoad{Upstream: at, Load: l})
@@ -221,16 +220,16 @@
 		if !ok {
 			continue
 		}
-		answer, ok = s.tallies[above].applyReport(c.parentReport(a.Peers, full, s.now), s.now)
+		answer, ok = s.aggregates[above].applyReport(c.parentReport(a.Peers, full, s.now), s.now)
 		require.True(t, ok)
 		c.applyParentTotals(answer, s.now)
 		s.received[a.Peers] = append(s.received[a.Peers], c.totalsFor(a.Peers, s.now))
 	}
 }
 
-// others is what a daemon knows of the others.
+// knownLoads returns the load of the others as a daemon knows it.
 func (s *siteTree) knownLoads(t require.TestingT, self string) map[placement.Key]placement.Load {
-	c := s.tallies[self]
+	c := s.aggregates[self]
 	c.children[self].sentVersion = 0
 	known := make(map[placement.Key]placement.Load)
 	for _, l := range c.totalsFor(self, s.now).Loads {
@@ -241,11 +240,10 @@
 	return known
 }
 
-// Daemons of several data centres change what they have and die, those that add up
-// for others among them. A moment later each must know what all others that live have
-// in flight, each once: work counted twice leaves engines idle, work not counted
-// overloads them.
-func TestTotalsOverDataCentres(t *testing.T) {
+// Daemons of several data centres, aggregators among them, change their load and fail. A moment
+// later each must know the load of all other live daemons exactly once: load counted twice
+// leaves engines idle, load not counted overloads them.
+func TestTotalsAcrossDataCentres(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := testSite(rapid.IntRange(2, 24).Draw(t, "daemons"))
 		for i := range all {
@@ -263,7 +261,7 @@
 				s.dead[rapid.SampledFrom(all).Draw(t, "dead").Peers] = true
 			}
 			order := rapid.Permutation(all).Draw(t, "order")
-			for i := range 60 { // the dead are silent for long enough
+			for i := range 60 { // long enough for failed daemons to be dropped
 				s.round(t, order, i%fullReportPeriod == 0)
 			}
 		}
@@ -287,12 +285,11 @@
 	})
 }
 
-// Only one daemon of a data centre reports beyond it, and no daemon reports to one
-// that reports to it, however long the chain.
-func TestReportLinesStayInTheDataCentre(t *testing.T) {
+// Only one daemon of a data centre may report to another one, and the site must have one root.
+func TestOneDaemonReportsBeyondDataCentre(t *testing.T) {
 	all := testSite(40)
 	s := newTree(all)
-	beyond := map[string]int{}
+	crossing := map[string]int{}
 	roots := 0
 	for _, a := range all {
 		above, ok := s.parentOf(a)
@@ -302,19 +299,18 @@
 		}
 		i := slices.IndexFunc(all, func(o wire.MemberAddress) bool { return o.Peers == above })
 		if all[i].DataCentre != a.DataCentre {
-			beyond[a.DataCentre]++
+			crossing[a.DataCentre]++
 		}
 	}
 	require.Equal(t, 1, roots)
-	for centre, n := range beyond {
+	for centre, n := range crossing {
 		require.Equal(t, 1, n, centre)
 	}
 }
 
-// Two daemons that know different capacities of each other report to one another:
-// each round would count all work again. The reports come from ever deeper down, and
-// are turned away.
-func TestReportsInACircleEnd(t *testing.T) {
+// Guards against load that is counted again in each round, as two daemons that know different
+// capacities of each other report to one another. Their reports must be rejected by depth.
+func TestCyclicReportsAreRejected(t *testing.T) {
 	a, b := newLoadAggregate(), newLoadAggregate()
 	now := time.Unix(1000, 0)
 	applyReport(t, a, wire.LoadReport{Peers: "a", Loads: testLoads(1, 0), Daemons: 1}, now)
@@ -327,90 +323,90 @@
 			return
 		}
 	}
-	t.Fatal("counted for ever")
+	t.Fatal("the cycle was never rejected")
 }
 
-// A leader orders two dozen of ninety engines to change their role, and tells its
-// neighbours. The other daemons see engines without work and send theirs there, to be
-// turned away. Each daemon of the site must hear of it, once.
-func TestEveryDaemonHearsOfEnginesThatChange(t *testing.T) {
+// Guards against daemons that send requests to engines that a role change has made
+// unavailable, as only the neighbours of the lease holder knew of it. Each daemon of the site
+// must receive it once.
+func TestUnavailableEnginesReachEveryDaemonOnce(t *testing.T) {
 	all := testSite(30)
 	s := newTree(all)
 	for range 3 {
 		s.round(t, all, false)
 	}
-	leader := s.tallies[all[17].Peers]
+	leader := s.aggregates[all[17].Peers]
 	_, ok := leader.applyReport(wire.LoadReport{Peers: all[17].Peers, Daemons: 1, Away: []wire.AwayEngine{{At: 7, To: "prefill", Left: changeTimeout}}}, s.now)
 	require.True(t, ok)
 	for range 40 {
 		s.round(t, all, false)
 	}
 	for i, a := range all {
-		heard := 0
-		for _, told := range s.received[a.Peers] {
-			heard += len(told.Away)
+		received := 0
+		for _, totals := range s.received[a.Peers] {
+			received += len(totals.Away)
 		}
 		if i != 17 {
-			require.Equal(t, 1, heard, "told once")
+			require.Equal(t, 1, received, "received once")
 		}
 	}
 }
 
-// Most daemons of a large site never heard where a prompt that others share had been
-// read, and had it read again elsewhere. Each must hear of each prompt once: one that is
-// heard of twice pushes others out of what the engine is believed to keep.
-func TestEveryDaemonHearsOfPromptsOnce(t *testing.T) {
+// Guards against repeated prefills of shared prompts, as daemons of a large site don't know
+// where one was prefilled. Each must receive each event once: a second one would evict other
+// prompts from the assumed content of the engine's cache.
+func TestPrefillEventsReachEveryDaemonOnce(t *testing.T) {
 	all := testSite(30)
 	s := newTree(all)
 	for range 5 {
 		s.round(t, all, false)
 	}
-	read := placement.PrefillEvent{Engine: 3, State: placement.PrefillFinished, LastShared: placement.Part{ID: 9, Tokens: 100}}
-	answer, ok := s.tallies[all[17].Peers].applyReport(wire.LoadReport{Peers: all[17].Peers, Daemons: 1, Reads: []placement.PrefillEvent{read}}, s.now)
+	event := placement.PrefillEvent{Engine: 3, State: placement.PrefillFinished, LastShared: placement.Part{ID: 9, Tokens: 100}}
+	answer, ok := s.aggregates[all[17].Peers].applyReport(wire.LoadReport{Peers: all[17].Peers, Daemons: 1, Reads: []placement.PrefillEvent{event}}, s.now)
 	require.True(t, ok)
 	require.Empty(t, answer.Reads)
 	for range 10 {
 		s.round(t, all, false)
 	}
 	for i, a := range all {
-		var heard []placement.PrefillEvent
-		for _, told := range s.received[a.Peers] {
-			heard = append(heard, told.Reads...)
+		var received []placement.PrefillEvent
+		for _, totals := range s.received[a.Peers] {
+			received = append(received, totals.Reads...)
 		}
 		if i == 17 {
-			require.Empty(t, heard, "its own")
+			require.Empty(t, received, "its own event")
 			continue
 		}
-		require.Equal(t, []placement.PrefillEvent{read}, heard, a.Peers)
+		require.Equal(t, []placement.PrefillEvent{event}, received, a.Peers)
 	}
 }
 
-// The leader of a large site took what sixteen neighbours are asked for that of all, and
-// callers aren't spread evenly: at one site it changed eleven of sixteen engines to reading
-// where another leader changed eight. It must know what all are asked, also between full
+// Guards against a lease holder that extrapolates the demand of a large site from its sixteen
+// neighbours, though callers are spread unevenly, and changes too many engines: eleven of
+// sixteen rather than eight at one site. It must know the demand of all, also between full
 // reports.
-func TestDemandIsAddedUpOverTheSite(t *testing.T) {
+func TestDemandIsSummedOverSite(t *testing.T) {
 	now := time.Unix(1000, 0)
-	asked := func(name string, readers float64) wire.LoadReport {
+	demandReport := func(name string, readers float64) wire.LoadReport {
 		return wire.LoadReport{Peers: name, Full: true, Daemons: 1, Demands: map[string]wire.MemberDemand{"p": {Readers: readers}}}
 	}
-	leaf, near, first := newLoadAggregate(), newLoadAggregate(), newLoadAggregate()
-	applyReport(t, leaf, asked("leaf", 2), now)
-	applyReport(t, near, asked("near", 3), now)
-	applyReport(t, near, leaf.parentReport("leaf", true, now), now)
-	applyReport(t, first, asked("first", 1), now)
-	applyReport(t, first, near.parentReport("near", true, now), now)
-	require.Equal(t, wire.MemberDemand{Readers: 6}, first.demand("p"))
-	applyReport(t, first, near.parentReport("near", false, now), now)
-	require.Equal(t, wire.MemberDemand{Readers: 6}, first.demand("p"))
+	leaf, aggregator, root := newLoadAggregate(), newLoadAggregate(), newLoadAggregate()
+	applyReport(t, leaf, demandReport("leaf", 2), now)
+	applyReport(t, aggregator, demandReport("near", 3), now)
+	applyReport(t, aggregator, leaf.parentReport("leaf", true, now), now)
+	applyReport(t, root, demandReport("first", 1), now)
+	applyReport(t, root, aggregator.parentReport("near", true, now), now)
+	require.Equal(t, wire.MemberDemand{Readers: 6}, root.demand("p"))
+	applyReport(t, root, aggregator.parentReport("near", false, now), now)
+	require.Equal(t, wire.MemberDemand{Readers: 6}, root.demand("p"))
 	now = now.Add(2 * peerTimeout)
-	applyReport(t, first, asked("first", 1), now)
-	require.Equal(t, wire.MemberDemand{Readers: 1}, first.demand("p"), "the others have fallen silent")
+	applyReport(t, root, demandReport("first", 1), now)
+	require.Equal(t, wire.MemberDemand{Readers: 1}, root.demand("p"), "the others are silent")
 }
 
-// A daemon tells its work and wants no answer, as nothing is to be decided there. What others
-// have done meanwhile must come with the next answer, and a report without news says so.
-func TestWhatWasNotAnsweredIsToldLater(t *testing.T) {
+// A daemon may report without asking for an answer. Changes of others meanwhile must come with
+// the next answer, and a report without changes must say so.
+func TestUnansweredReportDelaysTotals(t *testing.T) {
 	c := newLoadAggregate()
 	now := time.Unix(1000, 0)
 	applyReport(t, c, wire.LoadReport{Peers: "a"}, now)
@@ -423,16 +419,16 @@
 	require.False(t, c.parentReport("a", false, now).HasNews())
 }
 
-// What a daemon is told of the others it must not report back: at a site with much to
-// tell, most of a report would be what its receiver has just said.
-func TestWhatComesFromAboveIsntReportedBack(t *testing.T) {
+// Guards against totals received from the parent that are reported back to it and make up most
+// of a report.
+func TestParentTotalsAreNotReportedBack(t *testing.T) {
 	c := newLoadAggregate()
 	now := time.Unix(1000, 0)
 	applyReport(t, c, wire.LoadReport{Peers: "a", Loads: testLoads(1, 10), Daemons: 1}, now)
 	require.Equal(t, testLoads(1, 10), c.parentReport("a", false, now).Loads)
 	c.applyParentTotals(wire.LoadTotals{Loads: append(testLoads(7, 70), placement.UpstreamLoad{Upstream: 2, Load: placement.Load{Running: 5}})}, now)
 	require.Empty(t, c.parentReport("a", false, now).Loads)
-	require.Equal(t, testLoads(1, 10), c.parentReport("a", true, now).Loads, "in full only its own")
+	require.Equal(t, testLoads(1, 10), c.parentReport("a", true, now).Loads, "a full report has only its own")
 	applyReport(t, c, wire.LoadReport{Peers: "a", Loads: testLoads(2, 20), Daemons: 1}, now)
 	require.Equal(t, testLoads(2, 20), c.parentReport("a", false, now).Loads)
 }
--- a/internal/member/director_test.go
+++ b/internal/member/director_test.go
@@ -13,52 +13,51 @@
 	"tamarackchute/upstream"
 )
 
-// startedEngine is an engine that tells its start, and takes no order in this test.
-type startedEngine struct {
+// restartedEngine reports its start, and fails the test if it gets an order.
+type restartedEngine struct {
 	Engines
 	t       *testing.T
 	started time.Time
-	asked   int
+	calls   int
 }
 
-func (e *startedEngine) State(context.Context, *fleet.Upstream) (EngineState, error) {
-	e.asked++
+func (e *restartedEngine) State(context.Context, *fleet.Upstream) (EngineState, error) {
+	e.calls++
 	return EngineState{Role: upstream.RoleDecode, AcceptedOrders: 0, Started: e.started}, nil
 }
 
-func (e *startedEngine) SetRole(context.Context, *fleet.Upstream, RoleOrder) (OrderOutcome, error) {
-	e.t.Error("an order to another start")
+func (e *restartedEngine) SetRole(context.Context, *fleet.Upstream, RoleOrder) (OrderOutcome, error) {
+	e.t.Error("order to a restarted engine")
 	return OrderRefused, nil
 }
 
-// An engine has crashed and started again under its ID, with no orders counted. The
-// list still tells of the former start: an order for that one, whose count happens to
-// fit, would send the new one into a change that nobody decided on.
-func TestNoOrderToAnotherStart(t *testing.T) {
-	e := &startedEngine{t: t, started: time.UnixMilli(200)}
+// Guards against an order to an engine that has restarted under its ID while the list still has
+// the earlier start: its order count may match by chance.
+func TestNoOrderToRestartedEngine(t *testing.T) {
+	e := &restartedEngine{t: t, started: time.UnixMilli(200)}
 	d := &director{engines: e, logger: discardLogger}
 	d.order(t.Context(), &fleet.Upstream{ID: "e", Started: time.UnixMilli(100)}, rolepolicy.Change{To: upstream.RolePrefill})
-	require.Equal(t, 1, e.asked)
+	require.Equal(t, 1, e.calls)
 }
 
-// silentEngines take a call and don't answer it.
-type silentEngines struct {
+// unresponsiveEngines never answer.
+type unresponsiveEngines struct {
 	Engines
-	asked int
+	calls int
 }
 
-func (e *silentEngines) State(ctx context.Context, _ *fleet.Upstream) (EngineState, error) {
-	e.asked++
+func (e *unresponsiveEngines) State(ctx context.Context, _ *fleet.Upstream) (EngineState, error) {
+	e.calls++
 	<-ctx.Done()
 	return EngineState{}, ctx.Err()
 }
 
-// The leader has ordered two dozen engines to change, and they can't be reached. Each
-// call takes until its timeout: the leader looks at the roles again half a minute later,
-// when the load has changed twice. It must leave the rest for its next look.
-func TestSilentEnginesDontHoldTheLeaderUp(t *testing.T) {
+// Guards against a lease holder that calls two dozen unreachable engines until each call times
+// out, and checks the roles again only half a minute later. The rest must be postponed to its
+// next check.
+func TestUnresponsiveEnginesDoNotDelayLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := &silentEngines{}
+		e := &unresponsiveEngines{}
 		d := &director{engines: e, logger: discardLogger}
 		engines := make([]*fleet.Upstream, 24)
 		for i := range engines {
@@ -67,6 +66,6 @@
 		start := time.Now()
 		d.orderAll(t.Context(), engines, rolepolicy.Change{To: upstream.RolePrefill, Engines: len(engines)})
 		require.LessOrEqual(t, time.Since(start), roleCheckInterval+2*orderTimeout)
-		require.Equal(t, 1, e.asked)
+		require.Equal(t, 1, e.calls)
 	})
 }
--- a/internal/member/feeds_test.go
+++ b/internal/member/feeds_test.go
@@ -18,13 +18,13 @@
 	"tamarackchute/rules/pathset"
 )
 
-// alone is the number of daemons of a site of one.
+// oneDaemon is the number of daemons of a site with a single one.
 func oneDaemon() int { return 1 }
 
 var discardLogger = slog.New(slog.DiscardHandler)
 
-// plainFormats reads entries as "pool address [started=N] [revision=N] [leaving]" and configurations as
-// their version.
+// textDecoder decodes entries of the form "pool address [started=N] [revision=N] [leaving]" and
+// configurations that consist of their version.
 type textDecoder struct{}
 
 func (textDecoder) Config(e Entry) (*fleet.Config, bool, error) {
@@ -91,7 +91,7 @@
 	return r
 }
 
-func (r *feedHarness) ids() string {
+func (r *feedHarness) list() string {
 	var all []string
 	for _, pool := range []string{"p", "q"} {
 		for _, u := range r.state.Snapshot().Pools[pool] {
@@ -105,80 +105,78 @@
 	return strings.Join(all, ",")
 }
 
-// Servers are found, change, leave and go; an entry that makes no sense is left
-// out and harms no other.
-func TestUpstreamsFollowTheirEntries(t *testing.T) {
+// Upstreams are added, changed, drained and removed; an invalid entry is ignored and affects no
+// other.
+func TestUpstreamsFollowEntries(t *testing.T) {
 	r := newFeedHarness()
 	r.feed.reset([]Entry{entry("b", "p 1:1"), entry("a", "p 1:2"), entry("c", "nonsense"), entry("d", "q 1:3")})
-	require.Equal(t, "a,b,d", r.ids())
+	require.Equal(t, "a,b,d", r.list())
 	r.feed.apply([]Entry{entry("a", "p 1:2 leaving"), entry("e", "p 1:4")})
-	require.Equal(t, "a leaving,b,e,d", r.ids())
+	require.Equal(t, "a leaving,b,e,d", r.list())
 	r.feed.apply([]Entry{entry("a", ""), entry("never", "")})
-	require.Equal(t, "b,e,d", r.ids())
+	require.Equal(t, "b,e,d", r.list())
 	r.feed.reset([]Entry{entry("e", "p 1:4")})
-	require.Equal(t, "e", r.ids())
+	require.Equal(t, "e", r.list())
 }
 
-// The store is away, and entries of servers that live lapse meanwhile. They must
-// go on being used until the servers have had time to write again; those that
-// don't come back are gone.
-func TestEntriesThatLapseInAnOutage(t *testing.T) {
+// Guards against live upstreams that are dropped as their entries lapsed during an outage of the
+// store. They stay in use until they have had time to write again; those that don't are dropped.
+func TestEntriesLapsedInOutageAreKept(t *testing.T) {
 	r := newFeedHarness()
 	r.feed.reset([]Entry{entry("a", "p 1:1"), entry("b", "p 1:2")})
 	r.age = 2 * outageThreshold
 	r.feed.apply([]Entry{entry("a", ""), entry("b", "")})
-	require.Equal(t, "a,b", r.ids())
+	require.Equal(t, "a,b", r.list())
 	r.age = 0
 	r.feed.apply([]Entry{entry("a", "p 1:1")})
-	require.Equal(t, "a,b", r.ids())
-	time.Sleep(40 * time.Millisecond) // beyond the feed's time to return
+	require.Equal(t, "a,b", r.list())
+	time.Sleep(40 * time.Millisecond) // longer than the feed's grace
 	r.feed.apply(nil)
-	require.Equal(t, "a", r.ids())
+	require.Equal(t, "a", r.list())
 	r.feed.apply([]Entry{entry("a", "")})
-	require.Empty(t, r.ids(), "without an outage a removal counts at once")
+	require.Empty(t, r.list(), "without an outage a removal counts at once")
 }
 
-// A server has gone for good while the store was away from one daemon, which
-// doubts its entry for a while. Another daemon has read the removal already and
-// takes over the first one's list, as that was read later. If the doubted entry
-// came with it, nothing would ever take it out again: its removal is behind.
-func TestDoubtedEntriesAreNotHandedOn(t *testing.T) {
+// Guards against an upstream that stays listed for good. One daemon keeps a lapsed entry for a
+// while; another, which has read the removal, takes over that daemon's more recent list. With
+// the entry in it, the removal would be behind its position.
+func TestLapsedEntriesAreNotSentToPeers(t *testing.T) {
 	r := newFeedHarness()
 	r.feed.reset([]Entry{entry("a", "p 1:1"), entry("b", "p 1:2")})
 	r.age = 2 * outageThreshold
 	r.feed.apply([]Entry{entry("a", "")})
-	require.Equal(t, "a,b", r.ids(), "goes on being used here")
+	require.Equal(t, "a,b", r.list(), "goes on being used here")
 	require.Equal(t, map[string][]byte{"b": []byte("p 1:2")}, r.feed.entries())
 }
 
-// As before, and then nothing is written to the store any more, or another daemon
-// reads it for this one. The doubt must end all the same.
-func TestDoubtEndsByItself(t *testing.T) {
+// Guards against a lapsed entry that never expires when the store has no further changes, or
+// another daemon reads them for this one.
+func TestLapsedEntriesExpireWithoutChanges(t *testing.T) {
 	r := newFeedHarness()
 	r.feed.reset([]Entry{entry("a", "p 1:1"), entry("b", "p 1:2")})
 	r.age = 2 * outageThreshold
 	r.feed.apply([]Entry{entry("a", "")})
-	time.Sleep(40 * time.Millisecond) // beyond the feed's time to return
+	time.Sleep(40 * time.Millisecond) // longer than the feed's grace
 	r.feed.expireLapsed()
-	require.Equal(t, "b", r.ids())
+	require.Equal(t, "b", r.list())
 }
 
-// Lists with the same upstreams have the same digest, whatever order they were
-// read in; a server that leaves, or changes its role, changes it.
-func TestDigestsTellListsApart(t *testing.T) {
-	one, two := newFeedHarness(), newFeedHarness()
-	one.feed.reset([]Entry{entry("a", "p 1:1"), entry("b", "p 1:2")})
-	two.feed.apply([]Entry{entry("b", "p 1:2")})
-	require.NotEqual(t, one.feed.digest.Load(), two.feed.digest.Load())
-	two.feed.apply([]Entry{entry("a", "p 1:1")})
-	require.Equal(t, one.feed.digest.Load(), two.feed.digest.Load())
-	two.feed.apply([]Entry{entry("a", "p 1:1 leaving")})
-	require.NotEqual(t, one.feed.digest.Load(), two.feed.digest.Load())
+// Lists with the same upstreams have the same digest, in whatever order they were read; an
+// upstream that drains or changes its role changes the digest.
+func TestDigestsIdentifyLists(t *testing.T) {
+	first, second := newFeedHarness(), newFeedHarness()
+	first.feed.reset([]Entry{entry("a", "p 1:1"), entry("b", "p 1:2")})
+	second.feed.apply([]Entry{entry("b", "p 1:2")})
+	require.NotEqual(t, first.feed.digest.Load(), second.feed.digest.Load())
+	second.feed.apply([]Entry{entry("a", "p 1:1")})
+	require.Equal(t, first.feed.digest.Load(), second.feed.digest.Load())
+	second.feed.apply([]Entry{entry("a", "p 1:1 leaving")})
+	require.NotEqual(t, first.feed.digest.Load(), second.feed.digest.Load())
 }
 
-// A daemon that hears of another one's reading reads the store itself only when
-// that has grown old, and goes on from the place that the other had reached.
-func TestAnotherDaemonsReadingIsAsGood(t *testing.T) {
+// A read by a peer delays the daemon's own read, which then continues from the position that the
+// peer had reached.
+func TestPeerReadReplacesOwnRead(t *testing.T) {
 	store := &scriptedStore{}
 	r := &topicReader{backoff: newBackoff(oneDaemon), store: store, interval: time.Hour, applyAll: func([]Entry) {}, applyChanges: func([]Entry) {}, log: discardLogger}
 	require.NoError(t, r.read(context.Background()))
@@ -194,9 +192,9 @@
 	require.Equal(t, []Position{70}, store.changes)
 }
 
-// A late or repeated message with an older version must never bring it back, and
-// one that can't be read leaves the version in force as it is.
-func TestConfigurationNeverGoesBack(t *testing.T) {
+// A delayed or repeated message must not bring back an older version, and an invalid one leaves
+// the current version in force.
+func TestConfigurationVersionNeverDecreases(t *testing.T) {
 	state := fleet.NewState()
 	feed := &configFeed{decoder: textDecoder{}, state: state, log: discardLogger}
 	version := func() uint64 { return state.Snapshot().Config.Version }
@@ -208,7 +206,7 @@
 	require.EqualValues(t, 9, version())
 }
 
-// scriptedStore answers from lists of calls and fails as told.
+// scriptedStore answers with counted entries, records its calls and fails on demand.
 type scriptedStore struct {
 	mu      sync.Mutex
 	newest  int
@@ -246,9 +244,9 @@
 
 func (s *scriptedStore) Put(context.Context, Topic, Entry) error { return nil }
 
-// The store drops its history. The reader must take the newest entries again
-// rather than wait for changes that it will never see.
-func TestReaderStartsAnewWhenHistoryIsDropped(t *testing.T) {
+// Guards against a reader that waits for changes that the store has deleted. It must read the
+// newest entries again.
+func TestReaderRestartsAfterExpiry(t *testing.T) {
 	store := &scriptedStore{}
 	state := fleet.NewState()
 	feed := &configFeed{decoder: textDecoder{}, state: state, log: discardLogger}
@@ -285,8 +283,8 @@
 	require.Eventually(t, func() bool { return r.age() < 20*time.Millisecond }, 10*time.Second, time.Millisecond)
 }
 
-// hangingStore answers its first read of changes, and lets all later ones hang as
-// a connection does that fell silent in an outage.
+// hangingStore lets the first read of changes hang, like a connection that failed silently in an
+// outage, and answers all later ones.
 type hangingStore struct {
 	scriptedStore
 	hung chan struct{}
@@ -305,11 +303,10 @@
 	return []Entry{entry("config", "77")}, from + 1, nil
 }
 
-// A daemon is cut off from the store while it waits for a new configuration. The
-// cut heals, but that connection stays silent. Once another read shows that the
-// store is back, the waiting one must begin anew, or the daemon serves by an old
-// configuration until its wait is over.
-func TestWaitingReadBeginsAnewAfterAnOutage(t *testing.T) {
+// Guards against a daemon that serves with an old configuration until its long poll times out,
+// as the connection failed silently in an outage. Once another read shows that the store has
+// recovered, the long poll must be restarted.
+func TestLongPollRestartsAfterOutage(t *testing.T) {
 	store := &hangingStore{hung: make(chan struct{})}
 	state := fleet.NewState()
 	feed := &configFeed{decoder: textDecoder{}, state: state, log: discardLogger}
@@ -331,10 +328,9 @@
 	require.Eventually(t, func() bool { return state.Snapshot().Config.Version == 77 }, 10*time.Second, time.Millisecond)
 }
 
-// A server has crashed and started again under its id. The store's answer of before
-// arrives late: it must not make the former start the one that requests are for, nor
-// bring it back once the server is gone.
-func TestFormerStartStaysGone(t *testing.T) {
+// Guards against a delayed answer of the store that brings back the earlier start of an upstream
+// that has restarted under its ID, or is gone.
+func TestEarlierStartIsIgnored(t *testing.T) {
 	r := newFeedHarness()
 	started := func() time.Time { return r.state.Snapshot().Upstreams["a"].Started }
 	r.feed.reset([]Entry{entry("a", "p 1:1 started=100")})
@@ -343,26 +339,26 @@
 	r.feed.apply([]Entry{entry("a", "p 1:1 started=100")})
 	require.Equal(t, time.UnixMilli(200), started())
 	r.feed.apply([]Entry{entry("a", "")})
-	require.Empty(t, r.ids())
+	require.Empty(t, r.list())
 	r.feed.apply([]Entry{entry("a", "p 1:1 started=100")})
-	require.Empty(t, r.ids())
+	require.Empty(t, r.list())
 	r.feed.apply([]Entry{entry("a", "p 1:1 started=300")})
-	require.Equal(t, "a", r.ids())
+	require.Equal(t, "a", r.list())
 }
 
-// Another program writes under a server's key. Requests went on to an address that
-// nobody vouches for any more; and each further reading wrote the same warning.
-func TestEntryOfAnotherWriterNamesNoServer(t *testing.T) {
+// Guards against requests to an address from an entry that another program has overwritten, and
+// against a repeated warning for each further read.
+func TestInvalidEntryRemovesUpstream(t *testing.T) {
 	r := newFeedHarness()
 	var lines bytes.Buffer
 	r.feed.log = slog.New(slog.NewTextHandler(&lines, nil))
 	r.feed.reset([]Entry{entry("a", "p 1:1"), entry("b", "p 1:2")})
 	for range 3 {
 		r.feed.apply([]Entry{entry("a", "nonsense")})
-		require.Equal(t, "b", r.ids())
+		require.Equal(t, "b", r.list())
 	}
 	require.Equal(t, 1, strings.Count(lines.String(), "invalid upstream entry"))
 	require.EqualValues(t, 1, r.feed.rejectedEntries())
 	r.feed.apply([]Entry{entry("a", "p 1:1")})
-	require.Equal(t, "a,b", r.ids())
+	require.Equal(t, "a,b", r.list())
 }
--- a/internal/member/learnt_test.go
+++ b/internal/member/learnt_test.go
@@ -13,7 +13,7 @@
 	"tamarackchute/upstream"
 )
 
-// entriesOnly is a store that keeps the newest entries of one topic, and fails at first.
+// mapStore is a store with the newest entries of one topic; its first reads fail.
 type mapStore struct {
 	Store
 	failures int
@@ -36,10 +36,10 @@
 	return nil
 }
 
-// All daemons are lost at once. Learnt anew in the crowd that follows, the engines'
-// figures came out several times wrong; kept in the store, they are known at once, also
-// if the store is away for a moment and another program has written there.
-func TestFiguresOutlastAllDaemons(t *testing.T) {
+// Guards against engine parameters that are estimated again, and several times wrong, after all
+// daemons were lost at once. They must be read from the store, also if it fails at first and
+// holds an invalid entry.
+func TestObservationsSurviveLossOfAllDaemons(t *testing.T) {
 	members := []placement.Member{{ID: "e", Pool: "p", Role: upstream.RolePrefill, Slots: 4, KVTokens: 1 << 20}}
 	now := time.Unix(1, 0)
 	before := placement.NewTracker(func() time.Time { return now })
--- a/internal/member/neighbours_test.go
+++ b/internal/member/neighbours_test.go
@@ -27,33 +27,33 @@
 	return others
 }
 
-// In a small site everybody hears everybody.
-func TestSmallSitesAreMeshed(t *testing.T) {
+// In a small site every daemon sends its state to every other one.
+func TestSmallSitesUseFullMesh(t *testing.T) {
 	all := testSite(maxFullMesh + 1)
 	require.Len(t, neighbours(all[0], all[1:]), maxFullMesh)
 }
 
-// In a large one a daemon's traffic doesn't grow with the site, whoever is told
-// by another tells it too, and news still reach all.
-func TestLargeSitesKeepToNeighbours(t *testing.T) {
+// In a large site a daemon's traffic must not grow with the site, neighbours must be mutual, and
+// updates must still reach all daemons.
+func TestLargeSitesUseNeighbours(t *testing.T) {
 	for _, n := range []int{18, 74, 300} {
 		all := testSite(n)
-		told := make(map[string]map[string]bool)
+		receivers := make(map[string]map[string]bool)
 		for _, self := range all {
-			told[self.Peers] = neighbours(self, allExcept(all, self))
-			require.LessOrEqual(t, len(told[self.Peers]), 2*(localNeighbours+siteNeighbours))
-			require.NotContains(t, told[self.Peers], self.Peers)
+			receivers[self.Peers] = neighbours(self, allExcept(all, self))
+			require.LessOrEqual(t, len(receivers[self.Peers]), 2*(localNeighbours+siteNeighbours))
+			require.NotContains(t, receivers[self.Peers], self.Peers)
 		}
-		for from, to := range told {
+		for from, to := range receivers {
 			for address := range to {
-				require.True(t, told[address][from], "%s hears %s but doesn't answer", address, from)
+				require.True(t, receivers[address][from], "%s receives from %s but doesn't send to it", address, from)
 			}
 		}
 		reached := map[string]bool{all[0].Peers: true}
 		for frontier := []string{all[0].Peers}; len(frontier) > 0; {
 			next := frontier[0]
 			frontier = frontier[1:]
-			for address := range told[next] {
+			for address := range receivers[next] {
 				if !reached[address] {
 					reached[address] = true
 					frontier = append(frontier, address)
--- a/internal/member/peers_test.go
+++ b/internal/member/peers_test.go
@@ -12,7 +12,7 @@
 	"tamarackchute/upstream"
 )
 
-// peersRig is a daemon's exchange with books of one engine, and no links.
+// peersHarness is a daemon's peer exchange with a tracker of one engine, and no links.
 type peersHarness struct {
 	*Peers
 	tracker *placement.Tracker
@@ -37,9 +37,9 @@
 
 func (r *peersHarness) running() int { return r.tracker.Engines([]string{"e"})[0].Running }
 
-// Between two beats only the loads go out; but a new configuration, list or
-// reading is told at once, or peers would read the store for themselves.
-func TestOnlyLoadsAreToldBetweenBeats(t *testing.T) {
+// Between two heartbeats only loads are sent; but a new configuration, list or read must be
+// reported at once, or peers would read the store themselves.
+func TestOnlyLoadsAreSentBetweenHeartbeats(t *testing.T) {
 	r := newPeersHarness("a")
 	now := time.Now()
 	require.Nil(t, r.loadUpdate(now), "nothing has changed")
@@ -62,27 +62,27 @@
 		require.IsType(t, wire.MemberState{}, r.loadUpdate(now))
 	}
 
-	// The list has grown older by as much as has passed: nothing new.
+	// The list has aged by the time passed: no change.
 	now = now.Add(time.Second)
 	r.summary.ListAge = time.Second
 	r.tracker.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
 	require.IsType(t, wire.MemberLoads{}, r.loadUpdate(now))
-	r.summary.ListAge = 0 // read just now
+	r.summary.ListAge = 0 // just read
 	r.tracker.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
 	require.IsType(t, wire.MemberState{}, r.loadUpdate(now))
 }
 
-// A peer's loads are booked once its state has told whose they are; those of its
-// former process, or overtaken ones, are not.
-func TestLoadsOfAPeer(t *testing.T) {
+// Loads of a peer count only after its state has identified it; those of its former process and
+// those that arrive out of order are ignored.
+func TestPeerLoadsNeedItsState(t *testing.T) {
 	a, b := newPeersHarness("a"), newPeersHarness("b")
 	now := time.Now()
 	a.tracker.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
-	a.heartbeatState(now) // lost on the way
+	a.heartbeatState(now) // lost in transit
 	a.tracker.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
 	early := a.loadUpdate(now)
 	b.Handle("", early, nil)
-	require.Zero(t, b.running(), "whose are they?")
+	require.Zero(t, b.running(), "sender not identified yet")
 
 	b.Handle("", a.heartbeatState(now), nil)
 	require.Equal(t, 2, b.running())
@@ -91,7 +91,7 @@
 	b.Handle("", later, nil)
 	require.Equal(t, 3, b.running())
 	b.Handle("", early, nil)
-	require.Equal(t, 3, b.running(), "overtaken")
+	require.Equal(t, 3, b.running(), "out of order")
 
 	restarted := newPeersHarness("a")
 	b.Handle("", restarted.heartbeatState(now), nil)
@@ -100,9 +100,8 @@
 	require.Zero(t, b.running(), "of the former process")
 }
 
-// In a site of hundreds of daemons a server leaves, and the daemon that has read it
-// first says so. If all others took its whole list, its link would be full for
-// seconds, and the server would get new requests meanwhile.
+// Guards against a draining upstream that gets new requests for seconds, as hundreds of daemons
+// fetch the whole list from the first that has read the change.
 func TestLargeListsComeFromTheStore(t *testing.T) {
 	small, large := Summary{ListSize: largeListSize, Config: 2}, Summary{ListSize: largeListSize + 1, Config: 2}
 	own := Summary{Config: 2}
@@ -112,9 +111,8 @@
 	require.Equal(t, listSource{config: true, store: true}, chooseSource(Summary{Config: 1}, large, false))
 }
 
-// A reader that rests for long must read at once when a peer says that there is
-// something new.
-func TestHurriedReaderDoesNotRest(t *testing.T) {
+// A reader that pauses for long must read at once when a peer reports a change.
+func TestExpeditedReaderDoesNotPause(t *testing.T) {
 	r := &topicReader{backoff: newBackoff(oneDaemon), interval: time.Hour, readAt: time.Now()}
 	require.Positive(t, r.delay())
 	go r.expedite()
--- a/internal/member/restore_test.go
+++ b/internal/member/restore_test.go
@@ -13,47 +13,46 @@
 	"tamarackchute/internal/wire"
 )
 
-// Guards against requests to a server that has said it leaves, as an older entry of it is in
-// force again.
-func TestLeavingServerStaysLeavingOverARestore(t *testing.T) {
+// Guards against requests to a draining upstream, as an older entry of it counts again.
+func TestDrainingUpstreamStaysDrainingAfterRestore(t *testing.T) {
 	r := newFeedHarness()
 	r.feed.reset([]Entry{entry("a", "p 1:1 started=5 revision=1"), entry("b", "p 1:2 started=5 revision=1")})
 	r.feed.apply([]Entry{entry("a", "p 1:1 started=5 revision=2 leaving")})
-	require.Equal(t, "a leaving,b", r.ids())
+	require.Equal(t, "a leaving,b", r.list())
 
 	r.feed.resetRestored([]Entry{entry("a", "p 1:1 started=5 revision=1"), entry("b", "p 1:2 started=5 revision=1")})
-	require.Equal(t, "a leaving,b", r.ids())
+	require.Equal(t, "a leaving,b", r.list())
 	r.feed.apply([]Entry{entry("a", "p 1:1 started=5 revision=1")})
-	require.Equal(t, "a leaving,b", r.ids(), "written again late")
+	require.Equal(t, "a leaving,b", r.list(), "written again late")
 	r.feed.apply([]Entry{entry("a", "p 1:1 started=9 revision=1")})
-	require.Equal(t, "a,b", r.ids(), "a new start")
+	require.Equal(t, "a,b", r.list(), "a new start")
 }
 
-// Guards against requests to a server that has gone and that only the copy still has.
-func TestServerThatOnlyTheCopyHasWaitsForItsEntry(t *testing.T) {
+// Guards against requests to a server that is gone but still in the restored copy.
+func TestUpstreamOnlyInRestoredCopyIsNotUsed(t *testing.T) {
 	r := newFeedHarness()
 	r.feed.reset([]Entry{entry("a", "p 1:1"), entry("gone", "p 1:2")})
 	r.feed.apply([]Entry{entry("gone", "")})
 	r.feed.resetRestored([]Entry{entry("a", "p 1:1"), entry("gone", "p 1:2"), entry("alive", "p 1:3")})
-	require.Equal(t, "a", r.ids())
+	require.Equal(t, "a", r.list())
 	r.feed.apply([]Entry{entry("alive", "p 1:3")})
-	require.Equal(t, "a,alive", r.ids())
+	require.Equal(t, "a,alive", r.list())
 }
 
-// Guards against a server that gets no requests because the copy is older than its entry, and
-// against one that keeps getting them though it has gone.
-func TestServerThatTheCopyLacksIsDoubted(t *testing.T) {
+// Guards against a live upstream that gets no requests because the restored copy is older than
+// its entry, and against one that is gone but keeps getting them.
+func TestUpstreamMissingFromRestoredCopyLapses(t *testing.T) {
 	r := newFeedHarness()
 	r.feed.reset([]Entry{entry("a", "p 1:1"), entry("b", "p 1:2")})
 	r.feed.resetRestored([]Entry{})
-	require.Equal(t, "a,b", r.ids())
+	require.Equal(t, "a,b", r.list())
 	r.feed.apply([]Entry{entry("a", "p 1:1")})
 	time.Sleep(2 * r.feed.lapsedGrace)
 	r.feed.expireLapsed()
-	require.Equal(t, "a", r.ids())
+	require.Equal(t, "a", r.list())
 }
 
-// eraStore is a store whose newest entries are of an era.
+// eraStore is a store whose newest entries are of the current era.
 type eraStore struct {
 	scriptedStore
 	puts chan Entry
@@ -79,9 +78,9 @@
 	return nil
 }
 
-// Guards against a reader that waits on at its old position after another call, or another
-// daemon, has told of a restore.
-func TestWaitingReaderBeginsAnewInANewEra(t *testing.T) {
+// Guards against a reader that keeps waiting at its old position after another call, or another
+// daemon, has reported a restore.
+func TestReaderRestartsInNewEra(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &eraStore{}
 		copies := make(chan []Entry, 1)
@@ -105,8 +104,8 @@
 	})
 }
 
-// Guards against a position of an earlier era that is taken for a later one.
-func TestPositionsOfALaterEraComeAfterAllBefore(t *testing.T) {
+// Guards against a position of an earlier era that counts as later.
+func TestPositionsOfLaterEraAreGreater(t *testing.T) {
 	r := &topicReader{log: discardLogger}
 	r.adopt(infra.NewOffset(0, 1000), time.Second)
 	r.adopt(infra.NewOffset(1, 10), time.Second)
@@ -116,8 +115,8 @@
 	require.Equal(t, "1/10", r.position().String())
 }
 
-// Guards against a daemon that nobody finds who starts later, as its entry was lost.
-func TestDaemonAnnouncesItselfInEachEra(t *testing.T) {
+// Guards against a daemon that later ones don't find, as its entry was lost in a restore.
+func TestDaemonEntryIsWrittenInEachEra(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &eraStore{puts: make(chan Entry)}
 		a := &announcer{store: store, self: wire.MemberAddress{Instance: "i"}, backoff: newBackoff(oneDaemon), daemons: oneDaemon, log: discardLogger}
@@ -133,8 +132,8 @@
 	})
 }
 
-// Guards against a configuration that goes back to the copy's.
-func TestConfigurationStaysOverARestore(t *testing.T) {
+// Guards against a configuration that reverts to that of the restored copy.
+func TestConfigurationSurvivesRestore(t *testing.T) {
 	state := fleet.NewState()
 	feed := &configFeed{decoder: textDecoder{}, state: state, log: discardLogger}
 	feed.apply([]Entry{entry("config", "7")})
@@ -142,20 +141,20 @@
 	require.EqualValues(t, 7, state.Snapshot().Config.Version)
 }
 
-// Guards against servers that count as gone though they have written again: a daemon that doubts
-// them went by another's word that its list is the same, and never read that.
-func TestDaemonThatDoubtsReadsForItself(t *testing.T) {
-	rig := newFeedHarness()
-	rig.feed.reset([]Entry{entry("a", "p 1:1")})
+// Guards against upstreams that are dropped though they have written again: a daemon with lapsed
+// entries trusted a peer that its list is unchanged, and never read the new entries.
+func TestPeerReadIsIgnoredWhileEntriesAreLapsed(t *testing.T) {
+	h := newFeedHarness()
+	h.feed.reset([]Entry{entry("a", "p 1:1")})
 	r := &topicReader{log: discardLogger}
 	r.recordRead(10, time.Now().Add(-time.Minute))
-	m := &Member{cfg: Config{Store: &scriptedStore{}}, upstreams: rig.feed, readers: []*topicReader{r}}
-	same := rig.feed.digest.Load()
+	m := &Member{cfg: Config{Store: &scriptedStore{}}, upstreams: h.feed, readers: []*topicReader{r}}
+	same := h.feed.digest.Load()
 
-	rig.feed.resetRestored(nil)
+	h.feed.resetRestored(nil)
 	m.confirmList(20, same, 0)
 	require.EqualValues(t, 10, r.position())
-	rig.feed.apply([]Entry{entry("a", "p 1:1")})
+	h.feed.apply([]Entry{entry("a", "p 1:1")})
 	m.confirmList(20, same, 0)
 	require.EqualValues(t, 20, r.position())
 }
