--- a/internal/daemonstatus/status.go
+++ b/internal/daemonstatus/status.go
@@ -27,7 +27,7 @@
 	Budgets        []Budget   `json:"budgets"`
 }
 
-// Lease is the daemon's status in the lease that allows ordering role changes.
+// Lease is the daemon's part in the lease whose holder orders role changes.
 type Lease struct {
 	// Candidate means that the daemon competes for the lease, Held that it holds it.
 	Candidate bool `json:"candidate"`
@@ -41,8 +41,9 @@
 	Instance   string `json:"instance"`
 	DataCentre string `json:"data_centre"`
 	// Up means that the peer reported recently, Serving that it accepts callers.
-	Up            bool    `json:"up"`
-	Serving       bool    `json:"serving"`
+	Up      bool `json:"up"`
+	Serving bool `json:"serving"`
+	// UpdateAgeMS is the time since its last update.
 	UpdateAgeMS   float64 `json:"told_ms"`
 	ConfigVersion uint64  `json:"config_version"`
 }
--- a/internal/member/catchup.go
+++ b/internal/member/catchup.go
@@ -36,8 +36,8 @@
 
 // catchUp initialises the cache state of the engines from the peers or, if all daemons have
 // restarted, from the engines. Without it 3 of 10 responses rather than 8 meet their objective
-// for tens of seconds after a restart of all daemons: cached parts are taken to be missing, and
-// their short prefills for the speed of the engines.
+// for tens of seconds after a restart of all daemons: cached parts are assumed to be missing, and
+// the short prefills that result are attributed to the speed of the engines.
 type catchUp struct {
 	member *Member
 	log    *slog.Logger
@@ -139,8 +139,8 @@
 // among the serving daemons.
 func (c *catchUp) isOwnShare(u *fleet.Upstream) bool {
 	score := func(daemon string) uint64 { return xxhash.Sum64String(daemon + " " + u.ID) }
-	local := score(c.member.self.Peers)
-	return !slices.ContainsFunc(c.member.peers.Serving(), func(a wire.MemberAddress) bool { return score(a.Peers) > local })
+	localScore := score(c.member.self.Peers)
+	return !slices.ContainsFunc(c.member.peers.Serving(), func(a wire.MemberAddress) bool { return score(a.Peers) > localScore })
 }
 
 func (c *catchUp) queryEngine(ctx context.Context, u *fleet.Upstream) {
--- a/internal/member/collector.go
+++ b/internal/member/collector.go
@@ -182,8 +182,8 @@
 	}
 }
 
-// Aggregates reports whether this daemon is the root that adds up the load of a large site.
-func (p *Peers) Aggregates() bool {
+// IsRoot reports whether this daemon is the root that adds up the load of a large site.
+func (p *Peers) IsRoot() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	_, reports := p.parent.candidate()
--- a/internal/member/collector_test.go
+++ b/internal/member/collector_test.go
@@ -209,11 +209,11 @@
 			continue
 		}
 		c := s.aggregates[a.Peers]
-		own := wire.LoadReport{Peers: a.Peers, Full: full, Daemons: 1}
+		local := wire.LoadReport{Peers: a.Peers, Full: full, Daemons: 1}
 		for at, l := range s.loads[a.Peers] {
-			own.Loads = append(own.Loads, placement.UpstreamLoad{Upstream: at, Load: l})
+			local.Loads = append(local.Loads, placement.UpstreamLoad{Upstream: at, Load: l})
 		}
-		answer, ok := c.applyReport(own, s.now)
+		answer, ok := c.applyReport(local, s.now)
 		require.True(t, ok)
 		s.received[a.Peers] = append(s.received[a.Peers], answer)
 		above, ok := s.parentOf(a)
--- a/internal/member/collectorline.go
+++ b/internal/member/collectorline.go
@@ -10,11 +10,10 @@
 	"tamarackchute/internal/wire"
 )
 
-// In a large site a full mesh would cost too much, so loads are aggregated in a tree. The
-// daemons of a data centre report to one of them, which reports to the root of the site; each
-// answers with the totals of all others. Any daemon can be an aggregator: the addresses that all
-// know decide, and if one falls silent the next takes over, at the loss of the latest updates
-// only. One aggregator for all would send almost every report across data centres.
+// In a large site loads are aggregated in a tree instead of a full mesh. The daemons of a data
+// centre report to one of them, which reports to the root of the site; each answers with the
+// totals of all others. If an aggregator falls silent, the next in rank takes over, at the loss
+// of the latest updates only. A single one would draw most reports across data centres.
 
 // rankAggregators returns the daemons in order of preference as aggregators: highest capacity
 // first, then by the hash of the address.
@@ -29,7 +28,7 @@
 	return ranking
 }
 
-// parentCandidates returns the daemons that one may report to; the first that answers is used.
+// parentCandidates returns the daemons that self may report to; the first that answers is used.
 // They are those ranked before it, its own data centre's first. As each reports to one ranked
 // before it, there are no cycles. The first in rank, the root, has none.
 func parentCandidates(self wire.MemberAddress, others []wire.MemberAddress) []wire.MemberAddress {
@@ -52,13 +51,13 @@
 	if to.DataCentre != self.DataCentre {
 		return loadInterval
 	}
-	every := queryInterval
+	interval := queryInterval
 	for _, a := range others {
 		if a.DataCentre == self.DataCentre {
-			every += queryIntervalPerDaemon
+			interval += queryIntervalPerDaemon
 		}
 	}
-	return every
+	return interval
 }
 
 // parentState describes the daemon that this one reports to, its parent.
@@ -88,19 +87,19 @@
 }
 
 // candidate returns the current parent.
-func (c *parentState) candidate() (wire.MemberAddress, bool) {
-	if c.current >= len(c.candidates) {
+func (s *parentState) candidate() (wire.MemberAddress, bool) {
+	if s.current >= len(s.candidates) {
 		return wire.MemberAddress{}, false
 	}
-	return c.candidates[c.current], true
+	return s.candidates[s.current], true
 }
 
 // rank returns the number of daemons ranked before this one, not counting silent ones ranked
 // before the parent that answers. Once all agree, it is 0 for one daemon of a large site.
-func (c *parentState) rank() int {
-	if c.noParent {
+func (s *parentState) rank() int {
+	if s.noParent {
 		return 0
 	}
-	at := slices.IndexFunc(c.candidates, func(a wire.MemberAddress) bool { return a.Peers == c.answeredBy })
-	return len(c.candidates) - max(0, at)
+	at := slices.IndexFunc(s.candidates, func(a wire.MemberAddress) bool { return a.Peers == s.answeredBy })
+	return len(s.candidates) - max(0, at)
 }
--- a/internal/member/director.go
+++ b/internal/member/director.go
@@ -47,11 +47,11 @@
 // director changes the roles of engines while this daemon holds the lease. Only a few daemons
 // compete for it, so that its cost doesn't grow with their number.
 type director struct {
-	member  *Member
-	log     infra.Log
-	engines Engines
-	policy  map[string]*rolepolicy.Balancer
-	logger  *slog.Logger
+	member    *Member
+	log       infra.Log
+	engines   Engines
+	balancers map[string]*rolepolicy.Balancer
+	logger    *slog.Logger
 
 	keeper    *lease.Keeper
 	stopLease func()
@@ -111,7 +111,7 @@
 	if !d.lastMonotonic.IsZero() {
 		if skew := wall.Sub(d.lastWall) - now.Sub(d.lastMonotonic); skew > clockJump || skew < -clockJump {
 			d.blockedUntil = now.Add(d.term())
-			d.logger.Warn("clock jump detected; no orders for one lease term", "by_ms", skew.Milliseconds())
+			d.logger.Warn("clock jump detected; no orders for a term", "by_ms", skew.Milliseconds())
 		}
 	}
 	d.lastMonotonic, d.lastWall = now, wall
@@ -128,7 +128,7 @@
 		d.stopLease()
 		d.stopLease, d.keeper = nil, nil
 		d.heldSince = time.Time{}
-		d.logger.Info("lease candidacy ended")
+		d.logger.Info("no longer a lease candidate")
 	}
 }
 
@@ -156,7 +156,7 @@
 		cancel()
 		<-done
 	}
-	d.logger.Info("lease candidacy started")
+	d.logger.Info("lease candidate")
 }
 
 // alwaysPresent makes leases expire by time alone: the platform's engines check fencing tokens.
@@ -197,13 +197,13 @@
 		if pool.Engine == nil || len(s.Pools[name]) == 0 {
 			continue
 		}
-		policy := d.policy[name]
-		if policy == nil {
-			policy = rolepolicy.NewBalancer(rolepolicy.DefaultBalancerConfig())
-			d.policy[name] = policy
+		balancer := d.balancers[name]
+		if balancer == nil {
+			balancer = rolepolicy.NewBalancer(rolepolicy.DefaultBalancerConfig())
+			d.balancers[name] = balancer
 		}
 		state, engines := d.poolState(s, name, pool)
-		change, ok := policy.Decide(state, time.Now())
+		change, ok := balancer.Decide(state, time.Now())
 		d.logPool(name, state)
 		if !ok {
 			continue
--- a/internal/member/large_test.go
+++ b/internal/member/large_test.go
@@ -111,9 +111,9 @@
 	prefillOnce(placement.Part{ID: 11, Tokens: 200})
 }
 
-// Guards against several daemons of a large site that act as the first, as each ranks only the
-// sixteen that it receives states from, and all read and write the journal. Exactly one must
-// have rank 0 and one rank 1, also after the first has failed.
+// Guards against several daemons of a large site, 11 of 95 at one, that act as the first, as each
+// ranks only the sixteen that it receives states from, and all read and write the journal.
+// Exactly one must have rank 0 and one rank 1, also after the first has failed.
 func TestRanksAreUniqueInLargeSite(t *testing.T) {
 	daemons := largeSite(t, maxFullMesh+5)
 	dead := make(map[*daemonHarness]bool)
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -151,9 +151,9 @@
 	m.backoff = newBackoff(m.peers.KnownCount)
 	configs := &configFeed{decoder: decoder, state: m.state, log: m.log}
 	m.upstreams = newUpstreamFeed(decoder, m.state, m.cfg.Settings.LapsedEntryGrace, m.log)
-	members := &memberFeed{peers: m.peers, log: m.log}
+	daemons := &memberFeed{peers: m.peers, log: m.log}
 	upstreams := &topicReader{
-		store: store, topic: TopicUpstreams, name: "upstreams", interval: upstreamsInterval, jitter: upstreamsJitter, readsFirst: m.peers.Aggregates,
+		store: store, topic: TopicUpstreams, name: "upstreams", interval: upstreamsInterval, jitter: upstreamsJitter, readsFirst: m.peers.IsRoot,
 		applyAll: m.upstreams.reset, applyRestored: m.upstreams.resetRestored, applyChanges: m.upstreams.apply, backoff: m.backoff, log: m.log,
 	}
 	m.upstreams.age = upstreams.age
@@ -167,7 +167,7 @@
 		{store: store, topic: TopicConfig, name: "configuration", longPoll: longPollTimeout, applyAll: configs.apply, applyChanges: configs.apply, backoff: m.backoff, log: m.log},
 		{
 			store: store, topic: TopicMembers, name: "daemons", longPoll: longPollTimeout, interval: time.Second, peersNotify: m.peers.ReportsInDataCentre,
-			applyAll: members.apply, applyChanges: members.apply, backoff: m.backoff, log: m.log,
+			applyAll: daemons.apply, applyChanges: daemons.apply, backoff: m.backoff, log: m.log,
 		},
 	}
 }
@@ -178,16 +178,16 @@
 }
 
 func (m *Member) summary() Summary {
-	s := m.state.Snapshot()
-	a := Summary{
+	snapshot := m.state.Snapshot()
+	summary := Summary{
 		Serving: m.Ready(), ListAge: m.readers[0].age(),
 		ListPosition: m.readers[0].position(), ListDigest: m.upstreams.digest.Load(),
-		ListSize: len(s.Upstreams),
+		ListSize: len(snapshot.Upstreams),
 	}
-	if c := s.Config; c != nil {
-		a.Config = c.Version
+	if c := snapshot.Config; c != nil {
+		summary.Config = c.Version
 	}
-	return a
+	return summary
 }
 
 func (m *Member) view(configOnly bool) wire.ViewReply {
@@ -291,7 +291,7 @@
 	directing := suture.New("directing", spec)
 	directing.Add(&director{
 		member: m, log: m.cfg.Log, engines: m.cfg.Engines, logger: m.log,
-		policy: make(map[string]*rolepolicy.Balancer), changes: make(map[string]roleChange),
+		balancers: make(map[string]*rolepolicy.Balancer), changes: make(map[string]roleChange),
 		lastLogged: make(map[string]time.Time),
 	})
 	root := suture.New("member", spec)
--- a/internal/member/peers.go
+++ b/internal/member/peers.go
@@ -98,9 +98,9 @@
 	demands     map[string]wire.MemberDemand
 	// lastState is when its last state or load update came, lastUpdate when its summary was last
 	// updated, by a state or with the totals.
-	lastState, lastUpdate time.Time
-	lastNamed             time.Time
-	up                    bool
+	lastReceived, lastUpdate time.Time
+	lastNamed                time.Time
+	up                       bool
 	// fullMesh is the value in its last state.
 	fullMesh bool
 }
@@ -200,8 +200,8 @@
 	if m.Demands != nil {
 		from.demands = m.Demands
 	}
-	from.lastState = time.Now()
-	from.lastUpdate = from.lastState
+	from.lastReceived = time.Now()
+	from.lastUpdate = from.lastReceived
 	recovered := !from.up
 	from.up = true
 	p.mu.Unlock()
@@ -228,7 +228,7 @@
 		return
 	}
 	from.seq = m.Seq
-	from.lastState = time.Now()
+	from.lastReceived = time.Now()
 	address := from.Peers
 	p.mu.Unlock()
 	p.tracker.ApplyPeerUpdate(address, m.Loads, m.Reads)
@@ -249,10 +249,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for address, other := range p.peers {
-		if other.up && now.Sub(other.lastState) > peerTimeout {
+		if other.up && now.Sub(other.lastReceived) > peerTimeout {
 			other.up = false
 			p.tracker.ForgetPeer(address)
-			p.log.Warn("peer silent", "peer", other.Instance, "address", address, "silent_ms", now.Sub(other.lastState).Milliseconds())
+			p.log.Warn("peer silent", "peer", other.Instance, "address", address, "silent_ms", now.Sub(other.lastReceived).Milliseconds())
 		}
 		if !other.up && now.Sub(other.lastNamed) > forgetPeerAfter {
 			p.closeLink(&other.outgoingLink)
--- a/internal/member/peers_test.go
+++ b/internal/member/peers_test.go
@@ -104,10 +104,10 @@
 // fetch the whole list from the first that has read the change.
 func TestLargeListsComeFromTheStore(t *testing.T) {
 	small, large := Summary{ListSize: largeListSize, Config: 2}, Summary{ListSize: largeListSize + 1, Config: 2}
-	own := Summary{Config: 2}
-	require.Equal(t, listSource{full: true}, chooseSource(own, small, false))
-	require.Equal(t, listSource{store: true}, chooseSource(own, large, false))
-	require.Equal(t, listSource{full: true}, chooseSource(own, large, true), "the store can't be read")
+	local := Summary{Config: 2}
+	require.Equal(t, listSource{full: true}, chooseSource(local, small, false))
+	require.Equal(t, listSource{store: true}, chooseSource(local, large, false))
+	require.Equal(t, listSource{full: true}, chooseSource(local, large, true), "the store can't be read")
 	require.Equal(t, listSource{config: true, store: true}, chooseSource(Summary{Config: 1}, large, false))
 }
 
--- a/internal/member/peerview.go
+++ b/internal/member/peerview.go
@@ -48,10 +48,10 @@
 }
 
 // Demand returns the demand of all daemons' callers for a pool. The root of a large site gets it
-// in reports; other daemons of a large site estimate the rest from the average of those that
-// they hear from.
+// in reports; its other daemons estimate the rest from the average of the peers whose state they
+// receive.
 func (p *Peers) Demand(pool string) wire.MemberDemand {
-	if p.Aggregates() {
+	if p.IsRoot() {
 		return p.aggregate.demand(pool)
 	}
 	sum := p.localDemand()[pool]
@@ -89,13 +89,13 @@
 func (p *Peers) Serving() []wire.MemberAddress {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var up []wire.MemberAddress
+	var serving []wire.MemberAddress
 	for _, other := range p.peers {
 		if other.up && other.summary.Serving {
-			up = append(up, other.MemberAddress)
+			serving = append(serving, other.MemberAddress)
 		}
 	}
-	return up
+	return serving
 }
 
 // Freshest returns the address and summary of the peer with the newest configuration, if newer
@@ -110,11 +110,11 @@
 		if time.Since(other.lastUpdate) > peerTimeout {
 			continue
 		}
-		a := other.summary
-		age := a.ListAge + time.Since(other.lastUpdate)
-		newerList := a.ListPosition > local.ListPosition && a.ListDigest != local.ListDigest && age < minAge
-		if a.Config > newest || (a.Config == newest && newerList) {
-			best, newest, summary = address, a.Config, a
+		remote := other.summary
+		age := remote.ListAge + time.Since(other.lastUpdate)
+		newerList := remote.ListPosition > local.ListPosition && remote.ListDigest != local.ListDigest && age < minAge
+		if remote.Config > newest || (remote.Config == newest && newerList) {
+			best, newest, summary = address, remote.Config, remote
 			if newerList {
 				minAge = age
 			}
--- a/internal/member/reload.go
+++ b/internal/member/reload.go
@@ -29,13 +29,13 @@
 	{"retry window", func(s *Settings) any { return s.RetryWindow }, nil},
 	{"lease term", func(s *Settings) any { return s.LeaseTerm }, nil},
 	{"store's retention", func(s *Settings) any { return s.StoreRetention }, nil},
-	{"return of lapsed entries", func(s *Settings) any { return s.LapsedEntryGrace }, nil},
+	{"grace for lapsed entries", func(s *Settings) any { return s.LapsedEntryGrace }, nil},
 	{"seeds", func(s *Settings) any { return s.Seeds }, func(now, next *Settings) { now.Seeds = next.Seeds }},
 	{"memory", func(s *Settings) any { return s.MemoryBytes }, func(now, next *Settings) { now.MemoryBytes = next.MemoryBytes }},
 	{"grace", func(s *Settings) any { return s.Grace }, func(now, next *Settings) { now.Grace = next.Grace }},
 	{"retry ratio", func(s *Settings) any { return s.RetryRatio }, func(now, next *Settings) { now.RetryRatio = next.RetryRatio }},
 	{"retry slack", func(s *Settings) any { return s.RetrySlack }, func(now, next *Settings) { now.RetrySlack = next.RetrySlack }},
-	{"directory's time to keep", func(s *Settings) any { return s.DirectoryTTL }, func(now, next *Settings) { now.DirectoryTTL = next.DirectoryTTL }},
+	{"directory TTL", func(s *Settings) any { return s.DirectoryTTL }, func(now, next *Settings) { now.DirectoryTTL = next.DirectoryTTL }},
 }
 
 // Reload applies the settings that may change while the daemon runs. It returns the names of
--- a/internal/member/schedule.go
+++ b/internal/member/schedule.go
@@ -9,9 +9,9 @@
 func (p *Peers) Serve(ctx context.Context) error {
 	done := p.links.ServeBackground(ctx)
 	defer func() { <-done }()
-	every := p.updateInterval()
+	interval := p.updateInterval()
 	p.tracker.SetUpdateDelay(p.updateDelay())
-	ticker := time.NewTicker(every)
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	var s schedule
 	for {
@@ -24,9 +24,9 @@
 		case <-p.wake:
 			wait = min(wait, p.reportPending(&s, time.Now()))
 		}
-		if wait != every {
-			every = wait
-			ticker.Reset(every)
+		if wait != interval {
+			interval = wait
+			ticker.Reset(interval)
 			p.tracker.SetUpdateDelay(p.updateDelay())
 		}
 	}
@@ -35,51 +35,51 @@
 // schedule is when heartbeats and loads were last sent, and silence was checked.
 type schedule struct{ heartbeat, loads, silence time.Time }
 
-// reportPending reports updates to the parent, and returns the time until that is due: changes
-// in quick succession are combined.
-func (p *Peers) reportPending(t *schedule, now time.Time) time.Duration {
+// reportPending reports updates to the parent if that is due, and returns the time until the
+// next report is: changes in quick succession are combined.
+func (p *Peers) reportPending(s *schedule, now time.Time) time.Duration {
 	if p.isFullMesh() {
 		return loadInterval
 	}
-	if remaining := minReportInterval - now.Sub(t.loads); remaining > 0 {
+	if remaining := minReportInterval - now.Sub(s.loads); remaining > 0 {
 		return remaining
 	}
-	t.loads = now
+	s.loads = now
 	p.report(now, p.needsTotals())
 	return p.updateInterval()
 }
 
 // sendDue sends what is due.
-func (p *Peers) sendDue(t *schedule, now time.Time) {
-	if now.Sub(t.silence) >= heartbeatInterval {
-		t.silence = now
+func (p *Peers) sendDue(s *schedule, now time.Time) {
+	if now.Sub(s.silence) >= heartbeatInterval {
+		s.silence = now
 		p.checkSilence(now)
 	}
 	if !p.isFullMesh() {
-		p.sendLarge(t, now)
+		p.sendLarge(s, now)
 		return
 	}
-	if now.Sub(t.heartbeat) >= heartbeatInterval {
-		t.heartbeat, t.loads = now, now
+	if now.Sub(s.heartbeat) >= heartbeatInterval {
+		s.heartbeat, s.loads = now, now
 		p.broadcast(p.heartbeatState(now))
 		return
 	}
-	if now.Sub(t.loads) < loadInterval {
+	if now.Sub(s.loads) < loadInterval {
 		return
 	}
 	if m := p.loadUpdate(now); m != nil {
-		t.loads = now
+		s.loads = now
 		p.broadcast(m)
 	}
 }
 
 // sendLarge sends heartbeats to the neighbours and a report to the parent.
-func (p *Peers) sendLarge(t *schedule, now time.Time) {
-	if now.Sub(t.heartbeat) >= largeHeartbeatInterval || p.statusChanged() {
-		t.heartbeat = now
+func (p *Peers) sendLarge(s *schedule, now time.Time) {
+	if now.Sub(s.heartbeat) >= largeHeartbeatInterval || p.statusChanged() {
+		s.heartbeat = now
 		p.broadcast(p.heartbeatState(now))
 	}
-	t.loads = now
+	s.loads = now
 	p.report(now, p.needsTotals())
 }
 
--- a/internal/member/serve.go
+++ b/internal/member/serve.go
@@ -68,7 +68,7 @@
 		}
 		l, err := net.Listen("tcp", h.address)
 		if err != nil {
-			return nil, eris.Wrapf(err, "%s: address %s can't be taken", h.name, h.address)
+			return nil, eris.Wrapf(err, "%s: can't listen on %s", h.name, h.address)
 		}
 		conns := m.otherConns
 		if h.address == s.Callers {
@@ -100,11 +100,11 @@
 	s.Gauge("upstreams_age_seconds").Update(summary.ListAge.Seconds())
 	s.Gauge("daemons_known").Update(float64(m.peers.KnownCount()))
 	s.Gauge("daemons_serving").Update(float64(len(m.peers.Serving())))
-	aggregates := 0.0
-	if m.peers.Aggregates() {
-		aggregates = 1
+	isRoot := 0.0
+	if m.peers.IsRoot() {
+		isRoot = 1
 	}
-	s.Gauge("collects_loads").Update(aggregates)
+	s.Gauge("collects_loads").Update(isRoot)
 	s.Gauge("requests_active").Update(float64(m.relay.Active()))
 }
 
--- a/internal/member/tally.go
+++ b/internal/member/tally.go
@@ -26,7 +26,8 @@
 // sum for each answer would take time quadratic in the number of daemons. Unavailable engines
 // and prefills are passed on likewise, to all but their sender.
 type loadAggregate struct {
-	mu       sync.Mutex
+	mu sync.Mutex
+	// children are the contributions of this daemon and of those that report to it, by address.
 	children map[string]*contribution
 	// parent is the load of the rest of the site, as received from the parent.
 	parent *contribution
@@ -89,23 +90,23 @@
 		return wire.LoadTotals{}, false
 	}
 	a.forgetSilent(now)
-	r := a.children[m.Peers]
-	if r == nil {
-		r = newContribution()
-		a.children[m.Peers] = r
+	c := a.children[m.Peers]
+	if c == nil {
+		c = newContribution()
+		a.children[m.Peers] = c
 	}
 	if m.Full {
-		r.sentVersion = 0 // its answers may have been lost as well
-		r.demands = m.Demands
+		c.sentVersion = 0 // its answers may have been lost as well
+		c.demands = m.Demands
 	}
-	r.daemons, r.depth = max(m.Daemons, 1), m.Depth
-	a.applyLoads(r, m.Loads, m.Full, now)
+	c.daemons, c.depth = max(m.Daemons, 1), m.Depth
+	a.applyLoads(c, m.Loads, m.Full, now)
 	a.applyUnavailable(m.Away, now)
-	a.forwardPrefills(r, m.Reads)
+	a.forwardPrefills(c, m.Reads)
 	if m.Unanswered {
 		return wire.LoadTotals{}, true
 	}
-	return a.changedTotals(r, now), true
+	return a.changedTotals(c, now), true
 }
 
 // hasChildren reports whether other daemons report to this one.
@@ -135,8 +136,8 @@
 func (a *loadAggregate) totalsFor(sender string, now time.Time) wire.LoadTotals {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if r := a.children[sender]; r != nil {
-		return a.changedTotals(r, now)
+	if c := a.children[sender]; c != nil {
+		return a.changedTotals(c, now)
 	}
 	return wire.LoadTotals{}
 }
@@ -163,9 +164,9 @@
 	if full {
 		m.Demands = a.demands()
 	}
-	for _, r := range a.children {
-		m.Daemons += r.daemons
-		m.Depth = max(m.Depth, r.depth+1)
+	for _, c := range a.children {
+		m.Daemons += c.daemons
+		m.Depth = max(m.Depth, c.depth+1)
 	}
 	return m
 }
@@ -173,8 +174,8 @@
 // demands adds up the demand of all reporting daemons. a.mu is held.
 func (a *loadAggregate) demands() map[string]wire.MemberDemand {
 	sum := make(map[string]wire.MemberDemand)
-	for _, r := range a.children {
-		for pool, d := range r.demands {
+	for _, c := range a.children {
+		for pool, d := range c.demands {
 			sum[pool] = sum[pool].Plus(d)
 		}
 	}
@@ -190,32 +191,32 @@
 
 // applyLoads applies a contribution's loads to the totals. If they are full, loads not listed
 // are removed.
-func (a *loadAggregate) applyLoads(r *contribution, loads []placement.UpstreamLoad, full bool, now time.Time) {
+func (a *loadAggregate) applyLoads(c *contribution, loads []placement.UpstreamLoad, full bool, now time.Time) {
 	a.version++
-	r.lastReport = now
+	c.lastReport = now
 	if full {
-		a.removeUnlisted(r, loads, now)
+		a.removeUnlisted(c, loads, now)
 	}
 	for _, l := range loads {
-		a.put(r, l, now)
+		a.put(c, l, now)
 	}
 }
 
-func (a *loadAggregate) removeUnlisted(r *contribution, loads []placement.UpstreamLoad, now time.Time) {
+func (a *loadAggregate) removeUnlisted(c *contribution, loads []placement.UpstreamLoad, now time.Time) {
 	listed := make(map[placement.Key]bool, len(loads))
 	for _, l := range loads {
 		listed[l.Upstream] = true
 	}
-	for at := range r.loads {
-		if !listed[at] {
-			a.remove(r, at, now)
+	for key := range c.loads {
+		if !listed[key] {
+			a.remove(c, key, now)
 		}
 	}
 }
 
 // put applies one load of a contribution.
-func (a *loadAggregate) put(r *contribution, l placement.UpstreamLoad, now time.Time) {
-	before, known := r.loads[l.Upstream]
+func (a *loadAggregate) put(c *contribution, l placement.UpstreamLoad, now time.Time) {
+	before, known := c.loads[l.Upstream]
 	if known && before == l.Load {
 		return
 	}
@@ -229,18 +230,18 @@
 		sum.contributions++
 	}
 	sum.load = sum.load.Minus(before).Plus(l.Load)
-	a.recordChange(sum, r, now)
-	r.loads[l.Upstream] = l.Load
+	a.recordChange(sum, c, now)
+	c.loads[l.Upstream] = l.Load
 }
 
 // remove removes a load from a contribution. The total of an upstream without any load is kept
 // for a while, so that all daemons receive it.
-func (a *loadAggregate) remove(r *contribution, at placement.Key, now time.Time) {
-	sum := a.totals[at]
-	sum.load = sum.load.Minus(r.loads[at])
+func (a *loadAggregate) remove(c *contribution, key placement.Key, now time.Time) {
+	sum := a.totals[key]
+	sum.load = sum.load.Minus(c.loads[key])
 	sum.contributions--
-	a.recordChange(sum, r, now)
-	delete(r.loads, at)
+	a.recordChange(sum, c, now)
+	delete(c.loads, key)
 }
 
 func (a *loadAggregate) recordChange(sum *total, source *contribution, now time.Time) {
@@ -258,9 +259,9 @@
 	}
 	a.lastSilenceCheck = now
 	a.version++
-	for from, r := range a.children {
-		if now.Sub(r.lastReport) > peerTimeout {
-			a.removeUnlisted(r, nil, now)
+	for from, c := range a.children {
+		if now.Sub(c.lastReport) > peerTimeout {
+			a.removeUnlisted(c, nil, now)
 			delete(a.children, from)
 		}
 	}
@@ -281,8 +282,8 @@
 // since its last answer. Its own changes are included; they have no effect.
 func (a *loadAggregate) changedTotals(to *contribution, now time.Time) wire.LoadTotals {
 	totals := wire.LoadTotals{Full: to.sentVersion == 0, Senders: a.parent.daemons - to.daemons, Away: a.unavailableSince(to.sentVersion, now), Reads: to.takePrefills()}
-	for _, r := range a.children {
-		totals.Senders += r.daemons
+	for _, c := range a.children {
+		totals.Senders += c.daemons
 	}
 	totals.Loads = a.others(to)
 	return totals
@@ -301,6 +302,6 @@
 	return loads
 }
 
-func (*loadAggregate) without(sum *total, r *contribution) placement.UpstreamLoad {
-	return placement.UpstreamLoad{Upstream: sum.upstream, Load: sum.load.Minus(r.loads[sum.upstream])}
+func (*loadAggregate) without(sum *total, c *contribution) placement.UpstreamLoad {
+	return placement.UpstreamLoad{Upstream: sum.upstream, Load: sum.load.Minus(c.loads[sum.upstream])}
 }
--- a/internal/member/tallynews.go
+++ b/internal/member/tallynews.go
@@ -8,10 +8,10 @@
 	"tamarackchute/placement"
 )
 
-// unavailableEntry is an unavailable engine and the aggregate's version that added it.
+// unavailableEntry is an unavailable engine and the aggregate's version when it was recorded.
 type unavailableEntry struct {
 	unavailableEngine
-	changed uint64
+	version uint64
 }
 
 // unavailableSlack is the difference up to which two ends of an unavailability count as equal:
@@ -36,41 +36,41 @@
 		switch {
 		case !now.Before(e.until):
 			delete(a.unavailable, at)
-		case e.changed > version:
+		case e.version > version:
 			list = append(list, wire.AwayEngine{At: at, To: e.to, Left: e.until.Sub(now)})
 		}
 	}
 	return list
 }
 
-// maxPendingPrefills limits the prefill events kept for a silent daemon: some hundred
-// milliseconds of a large site. At worst a dropped prompt is prefilled again elsewhere.
+// maxPendingPrefills limits the prefill events kept for a silent daemon: those of some
+// hundred milliseconds in a large site. At worst a dropped prompt is prefilled again elsewhere.
 const maxPendingPrefills = 2000
 
 // forwardPrefills queues one sender's prefill events for all others.
-func (a *loadAggregate) forwardPrefills(from *contribution, reads []placement.PrefillEvent) {
-	if len(reads) == 0 {
+func (a *loadAggregate) forwardPrefills(from *contribution, events []placement.PrefillEvent) {
+	if len(events) == 0 {
 		return
 	}
 	for _, to := range a.children {
 		if to != from {
-			to.addPrefills(reads)
+			to.addPrefills(events)
 		}
 	}
 	if from != a.parent {
-		a.parent.addPrefills(reads)
+		a.parent.addPrefills(events)
 	}
 }
 
-func (c *contribution) addPrefills(reads []placement.PrefillEvent) {
-	c.pendingPrefills = append(c.pendingPrefills, reads...)
+func (c *contribution) addPrefills(events []placement.PrefillEvent) {
+	c.pendingPrefills = append(c.pendingPrefills, events...)
 	if over := len(c.pendingPrefills) - maxPendingPrefills; over > 0 {
 		c.pendingPrefills = slices.Delete(c.pendingPrefills, 0, over)
 	}
 }
 
 func (c *contribution) takePrefills() []placement.PrefillEvent {
-	reads := c.pendingPrefills
+	events := c.pendingPrefills
 	c.pendingPrefills = nil
-	return reads
+	return events
 }
--- a/internal/member/telling.go
+++ b/internal/member/telling.go
@@ -35,10 +35,10 @@
 const listAgeSlack = 10 * time.Millisecond
 
 // covers reports whether the reported summary still holds, apart from the time passed.
-func (t reportedSummary) covers(now Summary, at time.Time) bool {
-	same := t.Serving == now.Serving && t.Config == now.Config &&
-		t.ListPosition == now.ListPosition && t.ListDigest == now.ListDigest
-	return same && now.ListAge > t.ListAge+at.Sub(t.at)-listAgeSlack
+func (r reportedSummary) covers(now Summary, at time.Time) bool {
+	same := r.Serving == now.Serving && r.Config == now.Config &&
+		r.ListPosition == now.ListPosition && r.ListDigest == now.ListDigest
+	return same && now.ListAge > r.ListAge+at.Sub(r.at)-listAgeSlack
 }
 
 // newState returns a state to send. p.mu is held.
--- a/internal/member/topicreader.go
+++ b/internal/member/topicreader.go
@@ -226,7 +226,7 @@
 	return !r.readAt.IsZero() && at.Era() > r.next.Era()
 }
 
-// adopt records that a peer has read the topic up to a position, age ago, with the same result.
+// adopt records that the topic up to a position, as a peer read it some time ago, is known here.
 func (r *topicReader) adopt(at Position, age time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/member/upstreams.go
+++ b/internal/member/upstreams.go
@@ -38,8 +38,8 @@
 	list map[string]*fleet.Upstream
 	// revisions are those of the newest entries.
 	revisions map[string]uint64
-	// lapsed holds the upstreams whose entries were removed during an outage of the store, and
-	// when they are dropped.
+	// lapsed holds the upstreams whose entries were removed during an outage of the store, or
+	// are missing in its restored copy, and when they are dropped.
 	lapsed map[string]time.Time
 }
 
@@ -204,7 +204,7 @@
 		return
 	}
 	f.lapsed[id] = time.Now().Add(f.lapsedGrace)
-	f.log.Info("upstream entry lapsed during an outage", "upstream", id)
+	f.log.Info("upstream entry lapsed; upstream kept for now", "upstream", id)
 }
 
 func (f *upstreamFeed) drop(id string) {
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -121,7 +121,7 @@
 	if !m.cfg.Store.Eras().Observe(Position(reply.Position).Era(), "another daemon") {
 		return
 	}
-	m.log.Info("upstream list taken from a peer", "peer", peer, "age_ms", age.Milliseconds(), "own_age_ms", localAge.Milliseconds())
+	m.log.Info("upstreams taken from a peer", "peer", peer, "age_ms", age.Milliseconds(), "own_age_ms", localAge.Milliseconds())
 	entries := make([]Entry, 0, len(reply.Upstreams))
 	for id, value := range reply.Upstreams {
 		entries = append(entries, Entry{Key: id, Value: value})
