--- a/internal/member/collector_test.go
+++ b/internal/member/collector_test.go
@@ -18,9 +18,9 @@
 }
 
 // applyReport applies a report and returns the totals in the answer.
-func applyReport(t *testing.T, c *loadAggregate, m wire.LoadReport, now time.Time) wire.LoadTotals {
+func applyReport(t *testing.T, aggregate *loadAggregate, m wire.LoadReport, now time.Time) wire.LoadTotals {
 	t.Helper()
-	totals, ok := c.applyReport(m, now)
+	totals, ok := aggregate.applyReport(m, now)
 	require.True(t, ok)
 	return totals
 }
@@ -28,19 +28,19 @@
 // Each daemon gets the load of the others without its own; a silent one is removed, and a full
 // report makes up for lost ones.
 func TestTotalsExcludeOwnLoad(t *testing.T) {
-	c := newLoadAggregate()
+	aggregate := newLoadAggregate()
 	now := time.Unix(1000, 0)
-	require.Equal(t, testLoads(0, 0), applyReport(t, c, wire.LoadReport{Peers: "a", Loads: testLoads(1, 10)}, now).Loads)
-	require.Equal(t, testLoads(1, 10), applyReport(t, c, wire.LoadReport{Peers: "b", Loads: testLoads(2, 20)}, now).Loads)
-	totals := applyReport(t, c, wire.LoadReport{Peers: "c"}, now)
+	require.Equal(t, testLoads(0, 0), applyReport(t, aggregate, wire.LoadReport{Peers: "a", Loads: testLoads(1, 10)}, now).Loads)
+	require.Equal(t, testLoads(1, 10), applyReport(t, aggregate, wire.LoadReport{Peers: "b", Loads: testLoads(2, 20)}, now).Loads)
+	totals := applyReport(t, aggregate, wire.LoadReport{Peers: "c"}, now)
 	require.Equal(t, testLoads(3, 30), totals.Loads)
 	require.Equal(t, 2, totals.Senders)
 
-	applyReport(t, c, wire.LoadReport{Peers: "a", Full: true}, now)
-	require.Equal(t, testLoads(2, 20), applyReport(t, c, wire.LoadReport{Peers: "c"}, now).Loads)
+	applyReport(t, aggregate, wire.LoadReport{Peers: "a", Full: true}, now)
+	require.Equal(t, testLoads(2, 20), applyReport(t, aggregate, wire.LoadReport{Peers: "c"}, now).Loads)
 
 	now = now.Add(2 * peerTimeout)
-	totals = applyReport(t, c, wire.LoadReport{Peers: "c"}, now)
+	totals = applyReport(t, aggregate, wire.LoadReport{Peers: "c"}, now)
 	require.Equal(t, testLoads(0, 0), totals.Loads, "the removal is sent")
 	require.Zero(t, totals.Senders)
 }
@@ -48,13 +48,13 @@
 // Guards against an engine that looks busy for good and stands idle, as a daemon failed during a
 // long stream there and the others weren't sent the removal of its load.
 func TestLoadOfFailedDaemonIsRemoved(t *testing.T) {
-	c := newLoadAggregate()
+	aggregate := newLoadAggregate()
 	now := time.Unix(1000, 0)
-	applyReport(t, c, wire.LoadReport{Peers: "dead", Loads: testLoads(5, 10)}, now)
-	require.Equal(t, testLoads(5, 10), applyReport(t, c, wire.LoadReport{Peers: "a"}, now).Loads)
+	applyReport(t, aggregate, wire.LoadReport{Peers: "dead", Loads: testLoads(5, 10)}, now)
+	require.Equal(t, testLoads(5, 10), applyReport(t, aggregate, wire.LoadReport{Peers: "a"}, now).Loads)
 	for range 40 {
 		now = now.Add(peerTimeout / 20)
-		for _, l := range applyReport(t, c, wire.LoadReport{Peers: "a"}, now).Loads {
+		for _, l := range applyReport(t, aggregate, wire.LoadReport{Peers: "a"}, now).Loads {
 			if l.Load == (placement.Load{}) {
 				return
 			}
@@ -68,28 +68,28 @@
 // answer.
 func TestAnswersMatchTotals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := newLoadAggregate()
+		aggregate := newLoadAggregate()
 		now := time.Unix(1000, 0)
-		have := make(map[string]map[placement.Key]placement.Load)
+		current := make(map[string]map[placement.Key]placement.Load)
 		known := make(map[placement.Key]placement.Load)
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 30).Draw(t, "ms")) * time.Millisecond)
 			from := rapid.SampledFrom([]string{"a", "b", "c", "me"}).Draw(t, "from")
-			if have[from] == nil {
-				have[from] = make(map[placement.Key]placement.Load)
+			if current[from] == nil {
+				current[from] = make(map[placement.Key]placement.Load)
 			}
 			at := placement.Key(rapid.IntRange(1, 3).Draw(t, "at"))
 			l := placement.Load{Running: rapid.IntRange(0, 5).Draw(t, "running"), PrefillSent: rapid.Uint32Range(0, 9).Draw(t, "sent")}
-			have[from][at] = l
+			current[from][at] = l
 			m := wire.LoadReport{Peers: from, Loads: []placement.UpstreamLoad{{Upstream: at, Load: l}}, Full: rapid.IntRange(0, 4).Draw(t, "full") == 0}
 			if m.Full {
 				m.Loads = nil
-				for at, l := range have[from] {
+				for at, l := range current[from] {
 					m.Loads = append(m.Loads, placement.UpstreamLoad{Upstream: at, Load: l})
 				}
 			}
 			lost := from == "me" && !m.Full && rapid.IntRange(0, 9).Draw(t, "lost") == 0
-			answer, ok := c.applyReport(m, now)
+			answer, ok := aggregate.applyReport(m, now)
 			require.True(t, ok)
 			if from != "me" || lost {
 				continue
@@ -99,16 +99,16 @@
 			}
 		}
 		m := wire.LoadReport{Peers: "me", Full: true}
-		for at, l := range have["me"] {
+		for at, l := range current["me"] {
 			m.Loads = append(m.Loads, placement.UpstreamLoad{Upstream: at, Load: l})
 		}
-		answer, ok := c.applyReport(m, now)
+		answer, ok := aggregate.applyReport(m, now)
 		require.True(t, ok)
 		for _, l := range answer.Loads {
 			known[l.Upstream] = l.Load
 		}
 		want := make(map[placement.Key]placement.Load)
-		for from, loads := range have {
+		for from, loads := range current {
 			for at, l := range loads {
 				if from != "me" {
 					want[at] = want[at].Plus(l)
@@ -145,7 +145,7 @@
 func BenchmarkTotals(b *testing.B) {
 	for _, size := range []struct{ daemons, upstreams int }{{74, 34}, {300, 3000}} {
 		b.Run(fmt.Sprintf("%d daemons, %d upstreams", size.daemons, size.upstreams), func(b *testing.B) {
-			t := newLoadAggregate()
+			aggregate := newLoadAggregate()
 			now := time.Now()
 			reports := make([]wire.LoadReport, size.daemons)
 			for i := range reports {
@@ -154,14 +154,14 @@
 					at := placement.KeyOf(fmt.Sprint((i*7+j*13)%size.upstreams), time.Time{})
 					reports[i].Loads = append(reports[i].Loads, placement.UpstreamLoad{Upstream: at, Load: placement.Load{Running: 1, PrefillSent: uint32(i + j)}})
 				}
-				t.applyReport(reports[i], now)
+				aggregate.applyReport(reports[i], now)
 			}
 			b.ResetTimer()
 			for i := range b.N {
 				r := reports[i%size.daemons]
 				r.Full = false
 				r.Loads = r.Loads[:3]
-				t.applyReport(r, now)
+				aggregate.applyReport(r, now)
 			}
 		})
 	}
@@ -208,31 +208,31 @@
 		if s.dead[a.Peers] {
 			continue
 		}
-		c := s.aggregates[a.Peers]
+		aggregate := s.aggregates[a.Peers]
 		local := wire.LoadReport{Peers: a.Peers, Full: full, Daemons: 1}
 		for at, l := range s.loads[a.Peers] {
 			local.Loads = append(local.Loads, placement.UpstreamLoad{Upstream: at, Load: l})
 		}
-		answer, ok := c.applyReport(local, s.now)
+		answer, ok := aggregate.applyReport(local, s.now)
 		require.True(t, ok)
 		s.received[a.Peers] = append(s.received[a.Peers], answer)
-		above, ok := s.parentOf(a)
+		parent, ok := s.parentOf(a)
 		if !ok {
 			continue
 		}
-		answer, ok = s.aggregates[above].applyReport(c.parentReport(a.Peers, full, s.now), s.now)
+		answer, ok = s.aggregates[parent].applyReport(aggregate.parentReport(a.Peers, full, s.now), s.now)
 		require.True(t, ok)
-		c.applyParentTotals(answer, s.now)
-		s.received[a.Peers] = append(s.received[a.Peers], c.totalsFor(a.Peers, s.now))
+		aggregate.applyParentTotals(answer, s.now)
+		s.received[a.Peers] = append(s.received[a.Peers], aggregate.totalsFor(a.Peers, s.now))
 	}
 }
 
 // knownLoads returns the load of the others as a daemon knows it.
 func (s *siteTree) knownLoads(t require.TestingT, self string) map[placement.Key]placement.Load {
-	c := s.aggregates[self]
-	c.children[self].sentVersion = 0
+	aggregate := s.aggregates[self]
+	aggregate.children[self].sentVersion = 0
 	known := make(map[placement.Key]placement.Load)
-	for _, l := range c.totalsFor(self, s.now).Loads {
+	for _, l := range aggregate.totalsFor(self, s.now).Loads {
 		if l.Load != (placement.Load{}) {
 			known[l.Upstream] = l.Load
 		}
@@ -292,12 +292,12 @@
 	crossing := map[string]int{}
 	roots := 0
 	for _, a := range all {
-		above, ok := s.parentOf(a)
+		parent, ok := s.parentOf(a)
 		if !ok {
 			roots++
 			continue
 		}
-		i := slices.IndexFunc(all, func(o wire.MemberAddress) bool { return o.Peers == above })
+		i := slices.IndexFunc(all, func(o wire.MemberAddress) bool { return o.Peers == parent })
 		if all[i].DataCentre != a.DataCentre {
 			crossing[a.DataCentre]++
 		}
@@ -407,28 +407,28 @@
 // A daemon may report without asking for an answer. Changes of others meanwhile must come with
 // the next answer, and a report without changes must say so.
 func TestUnansweredReportDelaysTotals(t *testing.T) {
-	c := newLoadAggregate()
+	aggregate := newLoadAggregate()
 	now := time.Unix(1000, 0)
-	applyReport(t, c, wire.LoadReport{Peers: "a"}, now)
-	applyReport(t, c, wire.LoadReport{Peers: "b", Loads: testLoads(2, 20), Reads: []placement.PrefillEvent{{Engine: 3}}}, now)
-	require.Empty(t, applyReport(t, c, wire.LoadReport{Peers: "a", Loads: testLoads(1, 10), Unanswered: true}, now))
-	totals := applyReport(t, c, wire.LoadReport{Peers: "a"}, now)
+	applyReport(t, aggregate, wire.LoadReport{Peers: "a"}, now)
+	applyReport(t, aggregate, wire.LoadReport{Peers: "b", Loads: testLoads(2, 20), Reads: []placement.PrefillEvent{{Engine: 3}}}, now)
+	require.Empty(t, applyReport(t, aggregate, wire.LoadReport{Peers: "a", Loads: testLoads(1, 10), Unanswered: true}, now))
+	totals := applyReport(t, aggregate, wire.LoadReport{Peers: "a"}, now)
 	require.Equal(t, testLoads(2, 20), totals.Loads)
 	require.Len(t, totals.Reads, 1)
-	require.True(t, c.parentReport("a", false, now).HasNews())
-	require.False(t, c.parentReport("a", false, now).HasNews())
+	require.True(t, aggregate.parentReport("a", false, now).HasNews())
+	require.False(t, aggregate.parentReport("a", false, now).HasNews())
 }
 
 // Guards against totals received from the parent that are reported back to it and make up most
 // of a report.
 func TestParentTotalsAreNotReportedBack(t *testing.T) {
-	c := newLoadAggregate()
+	aggregate := newLoadAggregate()
 	now := time.Unix(1000, 0)
-	applyReport(t, c, wire.LoadReport{Peers: "a", Loads: testLoads(1, 10), Daemons: 1}, now)
-	require.Equal(t, testLoads(1, 10), c.parentReport("a", false, now).Loads)
-	c.applyParentTotals(wire.LoadTotals{Loads: append(testLoads(7, 70), placement.UpstreamLoad{Upstream: 2, Load: placement.Load{Running: 5}})}, now)
-	require.Empty(t, c.parentReport("a", false, now).Loads)
-	require.Equal(t, testLoads(1, 10), c.parentReport("a", true, now).Loads, "a full report has only its own")
-	applyReport(t, c, wire.LoadReport{Peers: "a", Loads: testLoads(2, 20), Daemons: 1}, now)
-	require.Equal(t, testLoads(2, 20), c.parentReport("a", false, now).Loads)
+	applyReport(t, aggregate, wire.LoadReport{Peers: "a", Loads: testLoads(1, 10), Daemons: 1}, now)
+	require.Equal(t, testLoads(1, 10), aggregate.parentReport("a", false, now).Loads)
+	aggregate.applyParentTotals(wire.LoadTotals{Loads: append(testLoads(7, 70), placement.UpstreamLoad{Upstream: 2, Load: placement.Load{Running: 5}})}, now)
+	require.Empty(t, aggregate.parentReport("a", false, now).Loads)
+	require.Equal(t, testLoads(1, 10), aggregate.parentReport("a", true, now).Loads, "a full report has only its own")
+	applyReport(t, aggregate, wire.LoadReport{Peers: "a", Loads: testLoads(2, 20), Daemons: 1}, now)
+	require.Equal(t, testLoads(2, 20), aggregate.parentReport("a", false, now).Loads)
 }
--- a/internal/member/feeds_test.go
+++ b/internal/member/feeds_test.go
@@ -85,16 +85,16 @@
 }
 
 func newFeedHarness() *feedHarness {
-	r := &feedHarness{state: fleet.NewState()}
-	r.feed = newUpstreamFeed(textDecoder{}, r.state, 30*time.Millisecond, discardLogger)
-	r.feed.age = func() time.Duration { return r.age }
-	return r
+	h := &feedHarness{state: fleet.NewState()}
+	h.feed = newUpstreamFeed(textDecoder{}, h.state, 30*time.Millisecond, discardLogger)
+	h.feed.age = func() time.Duration { return h.age }
+	return h
 }
 
-func (r *feedHarness) list() string {
+func (h *feedHarness) list() string {
 	var all []string
 	for _, pool := range []string{"p", "q"} {
-		for _, u := range r.state.Snapshot().Pools[pool] {
+		for _, u := range h.state.Snapshot().Pools[pool] {
 			id := u.ID
 			if u.Leaving {
 				id += " leaving"
@@ -108,57 +108,57 @@
 // Upstreams are added, changed, drained and removed; an invalid entry is ignored and affects no
 // other.
 func TestUpstreamsFollowEntries(t *testing.T) {
-	r := newFeedHarness()
-	r.feed.reset([]Entry{entry("b", "p 1:1"), entry("a", "p 1:2"), entry("c", "nonsense"), entry("d", "q 1:3")})
-	require.Equal(t, "a,b,d", r.list())
-	r.feed.apply([]Entry{entry("a", "p 1:2 leaving"), entry("e", "p 1:4")})
-	require.Equal(t, "a leaving,b,e,d", r.list())
-	r.feed.apply([]Entry{entry("a", ""), entry("never", "")})
-	require.Equal(t, "b,e,d", r.list())
-	r.feed.reset([]Entry{entry("e", "p 1:4")})
-	require.Equal(t, "e", r.list())
+	h := newFeedHarness()
+	h.feed.reset([]Entry{entry("b", "p 1:1"), entry("a", "p 1:2"), entry("c", "nonsense"), entry("d", "q 1:3")})
+	require.Equal(t, "a,b,d", h.list())
+	h.feed.apply([]Entry{entry("a", "p 1:2 leaving"), entry("e", "p 1:4")})
+	require.Equal(t, "a leaving,b,e,d", h.list())
+	h.feed.apply([]Entry{entry("a", ""), entry("never", "")})
+	require.Equal(t, "b,e,d", h.list())
+	h.feed.reset([]Entry{entry("e", "p 1:4")})
+	require.Equal(t, "e", h.list())
 }
 
 // Guards against live upstreams that are dropped as their entries lapsed during an outage of the
 // store. They stay in use until they have had time to write again; those that don't are dropped.
 func TestEntriesLapsedInOutageAreKept(t *testing.T) {
-	r := newFeedHarness()
-	r.feed.reset([]Entry{entry("a", "p 1:1"), entry("b", "p 1:2")})
-	r.age = 2 * outageThreshold
-	r.feed.apply([]Entry{entry("a", ""), entry("b", "")})
-	require.Equal(t, "a,b", r.list())
-	r.age = 0
-	r.feed.apply([]Entry{entry("a", "p 1:1")})
-	require.Equal(t, "a,b", r.list())
+	h := newFeedHarness()
+	h.feed.reset([]Entry{entry("a", "p 1:1"), entry("b", "p 1:2")})
+	h.age = 2 * outageThreshold
+	h.feed.apply([]Entry{entry("a", ""), entry("b", "")})
+	require.Equal(t, "a,b", h.list())
+	h.age = 0
+	h.feed.apply([]Entry{entry("a", "p 1:1")})
+	require.Equal(t, "a,b", h.list())
 	time.Sleep(40 * time.Millisecond) // longer than the feed's grace
-	r.feed.apply(nil)
-	require.Equal(t, "a", r.list())
-	r.feed.apply([]Entry{entry("a", "")})
-	require.Empty(t, r.list(), "without an outage a removal counts at once")
+	h.feed.apply(nil)
+	require.Equal(t, "a", h.list())
+	h.feed.apply([]Entry{entry("a", "")})
+	require.Empty(t, h.list(), "without an outage a removal counts at once")
 }
 
 // Guards against an upstream that stays listed for good. One daemon keeps a lapsed entry for a
 // while; another, which has read the removal, takes over that daemon's more recent list. With
 // the entry in it, the removal would be behind its position.
 func TestLapsedEntriesAreNotSentToPeers(t *testing.T) {
-	r := newFeedHarness()
-	r.feed.reset([]Entry{entry("a", "p 1:1"), entry("b", "p 1:2")})
-	r.age = 2 * outageThreshold
-	r.feed.apply([]Entry{entry("a", "")})
-	require.Equal(t, "a,b", r.list(), "goes on being used here")
-	require.Equal(t, map[string][]byte{"b": []byte("p 1:2")}, r.feed.entries())
+	h := newFeedHarness()
+	h.feed.reset([]Entry{entry("a", "p 1:1"), entry("b", "p 1:2")})
+	h.age = 2 * outageThreshold
+	h.feed.apply([]Entry{entry("a", "")})
+	require.Equal(t, "a,b", h.list(), "goes on being used here")
+	require.Equal(t, map[string][]byte{"b": []byte("p 1:2")}, h.feed.entries())
 }
 
 // Guards against a lapsed entry that never expires when the store has no further changes, or
 // another daemon reads them for this one.
 func TestLapsedEntriesExpireWithoutChanges(t *testing.T) {
-	r := newFeedHarness()
-	r.feed.reset([]Entry{entry("a", "p 1:1"), entry("b", "p 1:2")})
-	r.age = 2 * outageThreshold
-	r.feed.apply([]Entry{entry("a", "")})
+	h := newFeedHarness()
+	h.feed.reset([]Entry{entry("a", "p 1:1"), entry("b", "p 1:2")})
+	h.age = 2 * outageThreshold
+	h.feed.apply([]Entry{entry("a", "")})
 	time.Sleep(40 * time.Millisecond) // longer than the feed's grace
-	r.feed.expireLapsed()
-	require.Equal(t, "b", r.list())
+	h.feed.expireLapsed()
+	require.Equal(t, "b", h.list())
 }
 
 // Lists with the same upstreams have the same digest, in whatever order they were read; an
@@ -331,34 +331,34 @@
 // Guards against a delayed answer of the store that brings back the earlier start of an upstream
 // that has restarted under its ID, or is gone.
 func TestEarlierStartIsIgnored(t *testing.T) {
-	r := newFeedHarness()
-	started := func() time.Time { return r.state.Snapshot().Upstreams["a"].Started }
-	r.feed.reset([]Entry{entry("a", "p 1:1 started=100")})
-	r.feed.apply([]Entry{entry("a", "p 1:1 started=200")})
+	h := newFeedHarness()
+	started := func() time.Time { return h.state.Snapshot().Upstreams["a"].Started }
+	h.feed.reset([]Entry{entry("a", "p 1:1 started=100")})
+	h.feed.apply([]Entry{entry("a", "p 1:1 started=200")})
 	require.Equal(t, time.UnixMilli(200), started())
-	r.feed.apply([]Entry{entry("a", "p 1:1 started=100")})
+	h.feed.apply([]Entry{entry("a", "p 1:1 started=100")})
 	require.Equal(t, time.UnixMilli(200), started())
-	r.feed.apply([]Entry{entry("a", "")})
-	require.Empty(t, r.list())
-	r.feed.apply([]Entry{entry("a", "p 1:1 started=100")})
-	require.Empty(t, r.list())
-	r.feed.apply([]Entry{entry("a", "p 1:1 started=300")})
-	require.Equal(t, "a", r.list())
+	h.feed.apply([]Entry{entry("a", "")})
+	require.Empty(t, h.list())
+	h.feed.apply([]Entry{entry("a", "p 1:1 started=100")})
+	require.Empty(t, h.list())
+	h.feed.apply([]Entry{entry("a", "p 1:1 started=300")})
+	require.Equal(t, "a", h.list())
 }
 
 // Guards against requests to an address from an entry that another program has overwritten, and
 // against a repeated warning for each further read.
 func TestInvalidEntryRemovesUpstream(t *testing.T) {
-	r := newFeedHarness()
+	h := newFeedHarness()
 	var lines bytes.Buffer
-	r.feed.log = slog.New(slog.NewTextHandler(&lines, nil))
-	r.feed.reset([]Entry{entry("a", "p 1:1"), entry("b", "p 1:2")})
+	h.feed.log = slog.New(slog.NewTextHandler(&lines, nil))
+	h.feed.reset([]Entry{entry("a", "p 1:1"), entry("b", "p 1:2")})
 	for range 3 {
-		r.feed.apply([]Entry{entry("a", "nonsense")})
-		require.Equal(t, "b", r.list())
+		h.feed.apply([]Entry{entry("a", "nonsense")})
+		require.Equal(t, "b", h.list())
 	}
 	require.Equal(t, 1, strings.Count(lines.String(), "invalid upstream entry"))
-	require.EqualValues(t, 1, r.feed.rejectedEntries())
-	r.feed.apply([]Entry{entry("a", "p 1:1")})
-	require.Equal(t, "a,b", r.list())
+	require.EqualValues(t, 1, h.feed.rejectedEntries())
+	h.feed.apply([]Entry{entry("a", "p 1:1")})
+	require.Equal(t, "a,b", h.list())
 }
--- a/internal/member/large_test.go
+++ b/internal/member/large_test.go
@@ -27,23 +27,23 @@
 	var addresses []wire.MemberAddress
 	for i := range daemons {
 		cfg := wire.Config{Name: fmt.Sprint("i", i), Secret: []byte("s"), Limits: wire.Limits{RetryMax: 100 * time.Millisecond}}
-		r := &daemonHarness{}
+		h := &daemonHarness{}
 		self := wire.MemberAddress{Instance: fmt.Sprint("i", i), DataCentre: fmt.Sprint("d", i%3)}
-		server := wire.NewServer(cfg, "127.0.0.1:0", wireHandler{r}, discardLogger)
+		server := wire.NewServer(cfg, "127.0.0.1:0", wireHandler{h}, discardLogger)
 		require.NoError(t, server.Bind())
 		self.Peers = server.Addr().String()
-		r.peersHarness = newPeersHarnessAt(self, cfg)
+		h.peersHarness = newPeersHarnessAt(self, cfg)
 		ctx, kill := context.WithCancel(t.Context())
-		r.kill = kill
-		r.start = func() { go func() { _ = r.Serve(ctx) }() }
+		h.kill = kill
+		h.start = func() { go func() { _ = h.Serve(ctx) }() }
 		go func() { _ = server.Serve(ctx) }()
-		daemons[i] = r
+		daemons[i] = h
 		addresses = append(addresses, self)
 		t.Cleanup(kill)
 	}
-	for _, r := range daemons {
-		r.Add(addresses...)
-		r.start()
+	for _, h := range daemons {
+		h.Add(addresses...)
+		h.start()
 	}
 	return daemons
 }
@@ -56,8 +56,8 @@
 }
 
 // cachedTokens returns the tokens of a prompt of one part that are assumed to be cached.
-func (r *daemonHarness) cachedTokens(part placement.Part) int {
-	return r.tracker.Engines([]string{"e"})[0].Cached([]placement.Part{part}).Ready
+func (h *daemonHarness) cachedTokens(part placement.Part) int {
+	return h.tracker.Engines([]string{"e"})[0].Cached([]placement.Part{part}).Ready
 }
 
 // The root of the site and the aggregator of another data centre fail. Their load must be
@@ -66,11 +66,11 @@
 	daemons := largeSite(t, maxFullMesh+5)
 	live := daemons
 	started := 0
-	eventually := func(holds func(r *daemonHarness) bool) {
+	eventually := func(holds func(h *daemonHarness) bool) {
 		t.Helper()
 		require.Eventually(t, func() bool {
-			for _, r := range live {
-				if !holds(r) {
+			for _, h := range live {
+				if !holds(h) {
 					return false
 				}
 			}
@@ -79,21 +79,21 @@
 	}
 	prefillOnce := func(part placement.Part) {
 		t.Helper()
-		for _, r := range live {
-			r.tracker.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
+		for _, h := range live {
+			h.tracker.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
 		}
 		started++
-		eventually(func(r *daemonHarness) bool { return r.running() == started*len(live) })
+		eventually(func(h *daemonHarness) bool { return h.running() == started*len(live) })
 		ticket := live[0].tracker.Begin("e", placement.Work{Parts: []placement.Part{part, {ID: 1, Tokens: 1}}})
 		ticket.PrefillDone()
 		ticket.End(placement.Done)
-		eventually(func(r *daemonHarness) bool { return r.cachedTokens(part) == part.Tokens }) // most only receive the event
+		eventually(func(h *daemonHarness) bool { return h.cachedTokens(part) == part.Tokens }) // most only receive the event
 	}
 	prefillOnce(placement.Part{ID: 10, Tokens: 100})
 
 	site := make([]wire.MemberAddress, len(daemons))
-	for i, r := range daemons {
-		site[i] = r.self
+	for i, h := range daemons {
+		site[i] = h.self
 	}
 	ranking := rankAggregators(site)
 	second := ranking[1:]
@@ -101,12 +101,12 @@
 		second = second[1:]
 	}
 	live = nil
-	for _, r := range daemons {
-		if r.self == ranking[0] || r.self == second[0] {
-			r.kill()
+	for _, h := range daemons {
+		if h.self == ranking[0] || h.self == second[0] {
+			h.kill()
 			continue
 		}
-		live = append(live, r)
+		live = append(live, h)
 	}
 	prefillOnce(placement.Part{ID: 11, Tokens: 200})
 }
@@ -118,9 +118,9 @@
 	daemons := largeSite(t, maxFullMesh+5)
 	dead := make(map[*daemonHarness]bool)
 	withRank := func(rank int) (found []*daemonHarness) {
-		for _, r := range daemons {
-			if !dead[r] && r.Rank() == rank {
-				found = append(found, r)
+		for _, h := range daemons {
+			if !dead[h] && h.Rank() == rank {
+				found = append(found, h)
 			}
 		}
 		return found
@@ -137,29 +137,29 @@
 // candidate, which takes half a second of each three. It must keep rank 0 until the other
 // answers.
 func TestRetryingFailedParentKeepsRank(t *testing.T) {
-	r := newPeersHarness("a")
+	h := newPeersHarness("a")
 	others := testSite(maxFullMesh + 1)
 	for i := range others {
 		others[i].Capacity = -1
 	}
 	others[3].Capacity = 1
-	r.Add(others...)
-	require.Equal(t, 1, r.Rank())
+	h.Add(others...)
+	require.Equal(t, 1, h.Rank())
 	checkParent := func(now time.Time) {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		r.parentLink(now)
+		h.mu.Lock()
+		defer h.mu.Unlock()
+		h.parentLink(now)
 	}
-	now := r.parent.lastAnswer.Add(2 * aggregatorTimeout)
+	now := h.parent.lastAnswer.Add(2 * aggregatorTimeout)
 	checkParent(now)
-	require.Zero(t, r.Rank())
+	require.Zero(t, h.Rank())
 	checkParent(now.Add(2 * aggregatorRetry))
-	to, hasParent := r.parent.candidate()
+	to, hasParent := h.parent.candidate()
 	require.True(t, hasParent)
 	require.Equal(t, others[3].Peers, to.Peers)
-	require.Zero(t, r.Rank(), "the first candidate hasn't answered")
-	r.applyTotals(to.Peers, wire.LoadTotals{})
-	require.Equal(t, 1, r.Rank())
+	require.Zero(t, h.Rank(), "the first candidate hasn't answered")
+	h.applyTotals(to.Peers, wire.LoadTotals{})
+	require.Equal(t, 1, h.Rank())
 }
 
 // Guards against load that is counted twice, and engines left idle, after a site has grown
@@ -171,8 +171,8 @@
 	b.Handle("", a.heartbeatState(now), nil)
 	require.Equal(t, 1, b.running())
 
-	for _, r := range []*peersHarness{a, b} {
-		r.fullMesh = false // the site has grown
+	for _, h := range []*peersHarness{a, b} {
+		h.fullMesh = false // the site has grown
 	}
 	b.Handle("", a.heartbeatState(now), nil)
 	require.Zero(t, b.running(), "part of the totals from now on")
@@ -184,45 +184,45 @@
 // time. They must be queried once before, however many requests come, and waiting requests must
 // see the answer; recent totals need no query.
 func TestTotalsAreQueriedBeforeDecision(t *testing.T) {
-	r := newPeersHarness("a")
+	h := newPeersHarness("a")
 	for _, other := range testSite(maxFullMesh + 1) {
 		other.Capacity = 1 // ranked before this one
-		r.Add(other)
+		h.Add(other)
 	}
-	parent, hasParent := r.parent.candidate()
+	parent, hasParent := h.parent.candidate()
 	require.True(t, hasParent)
-	now := r.parent.lastAnswer.Add(2 * maxTotalsAge)
-	answered := r.queryTotals(now)
+	now := h.parent.lastAnswer.Add(2 * maxTotalsAge)
+	answered := h.queryTotals(now)
 	require.NotNil(t, answered)
-	require.Equal(t, answered, r.queryTotals(now.Add(totalsTimeout/2)), "already queried")
+	require.Equal(t, answered, h.queryTotals(now.Add(totalsTimeout/2)), "already queried")
 	select {
 	case <-answered:
 		t.Fatal("closed before the answer")
 	default:
 	}
-	r.applyTotals(parent.Peers, wire.LoadTotals{Loads: []placement.UpstreamLoad{{Upstream: r.tracker.KeyOf("e"), Load: placement.Load{Running: 3}}}})
+	h.applyTotals(parent.Peers, wire.LoadTotals{Loads: []placement.UpstreamLoad{{Upstream: h.tracker.KeyOf("e"), Load: placement.Load{Running: 3}}}})
 	<-answered
-	require.Equal(t, 3, r.running())
-	require.Nil(t, r.queryTotals(r.parent.lastAnswer.Add(maxTotalsAge/2)), "recent")
-	require.NotNil(t, r.queryTotals(r.parent.lastAnswer.Add(2*maxTotalsAge)))
+	require.Equal(t, 3, h.running())
+	require.Nil(t, h.queryTotals(h.parent.lastAnswer.Add(maxTotalsAge/2)), "recent")
+	require.NotNil(t, h.queryTotals(h.parent.lastAnswer.Add(2*maxTotalsAge)))
 }
 
 // Guards against totals that still count after a site has shrunk to a full mesh.
 func TestTotalsAreDroppedAfterSiteShrinks(t *testing.T) {
-	r := newPeersHarness("a")
+	h := newPeersHarness("a")
 	for _, other := range testSite(maxFullMesh + 1) {
-		r.Add(other)
+		h.Add(other)
 	}
-	require.False(t, r.isFullMesh())
-	r.recordTotals(wire.LoadTotals{Loads: []placement.UpstreamLoad{{Upstream: r.tracker.KeyOf("e"), Load: placement.Load{Running: 3}}}})
-	require.Equal(t, 3, r.running())
-	for address, other := range r.peers {
+	require.False(t, h.isFullMesh())
+	h.recordTotals(wire.LoadTotals{Loads: []placement.UpstreamLoad{{Upstream: h.tracker.KeyOf("e"), Load: placement.Load{Running: 3}}}})
+	require.Equal(t, 3, h.running())
+	for address, other := range h.peers {
 		other.lastNamed = time.Now().Add(-2 * forgetPeerAfter)
-		r.checkSilence(time.Now())
-		require.NotContains(t, r.peers, address)
+		h.checkSilence(time.Now())
+		require.NotContains(t, h.peers, address)
 		break
 	}
-	require.True(t, r.isFullMesh())
-	require.Zero(t, r.running())
-	require.Nil(t, r.parent.link)
+	require.True(t, h.isFullMesh())
+	require.Zero(t, h.running())
+	require.Nil(t, h.parent.link)
 }
--- a/internal/member/learnt_test.go
+++ b/internal/member/learnt_test.go
@@ -22,7 +22,7 @@
 
 func (s *mapStore) Newest(context.Context, Topic) ([]Entry, Position, error) {
 	if s.failures--; s.failures >= 0 {
-		return nil, 0, errors.New("the store is away")
+		return nil, 0, errors.New("store is down")
 	}
 	var all []Entry
 	for key, value := range s.entries {
--- a/internal/member/peers_test.go
+++ b/internal/member/peers_test.go
@@ -24,52 +24,52 @@
 }
 
 func newPeersHarnessAt(self wire.MemberAddress, cfg wire.Config) *peersHarness {
-	r := &peersHarness{tracker: placement.NewTracker(nil), summary: Summary{Serving: true, Config: 1, ListPosition: 2, ListDigest: 3}}
-	r.tracker.Sync([]placement.Member{{ID: "e", DataCentre: "d", Role: upstream.RoleDecode, Slots: 4, KVTokens: 1000}})
-	r.Peers = newPeers(self, cfg, r.tracker, discardLogger)
-	r.Peers.summary = func() Summary { return r.summary }
-	r.Peers.localDemand = func() map[string]wire.MemberDemand { return nil }
-	r.Peers.onUpdate = func() {}
-	r.Peers.requestsWaiting = func() bool { return false }
-	r.Peers.onPeerList = func(Position, uint64, time.Duration) {}
-	return r
+	h := &peersHarness{tracker: placement.NewTracker(nil), summary: Summary{Serving: true, Config: 1, ListPosition: 2, ListDigest: 3}}
+	h.tracker.Sync([]placement.Member{{ID: "e", DataCentre: "d", Role: upstream.RoleDecode, Slots: 4, KVTokens: 1000}})
+	h.Peers = newPeers(self, cfg, h.tracker, discardLogger)
+	h.Peers.summary = func() Summary { return h.summary }
+	h.Peers.localDemand = func() map[string]wire.MemberDemand { return nil }
+	h.Peers.onUpdate = func() {}
+	h.Peers.requestsWaiting = func() bool { return false }
+	h.Peers.onPeerList = func(Position, uint64, time.Duration) {}
+	return h
 }
 
-func (r *peersHarness) running() int { return r.tracker.Engines([]string{"e"})[0].Running }
+func (h *peersHarness) running() int { return h.tracker.Engines([]string{"e"})[0].Running }
 
 // Between two heartbeats only loads are sent; but a new configuration, list or read must be
 // reported at once, or peers would read the store themselves.
 func TestOnlyLoadsAreSentBetweenHeartbeats(t *testing.T) {
-	r := newPeersHarness("a")
+	h := newPeersHarness("a")
 	now := time.Now()
-	require.Nil(t, r.loadUpdate(now), "nothing has changed")
-	r.heartbeatState(now)
+	require.Nil(t, h.loadUpdate(now), "nothing has changed")
+	h.heartbeatState(now)
 
-	r.tracker.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
-	loads, ok := r.loadUpdate(now).(wire.MemberLoads)
+	h.tracker.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
+	loads, ok := h.loadUpdate(now).(wire.MemberLoads)
 	require.True(t, ok)
 	require.Len(t, loads.Loads, 1)
-	require.Nil(t, r.loadUpdate(now))
+	require.Nil(t, h.loadUpdate(now))
 
 	for _, change := range []func(){
-		func() { r.summary.Config++ },
-		func() { r.summary.ListPosition++ },
-		func() { r.summary.ListDigest++ },
-		func() { r.summary.Serving = false },
+		func() { h.summary.Config++ },
+		func() { h.summary.ListPosition++ },
+		func() { h.summary.ListDigest++ },
+		func() { h.summary.Serving = false },
 	} {
 		change()
-		r.tracker.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
-		require.IsType(t, wire.MemberState{}, r.loadUpdate(now))
+		h.tracker.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
+		require.IsType(t, wire.MemberState{}, h.loadUpdate(now))
 	}
 
 	// The list has aged by the time passed: no change.
 	now = now.Add(time.Second)
-	r.summary.ListAge = time.Second
-	r.tracker.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
-	require.IsType(t, wire.MemberLoads{}, r.loadUpdate(now))
-	r.summary.ListAge = 0 // just read
-	r.tracker.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
-	require.IsType(t, wire.MemberState{}, r.loadUpdate(now))
+	h.summary.ListAge = time.Second
+	h.tracker.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
+	require.IsType(t, wire.MemberLoads{}, h.loadUpdate(now))
+	h.summary.ListAge = 0 // just read
+	h.tracker.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
+	require.IsType(t, wire.MemberState{}, h.loadUpdate(now))
 }
 
 // Loads of a peer count only after its state has identified it; those of its former process and
--- a/internal/member/restore_test.go
+++ b/internal/member/restore_test.go
@@ -15,41 +15,41 @@
 
 // Guards against requests to a draining upstream, as an older entry of it counts again.
 func TestDrainingUpstreamStaysDrainingAfterRestore(t *testing.T) {
-	r := newFeedHarness()
-	r.feed.reset([]Entry{entry("a", "p 1:1 started=5 revision=1"), entry("b", "p 1:2 started=5 revision=1")})
-	r.feed.apply([]Entry{entry("a", "p 1:1 started=5 revision=2 leaving")})
-	require.Equal(t, "a leaving,b", r.list())
-
-	r.feed.resetRestored([]Entry{entry("a", "p 1:1 started=5 revision=1"), entry("b", "p 1:2 started=5 revision=1")})
-	require.Equal(t, "a leaving,b", r.list())
-	r.feed.apply([]Entry{entry("a", "p 1:1 started=5 revision=1")})
-	require.Equal(t, "a leaving,b", r.list(), "written again late")
-	r.feed.apply([]Entry{entry("a", "p 1:1 started=9 revision=1")})
-	require.Equal(t, "a,b", r.list(), "a new start")
+	h := newFeedHarness()
+	h.feed.reset([]Entry{entry("a", "p 1:1 started=5 revision=1"), entry("b", "p 1:2 started=5 revision=1")})
+	h.feed.apply([]Entry{entry("a", "p 1:1 started=5 revision=2 leaving")})
+	require.Equal(t, "a leaving,b", h.list())
+
+	h.feed.resetRestored([]Entry{entry("a", "p 1:1 started=5 revision=1"), entry("b", "p 1:2 started=5 revision=1")})
+	require.Equal(t, "a leaving,b", h.list())
+	h.feed.apply([]Entry{entry("a", "p 1:1 started=5 revision=1")})
+	require.Equal(t, "a leaving,b", h.list(), "written again late")
+	h.feed.apply([]Entry{entry("a", "p 1:1 started=9 revision=1")})
+	require.Equal(t, "a,b", h.list(), "a new start")
 }
 
 // Guards against requests to a server that is gone but still in the restored copy.
 func TestUpstreamOnlyInRestoredCopyIsNotUsed(t *testing.T) {
-	r := newFeedHarness()
-	r.feed.reset([]Entry{entry("a", "p 1:1"), entry("gone", "p 1:2")})
-	r.feed.apply([]Entry{entry("gone", "")})
-	r.feed.resetRestored([]Entry{entry("a", "p 1:1"), entry("gone", "p 1:2"), entry("alive", "p 1:3")})
-	require.Equal(t, "a", r.list())
-	r.feed.apply([]Entry{entry("alive", "p 1:3")})
-	require.Equal(t, "a,alive", r.list())
+	h := newFeedHarness()
+	h.feed.reset([]Entry{entry("a", "p 1:1"), entry("gone", "p 1:2")})
+	h.feed.apply([]Entry{entry("gone", "")})
+	h.feed.resetRestored([]Entry{entry("a", "p 1:1"), entry("gone", "p 1:2"), entry("alive", "p 1:3")})
+	require.Equal(t, "a", h.list())
+	h.feed.apply([]Entry{entry("alive", "p 1:3")})
+	require.Equal(t, "a,alive", h.list())
 }
 
 // Guards against a live upstream that gets no requests because the restored copy is older than
 // its entry, and against one that is gone but keeps getting them.
 func TestUpstreamMissingFromRestoredCopyLapses(t *testing.T) {
-	r := newFeedHarness()
-	r.feed.reset([]Entry{entry("a", "p 1:1"), entry("b", "p 1:2")})
-	r.feed.resetRestored([]Entry{})
-	require.Equal(t, "a,b", r.list())
-	r.feed.apply([]Entry{entry("a", "p 1:1")})
-	time.Sleep(2 * r.feed.lapsedGrace)
-	r.feed.expireLapsed()
-	require.Equal(t, "a", r.list())
+	h := newFeedHarness()
+	h.feed.reset([]Entry{entry("a", "p 1:1"), entry("b", "p 1:2")})
+	h.feed.resetRestored([]Entry{})
+	require.Equal(t, "a,b", h.list())
+	h.feed.apply([]Entry{entry("a", "p 1:1")})
+	time.Sleep(2 * h.feed.lapsedGrace)
+	h.feed.expireLapsed()
+	require.Equal(t, "a", h.list())
 }
 
 // eraStore is a store whose newest entries are of the current era.
