--- a/internal/member/engines.go
+++ b/internal/member/engines.go
@@ -48,6 +48,7 @@
 	OrderFenced
 )
 
+// String returns the name of the outcome in log lines.
 func (o OrderOutcome) String() string {
 	return [...]string{"open", "taken", "holds", "refused", "fenced"}[o]
 }
@@ -57,6 +58,8 @@
 	// CachedParts returns the prompt parts in an engine's KV cache, as listed by the engine. The
 	// call takes some of the engine's time.
 	CachedParts(ctx context.Context, u *fleet.Upstream) ([]placement.Part, error)
+	// State returns the state that an engine reports.
 	State(ctx context.Context, u *fleet.Upstream) (EngineState, error)
+	// SetRole sends an order to an engine and returns its outcome.
 	SetRole(ctx context.Context, u *fleet.Upstream, o RoleOrder) (OrderOutcome, error)
 }
--- a/internal/member/large_test.go
+++ b/internal/member/large_test.go
@@ -157,7 +157,7 @@
 	to, hasParent := h.parent.candidate()
 	require.True(t, hasParent)
 	require.Equal(t, others[3].Peers, to.Peers)
-	require.Zero(t, h.Rank(), "the first candidate hasn't answered")
+	require.Zero(t, h.Rank(), "the first parent hasn't answered")
 	h.applyTotals(to.Peers, wire.LoadTotals{})
 	require.Equal(t, 1, h.Rank())
 }
--- a/internal/member/peers.go
+++ b/internal/member/peers.go
@@ -33,8 +33,8 @@
 	// peerTimeout is the silence after which a peer counts as down: callers are no longer sent
 	// there, and its load is forgotten.
 	peerTimeout = time.Second
-	// forgetPeerAfter is the time since it was last named after which a peer that is down is
-	// removed.
+	// forgetPeerAfter is how long a peer that is down stays known after its last mention by
+	// another daemon, the store or the settings.
 	forgetPeerAfter = 60 * time.Second
 )
 
@@ -44,6 +44,8 @@
 	cfg      wire.Config
 	tracker  *placement.Tracker
 	log      *slog.Logger
+	// summary returns this daemon's summary, view its data for a peer; onUpdate is called after
+	// each update from a peer.
 	summary  func() Summary
 	view     func(configOnly bool) wire.ViewReply
 	onUpdate func()
@@ -78,6 +80,7 @@
 
 // Summary is what a daemon reports of itself besides its load.
 type Summary struct {
+	// Serving means that it accepts callers, Config is the version of its configuration.
 	Serving bool
 	Config  uint64
 	// ListPosition, ListDigest, ListSize and ListAge describe the list of upstreams.
@@ -88,6 +91,7 @@
 	ListAge  time.Duration
 }
 
+// peer is another daemon as it was last reported.
 type peer struct {
 	wire.MemberAddress
 	// outgoingLink carries states to the peer, if any are sent.
