--- a/internal/member/peers.go
+++ b/internal/member/peers.go
@@ -40,10 +40,10 @@
 
 // Peers exchanges states with the other daemons. It is a suture.Service.
 type Peers struct {
-	self     wire.MemberAddress
-	cfg      wire.Config
-	tracker  *placement.Tracker
-	log      *slog.Logger
+	self    wire.MemberAddress
+	cfg     wire.Config
+	tracker *placement.Tracker
+	log     *slog.Logger
 	// summary returns this daemon's summary, view its data for a peer; onUpdate is called after
 	// each update from a peer.
 	summary  func() Summary
