--- a/internal/member/catchup.go
+++ b/internal/member/catchup.go
@@ -18,72 +18,71 @@
 )
 
 const (
-	// catchUpEvery is how often a daemon that has just started looks for a peer that
-	// knows the engines.
-	catchUpEvery = 100 * time.Millisecond
-	// askOwn is how long after its start it asks its part of the engines themselves:
-	// peers are heard within a beat or two if there are any. askAll is when it asks
-	// whichever nobody has told it of.
-	askOwn = 400 * time.Millisecond
-	askAll = 1500 * time.Millisecond
-	// giveUpAfter is when it takes those that can't be asked to keep nothing.
+	// catchUpInterval is how often a daemon that has just started asks its peers for the cache
+	// state of engines.
+	catchUpInterval = 100 * time.Millisecond
+	// queryOwnShareAfter is how long after its start it queries its share of the engines
+	// directly: peers, if any, report within a heartbeat or two. queryAllAfter is when it
+	// queries all engines that are still unknown.
+	queryOwnShareAfter = 400 * time.Millisecond
+	queryAllAfter      = 1500 * time.Millisecond
+	// giveUpAfter is when the caches of engines that can't be queried are taken to be empty.
 	giveUpAfter = 5 * time.Second
-	// askOnceMore is how long after that a peer is asked a last time.
-	askOnceMore = 3 * time.Second
-	// listTimeout bounds the question to an engine what it keeps.
-	listTimeout = time.Second
+	// finalQueryDelay is how long after that a peer is queried once more.
+	finalQueryDelay = 3 * time.Second
+	// cacheListTimeout limits a query of an engine's cached parts.
+	cacheListTimeout = time.Second
 )
 
-// catchUp learns at the start what is known of the engines: from the peers, or, if all
-// have started anew, from the engines. Without it a restart of all daemons was
-// followed by tens of seconds in which three answers in ten were in time rather than
-// eight: each daemon took parts to be missing that engines kept, and their short
-// readings for the engines' speed.
+// catchUp initialises the cache state of the engines from the peers or, if all daemons have
+// restarted, from the engines. Without it 3 of 10 responses rather than 8 meet their objective
+// for tens of seconds after a restart of all daemons: cached parts are assumed to be missing, and
+// the short prefills that result are attributed to the speed of the engines.
 type catchUp struct {
 	member *Member
 	log    *slog.Logger
 }
 
-// String names the service for the supervisor.
+// String implements fmt.Stringer; the supervisor logs it.
 func (c *catchUp) String() string { return "catching up" }
 
-// Serve implements suture.Service. It ends once there is nothing more to learn.
+// Serve implements suture.Service. It ends once the caches of all engines are known.
 func (c *catchUp) Serve(ctx context.Context) error {
-	began := time.Now()
+	start := time.Now()
 	for ctx.Err() == nil {
-		sleep(ctx, catchUpEvery)
+		sleep(ctx, catchUpInterval)
 		if len(c.engines()) == 0 {
-			began = time.Now()
+			start = time.Now()
 			continue
 		}
 		c.fromPeers(ctx)
-		passed := time.Since(began)
-		if passed > askOwn {
-			c.fromEngines(ctx, passed > askAll)
+		elapsed := time.Since(start)
+		if elapsed > queryOwnShareAfter {
+			c.fromEngines(ctx, elapsed > queryAllAfter)
 		}
-		if len(c.member.books.UnknownCaches()) == 0 || passed > giveUpAfter {
+		if len(c.member.tracker.UnknownCaches()) == 0 || elapsed > giveUpAfter {
 			break
 		}
 	}
-	c.member.books.AssumeNewEnginesEmpty()
-	c.log.Info("caught up", "unknown_engines", len(c.member.books.UnknownCaches()))
-	sleep(ctx, askOnceMore)
-	c.onceMore(ctx)
+	c.member.tracker.AssumeNewEnginesEmpty()
+	c.log.Info("initial cache state complete", "unknown_engines", len(c.member.tracker.UnknownCaches()))
+	sleep(ctx, finalQueryDelay)
+	c.finalQuery(ctx)
 	return suture.ErrDoNotRestart
 }
 
-// onceMore asks a peer for what was read while this daemon's connections to the others
-// were made: such news is told once, and only to those that are there.
-func (c *catchUp) onceMore(ctx context.Context) {
-	up := c.member.peers.Up()
-	if len(up) == 0 || ctx.Err() != nil {
+// finalQuery asks a peer for the prefills that happened while this daemon's links were being set
+// up: such updates are sent once, and only to connected peers.
+func (c *catchUp) finalQuery(ctx context.Context) {
+	serving := c.member.peers.Serving()
+	if len(serving) == 0 || ctx.Err() != nil {
 		return
 	}
 	var all []placement.Key
 	for _, u := range c.engines() {
 		all = append(all, placement.KeyOf(u.ID, u.Started))
 	}
-	c.fromPeer(ctx, up[rand.IntN(len(up))].Peers, all)
+	c.fromPeer(ctx, serving[rand.IntN(len(serving))].Peers, all)
 }
 
 // engines returns the engines of all pools, ordered by ID.
@@ -98,10 +97,10 @@
 	return list
 }
 
-// fromPeers asks the peers that serve, one after the other, for what is missing.
+// fromPeers asks the serving peers, one after the other, for what is missing.
 func (c *catchUp) fromPeers(ctx context.Context) {
-	for _, peer := range c.member.peers.Up() {
-		missing := c.member.books.UnknownCaches()
+	for _, peer := range c.member.peers.Serving() {
+		missing := c.member.tracker.UnknownCaches()
 		if len(missing) == 0 {
 			return
 		}
@@ -114,44 +113,44 @@
 	defer cancel()
 	answer, err := wire.Ask(ctx, c.member.wireConfig(), peer, wire.BeliefsRequest{Of: missing})
 	if err != nil {
-		c.log.Warn("peer's beliefs not had", "peer", peer, "err", err)
+		c.log.Warn("request for a peer's cache state failed", "peer", peer, "err", err)
 		return
 	}
 	reply, ok := answer.(wire.BeliefsReply)
 	if !ok {
 		return
 	}
-	c.member.books.Restore(peer, reply.Beliefs)
-	c.log.Info("beliefs of a peer", "peer", peer, "missing", len(missing), "engines", len(reply.Beliefs.Cached))
+	c.member.tracker.Restore(peer, reply.Beliefs)
+	c.log.Info("cache state received from a peer", "peer", peer, "missing", len(missing), "engines", len(reply.Beliefs.Cached))
 }
 
-// fromEngines asks the engines that are still missing what they keep: this daemon's
-// part of them, as the other daemons ask the rest and all tell each other, or all.
+// fromEngines queries the engines that are still missing: this daemon's share, as the other
+// daemons query the rest and all share the results, or all of them.
 func (c *catchUp) fromEngines(ctx context.Context, all bool) {
-	missing := c.member.books.UnknownCaches()
+	missing := c.member.tracker.UnknownCaches()
 	for _, u := range c.engines() {
-		if ctx.Err() == nil && slices.Contains(missing, placement.KeyOf(u.ID, u.Started)) && (all || c.isMine(u)) {
-			c.ask(ctx, u)
+		if ctx.Err() == nil && slices.Contains(missing, placement.KeyOf(u.ID, u.Started)) && (all || c.isOwnShare(u)) {
+			c.queryEngine(ctx, u)
 		}
 	}
 }
 
-// isMine reports whether this daemon is the one to ask an engine, by rendezvous
-// hashing among those that serve.
-func (c *catchUp) isMine(u *fleet.Upstream) bool {
+// isOwnShare reports whether this daemon is the one to query an engine, by rendezvous hashing
+// among the serving daemons.
+func (c *catchUp) isOwnShare(u *fleet.Upstream) bool {
 	score := func(daemon string) uint64 { return xxhash.Sum64String(daemon + " " + u.ID) }
-	own := score(c.member.self.Peers)
-	return !slices.ContainsFunc(c.member.peers.Up(), func(a wire.MemberAddress) bool { return score(a.Peers) > own })
+	localScore := score(c.member.self.Peers)
+	return !slices.ContainsFunc(c.member.peers.Serving(), func(a wire.MemberAddress) bool { return score(a.Peers) > localScore })
 }
 
-func (c *catchUp) ask(ctx context.Context, u *fleet.Upstream) {
-	ctx, cancel := context.WithTimeout(ctx, listTimeout)
+func (c *catchUp) queryEngine(ctx context.Context, u *fleet.Upstream) {
+	ctx, cancel := context.WithTimeout(ctx, cacheListTimeout)
 	defer cancel()
-	parts, err := c.member.cfg.Engines.Kept(ctx, u)
+	parts, err := c.member.cfg.Engines.CachedParts(ctx, u)
 	if err != nil {
-		c.log.Warn("engine didn't say what it keeps", "engine", u.ID, "err", err)
+		c.log.Warn("listing an engine's cached parts failed", "engine", u.ID, "err", err)
 		return
 	}
-	c.member.books.SetCachedParts(u.ID, parts)
-	c.log.Info("engine said what it keeps", "engine", u.ID, "parts", len(parts))
+	c.member.tracker.SetCachedParts(u.ID, parts)
+	c.log.Info("engine's cached parts listed", "engine", u.ID, "parts", len(parts))
 }
--- a/internal/member/collectorline.go
+++ b/internal/member/collectorline.go
@@ -10,98 +10,96 @@
 	"tamarackchute/internal/wire"
 )
 
-// In a large site not every daemon can tell every other what it has in flight. Those
-// of a data centre tell one of them, which adds up and tells each what the others
-// have; and the ones that collect in a data centre tell one of the site, which does
-// the same for them. Any daemon can: who does follows from the addresses that all
-// know, and if it falls silent the next one in line does. Nothing is lost with it but
-// a moment's knowledge. With one for all, of every report and answer of other data
-// centres all but a few bytes would cross between them.
+// In a large site loads are aggregated in a tree instead of a full mesh. The daemons of a data
+// centre report to one of them, which reports to the root of the site; each answers with the
+// totals of all others. If an aggregator falls silent, the next in rank takes over, at the loss
+// of the latest updates only. A single one would draw most reports across data centres.
 
-// ranked returns the daemons in the order in which they are to collect: those with
-// the most capacity first.
-func ranked(all []wire.MemberAddress) []wire.MemberAddress {
-	line := slices.Clone(all)
-	slices.SortFunc(line, func(a, b wire.MemberAddress) int {
+// rankAggregators returns the daemons in order of preference as aggregators: highest capacity
+// first, then by the hash of the address.
+func rankAggregators(all []wire.MemberAddress) []wire.MemberAddress {
+	ranking := slices.Clone(all)
+	slices.SortFunc(ranking, func(a, b wire.MemberAddress) int {
 		return cmp.Or(
 			cmp.Compare(b.Capacity, a.Capacity),
 			cmp.Compare(xxhash.Sum64String(a.Peers), xxhash.Sum64String(b.Peers)),
 		)
 	})
-	return line
+	return ranking
 }
 
-// reportLine returns the daemons that one reports to, the first that answers alone:
-// those before it in rank, its own data centre's first. As each reports to one before
-// it, none reports in a circle. The first of all has nobody to report to.
-func reportLine(self wire.MemberAddress, others []wire.MemberAddress) []wire.MemberAddress {
-	all := ranked(append(slices.Clone(others), self))
+// parentCandidates returns the daemons that self may report to; the first that answers is used.
+// They are those ranked before it, its own data centre's first. As each reports to one ranked
+// before it, there are no cycles. The first in rank, the root, has none.
+func parentCandidates(self wire.MemberAddress, others []wire.MemberAddress) []wire.MemberAddress {
+	all := rankAggregators(append(slices.Clone(others), self))
 	before := all[:slices.IndexFunc(all, func(a wire.MemberAddress) bool { return a.Peers == self.Peers })]
-	var near, far []wire.MemberAddress
+	var local, remote []wire.MemberAddress
 	for _, a := range before {
 		if a.DataCentre == self.DataCentre {
-			near = append(near, a)
+			local = append(local, a)
 		} else {
-			far = append(far, a)
+			remote = append(remote, a)
 		}
 	}
-	return append(near, far...)
+	return append(local, remote...)
 }
 
-// reportEvery is the time between two questions for the totals while they are needed. The
-// few daemons that tell them on ask as often as a small site's daemons tell each other.
-func reportEvery(self, to wire.MemberAddress, others []wire.MemberAddress) time.Duration {
+// queryIntervalFor returns the interval of queries while totals are needed. The few daemons that
+// report to another data centre query as often as daemons of a small site update each other.
+func queryIntervalFor(self, to wire.MemberAddress, others []wire.MemberAddress) time.Duration {
 	if to.DataCentre != self.DataCentre {
-		return stateEvery
+		return loadInterval
 	}
-	every := collectEvery
+	interval := queryInterval
 	for _, a := range others {
 		if a.DataCentre == self.DataCentre {
-			every += perDaemon
+			interval += queryIntervalPerDaemon
 		}
 	}
-	return every
+	return interval
 }
 
-// collection is whom a daemon reports to.
-type collection struct {
-	line []wire.MemberAddress
-	// current is the place in line of the one that is reported to; the line's length
-	// if nobody is.
+// parentState describes the daemon that this one reports to, its parent.
+type parentState struct {
+	candidates []wire.MemberAddress
+	// current is the index of the parent in candidates; their number if there is none.
 	current int
-	outgoing
-	// interval is the least time between two reports.
+	outgoingLink
+	// interval is the minimum time between two reports.
 	interval time.Duration
-	// heard is when the last answer came, or the one above was chosen; left when the
-	// first in line was given up.
-	heard, left time.Time
-	// asked is when the last report went out that wants an answer, full the last full one.
-	asked, full time.Time
-	// answering is the address of the daemon above that answered last, alone says that
-	// none does.
-	answering string
-	alone     bool
-	// answered is closed when the totals come that a decision waits for; nil if none does.
-	answered chan struct{}
-	// senders is the number of daemons in the totals as logged last.
-	senders int
-	logged  time.Time
+	// lastAnswer is when the last answer came, or the parent was chosen; failedOver is when the
+	// first candidate was given up.
+	lastAnswer, failedOver time.Time
+	// lastQuery is when the last report that asks for an answer was sent, lastFull the last full
+	// one.
+	lastQuery, lastFull time.Time
+	// answeredBy is the address of the parent that answered last; noParent means that no
+	// candidate answers.
+	answeredBy string
+	noParent   bool
+	// pendingAnswer is closed when the totals arrive that a decision waits for; nil if none
+	// does.
+	pendingAnswer chan struct{}
+	// loggedSenders is the number of daemons in the totals that were last logged.
+	loggedSenders int
+	loggedAt      time.Time
 }
 
-// to returns the daemon that is reported to.
-func (c *collection) to() (wire.MemberAddress, bool) {
-	if c.current >= len(c.line) {
+// candidate returns the current parent.
+func (s *parentState) candidate() (wire.MemberAddress, bool) {
+	if s.current >= len(s.candidates) {
 		return wire.MemberAddress{}, false
 	}
-	return c.line[c.current], true
+	return s.candidates[s.current], true
 }
 
-// rank returns how many daemons stand before this one in line, the silent ones before the
-// one that answers left out. It is 0 for one daemon of a large site.
-func (c *collection) rank() int {
-	if c.alone {
+// rank returns the number of daemons ranked before this one, not counting silent ones ranked
+// before the parent that answers. Once all agree, it is 0 for one daemon of a large site.
+func (s *parentState) rank() int {
+	if s.noParent {
 		return 0
 	}
-	at := slices.IndexFunc(c.line, func(a wire.MemberAddress) bool { return a.Peers == c.answering })
-	return len(c.line) - max(0, at)
+	at := slices.IndexFunc(s.candidates, func(a wire.MemberAddress) bool { return a.Peers == s.answeredBy })
+	return len(s.candidates) - max(0, at)
 }
--- a/internal/member/peers_test.go
+++ b/internal/member/peers_test.go
@@ -12,113 +12,111 @@
 	"tamarackchute/upstream"
 )
 
-// peersRig is a daemon's exchange with books of one engine, and no links.
-type peersRig struct {
+// peersHarness is a daemon's peer exchange with a tracker of one engine, and no links.
+type peersHarness struct {
 	*Peers
-	books *placement.Tracker
-	about About
+	tracker *placement.Tracker
+	summary Summary
 }
 
-func newPeersRig(address string) *peersRig {
-	return newPeersRigOf(wire.MemberAddress{Instance: address, Peers: address}, wire.Config{})
+func newPeersHarness(address string) *peersHarness {
+	return newPeersHarnessAt(wire.MemberAddress{Instance: address, Peers: address}, wire.Config{})
 }
 
-func newPeersRigOf(self wire.MemberAddress, cfg wire.Config) *peersRig {
-	r := &peersRig{books: placement.NewTracker(nil), about: About{Serving: true, Config: 1, ListPosition: 2, ListDigest: 3}}
-	r.books.Sync([]placement.Member{{ID: "e", DataCentre: "d", Role: upstream.RoleDecode, Slots: 4, KVTokens: 1000}})
-	r.Peers = newPeers(self, cfg, r.books, quiet)
-	r.Peers.about = func() About { return r.about }
-	r.Peers.demand = func() map[string]wire.MemberDemand { return nil }
-	r.Peers.change = func() {}
-	r.Peers.waiting = func() bool { return false }
-	r.Peers.sameList = func(Position, uint64, time.Duration) {}
-	return r
+func newPeersHarnessAt(self wire.MemberAddress, cfg wire.Config) *peersHarness {
+	h := &peersHarness{tracker: placement.NewTracker(nil), summary: Summary{Serving: true, Config: 1, ListPosition: 2, ListDigest: 3}}
+	h.tracker.Sync([]placement.Member{{ID: "e", DataCentre: "d", Role: upstream.RoleDecode, Slots: 4, KVTokens: 1000}})
+	h.Peers = newPeers(self, cfg, h.tracker, discardLogger)
+	h.Peers.summary = func() Summary { return h.summary }
+	h.Peers.localDemand = func() map[string]wire.MemberDemand { return nil }
+	h.Peers.onUpdate = func() {}
+	h.Peers.requestsWaiting = func() bool { return false }
+	h.Peers.onPeerList = func(Position, uint64, time.Duration) {}
+	return h
 }
 
-func (r *peersRig) running() int { return r.books.Engines([]string{"e"})[0].Running }
+func (h *peersHarness) running() int { return h.tracker.Engines([]string{"e"})[0].Running }
 
-// Between two beats only the loads go out; but a new configuration, list or
-// reading is told at once, or peers would read the store for themselves.
-func TestOnlyLoadsAreToldBetweenBeats(t *testing.T) {
-	r := newPeersRig("a")
+// Between two heartbeats only loads are sent; but a new configuration, list or read must be
+// reported at once, or peers would read the store themselves.
+func TestOnlyLoadsAreSentBetweenHeartbeats(t *testing.T) {
+	h := newPeersHarness("a")
 	now := time.Now()
-	require.Nil(t, r.changes(now), "nothing has changed")
-	r.state(now)
+	require.Nil(t, h.loadUpdate(now), "nothing has changed")
+	h.heartbeatState(now)
 
-	r.books.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
-	loads, ok := r.changes(now).(wire.MemberLoads)
+	h.tracker.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
+	loads, ok := h.loadUpdate(now).(wire.MemberLoads)
 	require.True(t, ok)
 	require.Len(t, loads.Loads, 1)
-	require.Nil(t, r.changes(now))
+	require.Nil(t, h.loadUpdate(now))
 
 	for _, change := range []func(){
-		func() { r.about.Config++ },
-		func() { r.about.ListPosition++ },
-		func() { r.about.ListDigest++ },
-		func() { r.about.Serving = false },
+		func() { h.summary.Config++ },
+		func() { h.summary.ListPosition++ },
+		func() { h.summary.ListDigest++ },
+		func() { h.summary.Serving = false },
 	} {
 		change()
-		r.books.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
-		require.IsType(t, wire.MemberState{}, r.changes(now))
+		h.tracker.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
+		require.IsType(t, wire.MemberState{}, h.loadUpdate(now))
 	}
 
-	// The list has grown older by as much as has passed: nothing new.
+	// The list has aged by the time passed: no change.
 	now = now.Add(time.Second)
-	r.about.ReadAge = time.Second
-	r.books.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
-	require.IsType(t, wire.MemberLoads{}, r.changes(now))
-	r.about.ReadAge = 0 // read just now
-	r.books.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
-	require.IsType(t, wire.MemberState{}, r.changes(now))
+	h.summary.ListAge = time.Second
+	h.tracker.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
+	require.IsType(t, wire.MemberLoads{}, h.loadUpdate(now))
+	h.summary.ListAge = 0 // just read
+	h.tracker.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
+	require.IsType(t, wire.MemberState{}, h.loadUpdate(now))
 }
 
-// A peer's loads are booked once its state has told whose they are; those of its
-// former process, or overtaken ones, are not.
-func TestLoadsOfAPeer(t *testing.T) {
-	a, b := newPeersRig("a"), newPeersRig("b")
+// Loads of a peer count only after its state has identified it; those of its former process and
+// those that arrive out of order are ignored.
+func TestPeerLoadsNeedItsState(t *testing.T) {
+	a, b := newPeersHarness("a"), newPeersHarness("b")
 	now := time.Now()
-	a.books.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
-	a.state(now) // lost on the way
-	a.books.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
-	early := a.changes(now)
+	a.tracker.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
+	a.heartbeatState(now) // lost in transit
+	a.tracker.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
+	early := a.loadUpdate(now)
 	b.Handle("", early, nil)
-	require.Zero(t, b.running(), "whose are they?")
+	require.Zero(t, b.running(), "sender not identified yet")
 
-	b.Handle("", a.state(now), nil)
+	b.Handle("", a.heartbeatState(now), nil)
 	require.Equal(t, 2, b.running())
-	a.books.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
-	later := a.changes(now)
+	a.tracker.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
+	later := a.loadUpdate(now)
 	b.Handle("", later, nil)
 	require.Equal(t, 3, b.running())
 	b.Handle("", early, nil)
-	require.Equal(t, 3, b.running(), "overtaken")
+	require.Equal(t, 3, b.running(), "out of order")
 
-	restarted := newPeersRig("a")
-	b.Handle("", restarted.state(now), nil)
+	restarted := newPeersHarness("a")
+	b.Handle("", restarted.heartbeatState(now), nil)
 	require.Zero(t, b.running())
 	b.Handle("", later, nil)
 	require.Zero(t, b.running(), "of the former process")
 }
 
-// In a site of hundreds of daemons a server leaves, and the daemon that has read it
-// first says so. If all others took its whole list, its link would be full for
-// seconds, and the server would get new requests meanwhile.
+// Guards against a draining upstream that gets new requests for seconds, as hundreds of daemons
+// fetch the whole list from the first that has read the change.
 func TestLargeListsComeFromTheStore(t *testing.T) {
-	small, large := About{ListSize: largeList, Config: 2}, About{ListSize: largeList + 1, Config: 2}
-	own := About{Config: 2}
-	require.Equal(t, source{whole: true}, sourceOf(own, small, false))
-	require.Equal(t, source{store: true}, sourceOf(own, large, false))
-	require.Equal(t, source{whole: true}, sourceOf(own, large, true), "the store can't be read")
-	require.Equal(t, source{config: true, store: true}, sourceOf(About{Config: 1}, large, false))
+	small, large := Summary{ListSize: largeListSize, Config: 2}, Summary{ListSize: largeListSize + 1, Config: 2}
+	local := Summary{Config: 2}
+	require.Equal(t, listSource{full: true}, chooseSource(local, small, false))
+	require.Equal(t, listSource{store: true}, chooseSource(local, large, false))
+	require.Equal(t, listSource{full: true}, chooseSource(local, large, true), "the store can't be read")
+	require.Equal(t, listSource{config: true, store: true}, chooseSource(Summary{Config: 1}, large, false))
 }
 
-// A reader that rests for long must read at once when a peer says that there is
-// something new.
-func TestHurriedReaderDoesNotRest(t *testing.T) {
-	r := &topicReader{backoff: newBackoff(alone), every: time.Hour, readAt: time.Now()}
-	require.Positive(t, r.hold())
-	go r.hurry()
-	r.rest(t.Context(), time.Hour)
-	require.Zero(t, r.hold())
-	require.Positive(t, r.hold(), "one read only")
+// A reader that pauses for long must read at once when a peer reports a change.
+func TestExpeditedReaderDoesNotPause(t *testing.T) {
+	r := &topicReader{backoff: newBackoff(oneDaemon), interval: time.Hour, readAt: time.Now()}
+	require.Positive(t, r.delay())
+	go r.expedite()
+	r.pause(t.Context(), time.Hour)
+	require.Zero(t, r.delay())
+	require.Positive(t, r.delay(), "one read only")
 }
--- a/internal/member/peerview.go
+++ b/internal/member/peerview.go
@@ -7,39 +7,39 @@
 	"tamarackchute/upstream"
 )
 
-// awayEngine is an engine that takes no work until a time, or until it has a role.
-type awayEngine struct {
+// unavailableEngine is an engine that gets no work until a time, or until it has a role.
+type unavailableEngine struct {
 	to    upstream.Role
 	until time.Time
 }
 
-// SendAway keeps the requests of all daemons from an engine for some time, or
-// until it has a role; "" if it doesn't change.
-func (p *Peers) SendAway(id string, to upstream.Role, d time.Duration) {
-	at := p.books.KeyOf(id)
-	p.books.MarkUnavailable(at, to, d)
+// MarkUnavailable makes all daemons avoid an engine for a time, or until it has the role to; to
+// is empty if its role doesn't change.
+func (p *Peers) MarkUnavailable(id string, to upstream.Role, d time.Duration) {
+	key := p.tracker.KeyOf(id)
+	p.tracker.MarkUnavailable(key, to, d)
 	p.mu.Lock()
-	told := time.Until(p.away[at].until) > d/2
-	p.away[at] = awayEngine{to: to, until: time.Now().Add(d)}
+	reported := time.Until(p.unavailable[key].until) > d/2
+	p.unavailable[key] = unavailableEngine{to: to, until: time.Now().Add(d)}
 	p.mu.Unlock()
-	if !told {
-		p.send(p.state(time.Now()))
+	if !reported {
+		p.broadcast(p.heartbeatState(time.Now()))
 	}
 }
 
-// noteAway takes another daemon's word of engines that take no work.
-func (p *Peers) noteAway(engines []wire.AwayEngine) {
+// applyUnavailable records the unavailable engines that another daemon reports.
+func (p *Peers) applyUnavailable(engines []wire.AwayEngine) {
 	for _, a := range engines {
-		p.books.MarkUnavailable(a.At, a.To, a.Left)
+		p.tracker.MarkUnavailable(a.At, a.To, a.Left)
 	}
 }
 
-func (p *Peers) awayNow() []wire.AwayEngine {
+func (p *Peers) unavailableEngines() []wire.AwayEngine {
 	var list []wire.AwayEngine
-	for at, e := range p.away {
+	for at, e := range p.unavailable {
 		left := time.Until(e.until)
 		if left <= 0 {
-			delete(p.away, at)
+			delete(p.unavailable, at)
 			continue
 		}
 		list = append(list, wire.AwayEngine{At: at, To: e.to, Left: left})
@@ -47,14 +47,14 @@
 	return list
 }
 
-// Demand returns what callers ask of a pool at all daemons. The one that adds up the loads
-// of a large site is told it; for those that another one there doesn't hear the average of
-// the others stands in.
+// Demand returns the demand of all daemons' callers for a pool. The root of a large site gets it
+// in reports; its other daemons estimate the rest from the average of the peers whose state they
+// receive.
 func (p *Peers) Demand(pool string) wire.MemberDemand {
-	if p.Collects() {
-		return p.tally.demand(pool)
+	if p.IsRoot() {
+		return p.aggregate.demand(pool)
 	}
-	sum := p.demand()[pool]
+	sum := p.localDemand()[pool]
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var others wire.MemberDemand
@@ -63,69 +63,69 @@
 			others = others.Plus(other.demands[pool])
 		}
 	}
-	sum.Readers += (1 + p.unheard()) * others.Readers
+	sum.Readers += (1 + p.unreportedRatio()) * others.Readers
 	return sum
 }
 
-// Rank returns how many daemons come before this one where some act for all. In a small
-// site it is the number of those serving and heard whose address is lower; in a large one,
-// where each hears some only, that of those which stand before it in line as collectors.
+// Rank returns the number of daemons that precede this one for tasks that one daemon does for
+// all. In a small site those are the serving ones with a lower address; in a large one, where
+// each daemon receives the state of a few only, those ranked before it as aggregators.
 func (p *Peers) Rank() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.full {
-		return p.collect.rank()
+	if !p.fullMesh {
+		return p.parent.rank()
 	}
 	rank := 0
 	for address, other := range p.peers {
-		if other.up && other.about.Serving && address < p.self.Peers {
+		if other.up && other.summary.Serving && address < p.self.Peers {
 			rank++
 		}
 	}
 	return rank
 }
 
-// Up returns the daemons heard from lately that serve callers.
-func (p *Peers) Up() []wire.MemberAddress {
+// Serving returns the daemons that serve callers, as recently reported.
+func (p *Peers) Serving() []wire.MemberAddress {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var up []wire.MemberAddress
+	var serving []wire.MemberAddress
 	for _, other := range p.peers {
-		if other.up && other.about.Serving {
-			up = append(up, other.MemberAddress)
+		if other.up && other.summary.Serving {
+			serving = append(serving, other.MemberAddress)
 		}
 	}
-	return up
+	return serving
 }
 
-// Better returns the peer address of a daemon with a newer configuration than
-// this one's, or else one with another list of upstreams that was read later, and
-// what it says of itself; "" if there is none.
-func (p *Peers) Better(own About) (string, About) {
+// Freshest returns the address and summary of the peer with the newest configuration, if newer
+// than the local one, or else of one with a different list of upstreams that was read later; ""
+// if there is none.
+func (p *Peers) Freshest(local Summary) (string, Summary) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	best, newest, youngest := "", own.Config, own.ReadAge-youngerBy
-	var about About
+	best, newest, minAge := "", local.Config, local.ListAge-minAgeGain
+	var summary Summary
 	for address, other := range p.peers {
-		if time.Since(other.told) > silentAfter {
+		if time.Since(other.lastUpdate) > peerTimeout {
 			continue
 		}
-		a := other.about
-		age := a.ReadAge + time.Since(other.told)
-		newerList := a.ListPosition > own.ListPosition && a.ListDigest != own.ListDigest && age < youngest
-		if a.Config > newest || (a.Config == newest && newerList) {
-			best, newest, about = address, a.Config, a
+		remote := other.summary
+		age := remote.ListAge + time.Since(other.lastUpdate)
+		newerList := remote.ListPosition > local.ListPosition && remote.ListDigest != local.ListDigest && age < minAge
+		if remote.Config > newest || (remote.Config == newest && newerList) {
+			best, newest, summary = address, remote.Config, remote
 			if newerList {
-				youngest = age
+				minAge = age
 			}
 		}
 	}
-	return best, about
+	return best, summary
 }
 
-// Known returns the number of daemons that are or lately were part of the
-// system, this one included.
-func (p *Peers) Known() int {
+// KnownCount returns the number of daemons that are or recently were part of the system,
+// including this one.
+func (p *Peers) KnownCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return 1 + len(p.peers)
--- a/internal/member/telling.go
+++ b/internal/member/telling.go
@@ -7,71 +7,70 @@
 	"tamarackchute/placement"
 )
 
-// changes returns what is to be told between two beats, nil if nothing has
-// changed. A whole state goes out only if there is more to tell than loads.
-func (p *Peers) changes(now time.Time) wire.Message {
-	loads := p.books.LocalLoads(false)
+// loadUpdate returns the message to send between two heartbeats, nil if nothing has changed. It
+// is a full state only if more than the loads has changed.
+func (p *Peers) loadUpdate(now time.Time) wire.Message {
+	loads := p.tracker.LocalLoads(false)
 	if len(loads) == 0 {
 		return nil
 	}
-	about := p.about()
+	summary := p.summary()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.toldAbout.covers(about, now) {
-		return p.stateOf(about, loads, p.books.PrefillEvents(), now)
+	if !p.reported.covers(summary, now) {
+		return p.newState(summary, loads, p.tracker.PrefillEvents(), now)
 	}
 	p.seq++
-	return wire.MemberLoads{Incarnation: p.incarnation, Seq: p.seq, Loads: loads, Reads: p.books.PrefillEvents()}
+	return wire.MemberLoads{Incarnation: p.incarnation, Seq: p.seq, Loads: loads, Reads: p.tracker.PrefillEvents()}
 }
 
-// toldAbout is what the last state said of this daemon, and when.
-type toldAbout struct {
-	About
+// reportedSummary is the summary in the last state sent, and when.
+type reportedSummary struct {
+	Summary
 	at time.Time
 }
 
-// readSlack is the difference between two accounts of when a list was read that
-// count as the same: they are taken at slightly different times.
-const readSlack = 10 * time.Millisecond
+// listAgeSlack is the difference up to which two ages of a list count as equal: they are
+// measured at slightly different times.
+const listAgeSlack = 10 * time.Millisecond
 
-// covers reports whether what was told still holds, but for the time that has
-// passed.
-func (t toldAbout) covers(now About, at time.Time) bool {
-	same := t.Serving == now.Serving && t.Config == now.Config &&
-		t.ListPosition == now.ListPosition && t.ListDigest == now.ListDigest
-	return same && now.ReadAge > t.ReadAge+at.Sub(t.at)-readSlack
+// covers reports whether the reported summary still holds, apart from the time passed.
+func (r reportedSummary) covers(now Summary, at time.Time) bool {
+	same := r.Serving == now.Serving && r.Config == now.Config &&
+		r.ListPosition == now.ListPosition && r.ListDigest == now.ListDigest
+	return same && now.ListAge > r.ListAge+at.Sub(r.at)-listAgeSlack
 }
 
-// stateOf returns the state to be told. p.mu is held.
-func (p *Peers) stateOf(about About, loads []placement.UpstreamLoad, reads []placement.PrefillEvent, now time.Time) wire.MemberState {
+// newState returns a state to send. p.mu is held.
+func (p *Peers) newState(summary Summary, loads []placement.UpstreamLoad, prefills []placement.PrefillEvent, now time.Time) wire.MemberState {
 	p.seq++
-	p.toldAbout = toldAbout{about, now}
+	p.reported = reportedSummary{summary, now}
 	return wire.MemberState{
 		MemberAddress: p.self, Incarnation: p.incarnation, Seq: p.seq,
-		Serving: about.Serving, Config: about.Config, ReadAge: about.ReadAge,
-		ListPosition: uint64(about.ListPosition), ListDigest: about.ListDigest, ListSize: about.ListSize,
-		Meshed: p.full, Loads: loads, Reads: reads, Away: p.awayNow(),
+		Serving: summary.Serving, Config: summary.Config, ReadAge: summary.ListAge,
+		ListPosition: uint64(summary.ListPosition), ListDigest: summary.ListDigest, ListSize: summary.ListSize,
+		Meshed: p.fullMesh, Loads: loads, Reads: prefills, Away: p.unavailableEngines(),
 	}
 }
 
-// state returns the state of a beat: it carries the loads even if they haven't
-// changed, and now and then the addresses of other daemons.
-func (p *Peers) state(now time.Time) wire.MemberState {
+// heartbeatState returns the state of a heartbeat. It contains the loads even if they haven't
+// changed, and periodically the observations and the addresses of other daemons.
+func (p *Peers) heartbeatState(now time.Time) wire.MemberState {
 	var loads []placement.UpstreamLoad
-	var reads []placement.PrefillEvent
-	if p.meshed() {
-		loads, reads = p.books.LocalLoads(true), p.books.PrefillEvents()
+	var prefills []placement.PrefillEvent
+	if p.isFullMesh() {
+		loads, prefills = p.tracker.LocalLoads(true), p.tracker.PrefillEvents()
 	}
-	about := p.about()
+	summary := p.summary()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	s := p.stateOf(about, loads, reads, now)
-	s.Demands = p.demand()
-	p.beats++
-	if p.beats%learntEvery == 0 {
-		s.Learnt = p.books.LocalObservations()
+	s := p.newState(summary, loads, prefills, now)
+	s.Demands = p.localDemand()
+	p.heartbeats++
+	if p.heartbeats%observationsPeriod == 0 {
+		s.Learnt = p.tracker.LocalObservations()
 	}
-	if p.beats%knownEvery != 1 {
+	if p.heartbeats%addressesPeriod != 1 {
 		return s
 	}
 	for _, other := range p.peers {
@@ -82,11 +81,11 @@
 	return s
 }
 
-// send tells a message to all neighbours.
-func (p *Peers) send(m wire.Message) {
+// broadcast sends a message to all neighbours.
+func (p *Peers) broadcast(m wire.Message) {
 	encoded, err := wire.Encode(m)
 	if err != nil {
-		p.log.Error("message to peers left out", "kind", m.Kind(), "err", err)
+		p.log.Error("encoding a message to peers failed", "kind", m.Kind(), "err", err)
 		return
 	}
 	p.mu.Lock()
