--- a/internal/entry/answer/answer.go
+++ b/internal/entry/answer/answer.go
@@ -13,8 +13,8 @@
 // Answer is one running answer. It is for one goroutine, but for Close.
 type Answer struct {
 	runner *Runner
-	work   Work
-	prior  *stream.Prior
+	work   Job
+	prior  *stream.OutputBuffer
 
 	attempt *attempt
 	// tried names the engines that the next attempt keeps away from.
@@ -102,5 +102,5 @@
 		a.endAttempt(context.Canceled, false)
 	}
 	a.finished = true
-	a.prior.GiveUp()
+	a.prior.Discard()
 }
--- a/internal/entry/answer/answer_test.go
+++ b/internal/entry/answer/answer_test.go
@@ -42,20 +42,20 @@
 
 func (w *world) Engine(name string) upstream.Engine { return engine{w, name} }
 
-func (w *world) Hold(name string) bool { w.held[name]++; return true }
-func (w *world) Release(name string)   { w.held[name]-- }
-func (w *world) Allow() bool           { return true }
+func (w *world) Reserve(name string) bool { w.held[name]++; return true }
+func (w *world) Release(name string)      { w.held[name]-- }
+func (w *world) Allow() bool              { return true }
 
 func (w *world) Check(quarantine.Digest) (bool, error)   { return false, nil }
 func (w *world) MayRunOn(string, quarantine.Digest) bool { return true }
-func (w *world) Waiting(quarantine.Digest) error         { return nil }
-func (w *world) guard() *crash.Watch                     { return crash.New(noGuard{}, dead) }
+func (w *world) IsolationError(quarantine.Digest) error  { return nil }
+func (w *world) guard() *crash.Detector                  { return crash.New(noGuard{}, dead) }
 func dead(context.Context, string) error                 { return upstream.ErrNotSent }
 func (w *world) Begin(ctx context.Context, e string, d quarantine.Digest, s bool) (*crash.Run, error) {
 	return w.guard().Begin(ctx, e, d, s)
 }
 
-type noGuard struct{ crash.Guard }
+type noGuard struct{ crash.Quarantine }
 
 func (noGuard) Answered(quarantine.Digest) {}
 
@@ -137,8 +137,8 @@
 	w.held = map[string]int{}
 	id := 0
 	return &Runner{
-		Books: router.NewTracker(router.DefaultConfig("d"), ups, nil), Engines: w, Holds: w, Suspects: w, Retries: w,
-		Budget: stream.NewBudget(1 << 20), PriorLimit: 1 << 10, MaxAttempts: attempts,
+		Tracker: router.NewTracker(router.DefaultConfig("d"), ups, nil), Engines: w, InFlight: w, CrashDetector: w, RetryBudget: w,
+		MemoryBudget: stream.NewMemoryBudget(1 << 20), MaxBufferedBytes: 1 << 10, MaxAttempts: attempts,
 		NewID: func() string { id++; return fmt.Sprint(id) },
 	}
 }
@@ -161,7 +161,7 @@
 			}
 		}), 0, 5).Draw(t, "script")}
 		runner := newRunner(w, attempts)
-		a := runner.Start(Work{
+		a := runner.Start(Job{
 			Request: openai.Request{Model: "m", MaxTokens: total, Stream: true},
 			Route:   router.Request{Pool: "p", Model: "m", OutputTokens: total},
 			Retry:   rapid.SampledFrom([]rules.RetryClass{rules.RetryNever, rules.RetryUnsent, rules.RetryRepeatable}).Draw(t, "retry"),
@@ -181,14 +181,14 @@
 		a.Close()
 		var f *outcome.Failure
 		if errors.As(err, &f) {
-			require.True(t, f.Ran == outcome.MayHaveRun || got == 0)
+			require.True(t, f.Execution == outcome.MayHaveRun || got == 0)
 		} else {
 			require.Equal(t, io.EOF, err)
 			require.Equal(t, total, got)
 		}
 		require.Empty(t, w.wrong, "prior text")
 		require.LessOrEqual(t, a.Attempt(), attempts)
-		require.Zero(t, runner.Budget.Used())
+		require.Zero(t, runner.MemoryBudget.Used())
 		for name, n := range w.held {
 			require.Zero(t, n, name)
 		}
--- a/internal/entry/answer/attempt.go
+++ b/internal/entry/answer/attempt.go
@@ -35,7 +35,7 @@
 // further on than that, or something else.
 const acquitAfter = 4
 
-func (t *attempt) origin(w Work) stream.Origin {
+func (t *attempt) origin(w Job) stream.Origin {
 	return stream.Origin{
 		Answer:   w.Answer,
 		Created:  w.Created.Unix(),
@@ -78,7 +78,7 @@
 		if token.Index == due {
 			t.ticket.Tokens(1)
 			if t.produced++; t.produced == acquitAfter {
-				t.run.Acquit()
+				t.run.Clear()
 			}
 			return token, nil
 		}
@@ -107,12 +107,12 @@
 func crashResult(err error, ctxEnded bool) crash.Result {
 	switch {
 	case err == nil:
-		return crash.Answered
+		return crash.Completed
 	case ctxEnded || errors.Is(err, context.Canceled):
-		return crash.Ended
+		return crash.Inconclusive
 	case errors.Is(err, upstream.ErrBroken):
 		return crash.Broken
 	default:
-		return crash.Ended
+		return crash.Inconclusive
 	}
 }
--- a/internal/entry/answer/fail.go
+++ b/internal/entry/answer/fail.go
@@ -25,7 +25,7 @@
 
 // fail returns a failure that says what is known of the request's running.
 func (a *Answer) fail(status int, code outcome.Code, cause error, message string) *outcome.Failure {
-	return &outcome.Failure{Status: status, Code: code, Message: message, Ran: outcome.RanOf(a.tries.MayHaveRun()), Cause: cause}
+	return &outcome.Failure{Status: status, Code: code, Message: message, Execution: outcome.ExecutionOf(a.tries.MayHaveRun()), Cause: cause}
 }
 
 func (a *Answer) quarantined(cause error) *outcome.Failure {
@@ -49,7 +49,7 @@
 	}
 	if errors.Is(cause, outcome.ErrStopping) {
 		return a.fail(http.StatusServiceUnavailable, outcome.CodeStopping, cause,
-			"the instance is stopping; take the stream up again at another").After(retryElsewhere)
+			"the instance is stopping; take the stream up again at another").WithRetryAfter(retryElsewhere)
 	}
 	return a.fail(http.StatusGatewayTimeout, outcome.CodeDeadline, cause, "the deadline has passed")
 }
@@ -58,7 +58,7 @@
 func (a *Answer) upstreamFailure(err error, unsent bool) *outcome.Failure {
 	if unsent {
 		f := a.fail(statusNoUpstream, outcome.CodeNoUpstream, err, "the engines took no work")
-		return f.After(retryNoUpstream)
+		return f.WithRetryAfter(retryNoUpstream)
 	}
 	if errors.Is(err, upstream.ErrBroken) {
 		return a.fail(http.StatusBadGateway, outcome.CodeUpstreamBroken, err, "the engine broke off")
--- a/internal/entry/answer/leave_test.go
+++ b/internal/entry/answer/leave_test.go
@@ -65,9 +65,9 @@
 func TestEngineLeavesDuringPrefillElsewhere(t *testing.T) {
 	d := &departure{}
 	runner := newRunner(&d.world, 2)
-	d.tracker = runner.Books.(*router.Tracker)
-	runner.Books, runner.Engines = departureBooks{d}, d
-	a := runner.Start(Work{
+	d.tracker = runner.Tracker.(*router.Tracker)
+	runner.Tracker, runner.Engines = departureBooks{d}, d
+	a := runner.Start(Job{
 		Request: openai.Request{Model: "m", MaxTokens: total},
 		Route:   router.Request{Pool: "p", Model: "m", OutputTokens: total},
 		Retry:   rules.RetryNever,
--- a/internal/entry/answer/open.go
+++ b/internal/entry/answer/open.go
@@ -21,7 +21,7 @@
 		if ctx.Err() != nil {
 			return a.ContextFailure(ctx)
 		}
-		suspected, err := a.runner.Suspects.Check(a.work.Digest)
+		suspected, err := a.runner.CrashDetector.Check(a.work.Digest)
 		if err != nil {
 			return a.quarantined(err)
 		}
@@ -75,7 +75,7 @@
 // answer, whereas a new one is better told at once to come back. After a crash
 // all that were in flight are suspects, who take turns on the other engines.
 func (a *Answer) waitForEngine(ctx context.Context) bool {
-	if !a.tries.MayHaveRun() || a.waited >= a.runner.EngineWait {
+	if !a.tries.MayHaveRun() || a.waited >= a.runner.MaxEngineWait {
 		return false
 	}
 	a.waited += engineLook
@@ -98,9 +98,9 @@
 	route.OutputTokens = max(1, route.OutputTokens-a.prior.Tokens())
 	if suspected {
 		digest := a.work.Digest
-		route.MayRunOn = func(engine string) bool { return a.runner.Suspects.MayRunOn(engine, digest) }
+		route.MayRunOn = func(engine string) bool { return a.runner.CrashDetector.MayRunOn(engine, digest) }
 	}
-	plan, err := a.runner.Books.Pick(route)
+	plan, err := a.runner.Tracker.Pick(route)
 	if err != nil {
 		return plan, route, a.noEngine(err)
 	}
@@ -110,21 +110,21 @@
 func (a *Answer) noEngine(err error) *outcome.Failure {
 	var lack *router.NoUpstreamError
 	if errors.As(err, &lack) && lack.Reason == router.NoUpstreamIsolation {
-		return a.quarantined(a.runner.Suspects.Waiting(a.work.Digest))
+		return a.quarantined(a.runner.CrashDetector.IsolationError(a.work.Digest))
 	}
 	f := a.fail(statusNoUpstream, outcome.CodeNoUpstream, err, "no engine can take the request now")
-	return f.After(retryNoUpstream)
+	return f.WithRetryAfter(retryNoUpstream)
 }
 
 // hold counts the request at the plan's engines. If one of them has begun to be
 // drained since the pick, nothing is counted and that engine is left out.
 func (a *Answer) hold(plan router.Plan) bool {
-	holds := a.runner.Holds
-	if !holds.Hold(plan.Engine) {
+	holds := a.runner.InFlight
+	if !holds.Reserve(plan.Engine) {
 		a.tried = append(a.tried, plan.Engine)
 		return false
 	}
-	if plan.Prefill == "" || holds.Hold(plan.Prefill) {
+	if plan.Prefill == "" || holds.Reserve(plan.Prefill) {
 		return true
 	}
 	holds.Release(plan.Engine)
@@ -135,7 +135,7 @@
 func (a *Answer) release(engines ...string) {
 	for _, name := range engines {
 		if name != "" {
-			a.runner.Holds.Release(name)
+			a.runner.InFlight.Release(name)
 		}
 	}
 }
@@ -149,11 +149,11 @@
 		engine: plan.Engine,
 		holds:  []string{plan.Engine, plan.Prefill},
 		first:  a.prior.Tokens(),
-		ticket: a.runner.Books.Begin(plan, route),
+		ticket: a.runner.Tracker.Begin(plan, route),
 	}
 	a.attempt = t
 	var err error
-	if t.run, err = a.runner.Suspects.Begin(ctx, plan.Engine, a.work.Digest, suspected); err != nil {
+	if t.run, err = a.runner.CrashDetector.Begin(ctx, plan.Engine, a.work.Digest, suspected); err != nil {
 		return errNoTurn
 	}
 	request := a.generateRequest(t.id)
@@ -201,7 +201,7 @@
 	if engine == nil {
 		return upstream.KVHandle{}, &prefillError{plan.Prefill, upstream.ErrNotSent}
 	}
-	run, err := a.runner.Suspects.Begin(ctx, plan.Prefill, a.work.Digest, false)
+	run, err := a.runner.CrashDetector.Begin(ctx, plan.Prefill, a.work.Digest, false)
 	if err != nil {
 		return upstream.KVHandle{}, &prefillError{plan.Prefill, upstream.ErrRefused}
 	}
@@ -214,7 +214,7 @@
 	if !cancelled(ctx) {
 		// A booking of its own tells the router who failed.
 		own := router.Plan{Engine: plan.Prefill}
-		a.runner.Books.Begin(own, router.Request{}).End(routerOutcome(err, false))
+		a.runner.Tracker.Begin(own, router.Request{}).End(routerOutcome(err, false))
 	}
 	return handle, &prefillError{plan.Prefill, err}
 }
@@ -283,7 +283,7 @@
 // prefillResult is the result of a prefill, which is no whole answer.
 func prefillResult(err error, ctxEnded bool) crash.Result {
 	if err == nil {
-		return crash.Ended
+		return crash.Inconclusive
 	}
 	return crashResult(err, ctxEnded)
 }
--- a/internal/entry/answer/resume.go
+++ b/internal/entry/answer/resume.go
@@ -11,7 +11,7 @@
 )
 
 // Place is where an answer is taken up again.
-type Place struct {
+type ResumePoint struct {
 	Engine, Attempt string
 	// First is the index of the attempt's first token, Last that of the last
 	// token that the caller has.
@@ -22,7 +22,7 @@
 // last one that the caller has. It asks the engine for the whole attempt and keeps
 // the tokens that the caller has already, so that the answer can still go on
 // elsewhere if this engine dies.
-func (r *Runner) Resume(ctx context.Context, w Work, from Place) (*Answer, *outcome.Failure) {
+func (r *Runner) Resume(ctx context.Context, w Job, from ResumePoint) (*Answer, *outcome.Failure) {
 	a := r.Start(w)
 	a.tries.RecordRun()
 	a.deliverFrom = from.Last + 1
@@ -31,11 +31,11 @@
 	if engine == nil {
 		return nil, a.fail(http.StatusGone, outcome.CodeStreamLost, nil, "the engine of this answer is gone")
 	}
-	if !r.Holds.Hold(from.Engine) {
+	if !r.InFlight.Reserve(from.Engine) {
 		return nil, a.fail(http.StatusGone, outcome.CodeStreamLost, nil,
 			"the engine of this answer is being changed; ask again without Last-Event-ID")
 	}
-	run, err := r.Suspects.Begin(ctx, from.Engine, w.Digest, false)
+	run, err := r.CrashDetector.Begin(ctx, from.Engine, w.Digest, false)
 	if err != nil {
 		a.release(from.Engine)
 		return nil, a.quarantined(err)
@@ -49,7 +49,7 @@
 		holds:  []string{from.Engine},
 		first:  from.First,
 		run:    run,
-		ticket: r.Books.Begin(plan, route),
+		ticket: r.Tracker.Begin(plan, route),
 	}
 	a.attempt = t
 	a.tries.RecordAttempt()
@@ -59,7 +59,7 @@
 	}
 	f := a.resumeFailure(ctx, err)
 	a.endAttempt(err, cancelled(ctx))
-	a.prior.GiveUp()
+	a.prior.Discard()
 	return nil, f
 }
 
@@ -72,7 +72,7 @@
 			"the engine no longer knows this answer; ask again without Last-Event-ID")
 	case errors.Is(err, upstream.ErrRefused):
 		return a.fail(http.StatusServiceUnavailable, outcome.CodeOverload, err,
-			"the engine takes no work now").After(retryNoUpstream)
+			"the engine takes no work now").WithRetryAfter(retryNoUpstream)
 	default:
 		return a.fail(http.StatusBadGateway, outcome.CodeStreamLost, err,
 			"the engine of this answer has died; ask again without Last-Event-ID")
--- a/internal/entry/answer/runner.go
+++ b/internal/entry/answer/runner.go
@@ -17,7 +17,7 @@
 )
 
 // Books picks engines and books attempts; router.Tracker is one.
-type Books interface {
+type Tracker interface {
 	Pick(r router.Request) (router.Plan, error)
 	Begin(p router.Plan, r router.Request) *router.Ticket
 }
@@ -29,50 +29,50 @@
 
 // Suspects keeps requests that crash engines from crashing more of them;
 // crash.Watch is one.
-type Suspects interface {
+type CrashDetector interface {
 	Check(d quarantine.Digest) (suspected bool, err error)
 	MayRunOn(engine string, d quarantine.Digest) bool
 	Begin(ctx context.Context, engine string, d quarantine.Digest, suspected bool) (*crash.Run, error)
-	Waiting(d quarantine.Digest) error
+	IsolationError(d quarantine.Digest) error
 }
 
 // Holds counts requests at engines for the drains that precede orders;
 // inflight.Book is one.
-type Holds interface {
-	Hold(engine string) bool
+type InFlight interface {
+	Reserve(engine string) bool
 	Release(engine string)
 }
 
 // Retries bounds what failures may add to the load; it counts one more attempt
 // and reports whether that may be made.
-type Retries interface {
+type RetryBudget interface {
 	Allow() bool
 }
 
 // Runner runs model requests. Its fields are set once; it is safe for use by
 // many goroutines.
 type Runner struct {
-	Books    Books
-	Engines  Engines
-	Holds    Holds
-	Suspects Suspects
-	Retries  Retries
-	Budget   *stream.Budget
+	Tracker       Tracker
+	Engines       Engines
+	InFlight      InFlight
+	CrashDetector CrashDetector
+	RetryBudget   RetryBudget
+	MemoryBudget  *stream.MemoryBudget
 	// PriorLimit bounds the text kept of one answer, in bytes.
-	PriorLimit int
+	MaxBufferedBytes int
 	// MaxAttempts bounds the attempts of one request.
 	MaxAttempts int
 	// EngineWait bounds how long a request that has lost its engine looks for
 	// another, over all its losses.
-	EngineWait time.Duration
-	NewID      func() string
+	MaxEngineWait time.Duration
+	NewID         func() string
 
 	// background holds cancels whose caller no longer waits.
 	background conc.WaitGroup
 }
 
 // Work is one model request with what the rules made of it.
-type Work struct {
+type Job struct {
 	Request openai.Request
 	Route   router.Request
 	Retry   rules.RetryClass
@@ -83,14 +83,14 @@
 }
 
 // Start returns the answer of a request. Nothing is sent until its first Next.
-func (r *Runner) Start(w Work) *Answer {
+func (r *Runner) Start(w Job) *Answer {
 	return &Answer{
 		runner: r,
 		work:   w,
 		tries: dispatch.New(dispatch.Policy{
-			Mode: dispatch.RetryModeOf(w.Retry), MaxAttempts: r.MaxAttempts, CountNotRun: true, AllowRetry: r.Retries.Allow,
+			Mode: dispatch.RetryModeOf(w.Retry), MaxAttempts: r.MaxAttempts, CountNotRun: true, AllowRetry: r.RetryBudget.Allow,
 		}),
-		prior: stream.NewPrior(r.Budget, r.PriorLimit),
+		prior: stream.NewOutputBuffer(r.MemoryBudget, r.MaxBufferedBytes),
 	}
 }
 
--- a/internal/entry/answer/wait_test.go
+++ b/internal/entry/answer/wait_test.go
@@ -26,14 +26,14 @@
 // crowd is two engines, of which the first crashes with all that it runs.
 type crowd struct {
 	world
-	crashes *crash.Watch
+	crashes *crash.Detector
 	down    chan struct{}
 }
 
 func (c *crowd) Check(d quarantine.Digest) (bool, error)     { return c.crashes.Check(d) }
 func (c *crowd) MayRunOn(e string, d quarantine.Digest) bool { return c.crashes.MayRunOn(e, d) }
-func (c *crowd) Waiting(d quarantine.Digest) error           { return c.crashes.Waiting(d) }
-func (c *crowd) Hold(string) bool                            { return true }
+func (c *crowd) IsolationError(d quarantine.Digest) error    { return c.crashes.IsolationError(d) }
+func (c *crowd) Reserve(string) bool                         { return true }
 func (c *crowd) Release(string)                              {}
 func (c *crowd) Engine(name string) upstream.Engine          { return crowdEngine{engine{&c.world, name}, c} }
 func (c *crowd) Append(context.Context, journal.Entry) (journal.Position, error) {
@@ -91,14 +91,14 @@
 		guard := quarantine.NewGuard(quarantine.DefaultConfig(), c, "w", nil)
 		c.crashes = crash.New(guard, func(context.Context, string) error { return upstream.ErrNotSent })
 		runner := newRunner(&c.world, 2)
-		runner.Engines, runner.Holds, runner.Suspects = c, c, c
-		runner.EngineWait, runner.MaxAttempts = time.Minute, 4
+		runner.Engines, runner.InFlight, runner.CrashDetector = c, c, c
+		runner.MaxEngineWait, runner.MaxAttempts = time.Minute, 4
 		var ids atomic.Int64
 		runner.NewID = func() string { return fmt.Sprint(ids.Add(1)) }
 		var wg sync.WaitGroup
 		for i := range 20 {
 			wg.Go(func() {
-				a := runner.Start(Work{
+				a := runner.Start(Job{
 					Request: openai.Request{Model: "m", MaxTokens: total, Stream: true},
 					Route:   router.Request{Pool: "p", Model: "m", OutputTokens: total},
 					Retry:   rules.RetryUnsent,
@@ -133,10 +133,10 @@
 	c := &crowd{down: make(chan struct{})}
 	close(c.down)
 	runner := newRunner(&c.world, 2)
-	runner.Engines, runner.Holds, runner.Suspects = c, c, taken{}
+	runner.Engines, runner.InFlight, runner.CrashDetector = c, c, taken{}
 	runner.MaxAttempts = 10
 	for range 5 {
-		a := runner.Start(Work{
+		a := runner.Start(Job{
 			Request: openai.Request{Model: "m", MaxTokens: total, Stream: true},
 			Route:   router.Request{Pool: "p", Model: "m", OutputTokens: total, Exclude: []string{"e0"}},
 			Retry:   rules.RetryUnsent,
@@ -145,7 +145,7 @@
 		require.Error(t, err)
 		a.Close()
 	}
-	e1, ok := runner.Books.(*router.Tracker).Snapshot().Upstream("e1", time.Now())
+	e1, ok := runner.Tracker.(*router.Tracker).Snapshot().Upstream("e1", time.Now())
 	require.True(t, ok)
 	require.False(t, e1.Ejected)
 	require.Zero(t, e1.FailureRate)
@@ -156,7 +156,7 @@
 
 func (taken) Check(quarantine.Digest) (bool, error)   { return true, nil }
 func (taken) MayRunOn(string, quarantine.Digest) bool { return true }
-func (taken) Waiting(quarantine.Digest) error         { return errors.New("another suspect runs") }
+func (taken) IsolationError(quarantine.Digest) error  { return errors.New("another suspect runs") }
 func (taken) Begin(context.Context, string, quarantine.Digest, bool) (*crash.Run, error) {
 	return nil, errors.New("another suspect runs")
 }
--- a/internal/entry/callerwatch/watch.go
+++ b/internal/entry/callerwatch/watch.go
@@ -30,17 +30,17 @@
 
 // Watch looks at the connections of requests in progress. A request that ends
 // within an interval costs no system call.
-type Watch struct {
+type Watcher struct {
 	mu     sync.Mutex
-	active map[*Watched]struct{}
+	active map[*Registration]struct{}
 }
 
 // New returns an empty watch. It notices nothing until Serve runs.
-func New() *Watch { return &Watch{active: map[*Watched]struct{}{}} }
+func New() *Watcher { return &Watcher{active: map[*Registration]struct{}{}} }
 
 // Watched is one request under watch.
-type Watched struct {
-	watch  *Watch
+type Registration struct {
+	watch  *Watcher
 	conn   syscall.RawConn
 	cancel context.CancelCauseFunc
 	// seen is set once a sweep has passed over the request: only those older
@@ -50,12 +50,12 @@
 
 // Add watches a connection until Remove, and calls cancel with ErrGone if its
 // caller goes. A connection of a kind that can't be asked is not watched.
-func (w *Watch) Add(conn net.Conn, cancel context.CancelCauseFunc) *Watched {
+func (w *Watcher) Add(conn net.Conn, cancel context.CancelCauseFunc) *Registration {
 	raw := rawConn(conn)
 	if raw == nil {
 		return nil
 	}
-	one := &Watched{watch: w, conn: raw, cancel: cancel}
+	one := &Registration{watch: w, conn: raw, cancel: cancel}
 	w.mu.Lock()
 	w.active[one] = struct{}{}
 	w.mu.Unlock()
@@ -63,7 +63,7 @@
 }
 
 // Remove ends the watch of a request. It may be called on nil.
-func (one *Watched) Remove() {
+func (one *Registration) Remove() {
 	if one == nil {
 		return
 	}
@@ -73,7 +73,7 @@
 }
 
 // Serve looks at the connections at each interval until ctx ends.
-func (w *Watch) Serve(ctx context.Context) error {
+func (w *Watcher) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(Interval)
 	defer ticker.Stop()
 	for {
@@ -86,7 +86,7 @@
 	}
 }
 
-func (w *Watch) sweep() {
+func (w *Watcher) sweep() {
 	for _, one := range w.due() {
 		if gone(one.conn) {
 			one.cancel(ErrGone)
@@ -95,10 +95,10 @@
 	}
 }
 
-func (w *Watch) due() []*Watched {
+func (w *Watcher) due() []*Registration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var due []*Watched
+	var due []*Registration
 	for one := range w.active {
 		if one.seen {
 			due = append(due, one)
--- a/internal/entry/crash/crash.go
+++ b/internal/entry/crash/crash.go
@@ -15,7 +15,7 @@
 )
 
 // Guard answers what may run where; quarantine.Guard is one.
-type Guard interface {
+type Quarantine interface {
 	Check(d quarantine.Digest) (quarantine.Verdict, error)
 	MayRunOn(upstream string, d quarantine.Digest) bool
 	Isolate(ctx context.Context, upstream string, d quarantine.Digest) (*quarantine.Isolation, error)
@@ -45,8 +45,8 @@
 
 // Watch knows the requests in flight at each engine. It is safe for use by many
 // goroutines.
-type Watch struct {
-	guard Guard
+type Detector struct {
+	guard Quarantine
 	probe Probe
 
 	mu      sync.Mutex
@@ -56,8 +56,8 @@
 }
 
 // New returns a watch that reports to a guard.
-func New(g Guard, p Probe) *Watch {
-	return &Watch{
+func New(g Quarantine, p Probe) *Detector {
+	return &Detector{
 		guard:   g,
 		probe:   p,
 		running: map[string]map[*Run]struct{}{},
@@ -66,22 +66,22 @@
 }
 
 // Wait returns once the reports under way are done.
-func (w *Watch) Wait() { w.tasks.Wait() }
+func (w *Detector) Wait() { w.tasks.Wait() }
 
 // Check reports whether a request is suspected, or its refusal if it is
 // quarantined.
-func (w *Watch) Check(d quarantine.Digest) (suspected bool, err error) {
+func (w *Detector) Check(d quarantine.Digest) (suspected bool, err error) {
 	v, err := w.guard.Check(d)
 	return v.Status == quarantine.Suspected, err
 }
 
 // MayRunOn reports whether a suspected request may start on an engine.
-func (w *Watch) MayRunOn(engine string, d quarantine.Digest) bool {
+func (w *Detector) MayRunOn(engine string, d quarantine.Digest) bool {
 	return w.guard.MayRunOn(engine, d)
 }
 
 // Waiting returns the refusal of a suspect that found no engine to itself.
-func (w *Watch) Waiting(d quarantine.Digest) error { return w.guard.Waiting(d) }
+func (w *Detector) IsolationError(d quarantine.Digest) error { return w.guard.Waiting(d) }
 
 // Result says how a run ended.
 type Result uint8
@@ -89,16 +89,16 @@
 // The results of a run.
 const (
 	// Ended is a run that says nothing: cancelled, refused, never sent.
-	Ended Result = iota
+	Inconclusive Result = iota
 	// Answered is a run that got its whole answer.
-	Answered
+	Completed
 	// Broken is a run that broke off, maybe because the engine died.
 	Broken
 )
 
 // Run is one request at one engine.
 type Run struct {
-	watch     *Watch
+	watch     *Detector
 	engine    string
 	digest    quarantine.Digest
 	isolation *quarantine.Isolation
@@ -106,7 +106,7 @@
 
 // Begin books a request at an engine before anything is sent there. A suspected
 // one gets the engine without other suspects, or quarantine.ErrReserved.
-func (w *Watch) Begin(ctx context.Context, engine string, d quarantine.Digest, suspected bool) (*Run, error) {
+func (w *Detector) Begin(ctx context.Context, engine string, d quarantine.Digest, suspected bool) (*Run, error) {
 	r := &Run{watch: w, engine: engine, digest: d}
 	if suspected {
 		ctx, cancel := context.WithTimeout(ctx, isolateTimeout)
@@ -131,7 +131,7 @@
 func (r *Run) End(result Result) {
 	w := r.watch
 	switch result {
-	case Answered:
+	case Completed:
 		w.guard.Answered(r.digest)
 	case Broken:
 		w.broken(r)
@@ -140,14 +140,14 @@
 	delete(w.running[r.engine], r)
 	w.mu.Unlock()
 	if r.isolation != nil {
-		w.endIsolation(r.isolation, result == Answered)
+		w.endIsolation(r.isolation, result == Completed)
 	}
 }
 
 // Acquit ends the isolation of a suspected run that has got further than the
 // one that made it a suspect. If its engine crashes after that, it is a suspect
 // for the first time again. It must not run at the same time as End.
-func (r *Run) Acquit() {
+func (r *Run) Clear() {
 	if r.isolation == nil {
 		return
 	}
@@ -156,7 +156,7 @@
 }
 
 // endIsolation writes to the log, which may be slow; nobody waits for it.
-func (w *Watch) endIsolation(i *quarantine.Isolation, passed bool) {
+func (w *Detector) endIsolation(i *quarantine.Isolation, passed bool) {
 	w.tasks.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 		defer cancel()
@@ -173,7 +173,7 @@
 // broken waits for the check of the run's engine, and starts one if none runs.
 // The suspects are all that are in flight there now or join meanwhile: an
 // engine takes all of them down with it, and which one did it isn't known.
-func (w *Watch) broken(r *Run) {
+func (w *Detector) broken(r *Run) {
 	w.mu.Lock()
 	c := w.checks[r.engine]
 	if c == nil {
@@ -189,7 +189,7 @@
 	<-c.done
 }
 
-func (w *Watch) run(engine string, c *check) {
+func (w *Detector) run(engine string, c *check) {
 	defer close(c.done)
 	dead := w.dead(engine)
 	w.mu.Lock()
@@ -219,7 +219,7 @@
 
 // dead reports whether nothing listens at the engine's address. A connection
 // that broke with the engine alive is no crash.
-func (w *Watch) dead(engine string) bool {
+func (w *Detector) dead(engine string) bool {
 	for i := range probes {
 		if i > 0 {
 			time.Sleep(probeGap)
--- a/internal/entry/crash/crash_test.go
+++ b/internal/entry/crash/crash_test.go
@@ -77,10 +77,10 @@
 		run := begin("e3", "a", true)
 		_, err := w.Begin(t.Context(), "e3", digest("b"), true)
 		require.ErrorIs(t, err, quarantine.ErrReserved, "suspects run apart")
-		run.Acquit()
+		run.Clear()
 		w.Wait()
 		require.Equal(t, quarantine.Clean, standing("a"))
-		run.End(Ended)
+		run.End(Inconclusive)
 
 		begin("e2", "guilty", true).End(Broken)
 		w.Wait()
--- a/internal/entry/demand.go
+++ b/internal/entry/demand.go
@@ -76,7 +76,7 @@
 
 // Asked counts a request before anything can refuse it. The tokens are our
 // estimate of the prompt and the bound on the output.
-func (d *demand) Asked(model string, promptTokens, maxTokens int) {
+func (d *demand) RecordRequest(model string, promptTokens, maxTokens int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	m := d.model(model)
@@ -88,7 +88,7 @@
 
 // Answered learns from a whole answer how far the estimates are from what the
 // engine counted.
-func (d *demand) Answered(model string, promptTokens, maxTokens, prompt, output int) {
+func (d *demand) RecordResponse(model string, promptTokens, maxTokens, prompt, output int) {
 	if promptTokens <= 0 || maxTokens <= 0 {
 		return
 	}
--- a/internal/entry/discovery/discovery.go
+++ b/internal/entry/discovery/discovery.go
@@ -16,11 +16,11 @@
 }
 
 // Answer says where to connect.
-type Answer struct {
+type Response struct {
 	Addresses []Address `json:"addresses"`
 	// KeepSeconds is how long the answer may be kept. An instance that stops
 	// serves on for at least that long.
-	KeepSeconds float64 `json:"keep_s"`
+	MaxAgeSeconds float64 `json:"keep_s"`
 }
 
 // Address is one instance to connect to.
@@ -63,7 +63,7 @@
 }
 
 // Leave takes the own instance out of all further answers.
-func (d *Directory) Leave() { d.leaving.Store(true) }
+func (d *Directory) BeginShutdown() { d.leaving.Store(true) }
 
 // Where answers for a caller in a data centre; one that is not known counts as
 // the instance's own. Instances that are only suspected come after all others,
@@ -71,19 +71,19 @@
 //
 // Callers connect to the first address. So that they don't all go to the same
 // instance, those of one data centre take turns in being named first.
-func (d *Directory) Where(dataCentre string) Answer {
+func (d *Directory) Locate(dataCentre string) Response {
 	order, known := d.near[dataCentre]
 	if !known {
 		order = d.near[d.self.DataCentre]
 	}
 	turn := d.turn.Add(1) - 1
-	answer := Answer{Addresses: make([]Address, 0, len(order)), KeepSeconds: d.keep}
+	answer := Response{Addresses: make([]Address, 0, len(order)), MaxAgeSeconds: d.keep}
 	answer.add(d, order, membership.Live, turn)
 	answer.add(d, order, membership.Suspected, turn)
 	return answer
 }
 
-func (a *Answer) add(d *Directory, order []settings.Instance, state membership.State, turn uint64) {
+func (a *Response) add(d *Directory, order []settings.Instance, state membership.State, turn uint64) {
 	var group []Address
 	for i, in := range order {
 		if d.state(in) == state {
--- a/internal/entry/discovery/discovery_test.go
+++ b/internal/entry/discovery/discovery_test.go
@@ -36,7 +36,7 @@
 	dir := New(d, d.Instances[0], m)
 	names := func(dc string) []string {
 		got := []string{}
-		for _, a := range dir.Where(dc).Addresses {
+		for _, a := range dir.Locate(dc).Addresses {
 			got = append(got, a.Instance)
 		}
 		return got
@@ -45,12 +45,12 @@
 	require.Equal(t, []string{"h2", "h1", "s1", "v1"}, names("nowhere"), "instances take turns")
 	require.Equal(t, []string{"v1", "s1", "h1", "h2"}, names("vik"))
 	require.Equal(t, []string{"v1", "s1", "h2", "h1"}, names("vik"), "within a data centre only")
-	require.Equal(t, Address{"10.0.0.3:1", "vik", "v1"}, dir.Where("vik").Addresses[0])
-	require.InDelta(t, 5, dir.Where("").KeepSeconds, 0)
+	require.Equal(t, Address{"10.0.0.3:1", "vik", "v1"}, dir.Locate("vik").Addresses[0])
+	require.InDelta(t, 5, dir.Locate("").MaxAgeSeconds, 0)
 
 	m["h2"], m["s1"] = membership.Suspected, membership.Leaving
 	require.Equal(t, []string{"h1", "v1", "h2"}, names("hella"))
 	m["v1"] = membership.Gone
-	dir.Leave()
+	dir.BeginShutdown()
 	require.Equal(t, []string{"h2"}, names("hella"))
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -80,16 +80,16 @@
 	orders    *orders.View
 	drains    *peerDrains
 	suspects  *quarantine.Guard
-	crashes   *crash.Watch
+	crashes   *crash.Detector
 	tracker   *router.Tracker
 	admission *admission.Controller
-	inflight  *inflight.Book
+	inflight  *inflight.Counter
 	demand    *demand
 	load      *loadShare
 	node      *status.Node
 	directory *discovery.Directory
 	answers   *answer.Runner
-	callers   *callerwatch.Watch
+	callers   *callerwatch.Watcher
 	gateway   *gateway.Gateway
 	claims    *claim.Guard
 	listeners []*listener
@@ -108,8 +108,8 @@
 		incarnation: uuid.NewString(),
 		log:         cfg.Logger,
 		stop: shutdown.State{
-			Keep:  seconds(cfg.Deployment.Discovery.KeepSeconds),
-			Grace: seconds(cfg.Deployment.Discovery.GraceSeconds),
+			DiscoveryTTL: seconds(cfg.Deployment.Discovery.KeepSeconds),
+			Grace:        seconds(cfg.Deployment.Discovery.GraceSeconds),
 		},
 	}
 	if err := e.buildJournal(); err != nil {
@@ -181,7 +181,7 @@
 	a.RetryBudgetRatio = d.Admission.RetryBudget
 	e.admission = admission.New(a, nil)
 	e.drains = newPeerDrains(e.orders, e.journal.CaughtUp())
-	e.inflight = inflight.NewBook(e.drains, e.journal.Applied, engineNames(d))
+	e.inflight = inflight.NewCounter(e.drains, e.journal.Applied, engineNames(d))
 	e.demand = newDemand(time.Now, demandWindow(d.Roles))
 	e.load = &loadShare{}
 	e.crashes = crash.New(e.suspects, e.cfg.Upstreams.Probe)
@@ -192,39 +192,39 @@
 	e.directory = discovery.New(e.cfg.Deployment, e.self, e.node)
 	e.callers = callerwatch.New()
 	e.answers = &answer.Runner{
-		Books:       e.tracker,
-		Engines:     e.cfg.Upstreams,
-		Holds:       e.inflight,
-		Suspects:    e.crashes,
-		Retries:     retries{e.admission},
-		Budget:      stream.NewBudget(e.cfg.Deployment.Streams.KeptBytesInAll),
-		PriorLimit:  e.cfg.Deployment.Streams.KeptBytes,
-		MaxAttempts: maxAttempts,
-		EngineWait:  engineWait,
-		NewID:       uuid.NewString,
+		Tracker:          e.tracker,
+		Engines:          e.cfg.Upstreams,
+		InFlight:         e.inflight,
+		CrashDetector:    e.crashes,
+		RetryBudget:      retries{e.admission},
+		MemoryBudget:     stream.NewMemoryBudget(e.cfg.Deployment.Streams.KeptBytesInAll),
+		MaxBufferedBytes: e.cfg.Deployment.Streams.KeptBytes,
+		MaxAttempts:      maxAttempts,
+		MaxEngineWait:    engineWait,
+		NewID:            uuid.NewString,
 	}
-	e.gateway = gateway.New(e.gatewayOptions(), gateway.Parts{
+	e.gateway = gateway.New(e.gatewayOptions(), gateway.Dependencies{
 		Rules:     e.source,
 		Admission: e.admission,
 		Estimator: e.tracker,
 		Answers:   e.answers,
 		Services: &forward.Runner{
-			Books:       e.tracker,
+			Tracker:     e.tracker,
 			Services:    e.cfg.Upstreams,
-			Retries:     retries{e.admission},
+			RetryBudget: retries{e.admission},
 			MaxAttempts: maxAttempts,
 			NewID:       uuid.NewString,
 		},
-		Protected: protect.New(e.claims),
-		Directory: e.directory,
-		Signer:    stream.NewSigner(e.cfg.Secret),
-		Watch:     e.callers,
-		Demand:    e.demand,
-		Ready:     e.ready,
-		Load:      e.load.get,
-		NewID:     uuid.NewString,
-		Scope:     e.cfg.Metrics.Scope,
-		Log:       e.log,
+		Protected:   protect.New(e.claims),
+		Directory:   e.directory,
+		Signer:      stream.NewSigner(e.cfg.Secret),
+		CallerWatch: e.callers,
+		Demand:      e.demand,
+		Ready:       e.ready,
+		Load:        e.load.get,
+		NewID:       uuid.NewString,
+		Scope:       e.cfg.Metrics.Scope,
+		Log:         e.log,
 	})
 }
 
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -23,7 +23,7 @@
 		text string
 		kept bool
 	}{{"12345678", true}, {"12345", false}, {"1234", true}, {"123456789", false}} {
-		p := stream.NewPrior(e.answers.Budget, e.answers.PriorLimit)
+		p := stream.NewOutputBuffer(e.answers.MemoryBudget, e.answers.MaxBufferedBytes)
 		p.Add(c.text)
 		_, kept := p.Text()
 		require.Equal(t, c.kept, kept, c.text)
--- a/internal/entry/exchange.go
+++ b/internal/entry/exchange.go
@@ -20,7 +20,7 @@
 
 // ready returns nil once callers may be sent here.
 func (e *Entry) ready() error {
-	if e.gateway.Leaving() {
+	if e.gateway.ShuttingDown() {
 		return errLeaving
 	}
 	if e.source.current() == nil {
--- a/internal/entry/forward/forward.go
+++ b/internal/entry/forward/forward.go
@@ -17,7 +17,7 @@
 )
 
 // Books picks services and books attempts; router.Tracker is one.
-type Books interface {
+type Tracker interface {
 	Pick(r router.Request) (router.Plan, error)
 	Begin(p router.Plan, r router.Request) *router.Ticket
 }
@@ -28,21 +28,21 @@
 }
 
 // Retries bounds what failures may add to the load.
-type Retries interface {
+type RetryBudget interface {
 	Allow() bool
 }
 
 // Runner sends requests to services. It is safe for use by many goroutines.
 type Runner struct {
-	Books       Books
+	Tracker     Tracker
 	Services    Services
-	Retries     Retries
+	RetryBudget RetryBudget
 	MaxAttempts int
 	NewID       func() string
 }
 
 // Work is one request with what the rules made of it.
-type Work struct {
+type Job struct {
 	Request upstream.ServiceRequest
 	Route   router.Request
 	Retry   rules.RetryClass
@@ -52,9 +52,9 @@
 const retryNoService = time.Second
 
 // Call sends the request and returns the service's answer, whatever its status.
-func (r *Runner) Call(ctx context.Context, w Work) (upstream.ServiceResponse, *outcome.Failure) {
+func (r *Runner) Call(ctx context.Context, w Job) (upstream.ServiceResponse, *outcome.Failure) {
 	c := call{runner: r, work: w, tries: dispatch.New(dispatch.Policy{
-		Mode: dispatch.RetryModeOf(w.Retry), MaxAttempts: r.MaxAttempts, CountNotRun: true, AllowRetry: r.Retries.Allow,
+		Mode: dispatch.RetryModeOf(w.Retry), MaxAttempts: r.MaxAttempts, CountNotRun: true, AllowRetry: r.RetryBudget.Allow,
 	})}
 	for {
 		if ctx.Err() != nil {
@@ -73,7 +73,7 @@
 // call is the state of one Call.
 type call struct {
 	runner *Runner
-	work   Work
+	work   Job
 	tries  dispatch.State
 	tried  []string
 }
@@ -83,13 +83,13 @@
 func (c *call) attempt(ctx context.Context) (upstream.ServiceResponse, error) {
 	route := c.work.Route
 	route.Exclude = c.tried
-	plan, err := c.runner.Books.Pick(route)
+	plan, err := c.runner.Tracker.Pick(route)
 	if err != nil {
 		return upstream.ServiceResponse{}, err
 	}
 	c.tries.RecordAttempt()
 	c.tried = append(c.tried, plan.Engine)
-	ticket := c.runner.Books.Begin(plan, route)
+	ticket := c.runner.Tracker.Begin(plan, route)
 	response, err := c.send(ctx, plan.Engine)
 	ticket.End(routerOutcome(ctx, response, err))
 	return response, err
@@ -111,7 +111,7 @@
 	var lack *router.NoUpstreamError
 	if errors.As(err, &lack) {
 		return c.fail(http.StatusServiceUnavailable, outcome.CodeNoUpstream, err,
-			"no service can take the request now").After(retryNoService)
+			"no service can take the request now").WithRetryAfter(retryNoService)
 	}
 	unsent := errors.Is(err, upstream.ErrNotSent) || errors.Is(err, upstream.ErrRefused)
 	fate := dispatch.NotRun
@@ -129,13 +129,13 @@
 	}
 	if unsent {
 		return c.fail(http.StatusServiceUnavailable, outcome.CodeNoUpstream, err,
-			"the services took no work").After(retryNoService)
+			"the services took no work").WithRetryAfter(retryNoService)
 	}
 	return c.fail(http.StatusBadGateway, outcome.CodeUpstreamBroken, err, "the service broke off")
 }
 
 func (c *call) fail(status int, code outcome.Code, cause error, message string) *outcome.Failure {
-	return &outcome.Failure{Status: status, Code: code, Message: message, Ran: outcome.RanOf(c.tries.MayHaveRun()), Cause: cause}
+	return &outcome.Failure{Status: status, Code: code, Message: message, Execution: outcome.ExecutionOf(c.tries.MayHaveRun()), Cause: cause}
 }
 
 func (c *call) contextFailure(ctx context.Context) *outcome.Failure {
--- a/internal/entry/gateway/call.go
+++ b/internal/entry/gateway/call.go
@@ -46,7 +46,7 @@
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 	stop   context.CancelFunc
-	watch  *callerwatch.Watched
+	watch  *callerwatch.Registration
 }
 
 func newCall(c *fiber.Ctx, id string) (*call, *outcome.Failure) {
@@ -85,7 +85,7 @@
 	timed, stop := context.WithDeadline(g.base, k.deadline)
 	k.stop = stop
 	k.ctx, k.cancel = context.WithCancelCause(timed)
-	k.watch = g.parts.Watch.Add(c.Context().Conn(), k.cancel)
+	k.watch = g.parts.CallerWatch.Add(c.Context().Conn(), k.cancel)
 	return nil
 }
 
@@ -107,7 +107,7 @@
 	decision, known := g.parts.Rules.Match(r)
 	if !known {
 		return outcome.Refused(fiber.StatusServiceUnavailable, outcome.CodeRulesMissing,
-			"this instance has not learnt the rules yet").After(time.Second)
+			"this instance has not learnt the rules yet").WithRetryAfter(time.Second)
 	}
 	k.decision = decision
 	if refuse := decision.Then.Refuse; refuse != nil {
--- a/internal/entry/gateway/failure.go
+++ b/internal/entry/gateway/failure.go
@@ -44,7 +44,7 @@
 		Message: f.Message,
 		Type:    f.Type(),
 		Code:    string(f.Code),
-		Outcome: string(f.Ran),
+		Outcome: string(f.Execution),
 	}}
 }
 
@@ -53,14 +53,14 @@
 func (g *Gateway) fail(c *fiber.Ctx, k *call, f *outcome.Failure) error {
 	g.metrics.failed(f)
 	g.parts.Log.Debug("request failed", "request", k.id, "path", k.path, "rule", f.Rule,
-		"code", f.Code, "outcome", f.Ran, "after", time.Since(k.began), "cause", f.Cause)
+		"code", f.Code, "outcome", f.Execution, "after", time.Since(k.began), "cause", f.Cause)
 	c.Set(headerRequestID, k.id)
 	return writeFailure(c, f)
 }
 
 func writeFailure(c *fiber.Ctx, f *outcome.Failure) error {
 	c.Status(f.Status)
-	c.Set(outcome.Header, string(f.Ran))
+	c.Set(outcome.Header, string(f.Execution))
 	if f.RetryAfter > 0 {
 		c.Set(fiber.HeaderRetryAfter, strconv.Itoa(f.RetryAfterSeconds()))
 	}
--- a/internal/entry/gateway/gateway.go
+++ b/internal/entry/gateway/gateway.go
@@ -41,14 +41,14 @@
 }
 
 // Protected runs calls at most once per key.
-type Protected interface {
+type ProtectedRunner interface {
 	// Do runs the call unless its key was claimed before. The response may be
 	// one that was recorded then.
-	Do(ctx context.Context, c ProtectedCall, run RunCall) (upstream.ServiceResponse, *outcome.Failure)
+	Do(ctx context.Context, c ProtectedCall, run CallFunc) (upstream.ServiceResponse, *outcome.Failure)
 }
 
 // RunCall sends a call to a service.
-type RunCall func(ctx context.Context) (upstream.ServiceResponse, *outcome.Failure)
+type CallFunc func(ctx context.Context) (upstream.ServiceResponse, *outcome.Failure)
 
 // ProtectedCall names a call that must run at most once.
 type ProtectedCall struct {
@@ -60,7 +60,7 @@
 
 // Directory names the addresses that callers may use.
 type Directory interface {
-	Where(dataCentre string) discovery.Answer
+	Locate(dataCentre string) discovery.Response
 }
 
 // Options are the gateway's settings.
@@ -83,17 +83,17 @@
 }
 
 // Parts are what the gateway works with.
-type Parts struct {
-	Rules     Rules
-	Admission Admission
-	Estimator Estimator
-	Answers   *answer.Runner
-	Services  *forward.Runner
-	Protected Protected
-	Directory Directory
-	Signer    *stream.Signer
-	Watch     *callerwatch.Watch
-	Demand    Demand
+type Dependencies struct {
+	Rules       Rules
+	Admission   Admission
+	Estimator   Estimator
+	Answers     *answer.Runner
+	Services    *forward.Runner
+	Protected   ProtectedRunner
+	Directory   Directory
+	Signer      *stream.Signer
+	CallerWatch *callerwatch.Watcher
+	Demand      DemandRecorder
 	// Ready returns nil once the instance can serve.
 	Ready func() error
 	// Load is the share of the local engines' capacity in use.
@@ -104,18 +104,18 @@
 }
 
 // Demand is told what callers ask for.
-type Demand interface {
+type DemandRecorder interface {
 	// Asked counts a request with the estimate of its prompt and the bound on
 	// its output, before it can be refused.
-	Asked(model string, promptTokens, maxTokens int)
+	RecordRequest(model string, promptTokens, maxTokens int)
 	// Answered tells, of a whole answer, what the engine counted for these.
-	Answered(model string, promptTokens, maxTokens, prompt, output int)
+	RecordResponse(model string, promptTokens, maxTokens, prompt, output int)
 }
 
 // Gateway serves callers.
 type Gateway struct {
 	opts    Options
-	parts   Parts
+	parts   Dependencies
 	app     *fiber.App
 	metrics *metrics
 	// active counts requests that have begun and whose answer isn't out.
@@ -130,7 +130,7 @@
 }
 
 // New returns a gateway. It serves nothing until its App is given a listener.
-func New(o Options, p Parts) *Gateway {
+func New(o Options, p Dependencies) *Gateway {
 	g := &Gateway{opts: o, parts: p, metrics: newMetrics(p.Scope)}
 	g.base, g.abort = context.WithCancelCause(context.Background())
 	g.app = fiber.New(fiber.Config{
@@ -172,10 +172,10 @@
 
 // Leave begins to ask callers to close their connections. Requests are served
 // as before.
-func (g *Gateway) Leave() { g.leaving.Store(true) }
+func (g *Gateway) BeginShutdown() { g.leaving.Store(true) }
 
 // Leaving reports whether Leave was called.
-func (g *Gateway) Leaving() bool { return g.leaving.Load() }
+func (g *Gateway) ShuttingDown() bool { return g.leaving.Load() }
 
 // Abort ends the requests still in progress, once the grace of a stop is over.
 // Their callers are told, and engines keep the streams for a while, so that
--- a/internal/entry/gateway/metrics.go
+++ b/internal/entry/gateway/metrics.go
@@ -26,7 +26,7 @@
 
 type failureKey struct {
 	code outcome.Code
-	ran  outcome.Ran
+	ran  outcome.Execution
 }
 
 func newMetrics(s tally.Scope) *metrics {
@@ -46,7 +46,7 @@
 
 // failed counts a failure by its reason and outcome.
 func (m *metrics) failed(f *outcome.Failure) {
-	m.failure(failureKey{f.Code, f.Ran}).Inc(1)
+	m.failure(failureKey{f.Code, f.Execution}).Inc(1)
 }
 
 func (m *metrics) failure(key failureKey) tally.Counter {
--- a/internal/entry/gateway/model.go
+++ b/internal/entry/gateway/model.go
@@ -63,7 +63,7 @@
 	if id := c.Get(headerLastEventID); id != "" && request.Stream {
 		return g.resume(c, k, work, strings.Clone(id))
 	}
-	g.parts.Demand.Asked(request.Model, request.PromptTokens, request.MaxTokens)
+	g.parts.Demand.RecordRequest(request.Model, request.PromptTokens, request.MaxTokens)
 	grant, f := g.admit(k, work.Route)
 	if f != nil {
 		return f
@@ -92,9 +92,9 @@
 	return request, nil
 }
 
-func (g *Gateway) workOf(c *fiber.Ctx, k *call, request openai.Request) answer.Work {
+func (g *Gateway) workOf(c *fiber.Ctx, k *call, request openai.Request) answer.Job {
 	then := k.decision.Then
-	return answer.Work{
+	return answer.Job{
 		Request: request,
 		Route: router.Request{
 			Pool:         then.Pool,
@@ -117,7 +117,7 @@
 // running is a model request whose answer is under way.
 type running struct {
 	call   *call
-	work   answer.Work
+	work   answer.Job
 	answer *answer.Answer
 	grant  *admission.Grant
 	begun  bool
@@ -153,7 +153,7 @@
 	if f == nil {
 		request := &r.work.Request
 		prompt, _ := r.answer.PromptTokens()
-		g.parts.Demand.Answered(request.Model, request.PromptTokens, request.MaxTokens, prompt, produced)
+		g.parts.Demand.RecordResponse(request.Model, request.PromptTokens, request.MaxTokens, prompt, produced)
 		g.metrics.answered.Inc(1)
 		g.metrics.whole.RecordDuration(sinceBegan(r.call))
 	}
@@ -182,10 +182,10 @@
 	k, request := r.call, &r.work.Request
 	k.end()
 	g.active.Add(-1)
-	c.Set(outcome.Header, string(outcome.RanWhole))
+	c.Set(outcome.Header, string(outcome.Completed))
 	c.Set(headerRequestID, k.id)
 	c.Set(fiber.HeaderContentType, fiber.MIMEApplicationJSON)
-	c.Response().SetBodyRaw(openai.AppendAnswer(nil, openai.Answer{
+	c.Response().SetBodyRaw(openai.AppendResponse(nil, openai.Response{
 		Kind: request.Kind, ID: k.id, Model: request.Model, Created: k.began.Unix(),
 		Text: text, Finish: finish, Usage: usage,
 	}))
@@ -209,14 +209,14 @@
 
 // resume takes a stream up again that another connection, or another instance,
 // has begun.
-func (g *Gateway) resume(c *fiber.Ctx, k *call, work answer.Work, id string) *outcome.Failure {
-	owner := stream.NewOwner(k.organisation, k.path, c.BodyRaw())
+func (g *Gateway) resume(c *fiber.Ctx, k *call, work answer.Job, id string) *outcome.Failure {
+	owner := stream.NewRequestDigest(k.organisation, k.path, c.BodyRaw())
 	origin, last, err := g.parts.Signer.Open(id, owner)
 	if err != nil {
-		return outcome.Refused(fiber.StatusBadRequest, outcome.CodeNotPermitted, "%v", err)
+		return outcome.Refused(fiber.StatusBadRequest, outcome.CodeInvalidEventID, "%v", err)
 	}
 	work.Answer, work.Created = origin.Answer, timeOf(origin.Created)
-	a, f := g.parts.Answers.Resume(k.ctx, work, answer.Place{
+	a, f := g.parts.Answers.Resume(k.ctx, work, answer.ResumePoint{
 		Engine: origin.Upstream, Attempt: origin.Attempt, First: origin.First, Last: last,
 	})
 	if f != nil {
--- a/internal/entry/gateway/pages.go
+++ b/internal/entry/gateway/pages.go
@@ -22,8 +22,8 @@
 
 // where names the addresses to use.
 func (g *Gateway) where(c *fiber.Ctx) error {
-	a := g.parts.Directory.Where(c.Query("data_centre"))
-	c.Set(fiber.HeaderCacheControl, "max-age="+strconv.Itoa(int(a.KeepSeconds)))
+	a := g.parts.Directory.Locate(c.Query("data_centre"))
+	c.Set(fiber.HeaderCacheControl, "max-age="+strconv.Itoa(int(a.MaxAgeSeconds)))
 	return c.JSON(a)
 }
 
--- a/internal/entry/gateway/pressure_test.go
+++ b/internal/entry/gateway/pressure_test.go
@@ -41,14 +41,14 @@
 	return upstream.Token{Index: e.taken - 1, Text: "word "}, nil
 }
 
-func (*endless) Close() error                        { return nil }
-func (*endless) Hold(string) bool                    { return true }
-func (*endless) Release(string)                      {}
-func (*endless) Allow() bool                         { return true }
-func (*endless) Asked(string, int, int)              {}
-func (*endless) Answered(string, int, int, int, int) {}
+func (*endless) Close() error                              { return nil }
+func (*endless) Reserve(string) bool                       { return true }
+func (*endless) Release(string)                            {}
+func (*endless) Allow() bool                               { return true }
+func (*endless) RecordRequest(string, int, int)            {}
+func (*endless) RecordResponse(string, int, int, int, int) {}
 
-type innocent struct{ crash.Guard }
+type innocent struct{ crash.Quarantine }
 
 func (innocent) Check(quarantine.Digest) (quarantine.Verdict, error) {
 	return quarantine.Verdict{}, nil
@@ -61,25 +61,25 @@
 func TestCallerThatDoesNotReadHoldsTheEngineBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engine := &endless{}
-		budget := stream.NewBudget(1 << 20)
+		budget := stream.NewMemoryBudget(1 << 20)
 		ups := []router.Upstream{{Name: "e", Kind: "engine", Pool: "p", DataCentre: "d", Models: []string{"m"}}}
 		runner := &answer.Runner{
-			Books: router.NewTracker(router.DefaultConfig("d"), ups, nil), Engines: engine, Holds: engine,
-			Suspects: crash.New(innocent{}, nil), Retries: engine, Budget: budget, PriorLimit: 1 << 10,
+			Tracker: router.NewTracker(router.DefaultConfig("d"), ups, nil), Engines: engine, InFlight: engine,
+			CrashDetector: crash.New(innocent{}, nil), RetryBudget: engine, MemoryBudget: budget, MaxBufferedBytes: 1 << 10,
 			MaxAttempts: 2, NewID: func() string { return "id" },
 		}
-		g := New(Options{Heartbeat: time.Second, WriteTimeout: time.Hour}, Parts{
+		g := New(Options{Heartbeat: time.Second, WriteTimeout: time.Hour}, Dependencies{
 			Answers: runner, Demand: engine, Signer: stream.NewSigner([]byte("x")),
 			Scope: tally.NoopScope, Log: slog.New(slog.DiscardHandler),
 		})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		work := answer.Work{
+		work := answer.Job{
 			Request: openai.Request{Model: "m", MaxTokens: 1 << 20, Stream: true},
 			Route:   router.Request{Pool: "p", Model: "m", OutputTokens: 1},
 		}
 		one := &running{call: &call{ctx: ctx, cancel: func(error) {}, stop: cancel}, work: work, answer: runner.Start(work)}
-		s := g.newSSE(nil, one, stream.Owner{})
+		s := g.newSSE(nil, one, stream.RequestDigest{})
 		s.extended = time.Now().Add(time.Hour) // no connection whose deadline could be moved
 		g.pumps.Go(s.pump)
 
--- a/internal/entry/gateway/rig_test.go
+++ b/internal/entry/gateway/rig_test.go
@@ -146,7 +146,7 @@
 	refuse   *admission.Refusal
 	control  *admission.Controller
 	// protected is nil where no call is.
-	protected gateway.Protected
+	protected gateway.ProtectedRunner
 	// byPath, if set, stands in for then; directory is nil where it isn't asked.
 	byPath    func(path string) rules.Then
 	directory gateway.Directory
@@ -185,11 +185,11 @@
 	return nil
 }
 
-func (*parts) Hold(string) bool                    { return true }
-func (*parts) Release(string)                      {}
-func (*parts) Allow() bool                         { return true }
-func (*parts) Asked(string, int, int)              {}
-func (*parts) Answered(string, int, int, int, int) {}
+func (*parts) Reserve(string) bool                       { return true }
+func (*parts) Release(string)                            {}
+func (*parts) Allow() bool                               { return true }
+func (*parts) RecordRequest(string, int, int)            {}
+func (*parts) RecordResponse(string, int, int, int, int) {}
 func (*parts) Append(context.Context, journal.Entry) (journal.Position, error) {
 	return journal.Position{}, infra.ErrNotWritten
 }
@@ -227,13 +227,13 @@
 	for _, c := range change {
 		c(&options)
 	}
-	g := gateway.New(options, gateway.Parts{
-		Rules: p, Admission: p, Estimator: tracker, Demand: p, Watch: watch,
+	g := gateway.New(options, gateway.Dependencies{
+		Rules: p, Admission: p, Estimator: tracker, Demand: p, CallerWatch: watch,
 		Answers: &answer.Runner{
-			Books: tracker, Engines: p, Holds: p, Suspects: crash.New(guard, p.probe), Retries: p,
-			Budget: stream.NewBudget(1 << 20), PriorLimit: 1 << 10, MaxAttempts: 3, NewID: newID,
+			Tracker: tracker, Engines: p, InFlight: p, CrashDetector: crash.New(guard, p.probe), RetryBudget: p,
+			MemoryBudget: stream.NewMemoryBudget(1 << 20), MaxBufferedBytes: 1 << 10, MaxAttempts: 3, NewID: newID,
 		},
-		Services:  &forward.Runner{Books: tracker, Services: p, Retries: p, MaxAttempts: 3, NewID: newID},
+		Services:  &forward.Runner{Tracker: tracker, Services: p, RetryBudget: p, MaxAttempts: 3, NewID: newID},
 		Protected: p.protected,
 		Directory: p.directory,
 		Signer:    stream.NewSigner([]byte("secret")),
--- a/internal/entry/gateway/service.go
+++ b/internal/entry/gateway/service.go
@@ -56,7 +56,7 @@
 		return f
 	}
 	then := k.decision.Then
-	work := forward.Work{
+	work := forward.Job{
 		Request: serviceRequest(c, k),
 		Route: router.Request{
 			Pool:         then.Pool,
@@ -104,7 +104,7 @@
 
 // runService runs the call, at most once if it is protected. Of a protected
 // call only an attempt that certainly did not run is made again.
-func (g *Gateway) runService(k *call, work forward.Work, key string) (upstream.ServiceResponse, *outcome.Failure) {
+func (g *Gateway) runService(k *call, work forward.Job, key string) (upstream.ServiceResponse, *outcome.Failure) {
 	if !k.decision.Then.Protected {
 		return g.parts.Services.Call(k.ctx, work)
 	}
@@ -119,7 +119,7 @@
 
 // digestOf tells a resend of a call from another under the same key.
 func digestOf(r upstream.ServiceRequest) string {
-	sum := stream.NewOwner(r.Method, r.Path, r.Body)
+	sum := stream.NewRequestDigest(r.Method, r.Path, r.Body)
 	return string(sum[:])
 }
 
@@ -142,7 +142,7 @@
 	for _, h := range r.Headers {
 		c.Response().Header.Add(h.Name, h.Value)
 	}
-	c.Set(outcome.Header, string(outcome.RanWhole))
+	c.Set(outcome.Header, string(outcome.Completed))
 	c.Set(headerRequestID, k.id)
 	c.Response().SetBodyRaw(r.Body)
 }
--- a/internal/entry/gateway/service_test.go
+++ b/internal/entry/gateway/service_test.go
@@ -192,7 +192,7 @@
 
 type recordingClaims struct{ calls []gateway.ProtectedCall }
 
-func (c *recordingClaims) Do(ctx context.Context, p gateway.ProtectedCall, run gateway.RunCall) (upstream.ServiceResponse, *outcome.Failure) {
+func (c *recordingClaims) Do(ctx context.Context, p gateway.ProtectedCall, run gateway.CallFunc) (upstream.ServiceResponse, *outcome.Failure) {
 	c.calls = append(c.calls, p)
 	return run(ctx)
 }
--- a/internal/entry/gateway/sse.go
+++ b/internal/entry/gateway/sse.go
@@ -47,8 +47,8 @@
 	gateway *Gateway
 	running *running
 	conn    net.Conn
-	chunks  *openai.Chunks
-	owner   stream.Owner
+	chunks  *openai.ChunkEncoder
+	owner   stream.RequestDigest
 	events  chan event
 	// closed ends with the body: nobody reads events any more.
 	closed    chan struct{}
@@ -68,7 +68,7 @@
 // request that fails before it gets an ordinary HTTP error, but no longer than
 // until a heartbeat is due.
 func (g *Gateway) stream(c *fiber.Ctx, k *call, r *running) *outcome.Failure {
-	s := g.newSSE(c.Context().Conn(), r, stream.NewOwner(k.organisation, k.path, c.BodyRaw()))
+	s := g.newSSE(c.Context().Conn(), r, stream.NewRequestDigest(k.organisation, k.path, c.BodyRaw()))
 	g.pumps.Go(s.pump)
 	if f := s.awaitFirst(); f != nil {
 		s.heartbeat.Stop()
@@ -85,13 +85,13 @@
 	return nil
 }
 
-func (g *Gateway) newSSE(conn net.Conn, r *running, owner stream.Owner) *sse {
+func (g *Gateway) newSSE(conn net.Conn, r *running, owner stream.RequestDigest) *sse {
 	request := &r.work.Request
 	return &sse{
 		gateway:   g,
 		running:   r,
 		conn:      conn,
-		chunks:    openai.NewChunks(request.Kind, r.work.Answer, request.Model, r.work.Created.Unix()),
+		chunks:    openai.NewChunkEncoder(request.Kind, r.work.Answer, request.Model, r.work.Created.Unix()),
 		owner:     owner,
 		events:    make(chan event, eventsAhead),
 		closed:    make(chan struct{}),
@@ -225,7 +225,7 @@
 		// The pump always ends with a last event, unless it panicked.
 		e = event{failure: &outcome.Failure{
 			Status: fiber.StatusInternalServerError, Code: outcome.CodeInternal,
-			Message: "the stream broke inside the instance", Ran: outcome.MayHaveRun,
+			Message: "the stream broke inside the instance", Execution: outcome.MayHaveRun,
 		}}
 	}
 	s.add(e)
--- a/internal/entry/gateway/stream_test.go
+++ b/internal/entry/gateway/stream_test.go
@@ -26,7 +26,7 @@
 	r := newRig(t, &parts{engines: map[string]*fakeEngine{"e1": newEngine(5)}})
 	plain := r.post(t, path, plainBody)
 	require.Equal(t, 200, plain.StatusCode)
-	require.Equal(t, string(outcome.RanWhole), plain.Header.Get(outcome.Header))
+	require.Equal(t, string(outcome.Completed), plain.Header.Get(outcome.Header))
 	require.Contains(t, read(t, plain), `"text":"`+whole(5)+`"`)
 
 	streamed := r.post(t, path, streamBody)
@@ -110,7 +110,7 @@
 
 	stranger := second.post(t, path, streamBody, "Last-Event-ID", id, "OpenAI-Organization", "other")
 	require.Equal(t, 400, stranger.StatusCode)
-	require.Contains(t, read(t, stranger), outcome.CodeNotPermitted)
+	require.Contains(t, read(t, stranger), outcome.CodeInvalidEventID)
 
 	gone := second.post(t, path, streamBody, "Last-Event-ID", id)
 	require.Equal(t, 410, gone.StatusCode)
@@ -189,7 +189,7 @@
 		failure error
 		engines int
 		status  int
-		ran     outcome.Ran
+		ran     outcome.Execution
 	}{
 		{rules.RetryUnsent, upstream.ErrRefused, 3, 503, outcome.NotRun},
 		{rules.RetryUnsent, upstream.ErrNotSent, 3, 503, outcome.NotRun},
--- a/internal/entry/gauges.go
+++ b/internal/entry/gauges.go
@@ -35,7 +35,7 @@
 func (g *gauges) look() {
 	e := g.entry
 	g.set("requests_in_progress", float64(e.gateway.Active()))
-	g.set("kept_text_bytes", float64(e.answers.Budget.Used()))
+	g.set("kept_text_bytes", float64(e.answers.MemoryBudget.Used()))
 	g.set("local_load", e.load.get())
 	g.lookAtLog()
 	g.lookAtAdmission()
--- a/internal/entry/inflight/inflight.go
+++ b/internal/entry/inflight/inflight.go
@@ -19,15 +19,15 @@
 type Applied func() journal.Position
 
 // Book counts requests at engines. It is safe for use by many goroutines.
-type Book struct {
+type Counter struct {
 	orders  Orders
 	applied Applied
 	counts  map[string]*atomic.Int64
 }
 
 // NewBook returns a book for the engines named.
-func NewBook(o Orders, a Applied, engines []string) *Book {
-	b := &Book{orders: o, applied: a, counts: make(map[string]*atomic.Int64, len(engines))}
+func NewCounter(o Orders, a Applied, engines []string) *Counter {
+	b := &Counter{orders: o, applied: a, counts: make(map[string]*atomic.Int64, len(engines))}
 	for _, name := range engines {
 		b.counts[name] = new(atomic.Int64)
 	}
@@ -40,7 +40,7 @@
 // It counts first and asks second, which guards against a drain that is applied
 // between the pick and the sending: asked first, the request could be missing
 // from the counts that acknowledge the drain, and then be cut off by the order.
-func (b *Book) Hold(engine string) bool {
+func (b *Counter) Reserve(engine string) bool {
 	count := b.counts[engine]
 	if count == nil {
 		return false
@@ -54,7 +54,7 @@
 }
 
 // Release uncounts a held request.
-func (b *Book) Release(engine string) {
+func (b *Counter) Release(engine string) {
 	if n := b.counts[engine].Add(-1); n < 0 {
 		panic("inflight: released more often than held: " + engine)
 	}
@@ -63,7 +63,7 @@
 // Status returns the place in the log up to which drains are obeyed, and the
 // engines that have requests. The position is read before the counts: a request
 // counted too late for it can't have been let through after it.
-func (b *Book) Status() (journal.Position, map[string]int) {
+func (b *Counter) Status() (journal.Position, map[string]int) {
 	applied := b.applied()
 	busy := map[string]int{}
 	for name, count := range b.counts {
--- a/internal/entry/inflight/inflight_test.go
+++ b/internal/entry/inflight/inflight_test.go
@@ -36,7 +36,7 @@
 		},
 	}
 	o := &fakeOrders{snapshot: orders.Snapshot{Position: journal.Position{Offset: 8}}}
-	book := NewBook(o, func() journal.Position { return o.snapshot.Position }, []string{"e1"})
+	book := NewCounter(o, func() journal.Position { return o.snapshot.Position }, []string{"e1"})
 
 	o.before = func() {
 		o.before = nil
@@ -44,14 +44,14 @@
 		require.Equal(t, map[string]int{"e1": 1}, busy, "counted before the look")
 		o.snapshot = drained
 	}
-	require.False(t, book.Hold("e1"))
+	require.False(t, book.Reserve("e1"))
 	applied, busy := book.Status()
 	require.Equal(t, journal.Position{Offset: 9}, applied)
 	require.Empty(t, busy)
 
 	o.snapshot = orders.Snapshot{}
-	require.True(t, book.Hold("e1"))
+	require.True(t, book.Reserve("e1"))
 	book.Release("e1")
-	require.False(t, book.Hold("unknown"))
+	require.False(t, book.Reserve("unknown"))
 	require.Panics(t, func() { book.Release("e1") })
 }
--- a/internal/entry/openai/answer.go
+++ b/internal/entry/openai/answer.go
@@ -32,7 +32,7 @@
 }
 
 // Answer is a whole answer to a completion or a chat request.
-type Answer struct {
+type Response struct {
 	Kind      Kind
 	ID, Model string
 	// Created is in Unix seconds.
@@ -42,7 +42,7 @@
 }
 
 // AppendAnswer appends a whole answer.
-func AppendAnswer(dst []byte, a Answer) []byte {
+func AppendResponse(dst []byte, a Response) []byte {
 	object, before, after := "text_completion", `"text":`, ""
 	if a.Kind == Chat {
 		object, before, after = "chat.completion", `"message":{"role":"assistant","content":`, "}"
@@ -82,25 +82,25 @@
 
 // Chunks writes the streamed chunks of one answer. The parts that all chunks
 // share are made once, as a chunk goes out for each token.
-type Chunks struct {
+type ChunkEncoder struct {
 	head   string
 	before string
 	after  string
 }
 
 // NewChunks returns the writer for an answer. Created is in Unix seconds.
-func NewChunks(kind Kind, id, model string, created int64) *Chunks {
+func NewChunkEncoder(kind Kind, id, model string, created int64) *ChunkEncoder {
 	object, before, after := "text_completion", `{"index":0,"text":`, `,"finish_reason":`
 	if kind == Chat {
 		object = "chat.completion.chunk"
 		before, after = `{"index":0,"delta":{"content":`, `},"finish_reason":`
 	}
 	head := appendHead(nil, id, object, created, model)
-	return &Chunks{head: string(head), before: before, after: after}
+	return &ChunkEncoder{head: string(head), before: before, after: after}
 }
 
 // AppendToken appends the chunk of one token; finish is "" but for the last.
-func (c *Chunks) AppendToken(dst []byte, text, finish string) []byte {
+func (c *ChunkEncoder) AppendToken(dst []byte, text, finish string) []byte {
 	dst = append(dst, c.head...)
 	dst = append(dst, c.before...)
 	dst = AppendString(dst, text)
@@ -114,7 +114,7 @@
 }
 
 // AppendUsage appends the last chunk, which has no choice but the usage.
-func (c *Chunks) AppendUsage(dst []byte, u Usage) []byte {
+func (c *ChunkEncoder) AppendUsage(dst []byte, u Usage) []byte {
 	dst = append(dst, c.head...)
 	dst = append(dst, `],"usage":`...)
 	dst = appendUsage(dst, u)
--- a/internal/entry/openai/openai_test.go
+++ b/internal/entry/openai/openai_test.go
@@ -53,7 +53,7 @@
 // Whatever an engine sends as a token's text, the chunk is valid JSON and gives
 // valid text back unchanged.
 func TestChunkCarriesAnyText(t *testing.T) {
-	chunks := NewChunks(Chat, "chatcmpl-1", "Vík \"7b\"", 12)
+	chunks := NewChunkEncoder(Chat, "chatcmpl-1", "Vík \"7b\"", 12)
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.String().Draw(t, "text")
 		var got struct {
@@ -68,7 +68,7 @@
 		require.Equal(t, text, got.Choices[0].Delta.Content)
 		require.Equal(t, "stop", *got.Choices[0].FinishReason)
 	})
-	require.True(t, json.Valid(AppendAnswer(nil, Answer{Kind: Chat, ID: "i", Model: "\"", Text: "\n"})))
+	require.True(t, json.Valid(AppendResponse(nil, Response{Kind: Chat, ID: "i", Model: "\"", Text: "\n"})))
 	require.True(t, json.Valid(chunks.AppendUsage(nil, NewUsage(3, 1, 4))))
 	require.True(t, json.Valid(chunks.AppendToken(nil, "\xff\x00", "")))
 }
--- a/internal/entry/openai/request.go
+++ b/internal/entry/openai/request.go
@@ -66,14 +66,14 @@
 
 	// Members that would change the shape of the answer, and that no engine
 	// behind the interface can honour.
-	N            *int            `json:"n"`
-	BestOf       *int            `json:"best_of"`
-	Echo         bool            `json:"echo"`
-	Suffix       string          `json:"suffix"`
-	Stop         json.RawMessage `json:"stop"`
-	Tools        json.RawMessage `json:"tools"`
-	LogProbs     json.RawMessage `json:"logprobs"`
-	ResponseForm json.RawMessage `json:"response_format"`
+	N              *int            `json:"n"`
+	BestOf         *int            `json:"best_of"`
+	Echo           bool            `json:"echo"`
+	Suffix         string          `json:"suffix"`
+	Stop           json.RawMessage `json:"stop"`
+	Tools          json.RawMessage `json:"tools"`
+	LogProbs       json.RawMessage `json:"logprobs"`
+	ResponseFormat json.RawMessage `json:"response_format"`
 }
 
 type message struct {
@@ -131,7 +131,7 @@
 		{"stop", isSet(b.Stop)},
 		{"tools", isSet(b.Tools)},
 		{"logprobs", isSet(b.LogProbs) && string(b.LogProbs) != "false"},
-		{"response_format", isSet(b.ResponseForm)},
+		{"response_format", isSet(b.ResponseFormat)},
 	} {
 		if m.set {
 			return requestErrorf("the member %s is not supported", m.name)
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -56,7 +56,7 @@
 		Instance:   e.self.Name,
 		DataCentre: e.self.DataCentre,
 		Ready:      e.ready() == nil,
-		Leaving:    e.gateway.Leaving(),
+		Leaving:    e.gateway.ShuttingDown(),
 		LogUp:      e.journal.Health().LogUp,
 		Requests:   e.gateway.Active(),
 		Claims:     api.ClaimStatus{Complete: claims.Complete, Keys: claims.Keys},
--- a/internal/entry/outcome/outcome.go
+++ b/internal/entry/outcome/outcome.go
@@ -10,21 +10,21 @@
 )
 
 // Ran says whether a request ran, as far as the system knows for certain.
-type Ran string
+type Execution string
 
 // The answers to the question whether a request ran. They stand in the
 // Chute-Outcome header.
 const (
 	// RanWhole is a request whose answer came.
-	RanWhole Ran = "ran"
+	Completed Execution = "ran"
 	// NotRun is a request that certainly did not run and never will.
-	NotRun Ran = "not-run"
+	NotRun Execution = "not-run"
 	// MayHaveRun is everything else.
-	MayHaveRun Ran = "may-have-run"
+	MayHaveRun Execution = "may-have-run"
 )
 
 // RanOf says of a request without an answer whether it ran.
-func RanOf(mayHaveRun bool) Ran {
+func ExecutionOf(mayHaveRun bool) Execution {
 	if mayHaveRun {
 		return MayHaveRun
 	}
@@ -54,40 +54,40 @@
 
 // The reasons of failures.
 const (
-	CodeInvalidRequest   Code = "invalid_request"
-	CodeBodyTooLarge     Code = "body_too_large"
-	CodeKeyRequired      Code = "idempotency_key_required"
-	CodeKeyReused        Code = "idempotency_key_reused"
-	CodeKeyInProgress    Code = "idempotency_key_in_progress"
-	CodeKeyExpired       Code = "idempotency_key_expired"
-	CodeKeyNotRecorded   Code = "answer_not_recorded"
-	CodeNoClaim          Code = "claim_not_possible"
-	CodeNoRule           Code = "no_rule_matches"
-	CodeRefusedByRule    Code = "refused_by_rule"
-	CodeRulesMissing     Code = "rules_not_loaded"
-	CodeRuleLimit        Code = "rule_limit"
-	CodeOverload         Code = "overloaded"
-	CodeDeadlineTooShort Code = "deadline_cannot_be_met"
-	CodeDeadline         Code = "deadline_exceeded"
-	CodeNoUpstream       Code = "no_upstream"
-	CodeQuarantined      Code = "quarantined"
-	CodeUpstreamBroken   Code = "upstream_broken"
-	CodeUpstreamError    Code = "upstream_error"
-	CodeCallerGone       Code = "caller_gone"
-	CodeStreamUnknown    Code = "stream_not_known"
-	CodeStreamLost       Code = "stream_lost"
-	CodeNotPermitted     Code = "event_id_not_valid"
-	CodeStopping         Code = "instance_stopping"
-	CodeInternal         Code = "internal_error"
+	CodeInvalidRequest      Code = "invalid_request"
+	CodeBodyTooLarge        Code = "body_too_large"
+	CodeKeyRequired         Code = "idempotency_key_required"
+	CodeKeyReused           Code = "idempotency_key_reused"
+	CodeKeyInProgress       Code = "idempotency_key_in_progress"
+	CodeKeyExpired          Code = "idempotency_key_expired"
+	CodeResponseNotRecorded Code = "answer_not_recorded"
+	CodeClaimFailed         Code = "claim_not_possible"
+	CodeNoRule              Code = "no_rule_matches"
+	CodeRefusedByRule       Code = "refused_by_rule"
+	CodeRulesMissing        Code = "rules_not_loaded"
+	CodeRuleLimit           Code = "rule_limit"
+	CodeOverload            Code = "overloaded"
+	CodeDeadlineTooShort    Code = "deadline_cannot_be_met"
+	CodeDeadline            Code = "deadline_exceeded"
+	CodeNoUpstream          Code = "no_upstream"
+	CodeQuarantined         Code = "quarantined"
+	CodeUpstreamBroken      Code = "upstream_broken"
+	CodeUpstreamError       Code = "upstream_error"
+	CodeCallerGone          Code = "caller_gone"
+	CodeStreamUnknown       Code = "stream_not_known"
+	CodeStreamLost          Code = "stream_lost"
+	CodeInvalidEventID      Code = "event_id_not_valid"
+	CodeStopping            Code = "instance_stopping"
+	CodeInternal            Code = "internal_error"
 )
 
 // Failure is a request that got no answer of an upstream. It is an error and a
 // value: each has its status, its reason and what is known of its running.
 type Failure struct {
-	Status  int
-	Code    Code
-	Message string
-	Ran     Ran
+	Status    int
+	Code      Code
+	Message   string
+	Execution Execution
 	// RetryAfter is when asking again is worth while; 0 says nothing.
 	RetryAfter time.Duration
 	// KeyUnknown says of a protected call that was not run that an earlier
@@ -101,9 +101,9 @@
 
 func (f *Failure) Error() string {
 	if f.Cause == nil {
-		return fmt.Sprintf("%s (%s): %s", f.Code, f.Ran, f.Message)
+		return fmt.Sprintf("%s (%s): %s", f.Code, f.Execution, f.Message)
 	}
-	return fmt.Sprintf("%s (%s): %s: %v", f.Code, f.Ran, f.Message, f.Cause)
+	return fmt.Sprintf("%s (%s): %s: %v", f.Code, f.Execution, f.Message, f.Cause)
 }
 
 // Unwrap returns the cause.
@@ -125,11 +125,11 @@
 
 // Refused returns the failure of a request that was not run.
 func Refused(status int, code Code, format string, args ...any) *Failure {
-	return &Failure{Status: status, Code: code, Message: fmt.Sprintf(format, args...), Ran: NotRun}
+	return &Failure{Status: status, Code: code, Message: fmt.Sprintf(format, args...), Execution: NotRun}
 }
 
 // After sets when asking again is worth while, and returns the failure.
-func (f *Failure) After(d time.Duration) *Failure {
+func (f *Failure) WithRetryAfter(d time.Duration) *Failure {
 	f.RetryAfter = d
 	return f
 }
--- a/internal/entry/peerdrains_test.go
+++ b/internal/entry/peerdrains_test.go
@@ -22,16 +22,16 @@
 	log := &fixedOrders{orders.Snapshot{Engines: map[string]orders.Engine{}}}
 	caughtUp := make(chan struct{})
 	drains := newPeerDrains(log, caughtUp)
-	book := inflight.NewBook(drains, func() journal.Position { return journal.Position{} }, []string{"e1", "e2"})
+	book := inflight.NewCounter(drains, func() journal.Position { return journal.Position{} }, []string{"e1", "e2"})
 	drains.Avoid([]string{"e1"})
 	drains.Avoid(nil) // another peer, which hasn't applied the drain yet
-	require.False(t, book.Hold("e1"))
-	require.True(t, book.Hold("e2"))
+	require.False(t, book.Reserve("e1"))
+	require.True(t, book.Reserve("e2"))
 	require.Equal(t, []string{"e1"}, drains.Draining(), "who asks us must learn it too")
 
 	close(caughtUp)
-	require.True(t, book.Hold("e1"))
+	require.True(t, book.Reserve("e1"))
 	drains.Avoid([]string{"e2"}) // comes late
-	require.True(t, book.Hold("e2"))
+	require.True(t, book.Reserve("e2"))
 	require.Empty(t, drains.Draining())
 }
--- a/internal/entry/protect/protect.go
+++ b/internal/entry/protect/protect.go
@@ -25,22 +25,22 @@
 }
 
 // Calls implements gateway.Protected.
-type Calls struct{ guard Guard }
+type Runner struct{ guard Guard }
 
 // New returns the protected calls over a guard.
-func New(g Guard) *Calls { return &Calls{g} }
+func New(g Guard) *Runner { return &Runner{g} }
 
 // retryRunning is when a resend may find the answer of a call that still runs.
 const retryRunning = time.Second
 
 // Do implements gateway.Protected.
-func (c *Calls) Do(ctx context.Context, p gateway.ProtectedCall, run gateway.RunCall) (upstream.ServiceResponse, *outcome.Failure) {
-	result := c.guard.Do(ctx, KeyOf(p.Organisation, p.Key), digest(p), func(ctx context.Context) (claim.Response, claim.DispatchResult) {
+func (c *Runner) Do(ctx context.Context, p gateway.ProtectedCall, run gateway.CallFunc) (upstream.ServiceResponse, *outcome.Failure) {
+	result := c.guard.Do(ctx, ScopedKey(p.Organisation, p.Key), digest(p), func(ctx context.Context) (claim.Response, claim.DispatchResult) {
 		response, f := run(ctx)
 		switch {
 		case f == nil:
 			return claim.Response(response), claim.DispatchCompleted
-		case f.Ran == outcome.NotRun:
+		case f.Execution == outcome.NotRun:
 			return claim.Response{}, claim.DispatchNotRun
 		default:
 			return claim.Response{}, claim.DispatchMayHaveRun
@@ -52,7 +52,7 @@
 // KeyOf makes the keys of different organisations different. A UUID of version
 // 7 keeps its time, by which the claims tell a key that is too old from a new
 // one; only its random part changes.
-func KeyOf(organisation, key string) string {
+func ScopedKey(organisation, key string) string {
 	sum := sha256.Sum256([]byte(organisation + "\x00" + key))
 	u, err := uuid.Parse(key)
 	if err != nil || u.Version() != 7 {
@@ -98,7 +98,7 @@
 
 func done(r claim.Done) (upstream.ServiceResponse, *outcome.Failure) {
 	if !r.ResponseComplete {
-		f := failure(http.StatusConflict, outcome.CodeKeyNotRecorded, outcome.RanWhole,
+		f := failure(http.StatusConflict, outcome.CodeResponseNotRecorded, outcome.Completed,
 			"the call ran; its answer is no longer kept, or was too large to be")
 		return upstream.ServiceResponse{}, f
 	}
@@ -111,7 +111,7 @@
 }
 
 func notRun(ctx context.Context, r claim.NotRun) *outcome.Failure {
-	code := outcome.CodeNoClaim
+	code := outcome.CodeClaimFailed
 	if r.Reason == claim.ReasonUpstream {
 		code = outcome.CodeNoUpstream
 	}
@@ -132,10 +132,10 @@
 	case r.Reason == claim.ReasonRunning && ctx.Err() != nil:
 		status, code := timeUp(ctx)
 		return failure(status, code, outcome.MayHaveRun,
-			"the time was up while the call may be running; ask again with the same key").After(retryRunning)
+			"the time was up while the call may be running; ask again with the same key").WithRetryAfter(retryRunning)
 	case r.Reason == claim.ReasonRunning:
 		return failure(http.StatusConflict, outcome.CodeKeyInProgress, outcome.MayHaveRun,
-			"a request with this key may be running; ask again with the same key").After(retryRunning)
+			"a request with this key may be running; ask again with the same key").WithRetryAfter(retryRunning)
 	case r.Reason == claim.ReasonBrokenOff:
 		return failure(http.StatusBadGateway, outcome.CodeUpstreamBroken, outcome.MayHaveRun,
 			"the service broke off; the call is not run again")
@@ -153,6 +153,6 @@
 	return http.StatusGatewayTimeout, outcome.CodeDeadline
 }
 
-func failure(status int, code outcome.Code, ran outcome.Ran, message string) *outcome.Failure {
-	return &outcome.Failure{Status: status, Code: code, Message: message, Ran: ran}
+func failure(status int, code outcome.Code, ran outcome.Execution, message string) *outcome.Failure {
+	return &outcome.Failure{Status: status, Code: code, Message: message, Execution: ran}
 }
--- a/internal/entry/protect/protect_test.go
+++ b/internal/entry/protect/protect_test.go
@@ -37,7 +37,7 @@
 		ctx        context.Context
 		result     claim.Result
 		status     int
-		ran        outcome.Ran
+		ran        outcome.Execution
 		retry      time.Duration
 		keyUnknown bool
 	}{
@@ -56,7 +56,7 @@
 		"no outcome":      {t.Context(), claim.MayHaveRun{Reason: claim.ReasonNoOutcome}, 409, outcome.MayHaveRun, 0, false},
 		"key reused":      {t.Context(), claim.KeyReused{}, 422, outcome.NotRun, 0, false},
 		"key too old":     {t.Context(), claim.KeyTooOld{}, 409, outcome.MayHaveRun, 0, false},
-		"answer not kept": {t.Context(), claim.Done{Replayed: true}, 409, outcome.RanWhole, 0, false},
+		"answer not kept": {t.Context(), claim.Done{Replayed: true}, 409, outcome.Completed, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, f := New(&fixed{result: tc.result}).Do(tc.ctx, call, func(context.Context) (upstream.ServiceResponse, *outcome.Failure) {
@@ -64,7 +64,7 @@
 			})
 			require.NotNil(t, f)
 			require.Equal(t, tc.status, f.Status)
-			require.Equal(t, tc.ran, f.Ran)
+			require.Equal(t, tc.ran, f.Execution)
 			require.Equal(t, tc.retry, f.RetryAfter)
 			require.Equal(t, tc.keyUnknown, f.KeyUnknown)
 		})
@@ -75,9 +75,9 @@
 // that; one whose connection broke must never be told as not run.
 func TestDispatchTellsWhatRan(t *testing.T) {
 	for f, want := range map[*outcome.Failure]claim.DispatchResult{
-		nil:                       claim.DispatchCompleted,
-		{Ran: outcome.NotRun}:     claim.DispatchNotRun,
-		{Ran: outcome.MayHaveRun}: claim.DispatchMayHaveRun,
+		nil:                             claim.DispatchCompleted,
+		{Execution: outcome.NotRun}:     claim.DispatchNotRun,
+		{Execution: outcome.MayHaveRun}: claim.DispatchMayHaveRun,
 	} {
 		g := &fixed{result: claim.Done{ResponseComplete: true, Replayed: true}}
 		response, failed := New(g).Do(t.Context(), gateway.ProtectedCall{Digest: "12345678"},
@@ -94,12 +94,12 @@
 // not be taken for a resend of the first one's. A key that carries its time
 // must keep it.
 func TestKeysOfOrganisationsDiffer(t *testing.T) {
-	require.NotEqual(t, KeyOf("a", "1"), KeyOf("b", "1"))
-	require.NotEqual(t, KeyOf("a", "b\x001"), KeyOf("a\x00b", "2"))
+	require.NotEqual(t, ScopedKey("a", "1"), ScopedKey("b", "1"))
+	require.NotEqual(t, ScopedKey("a", "b\x001"), ScopedKey("a\x00b", "2"))
 	u, err := uuid.NewV7()
 	require.NoError(t, err)
-	a, b := KeyOf("a", u.String()), KeyOf("b", u.String())
+	a, b := ScopedKey("a", u.String()), ScopedKey("b", u.String())
 	require.NotEqual(t, a, b)
 	require.Equal(t, claim.ParseKey(u.String()).CreatedAt.UnixMilli(), claim.ParseKey(a).CreatedAt.UnixMilli())
-	require.Equal(t, a, KeyOf("a", u.String()))
+	require.Equal(t, a, ScopedKey("a", u.String()))
 }
--- a/internal/entry/shutdown/shutdown.go
+++ b/internal/entry/shutdown/shutdown.go
@@ -15,7 +15,7 @@
 	Serving Phase = iota
 	// Leaving: out of every new answer of where to connect, but callers still
 	// hold answers that name this instance, so new requests are served.
-	Leaving
+	Deregistered
 	// Draining: no caller holds such an answer any more; requests in progress
 	// are served to their end, and new ones too, as nothing is gained by
 	// refusing them.
@@ -28,7 +28,7 @@
 type State struct {
 	// Keep is how long callers may keep an answer, Grace how long the instance
 	// waits beyond that for its requests to end.
-	Keep, Grace time.Duration
+	DiscoveryTTL, Grace time.Duration
 	// CloseIdle, if set, is called when nothing is in progress any more, and again until
 	// the stop is over. It takes no new connections, ends those on which no request has
 	// arrived, and returns the number of the others, which are served to their end.
@@ -55,9 +55,9 @@
 	}
 	waited := now.Sub(s.beganAt)
 	switch {
-	case waited < s.Keep:
-		return Leaving
-	case active > 0 && waited < s.Keep+s.Grace:
+	case waited < s.DiscoveryTTL:
+		return Deregistered
+	case active > 0 && waited < s.DiscoveryTTL+s.Grace:
 		return Draining
 	default:
 		return Stopped
@@ -97,7 +97,7 @@
 // String returns the phase's name for logs.
 func (p Phase) String() string {
 	switch p {
-	case Leaving:
+	case Deregistered:
 		return "leaving"
 	case Draining:
 		return "draining"
--- a/internal/entry/shutdown/shutdown_test.go
+++ b/internal/entry/shutdown/shutdown_test.go
@@ -15,7 +15,7 @@
 // answer has run out and every request has ended, or the grace is over.
 func TestStopWaitsForKeptAnswersAndRequests(t *testing.T) {
 	began := time.Unix(1000, 0)
-	s := State{Keep: 5 * time.Second, Grace: 60 * time.Second}
+	s := State{DiscoveryTTL: 5 * time.Second, Grace: 60 * time.Second}
 	require.Equal(t, Serving, s.Phase(began, 0))
 	s.Begin(began)
 	s.Begin(began.Add(3 * time.Second))
@@ -24,8 +24,8 @@
 		active int
 		want   Phase
 	}{
-		{0, 0, Leaving},
-		{4999 * time.Millisecond, 0, Leaving},
+		{0, 0, Deregistered},
+		{4999 * time.Millisecond, 0, Deregistered},
 		{5 * time.Second, 1, Draining},
 		{5 * time.Second, 0, Stopped},
 		{64 * time.Second, 1, Draining},
@@ -41,7 +41,7 @@
 func TestStopReadsWhatHasArrived(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		unread, inProgress, answered := 1, 0, 0
-		s := State{Keep: time.Second, Grace: time.Minute}
+		s := State{DiscoveryTTL: time.Second, Grace: time.Minute}
 		s.CloseIdle = func() int {
 			inProgress += unread
 			unread = 0
--- a/internal/entry/stream/eventid.go
+++ b/internal/entry/stream/eventid.go
@@ -31,10 +31,10 @@
 
 // Owner is the digest of what a resume must repeat: the caller's organisation,
 // the path and the request's body.
-type Owner [sha256.Size]byte
+type RequestDigest [sha256.Size]byte
 
 // NewOwner returns the digest of a request.
-func NewOwner(organisation, path string, body []byte) Owner {
+func NewRequestDigest(organisation, path string, body []byte) RequestDigest {
 	h := sha256.New()
 	for _, part := range []string{organisation, path} {
 		h.Write(strconv.AppendInt(nil, int64(len(part)), 10))
@@ -42,7 +42,7 @@
 		h.Write([]byte(part))
 	}
 	h.Write(body)
-	return Owner(h.Sum(nil))
+	return RequestDigest(h.Sum(nil))
 }
 
 // ErrEventID says that an event id was not issued by this deployment for the
@@ -69,7 +69,7 @@
 // it covers the origin and the owner, so that a caller can neither make an id
 // nor use one of another's. The token index that follows isn't covered: every
 // index reaches only the caller's own answer.
-func (s *Signer) Prefix(o Origin, owner Owner) string {
+func (s *Signer) Prefix(o Origin, owner RequestDigest) string {
 	sealed, err := msgpack.Marshal(&o)
 	if err != nil {
 		panic(err) // a struct of strings and numbers always has a msgpack form
@@ -86,7 +86,7 @@
 
 // Open checks an event id and returns its origin and token index. The error is
 // ErrEventID.
-func (s *Signer) Open(id string, owner Owner) (Origin, int, error) {
+func (s *Signer) Open(id string, owner RequestDigest) (Origin, int, error) {
 	encoded, number, found := strings.Cut(id, ".")
 	index, err := strconv.Atoi(number)
 	if !found || err != nil || index < 0 {
@@ -107,7 +107,7 @@
 	return o, index, nil
 }
 
-func (s *Signer) mac(body []byte, owner Owner) []byte {
+func (s *Signer) mac(body []byte, owner RequestDigest) []byte {
 	h := hmac.New(sha256.New, s.secret)
 	h.Write([]byte(idContext))
 	h.Write(owner[:])
--- a/internal/entry/stream/prior.go
+++ b/internal/entry/stream/prior.go
@@ -3,18 +3,18 @@
 import "sync/atomic"
 
 // Budget bounds the text that all open streams of a process keep together.
-type Budget struct {
+type MemoryBudget struct {
 	max  int64
 	used atomic.Int64
 }
 
 // NewBudget returns a budget of a number of bytes.
-func NewBudget(bytes int64) *Budget { return &Budget{max: bytes} }
+func NewMemoryBudget(bytes int64) *MemoryBudget { return &MemoryBudget{max: bytes} }
 
 // Used returns the number of bytes kept now.
-func (b *Budget) Used() int64 { return b.used.Load() }
+func (b *MemoryBudget) Used() int64 { return b.used.Load() }
 
-func (b *Budget) take(n int) bool {
+func (b *MemoryBudget) take(n int) bool {
 	if b.used.Add(int64(n)) <= b.max {
 		return true
 	}
@@ -26,8 +26,8 @@
 // needs to go on from there. A stream longer than its limit, or one for which
 // the budget has no room, gives its text up: it streams on in constant memory,
 // and can't be continued if its engine dies. It isn't safe for concurrent use.
-type Prior struct {
-	budget *Budget
+type OutputBuffer struct {
+	budget *MemoryBudget
 	limit  int
 	text   []byte
 	tokens int
@@ -35,18 +35,18 @@
 }
 
 // NewPrior returns an empty one that keeps up to limit bytes.
-func NewPrior(budget *Budget, limit int) *Prior {
-	return &Prior{budget: budget, limit: limit}
+func NewOutputBuffer(budget *MemoryBudget, limit int) *OutputBuffer {
+	return &OutputBuffer{budget: budget, limit: limit}
 }
 
 // Add counts one token and keeps its text, if there is room.
-func (p *Prior) Add(text string) {
+func (p *OutputBuffer) Add(text string) {
 	p.tokens++
 	if p.lost {
 		return
 	}
 	if len(p.text)+len(text) > p.limit || !p.budget.take(len(text)) {
-		p.GiveUp()
+		p.Discard()
 		return
 	}
 	p.text = append(p.text, text...)
@@ -54,22 +54,22 @@
 
 // Skip counts tokens whose text is not known here, as of an answer taken up
 // from another instance.
-func (p *Prior) Skip(tokens int) {
+func (p *OutputBuffer) Skip(tokens int) {
 	p.tokens += tokens
 	if tokens > 0 {
-		p.GiveUp()
+		p.Discard()
 	}
 }
 
 // Tokens returns the number of tokens so far, kept or not.
-func (p *Prior) Tokens() int { return p.tokens }
+func (p *OutputBuffer) Tokens() int { return p.tokens }
 
 // Text returns the whole text so far, and false if it was given up.
-func (p *Prior) Text() (string, bool) { return string(p.text), !p.lost }
+func (p *OutputBuffer) Text() (string, bool) { return string(p.text), !p.lost }
 
 // GiveUp drops the text and returns its room to the budget. Call it when the
 // answer ends; it may be called twice.
-func (p *Prior) GiveUp() {
+func (p *OutputBuffer) Discard() {
 	p.budget.used.Add(-int64(len(p.text)))
 	p.text = nil
 	p.lost = true
--- a/internal/entry/stream/stream_test.go
+++ b/internal/entry/stream/stream_test.go
@@ -13,7 +13,7 @@
 // be refused, while its own id opens at any instance that has the secret.
 func TestEventIDOpensOnlyForItsOwner(t *testing.T) {
 	origin := Origin{Answer: "cmpl-1", Created: 5, Upstream: "Vík-3", Attempt: "a-1", First: 4}
-	owner := NewOwner("farm-1", "/v1/completions", []byte("body"))
+	owner := NewRequestDigest("farm-1", "/v1/completions", []byte("body"))
 	id := string(AppendID(nil, NewSigner([]byte("secret")).Prefix(origin, owner), 17))
 
 	other := NewSigner([]byte("secret"))
@@ -24,15 +24,15 @@
 
 	for name, attempt := range map[string]func() error{
 		"other organisation": func() error {
-			_, _, err := other.Open(id, NewOwner("farm-2", "/v1/completions", []byte("body")))
+			_, _, err := other.Open(id, NewRequestDigest("farm-2", "/v1/completions", []byte("body")))
 			return err
 		},
 		"other body": func() error {
-			_, _, err := other.Open(id, NewOwner("farm-1", "/v1/completions", []byte("bodY")))
+			_, _, err := other.Open(id, NewRequestDigest("farm-1", "/v1/completions", []byte("bodY")))
 			return err
 		},
 		"parts moved between fields": func() error {
-			_, _, err := other.Open(id, NewOwner("farm-1/v1", "/completions", []byte("body")))
+			_, _, err := other.Open(id, NewRequestDigest("farm-1/v1", "/completions", []byte("body")))
 			return err
 		},
 		"other secret": func() error {
@@ -67,8 +67,8 @@
 // once the streams end.
 func TestPriorStaysWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		budget := NewBudget(64)
-		streams := []*Prior{NewPrior(budget, 30), NewPrior(budget, 30), NewPrior(budget, 30)}
+		budget := NewMemoryBudget(64)
+		streams := []*OutputBuffer{NewOutputBuffer(budget, 30), NewOutputBuffer(budget, 30), NewOutputBuffer(budget, 30)}
 		full := make([]string, len(streams))
 		for range rapid.IntRange(0, 60).Draw(t, "steps") {
 			i := rapid.IntRange(0, len(streams)-1).Draw(t, "stream")
@@ -82,8 +82,8 @@
 			}
 		}
 		for _, s := range streams {
-			s.GiveUp()
-			s.GiveUp()
+			s.Discard()
+			s.Discard()
 		}
 		require.Zero(t, budget.Used())
 	})
--- a/internal/entry/tree.go
+++ b/internal/entry/tree.go
@@ -154,8 +154,8 @@
 // drain leaves the answers of where to connect at once, and returns when the
 // instance may exit.
 func (e *Entry) drain(done <-chan error, callers *graceful.Connections) {
-	e.directory.Leave()
-	e.gateway.Leave()
+	e.directory.BeginShutdown()
+	e.gateway.BeginShutdown()
 	e.node.Leave()
 	e.stop.CloseIdle = callers.CloseIdle
 	e.stop.Drain(done, func() int { return max(e.gateway.Active(), callers.Active()) }, e.log)
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -313,10 +313,10 @@
 func (m *Member) drain() {
 	m.leaving.Store(true)
 	stop := shutdown.State{
-		Keep: keepFactor * keepAnswer, Grace: m.settings.Load().Grace - keepFactor*keepAnswer - stopMargin,
+		DiscoveryTTL: keepFactor * keepAnswer, Grace: m.settings.Load().Grace - keepFactor*keepAnswer - stopMargin,
 		CloseIdle: m.callers.CloseIdle,
 	}
-	known := time.Now().Add(stop.Keep)
+	known := time.Now().Add(stop.DiscoveryTTL)
 	m.relay.BeginShutdown(known, known.Add(stop.Grace), func() bool { return len(m.peers.Up()) > 0 })
 	stop.Drain(nil, m.callers.Active, m.log)
 	m.pages.CloseIdle()
