--- a/internal/entry/callerwatch/watch.go
+++ b/internal/entry/callerwatch/watch.go
@@ -40,12 +40,12 @@
 
 // Watched is one request under watch.
 type Registration struct {
-	watch  *Watcher
-	conn   syscall.RawConn
-	cancel context.CancelCauseFunc
+	watcher *Watcher
+	conn    syscall.RawConn
+	cancel  context.CancelCauseFunc
 	// seen is set once a sweep has passed over the request: only those older
 	// than that are looked at.
-	seen bool
+	swept bool
 }
 
 // Add watches a connection until Remove, and calls cancel with ErrGone if its
@@ -55,21 +55,21 @@
 	if raw == nil {
 		return nil
 	}
-	one := &Registration{watch: w, conn: raw, cancel: cancel}
+	r := &Registration{watcher: w, conn: raw, cancel: cancel}
 	w.mu.Lock()
-	w.active[one] = struct{}{}
+	w.active[r] = struct{}{}
 	w.mu.Unlock()
-	return one
+	return r
 }
 
 // Remove ends the watch of a request. It may be called on nil.
-func (one *Registration) Remove() {
-	if one == nil {
+func (r *Registration) Remove() {
+	if r == nil {
 		return
 	}
-	one.watch.mu.Lock()
-	delete(one.watch.active, one)
-	one.watch.mu.Unlock()
+	r.watcher.mu.Lock()
+	delete(r.watcher.active, r)
+	r.watcher.mu.Unlock()
 }
 
 // Serve looks at the connections at each interval until ctx ends.
@@ -87,10 +87,10 @@
 }
 
 func (w *Watcher) sweep() {
-	for _, one := range w.due() {
-		if gone(one.conn) {
-			one.cancel(ErrGone)
-			one.Remove()
+	for _, r := range w.due() {
+		if peerClosed(r.conn) {
+			r.cancel(ErrGone)
+			r.Remove()
 		}
 	}
 }
@@ -99,11 +99,11 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var due []*Registration
-	for one := range w.active {
-		if one.seen {
-			due = append(due, one)
+	for r := range w.active {
+		if r.swept {
+			due = append(due, r)
 		}
-		one.seen = true
+		r.swept = true
 	}
 	return due
 }
@@ -132,7 +132,7 @@
 
 // gone reports whether the far end has closed or reset the connection. The
 // descriptor can't be closed and given to another file while Control runs.
-func gone(conn syscall.RawConn) bool {
+func peerClosed(conn syscall.RawConn) bool {
 	closed := false
 	err := conn.Control(func(fd uintptr) {
 		fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
--- a/internal/entry/callerwatch/watch_test.go
+++ b/internal/entry/callerwatch/watch_test.go
@@ -27,7 +27,7 @@
 		"goes behind a wrapper": {func(t *testing.T, c *net.TCPConn) { require.NoError(t, c.Close()) }, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			caller, served := pair(t)
+			caller, served := connPair(t)
 			ctx, cancel := context.WithCancelCause(t.Context())
 			defer cancel(nil)
 			w := New()
@@ -35,12 +35,12 @@
 			if name == "goes behind a wrapper" {
 				conn = wrapper{served}
 			}
-			one := w.Add(conn, cancel)
+			registration := w.Add(conn, cancel)
 			w.sweep()
 			require.NoError(t, ctx.Err(), "the first sweep looks at nobody")
 			tc.caller(t, caller)
 			if name == "goes, but ended" {
-				one.Remove()
+				registration.Remove()
 			}
 			if tc.gone {
 				// Loopback delivers the close soon, but not at once.
@@ -68,7 +68,7 @@
 	require.NoError(t, err)
 }
 
-func pair(t *testing.T) (caller, served *net.TCPConn) {
+func connPair(t *testing.T) (caller, served *net.TCPConn) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = ln.Close() }()
--- a/internal/entry/crash/crash.go
+++ b/internal/entry/crash/crash.go
@@ -31,9 +31,9 @@
 const (
 	// probes are made this often, probeGap apart. A process that died is gone
 	// for longer than that, even if something restarts it.
-	probes       = 3
-	probeGap     = 50 * time.Millisecond
-	probeTimeout = 200 * time.Millisecond
+	probeAttempts = 3
+	probeInterval = 50 * time.Millisecond
+	probeTimeout  = 200 * time.Millisecond
 	// reportWait is how long a broken request waits for the log to take the
 	// report. The report goes on behind it.
 	reportWait    = 200 * time.Millisecond
@@ -46,42 +46,42 @@
 // Watch knows the requests in flight at each engine. It is safe for use by many
 // goroutines.
 type Detector struct {
-	guard Quarantine
-	probe Probe
+	quarantine Quarantine
+	probe      Probe
 
 	mu      sync.Mutex
 	running map[string]map[*Run]struct{}
-	checks  map[string]*check
+	checks  map[string]*crashCheck
 	tasks   conc.WaitGroup
 }
 
 // New returns a watch that reports to a guard.
-func New(g Quarantine, p Probe) *Detector {
+func New(q Quarantine, p Probe) *Detector {
 	return &Detector{
-		guard:   g,
-		probe:   p,
-		running: map[string]map[*Run]struct{}{},
-		checks:  map[string]*check{},
+		quarantine: q,
+		probe:      p,
+		running:    map[string]map[*Run]struct{}{},
+		checks:     map[string]*crashCheck{},
 	}
 }
 
 // Wait returns once the reports under way are done.
-func (w *Detector) Wait() { w.tasks.Wait() }
+func (det *Detector) Wait() { det.tasks.Wait() }
 
 // Check reports whether a request is suspected, or its refusal if it is
 // quarantined.
-func (w *Detector) Check(d quarantine.Digest) (suspected bool, err error) {
-	v, err := w.guard.Check(d)
+func (det *Detector) Check(d quarantine.Digest) (suspected bool, err error) {
+	v, err := det.quarantine.Check(d)
 	return v.Status == quarantine.Suspected, err
 }
 
 // MayRunOn reports whether a suspected request may start on an engine.
-func (w *Detector) MayRunOn(engine string, d quarantine.Digest) bool {
-	return w.guard.MayRunOn(engine, d)
+func (det *Detector) MayRunOn(engine string, d quarantine.Digest) bool {
+	return det.quarantine.MayRunOn(engine, d)
 }
 
 // Waiting returns the refusal of a suspect that found no engine to itself.
-func (w *Detector) IsolationError(d quarantine.Digest) error { return w.guard.Waiting(d) }
+func (det *Detector) IsolationError(d quarantine.Digest) error { return det.quarantine.Waiting(d) }
 
 // Result says how a run ended.
 type Result uint8
@@ -98,7 +98,7 @@
 
 // Run is one request at one engine.
 type Run struct {
-	watch     *Detector
+	detector  *Detector
 	engine    string
 	digest    quarantine.Digest
 	isolation *quarantine.Isolation
@@ -106,41 +106,41 @@
 
 // Begin books a request at an engine before anything is sent there. A suspected
 // one gets the engine without other suspects, or quarantine.ErrReserved.
-func (w *Detector) Begin(ctx context.Context, engine string, d quarantine.Digest, suspected bool) (*Run, error) {
-	r := &Run{watch: w, engine: engine, digest: d}
+func (det *Detector) Begin(ctx context.Context, engine string, d quarantine.Digest, suspected bool) (*Run, error) {
+	r := &Run{detector: det, engine: engine, digest: d}
 	if suspected {
 		ctx, cancel := context.WithTimeout(ctx, isolateTimeout)
 		defer cancel()
-		isolation, err := w.guard.Isolate(ctx, engine, d)
+		isolation, err := det.quarantine.Isolate(ctx, engine, d)
 		if err != nil {
 			return nil, err
 		}
 		r.isolation = isolation
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.running[engine] == nil {
-		w.running[engine] = map[*Run]struct{}{}
+	det.mu.Lock()
+	defer det.mu.Unlock()
+	if det.running[engine] == nil {
+		det.running[engine] = map[*Run]struct{}{}
 	}
-	w.running[engine][r] = struct{}{}
+	det.running[engine][r] = struct{}{}
 	return r, nil
 }
 
 // End ends the run. After Broken it returns once it is known whether the engine
 // died, so that the request doesn't go to the next engine as an innocent one.
 func (r *Run) End(result Result) {
-	w := r.watch
+	det := r.detector
 	switch result {
 	case Completed:
-		w.guard.Answered(r.digest)
+		det.quarantine.Answered(r.digest)
 	case Broken:
-		w.broken(r)
+		det.awaitCheck(r)
 	}
-	w.mu.Lock()
-	delete(w.running[r.engine], r)
-	w.mu.Unlock()
+	det.mu.Lock()
+	delete(det.running[r.engine], r)
+	det.mu.Unlock()
 	if r.isolation != nil {
-		w.endIsolation(r.isolation, result == Completed)
+		det.endIsolation(r.isolation, result == Completed)
 	}
 }
 
@@ -151,13 +151,13 @@
 	if r.isolation == nil {
 		return
 	}
-	r.watch.endIsolation(r.isolation, true)
+	r.detector.endIsolation(r.isolation, true)
 	r.isolation = nil
 }
 
 // endIsolation writes to the log, which may be slow; nobody waits for it.
-func (w *Detector) endIsolation(i *quarantine.Isolation, passed bool) {
-	w.tasks.Go(func() {
+func (det *Detector) endIsolation(i *quarantine.Isolation, passed bool) {
+	det.tasks.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 		defer cancel()
 		i.End(ctx, passed)
@@ -165,7 +165,7 @@
 }
 
 // check finds out whether one engine has died.
-type check struct {
+type crashCheck struct {
 	digests map[quarantine.Digest]struct{}
 	done    chan struct{}
 }
@@ -173,41 +173,41 @@
 // broken waits for the check of the run's engine, and starts one if none runs.
 // The suspects are all that are in flight there now or join meanwhile: an
 // engine takes all of them down with it, and which one did it isn't known.
-func (w *Detector) broken(r *Run) {
-	w.mu.Lock()
-	c := w.checks[r.engine]
+func (det *Detector) awaitCheck(r *Run) {
+	det.mu.Lock()
+	c := det.checks[r.engine]
 	if c == nil {
-		c = &check{digests: map[quarantine.Digest]struct{}{}, done: make(chan struct{})}
-		w.checks[r.engine] = c
-		for other := range w.running[r.engine] {
+		c = &crashCheck{digests: map[quarantine.Digest]struct{}{}, done: make(chan struct{})}
+		det.checks[r.engine] = c
+		for other := range det.running[r.engine] {
 			c.digests[other.digest] = struct{}{}
 		}
-		w.tasks.Go(func() { w.run(r.engine, c) })
+		det.tasks.Go(func() { det.runCheck(r.engine, c) })
 	}
 	c.digests[r.digest] = struct{}{}
-	w.mu.Unlock()
+	det.mu.Unlock()
 	<-c.done
 }
 
-func (w *Detector) run(engine string, c *check) {
+func (det *Detector) runCheck(engine string, c *crashCheck) {
 	defer close(c.done)
-	dead := w.dead(engine)
-	w.mu.Lock()
-	delete(w.checks, engine)
+	dead := det.engineDead(engine)
+	det.mu.Lock()
+	delete(det.checks, engine)
 	suspects := make([]quarantine.Digest, 0, len(c.digests))
 	for d := range c.digests {
 		suspects = append(suspects, d)
 	}
-	w.mu.Unlock()
+	det.mu.Unlock()
 	if !dead {
 		return
 	}
 	reported := make(chan struct{})
-	w.tasks.Go(func() {
+	det.tasks.Go(func() {
 		defer close(reported)
 		ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 		defer cancel()
-		_ = w.guard.Crashed(ctx, engine, "", suspects) // the guard keeps what the log doesn't take
+		_ = det.quarantine.Crashed(ctx, engine, "", suspects) // the guard keeps what the log doesn't take
 	})
 	timer := time.NewTimer(reportWait)
 	defer timer.Stop()
@@ -219,13 +219,13 @@
 
 // dead reports whether nothing listens at the engine's address. A connection
 // that broke with the engine alive is no crash.
-func (w *Detector) dead(engine string) bool {
-	for i := range probes {
+func (det *Detector) engineDead(engine string) bool {
+	for i := range probeAttempts {
 		if i > 0 {
-			time.Sleep(probeGap)
+			time.Sleep(probeInterval)
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
-		err := w.probe(ctx, engine)
+		err := det.probe(ctx, engine)
 		cancel()
 		if errors.Is(err, upstream.ErrNotSent) {
 			return true
--- a/internal/entry/crash/crash_test.go
+++ b/internal/entry/crash/crash_test.go
@@ -16,13 +16,13 @@
 )
 
 // ownLog is a log that folds each entry at once.
-type ownLog struct {
+type applyingLog struct {
 	mu    sync.Mutex
 	guard *quarantine.Guard
 	next  infra.Offset
 }
 
-func (l *ownLog) Append(_ context.Context, e journal.Entry) (journal.Position, error) {
+func (l *applyingLog) Append(_ context.Context, e journal.Entry) (journal.Position, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.next++
@@ -38,30 +38,30 @@
 // ones get through and are free again, the guilty one crashes a second engine
 // and is quarantined. A connection that breaks while the engine lives makes
 // nobody a suspect.
-func TestCrashTellsGuiltyFromInnocent(t *testing.T) {
+func TestOnlyTheCrashingRequestIsQuarantined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dead := map[string]bool{"e1": true, "e2": true}
-		log := &ownLog{}
+		log := &applyingLog{}
 		guard := quarantine.NewGuard(quarantine.DefaultConfig(), log, "w", nil)
 		log.guard = guard
-		w := New(guard, func(_ context.Context, engine string) error {
+		det := New(guard, func(_ context.Context, engine string) error {
 			if dead[engine] {
 				return upstream.ErrNotSent
 			}
 			return nil
 		})
 		begin := func(engine, name string, suspected bool) *Run {
-			r, err := w.Begin(t.Context(), engine, digest(name), suspected)
+			r, err := det.Begin(t.Context(), engine, digest(name), suspected)
 			require.NoError(t, err)
 			return r
 		}
-		standing := func(name string) quarantine.Status {
+		statusOf := func(name string) quarantine.Status {
 			v, _ := guard.Check(digest(name))
 			return v.Status
 		}
 
 		begin("e3", "unlucky", false).End(Broken)
-		require.Equal(t, quarantine.Clean, standing("unlucky"), "the engine lives")
+		require.Equal(t, quarantine.Clean, statusOf("unlucky"), "the engine lives")
 
 		names := []string{"guilty", "a", "b", "c", "d"}
 		var wg sync.WaitGroup
@@ -69,22 +69,22 @@
 			run := begin("e1", name, false)
 			wg.Go(func() {
 				run.End(Broken)
-				require.Equal(t, quarantine.Suspected, standing(name), name)
+				require.Equal(t, quarantine.Suspected, statusOf(name), name)
 			})
 		}
 		wg.Wait()
 
 		run := begin("e3", "a", true)
-		_, err := w.Begin(t.Context(), "e3", digest("b"), true)
+		_, err := det.Begin(t.Context(), "e3", digest("b"), true)
 		require.ErrorIs(t, err, quarantine.ErrReserved, "suspects run apart")
 		run.Clear()
-		w.Wait()
-		require.Equal(t, quarantine.Clean, standing("a"))
+		det.Wait()
+		require.Equal(t, quarantine.Clean, statusOf("a"))
 		run.End(Inconclusive)
 
 		begin("e2", "guilty", true).End(Broken)
-		w.Wait()
-		require.Equal(t, quarantine.Quarantined, standing("guilty"))
-		require.Equal(t, quarantine.Suspected, standing("c"))
+		det.Wait()
+		require.Equal(t, quarantine.Quarantined, statusOf("guilty"))
+		require.Equal(t, quarantine.Suspected, statusOf("c"))
 	})
 }
--- a/internal/entry/demand.go
+++ b/internal/entry/demand.go
@@ -16,20 +16,20 @@
 // that long ago counts about a third. It follows the time that a role change
 // takes, as the demand serves to decide on these.
 const (
-	windowChanges  = 0.5
-	shortestWindow = 200 * time.Millisecond
+	windowPerRoleChange = 0.5
+	minDemandWindow     = 200 * time.Millisecond
 )
 
 // demandWindow returns the window for a deployment.
 func demandWindow(r settings.Roles) time.Duration {
-	w := time.Duration(windowChanges * r.ChangeSeconds * float64(time.Second))
-	return max(w, shortestWindow)
+	w := time.Duration(windowPerRoleChange * r.ChangeSeconds * float64(time.Second))
+	return max(w, minDemandWindow)
 }
 
 // demand measures what callers ask of each model, whether it is let in or not.
 // A measure of what was produced would never exceed the capacity, and so hide
 // each shortage from those who could end it.
-type demand struct {
+type demandMeter struct {
 	now    func() time.Time
 	window time.Duration
 
@@ -43,11 +43,11 @@
 	// promptShare and outputShare are what the estimates have to be multiplied
 	// by: the engine's count of prompt tokens over ours, the tokens of whole
 	// answers over their bounds.
-	promptShare, outputShare float64
+	promptRatio, outputRatio float64
 }
 
 // learnShare is the weight of one answer in the learnt shares.
-const learnShare = 0.02
+const ratioWeight = 0.02
 
 // rate is a smoothed number a second.
 type rate struct {
@@ -70,46 +70,46 @@
 	return r.sum / window.Seconds()
 }
 
-func newDemand(now func() time.Time, window time.Duration) *demand {
-	return &demand{now: now, window: window, models: map[string]*modelDemand{}}
+func newDemand(now func() time.Time, window time.Duration) *demandMeter {
+	return &demandMeter{now: now, window: window, models: map[string]*modelDemand{}}
 }
 
 // Asked counts a request before anything can refuse it. The tokens are our
 // estimate of the prompt and the bound on the output.
-func (d *demand) RecordRequest(model string, promptTokens, maxTokens int) {
+func (d *demandMeter) RecordRequest(model string, promptTokens, maxTokens int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	m := d.model(model)
 	now := d.now()
 	m.requests.add(1, now, d.window)
-	m.prompt.add(float64(promptTokens)*m.promptShare, now, d.window)
-	m.output.add(float64(maxTokens)*m.outputShare, now, d.window)
+	m.prompt.add(float64(promptTokens)*m.promptRatio, now, d.window)
+	m.output.add(float64(maxTokens)*m.outputRatio, now, d.window)
 }
 
 // Answered learns from a whole answer how far the estimates are from what the
 // engine counted.
-func (d *demand) RecordResponse(model string, promptTokens, maxTokens, prompt, output int) {
+func (d *demandMeter) RecordResponse(model string, promptTokens, maxTokens, prompt, output int) {
 	if promptTokens <= 0 || maxTokens <= 0 {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	m := d.model(model)
-	m.promptShare += learnShare * (float64(prompt)/float64(promptTokens) - m.promptShare)
-	m.outputShare += learnShare * (float64(output)/float64(maxTokens) - m.outputShare)
+	m.promptRatio += ratioWeight * (float64(prompt)/float64(promptTokens) - m.promptRatio)
+	m.outputRatio += ratioWeight * (float64(output)/float64(maxTokens) - m.outputRatio)
 }
 
-func (d *demand) model(name string) *modelDemand {
+func (d *demandMeter) model(name string) *modelDemand {
 	m := d.models[name]
 	if m == nil {
-		m = &modelDemand{promptShare: 1, outputShare: 1}
+		m = &modelDemand{promptRatio: 1, outputRatio: 1}
 		d.models[name] = m
 	}
 	return m
 }
 
 // report returns the demand for the leaders' picture.
-func (d *demand) report() []wire.ModelDemand {
+func (d *demandMeter) report() []wire.ModelDemand {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
@@ -126,21 +126,21 @@
 }
 
 // loadShare is the share of the local engines' capacity in use.
-type loadShare struct{ bits atomic.Uint64 }
+type loadFraction struct{ bits atomic.Uint64 }
 
-func (l *loadShare) set(v float64) { l.bits.Store(math.Float64bits(v)) }
+func (l *loadFraction) set(v float64) { l.bits.Store(math.Float64bits(v)) }
 
-func (l *loadShare) get() float64 { return math.Float64frombits(l.bits.Load()) }
+func (l *loadFraction) get() float64 { return math.Float64frombits(l.bits.Load()) }
 
 // retries is admission's retry budget in the words of the runners.
-type retries struct{ admission *admission.Controller }
+type retryBudget struct{ admission *admission.Controller }
 
 // Allow implements answer.Retries and forward.Retries.
-func (r retries) Allow() bool { return r.admission.MayRetry() }
+func (r retryBudget) Allow() bool { return r.admission.MayRetry() }
 
 // ruleSource matches requests against the rules in force.
 type ruleSource struct {
-	book     *rules.Replica
+	replica  *rules.Replica
 	caughtUp <-chan struct{}
 }
 
@@ -155,7 +155,7 @@
 }
 
 func (s ruleSource) current() *rules.InForce {
-	inForce := s.book.Current()
+	inForce := s.replica.Current()
 	if inForce == nil || !inForce.Version.IsZero() {
 		return inForce
 	}
--- a/internal/entry/discovery/discovery.go
+++ b/internal/entry/discovery/discovery.go
@@ -33,28 +33,28 @@
 // Directory answers for one instance. It is safe for use by many goroutines.
 type Directory struct {
 	self    settings.Instance
-	keep    float64
+	maxAge  float64
 	members Members
 	// near holds, for each data centre, all instances, the nearest first.
-	near    map[string][]settings.Instance
-	leaving atomic.Bool
+	byDistance   map[string][]settings.Instance
+	shuttingDown atomic.Bool
 	// turn counts answers; each begins with another instance of a data centre.
-	turn atomic.Uint64
+	rotation atomic.Uint64
 }
 
 // New returns the directory of the instance self.
 func New(d *settings.Deployment, self settings.Instance, m Members) *Directory {
 	dir := &Directory{
-		self:    self,
-		keep:    d.Discovery.KeepSeconds,
-		members: m,
-		near:    map[string][]settings.Instance{},
+		self:       self,
+		maxAge:     d.Discovery.KeepSeconds,
+		members:    m,
+		byDistance: map[string][]settings.Instance{},
 	}
 	for _, dc := range d.DataCentres {
 		for _, name := range d.Nearest(dc.Name) {
 			for _, in := range d.Instances {
 				if in.DataCentre == name {
-					dir.near[dc.Name] = append(dir.near[dc.Name], in)
+					dir.byDistance[dc.Name] = append(dir.byDistance[dc.Name], in)
 				}
 			}
 		}
@@ -63,7 +63,7 @@
 }
 
 // Leave takes the own instance out of all further answers.
-func (d *Directory) BeginShutdown() { d.leaving.Store(true) }
+func (d *Directory) BeginShutdown() { d.shuttingDown.Store(true) }
 
 // Where answers for a caller in a data centre; one that is not known counts as
 // the instance's own. Instances that are only suspected come after all others,
@@ -72,26 +72,26 @@
 // Callers connect to the first address. So that they don't all go to the same
 // instance, those of one data centre take turns in being named first.
 func (d *Directory) Locate(dataCentre string) Response {
-	order, known := d.near[dataCentre]
+	instances, known := d.byDistance[dataCentre]
 	if !known {
-		order = d.near[d.self.DataCentre]
+		instances = d.byDistance[d.self.DataCentre]
 	}
-	turn := d.turn.Add(1) - 1
-	answer := Response{Addresses: make([]Address, 0, len(order)), MaxAgeSeconds: d.keep}
-	answer.add(d, order, membership.Live, turn)
-	answer.add(d, order, membership.Suspected, turn)
-	return answer
+	rotation := d.rotation.Add(1) - 1
+	response := Response{Addresses: make([]Address, 0, len(instances)), MaxAgeSeconds: d.maxAge}
+	response.appendInState(d, instances, membership.Live, rotation)
+	response.appendInState(d, instances, membership.Suspected, rotation)
+	return response
 }
 
-func (a *Response) add(d *Directory, order []settings.Instance, state membership.State, turn uint64) {
+func (r *Response) appendInState(d *Directory, instances []settings.Instance, state membership.State, rotation uint64) {
 	var group []Address
-	for i, in := range order {
+	for i, in := range instances {
 		if d.state(in) == state {
 			group = append(group, Address{Address: in.Callers, DataCentre: in.DataCentre, Instance: in.Name})
 		}
-		if last := i+1 == len(order) || order[i+1].DataCentre != in.DataCentre; last && len(group) > 0 {
-			first := turn % uint64(len(group))
-			a.Addresses = append(append(a.Addresses, group[first:]...), group[:first]...)
+		if last := i+1 == len(instances) || instances[i+1].DataCentre != in.DataCentre; last && len(group) > 0 {
+			first := rotation % uint64(len(group))
+			r.Addresses = append(append(r.Addresses, group[first:]...), group[:first]...)
 			group = group[:0]
 		}
 	}
@@ -101,7 +101,7 @@
 	if in.Name != d.self.Name {
 		return d.members.State(in.Name)
 	}
-	if d.leaving.Load() {
+	if d.shuttingDown.Load() {
 		return membership.Leaving
 	}
 	return membership.Live
--- a/internal/entry/discovery/discovery_test.go
+++ b/internal/entry/discovery/discovery_test.go
@@ -16,7 +16,7 @@
 // A crew's tablet keeps an answer that names an instance about to stop, and
 // finds it gone. An instance that leaves must be out of every answer from the
 // moment it knows; one that is only suspected must not take a near one's place.
-func TestWhereNamesWhoServes(t *testing.T) {
+func TestLocateNamesServingInstances(t *testing.T) {
 	d := &settings.Deployment{
 		DataCentres: []settings.DataCentre{{Name: "hella"}, {Name: "vik"}, {Name: "selfoss"}},
 		Links: []settings.Link{
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -72,28 +72,28 @@
 	incarnation string
 	log         *slog.Logger
 
-	journal   *journal.Journal
-	rules     *rules.Replica
-	source    ruleSource
-	trail     *audit.Trail
-	leases    *lease.View
-	orders    *orders.View
-	drains    *peerDrains
-	suspects  *quarantine.Guard
-	crashes   *crash.Detector
-	tracker   *router.Tracker
-	admission *admission.Controller
-	inflight  *inflight.Counter
-	demand    *demand
-	load      *loadShare
-	node      *status.Node
-	directory *discovery.Directory
-	answers   *answer.Runner
-	callers   *callerwatch.Watcher
-	gateway   *gateway.Gateway
-	claims    *claim.Guard
-	listeners []*listener
-	stop      shutdown.State
+	journal       *journal.Journal
+	rules         *rules.Replica
+	ruleSource    ruleSource
+	trail         *audit.Trail
+	leases        *lease.View
+	orders        *orders.View
+	drains        *peerDrains
+	quarantine    *quarantine.Guard
+	crashDetector *crash.Detector
+	tracker       *router.Tracker
+	admission     *admission.Controller
+	inflight      *inflight.Counter
+	demand        *demandMeter
+	load          *loadFraction
+	node          *status.Node
+	directory     *discovery.Directory
+	answers       *answer.Runner
+	callerWatcher *callerwatch.Watcher
+	gateway       *gateway.Gateway
+	claims        *claim.Guard
+	listeners     []*listener
+	shutdown      shutdown.State
 }
 
 // New returns an entry; Run runs it.
@@ -107,7 +107,7 @@
 		self:        self,
 		incarnation: uuid.NewString(),
 		log:         cfg.Logger,
-		stop: shutdown.State{
+		shutdown: shutdown.State{
 			DiscoveryTTL: seconds(cfg.Deployment.Discovery.KeepSeconds),
 			Grace:        seconds(cfg.Deployment.Discovery.GraceSeconds),
 		},
@@ -115,9 +115,9 @@
 	if err := e.buildJournal(); err != nil {
 		return nil, err
 	}
-	e.buildDecisions()
+	e.buildRouting()
 	e.buildExchange()
-	e.buildServing()
+	e.buildGateway()
 	return e, nil
 }
 
@@ -137,16 +137,16 @@
 	})
 	e.trail = audit.NewTrail(0, e.log)
 	e.rules = rules.NewReplica(rules.ReplicaOptions{Logger: e.log, Observe: e.trail.ObserveRules})
-	e.source = ruleSource{e.rules, e.journal.CaughtUp()}
+	e.ruleSource = ruleSource{e.rules, e.journal.CaughtUp()}
 	e.leases = lease.NewView()
 	e.orders = orders.NewView(e.leases)
-	e.suspects = quarantine.NewGuard(quarantine.DefaultConfig(), e.journal, e.writer(), nil)
-	e.suspects.Observe(e.trail.ObserveQuarantine)
+	e.quarantine = quarantine.NewGuard(quarantine.DefaultConfig(), e.journal, e.writer(), nil)
+	e.quarantine.Observe(e.trail.ObserveQuarantine)
 	e.journal.Register(journal.KindRules, e.rules)
 	e.journal.Register(journal.KindAudit, e.trail)
 	e.journal.Register(journal.KindLease, e.leases)
 	e.journal.Register(journal.KindOrder, e.orders)
-	e.journal.Register(journal.KindQuarantine, e.suspects)
+	e.journal.Register(journal.KindQuarantine, e.quarantine)
 	var err error
 	e.claims, err = claim.NewGuard(e.journal, e.claimConfig())
 	if err != nil {
@@ -172,7 +172,7 @@
 }
 
 // buildDecisions makes what decides where and when a request runs.
-func (e *Entry) buildDecisions() {
+func (e *Entry) buildRouting() {
 	d := e.cfg.Deployment
 	e.tracker = router.NewTracker(routerConfig(d, e.self.DataCentre), routerUpstreams(d), nil)
 	a := admission.DefaultConfig()
@@ -183,20 +183,20 @@
 	e.drains = newPeerDrains(e.orders, e.journal.CaughtUp())
 	e.inflight = inflight.NewCounter(e.drains, e.journal.Applied, engineNames(d))
 	e.demand = newDemand(time.Now, demandWindow(d.Roles))
-	e.load = &loadShare{}
-	e.crashes = crash.New(e.suspects, e.cfg.Upstreams.Probe)
+	e.load = &loadFraction{}
+	e.crashDetector = crash.New(e.quarantine, e.cfg.Upstreams.Probe)
 }
 
 // buildServing makes what callers see.
-func (e *Entry) buildServing() {
+func (e *Entry) buildGateway() {
 	e.directory = discovery.New(e.cfg.Deployment, e.self, e.node)
-	e.callers = callerwatch.New()
+	e.callerWatcher = callerwatch.New()
 	e.answers = &answer.Runner{
 		Tracker:          e.tracker,
 		Engines:          e.cfg.Upstreams,
 		InFlight:         e.inflight,
-		CrashDetector:    e.crashes,
-		RetryBudget:      retries{e.admission},
+		CrashDetector:    e.crashDetector,
+		RetryBudget:      retryBudget{e.admission},
 		MemoryBudget:     stream.NewMemoryBudget(e.cfg.Deployment.Streams.KeptBytesInAll),
 		MaxBufferedBytes: e.cfg.Deployment.Streams.KeptBytes,
 		MaxAttempts:      maxAttempts,
@@ -204,21 +204,21 @@
 		NewID:            uuid.NewString,
 	}
 	e.gateway = gateway.New(e.gatewayOptions(), gateway.Dependencies{
-		Rules:     e.source,
+		Rules:     e.ruleSource,
 		Admission: e.admission,
 		Estimator: e.tracker,
 		Answers:   e.answers,
 		Services: &forward.Runner{
 			Tracker:     e.tracker,
 			Services:    e.cfg.Upstreams,
-			RetryBudget: retries{e.admission},
+			RetryBudget: retryBudget{e.admission},
 			MaxAttempts: maxAttempts,
 			NewID:       uuid.NewString,
 		},
 		Protected:   protect.New(e.claims),
 		Directory:   e.directory,
 		Signer:      stream.NewSigner(e.cfg.Secret),
-		CallerWatch: e.callers,
+		CallerWatch: e.callerWatcher,
 		Demand:      e.demand,
 		Ready:       e.ready,
 		Load:        e.load.get,
--- a/internal/entry/entrybench/main.go
+++ b/internal/entry/entrybench/main.go
@@ -55,7 +55,7 @@
 	if !ok {
 		return eris.Errorf("the settings name no instance %q", o.instance)
 	}
-	t := targets{entry: in.Callers}
+	t := addresses{entry: in.Callers}
 	for _, u := range d.Upstreams {
 		if err := serveUpstream(u.Address); err != nil {
 			return err
@@ -76,9 +76,9 @@
 }
 
 // targets are the addresses that are compared.
-type targets struct{ entry, engine, service string }
+type addresses struct{ entry, engine, service string }
 
-func measureAll(o options, t targets) error {
+func measureAll(o options, t addresses) error {
 	p := process{o.pid}
 	idle, err := p.memory()
 	if err != nil {
--- a/internal/entry/entrybench/plain.go
+++ b/internal/entry/entrybench/plain.go
@@ -48,9 +48,9 @@
 
 // measurePlain sends requests straight and through the entry, in turn, each at
 // the rate. Latencies count from the moment at which a request was due.
-func measurePlain(o options, p process, name string, straight, through request) error {
-	sides := []*side{newSide(straight), newSide(through)}
-	for _, s := range sides { // connections and caches are warm before the clock runs
+func measurePlain(o options, p process, name string, direct, viaEntry request) error {
+	targets := []*target{newTarget(direct), newTarget(viaEntry)}
+	for _, s := range targets { // connections and caches are warm before the clock runs
 		s.drive(o.rate/4, time.Second)
 		s.latencies.Reset()
 	}
@@ -59,7 +59,7 @@
 		return err
 	}
 	var wg conc.WaitGroup
-	for _, s := range sides {
+	for _, s := range targets {
 		wg.Go(func() { s.drive(o.rate, o.length) })
 	}
 	wg.Wait()
@@ -67,14 +67,14 @@
 	if err != nil {
 		return err
 	}
-	return reportPlain(name, sides[0], sides[1], after-before)
+	return reportPlain(name, targets[0], targets[1], after-before)
 }
 
-func reportPlain(name string, straight, through *side, cpu time.Duration) error {
-	if n := straight.failed.Load() + through.failed.Load(); n > 0 {
+func reportPlain(name string, direct, viaEntry *target, cpu time.Duration) error {
+	if n := direct.failed.Load() + viaEntry.failed.Load(); n > 0 {
 		return eris.Errorf("%s: %d requests failed", name, n)
 	}
-	a, b := straight.latencies, through.latencies
+	a, b := direct.latencies, viaEntry.latencies
 	fmt.Printf("%-22s straight p50 %d µs p99 %d µs, through p50 %d µs p99 %d µs, added p50 %d µs p99 %d µs, %.0f µs of processor time a request, n %d\n",
 		name, a.ValueAtQuantile(50), a.ValueAtQuantile(99), b.ValueAtQuantile(50), b.ValueAtQuantile(99),
 		b.ValueAtQuantile(50)-a.ValueAtQuantile(50), b.ValueAtQuantile(99)-a.ValueAtQuantile(99),
@@ -83,7 +83,7 @@
 }
 
 // side is one of the two ways.
-type side struct {
+type target struct {
 	request   request
 	client    *fasthttp.HostClient
 	failed    atomic.Int64
@@ -91,8 +91,8 @@
 	latencies *hdrhistogram.Histogram
 }
 
-func newSide(r request) *side {
-	return &side{
+func newTarget(r request) *target {
+	return &target{
 		request:   r,
 		client:    &fasthttp.HostClient{Addr: r.address, MaxConns: 4096, MaxIdemponentCallAttempts: 1},
 		latencies: newHistogram(),
@@ -103,7 +103,7 @@
 // moment, and a late answer delays only its own next request.
 const senders = 128
 
-func (s *side) drive(rate int, length time.Duration) {
+func (s *target) drive(rate int, length time.Duration) {
 	start := time.Now()
 	step := time.Second / time.Duration(rate)
 	total := int(length / step)
@@ -120,7 +120,7 @@
 	wg.Wait()
 }
 
-func (s *side) send(due time.Time) {
+func (s *target) send(due time.Time) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
--- a/internal/entry/entrybench/process.go
+++ b/internal/entry/entrybench/process.go
@@ -18,7 +18,7 @@
 type process struct{ pid int }
 
 // clockTicks is the unit of processor time in /proc: a hundredth of a second.
-const clockTicks = 100
+const ticksPerSecond = 100
 
 // cpu returns the processor time used so far, system time included.
 func (p process) cpu() (time.Duration, error) {
@@ -35,7 +35,7 @@
 	if err1 != nil || err2 != nil {
 		return 0, eris.New("/proc/PID/stat has another form")
 	}
-	return time.Duration(user+system) * time.Second / clockTicks, nil
+	return time.Duration(user+system) * time.Second / ticksPerSecond, nil
 }
 
 // memory returns the resident memory in bytes.
@@ -81,10 +81,10 @@
 }
 
 // readyTries bounds the wait for the entry, a tenth of a second each.
-const readyTries = 100
+const readyAttempts = 100
 
 func awaitReady(address string) error {
-	for range readyTries {
+	for range readyAttempts {
 		response, err := http.Get("http://" + address + "/readyz")
 		if err == nil {
 			_ = response.Body.Close()
--- a/internal/entry/entrybench/streams.go
+++ b/internal/entry/entrybench/streams.go
@@ -26,15 +26,15 @@
 )
 
 // tokenTimes collects how long tokens took.
-type tokenTimes struct {
+type tokenLatencies struct {
 	mu     sync.Mutex
 	times  *hdrhistogram.Histogram
 	broken atomic.Int64
 }
 
-func newTokenTimes() *tokenTimes { return &tokenTimes{times: newHistogram()} }
+func newTokenLatencies() *tokenLatencies { return &tokenLatencies{times: newHistogram()} }
 
-func (t *tokenTimes) add(sentAt string) {
+func (t *tokenLatencies) add(sentAt string) {
 	ns, err := strconv.ParseInt(sentAt, 10, 64)
 	if err != nil {
 		t.broken.Add(1)
@@ -46,9 +46,9 @@
 }
 
 // measureTokens reads streams straight and through the entry at the same time.
-func measureTokens(o options, p process, t targets) error {
+func measureTokens(o options, p process, t addresses) error {
 	tokens := int(o.length / tokenGap)
-	straight, through := newTokenTimes(), newTokenTimes()
+	direct, viaEntry := newTokenLatencies(), newTokenLatencies()
 	before, err := p.cpu()
 	if err != nil {
 		return err
@@ -56,19 +56,19 @@
 	var wg conc.WaitGroup
 	for i := range o.streams {
 		// Spread over a gap, so that tokens don't come in one burst.
-		later := time.Duration(i) * tokenGap / time.Duration(o.streams)
-		wg.Go(func() { time.Sleep(later); readEngine(t.engine, tokens, straight) })
-		wg.Go(func() { time.Sleep(later); readEvents(t.entry, tokens, tokenGap, through, nil) })
+		delay := time.Duration(i) * tokenGap / time.Duration(o.streams)
+		wg.Go(func() { time.Sleep(delay); readEngine(t.engine, tokens, direct) })
+		wg.Go(func() { time.Sleep(delay); readEvents(t.entry, tokens, tokenGap, viaEntry, nil) })
 	}
 	wg.Wait()
 	after, err := p.cpu()
 	if err != nil {
 		return err
 	}
-	if n := straight.broken.Load() + through.broken.Load(); n > 0 {
+	if n := direct.broken.Load() + viaEntry.broken.Load(); n > 0 {
 		return eris.Errorf("token: %d streams broke", n)
 	}
-	a, b := straight.times, through.times
+	a, b := direct.times, viaEntry.times
 	fmt.Printf("%-22s straight p50 %d µs p99 %d µs, through p50 %d µs p99 %d µs, added p50 %d µs p99 %d µs, %.1f µs of processor time a token, n %d\n",
 		"token", a.ValueAtQuantile(50), a.ValueAtQuantile(99), b.ValueAtQuantile(50), b.ValueAtQuantile(99),
 		b.ValueAtQuantile(50)-a.ValueAtQuantile(50), b.ValueAtQuantile(99)-a.ValueAtQuantile(99),
@@ -77,16 +77,16 @@
 }
 
 // measureOpen holds streams open and looks at the entry's memory.
-func measureOpen(o options, p process, t targets) error {
-	times := newTokenTimes()
-	begun := make(chan struct{}, o.open)
+func measureOpen(o options, p process, t addresses) error {
+	times := newTokenLatencies()
+	started := make(chan struct{}, o.open)
 	tokens := int(o.length/openGap) + 2
 	var wg conc.WaitGroup
 	for range o.open {
-		wg.Go(func() { readEvents(t.entry, tokens, openGap, times, begun) })
+		wg.Go(func() { readEvents(t.entry, tokens, openGap, times, started) })
 	}
 	for range o.open {
-		<-begun
+		<-started
 	}
 	time.Sleep(o.length / 2)
 	resident, err := p.memory()
@@ -112,7 +112,7 @@
 }
 
 // readEngine reads a stream of the engine's own lines.
-func readEngine(address string, tokens int, times *tokenTimes) {
+func readEngine(address string, tokens int, times *tokenLatencies) {
 	body, err := json.Marshal(engineclient.GenerateMessage{
 		AttemptID: "bench", Model: "agronomy", Prompt: gapPrompt(tokenGap), MaxTokens: tokens,
 	})
@@ -129,21 +129,21 @@
 }
 
 // readEvents reads a stream of the entry's events.
-func readEvents(address string, tokens int, gap time.Duration, times *tokenTimes, begun chan<- struct{}) {
+func readEvents(address string, tokens int, gap time.Duration, times *tokenLatencies, started chan<- struct{}) {
 	body := fmt.Sprintf(`{"model":"agronomy","prompt":%q,"max_tokens":%d,"stream":true}`, gapPrompt(gap), tokens)
 	conn, lines, err := dialAndSend(address, "/v1/completions", body)
 	if err != nil {
 		times.broken.Add(1)
-		signal(begun)
+		signal(started)
 		return
 	}
 	defer func() { _ = conn.Close() }()
-	readTokens(lines, "data: {", `"text":"`, tokens, times, begun)
+	readTokens(lines, "data: {", `"text":"`, tokens, times, started)
 }
 
-func signal(begun chan<- struct{}) {
-	if begun != nil {
-		begun <- struct{}{}
+func signal(started chan<- struct{}) {
+	if started != nil {
+		started <- struct{}{}
 	}
 }
 
@@ -153,13 +153,13 @@
 
 // readTokens takes the lines that begin with a prefix as tokens, whose text
 // follows a marker.
-func readTokens(lines *bufio.Reader, prefix, marker string, tokens int, times *tokenTimes, begun chan<- struct{}) {
+func readTokens(lines *bufio.Reader, prefix, marker string, tokens int, times *tokenLatencies, started chan<- struct{}) {
 	for count := 0; count < tokens; {
 		line, err := lines.ReadString('\n')
 		if err != nil {
 			times.broken.Add(1)
 			if count == 0 {
-				signal(begun)
+				signal(started)
 			}
 			return
 		}
@@ -170,7 +170,7 @@
 		text, _, _ = strings.Cut(text, `"`)
 		times.add(text)
 		if count == 0 {
-			signal(begun)
+			signal(started)
 		}
 		count++
 	}
--- a/internal/entry/exchange.go
+++ b/internal/entry/exchange.go
@@ -14,16 +14,16 @@
 
 // The reasons for not being ready.
 var (
-	errLeaving = eris.New("this instance is stopping")
-	errNoRules = eris.New("this instance has not learnt the rules yet")
+	errShuttingDown = eris.New("this instance is stopping")
+	errNoRules      = eris.New("this instance has not learnt the rules yet")
 )
 
 // ready returns nil once callers may be sent here.
 func (e *Entry) ready() error {
 	if e.gateway.ShuttingDown() {
-		return errLeaving
+		return errShuttingDown
 	}
-	if e.source.current() == nil {
+	if e.ruleSource.current() == nil {
 		return errNoRules
 	}
 	return nil
@@ -63,7 +63,7 @@
 func compareStrings(a, b string) int { return strings.Compare(a, b) }
 
 // entries counts the instances that share the engines.
-func (e *Entry) entries() int {
+func (e *Entry) servingEntries() int {
 	serving := 0
 	for _, m := range e.node.View().Members {
 		if m.Name == e.self.Name || m.State == membership.Live || m.State == membership.Leaving {
@@ -74,6 +74,6 @@
 }
 
 // listTakers are told each answer of the platform's list.
-func (e *Entry) listTakers() []func([]infra.Instance) {
+func (e *Entry) listConsumers() []func([]infra.Instance) {
 	return []func([]infra.Instance){e.tracker.SetInstances, e.node.TakeList}
 }
--- a/internal/entry/feeds.go
+++ b/internal/entry/feeds.go
@@ -15,18 +15,18 @@
 const (
 	// listEvery bounds, with the list's own lag, how long a leaving upstream
 	// still gets new work.
-	listEvery   = 500 * time.Millisecond
-	listTimeout = 2 * time.Second
+	listInterval = 500 * time.Millisecond
+	listTimeout  = 2 * time.Second
 	// reportEvery is the time between two questions to one engine.
-	reportEvery   = 500 * time.Millisecond
-	reportTimeout = time.Second
-	capacityEvery = 250 * time.Millisecond
+	reportInterval   = 500 * time.Millisecond
+	reportTimeout    = time.Second
+	capacityInterval = 250 * time.Millisecond
 )
 
 // listFeed brings the platform's list to the router and to the membership.
 type listFeed struct {
-	list infra.InstanceList
-	take []func([]infra.Instance)
+	list      infra.InstanceList
+	consumers []func([]infra.Instance)
 }
 
 func (f *listFeed) String() string { return "platform's list" }
@@ -34,15 +34,15 @@
 // Serve asks for the list until ctx ends. While the list can't be had, the last
 // one counts: it is a hint that lags anyway.
 func (f *listFeed) Serve(ctx context.Context) error {
-	return every(ctx, listEvery, func() {
-		ask, cancel := context.WithTimeout(ctx, listTimeout)
+	return runEvery(ctx, listInterval, func() {
+		callCtx, cancel := context.WithTimeout(ctx, listTimeout)
 		defer cancel()
-		list, err := f.list.Instances(ask)
+		list, err := f.list.Instances(callCtx)
 		if err != nil {
 			return
 		}
-		for _, take := range f.take {
-			take(list)
+		for _, consume := range f.consumers {
+			consume(list)
 		}
 	})
 }
@@ -60,15 +60,15 @@
 // Serve asks the engine until ctx ends. A report that fails to come leaves the
 // last one, whose age the router allows for.
 func (f *engineFeed) Serve(ctx context.Context) error {
-	return every(ctx, reportEvery, func() {
-		ask, cancel := context.WithTimeout(ctx, reportTimeout)
+	return runEvery(ctx, reportInterval, func() {
+		callCtx, cancel := context.WithTimeout(ctx, reportTimeout)
 		defer cancel()
-		report, err := f.engine.Load(ask)
+		report, err := f.engine.Load(callCtx)
 		if err != nil {
 			return
 		}
 		f.tracker.SetLoadReport(f.name, report, time.Now())
-		events, err := f.engine.CacheEvents(ask, f.seq)
+		events, err := f.engine.CacheEvents(callCtx, f.seq)
 		if err != nil || len(events) == 0 {
 			return
 		}
@@ -83,7 +83,7 @@
 	dataCentre string
 	tracker    *router.Tracker
 	admission  *admission.Controller
-	load       *loadShare
+	load       *loadFraction
 	entries    func() int
 }
 
@@ -92,7 +92,7 @@
 // Serve sums the engines up until ctx ends.
 func (f *capacityFeed) Serve(ctx context.Context) error {
 	pools := poolModels(f.deployment)
-	return every(ctx, capacityEvery, func() {
+	return runEvery(ctx, capacityInterval, func() {
 		entries := f.entries()
 		for _, pm := range pools {
 			sum := f.tracker.PoolLoad(pm.pool, pm.model)
@@ -103,29 +103,29 @@
 				DecodePerSecond:  sum.DecodePerSecond,
 			})
 		}
-		f.load.set(f.localShare())
+		f.load.set(f.localLoad())
 	})
 }
 
 // localShare is the reported work of the data centre's engines over what their
 // batches hold.
-func (f *capacityFeed) localShare() float64 {
-	work, room := 0, 0
+func (f *capacityFeed) localLoad() float64 {
+	requests, capacity := 0, 0
 	for _, u := range f.tracker.Snapshot().Upstreams(time.Now()) {
 		if u.Kind != infra.KindEngine || u.DataCentre != f.dataCentre || u.ShuttingDown || u.Draining {
 			continue
 		}
-		work += max(0, u.Report.Running+u.Report.Waiting+u.LocalDelta.Requests)
-		room += u.Report.MaxBatch
+		requests += max(0, u.Report.Running+u.Report.Waiting+u.LocalDelta.Requests)
+		capacity += u.Report.MaxBatch
 	}
-	if room == 0 {
+	if capacity == 0 {
 		return 0
 	}
-	return float64(work) / float64(room)
+	return float64(requests) / float64(capacity)
 }
 
 // every runs a step at once and then at each interval until ctx ends.
-func every(ctx context.Context, interval time.Duration, step func()) error {
+func runEvery(ctx context.Context, interval time.Duration, step func()) error {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
--- a/internal/entry/forward/forward.go
+++ b/internal/entry/forward/forward.go
@@ -49,12 +49,12 @@
 }
 
 // retryNoService is when asking again is worth while if no service took it.
-const retryNoService = time.Second
+const retryAfterNoService = time.Second
 
 // Call sends the request and returns the service's answer, whatever its status.
-func (r *Runner) Call(ctx context.Context, w Job) (upstream.ServiceResponse, *outcome.Failure) {
-	c := call{runner: r, work: w, tries: dispatch.New(dispatch.Policy{
-		Mode: dispatch.RetryModeOf(w.Retry), MaxAttempts: r.MaxAttempts, CountNotRun: true, AllowRetry: r.RetryBudget.Allow,
+func (r *Runner) Call(ctx context.Context, job Job) (upstream.ServiceResponse, *outcome.Failure) {
+	c := call{runner: r, job: job, retryState: dispatch.New(dispatch.Policy{
+		Mode: dispatch.RetryModeOf(job.Retry), MaxAttempts: r.MaxAttempts, CountNotRun: true, AllowRetry: r.RetryBudget.Allow,
 	})}
 	for {
 		if ctx.Err() != nil {
@@ -64,7 +64,7 @@
 		if err == nil {
 			return response, nil
 		}
-		if f := c.failed(ctx, err); f != nil {
+		if f := c.handleFailure(ctx, err); f != nil {
 			return upstream.ServiceResponse{}, f
 		}
 	}
@@ -72,23 +72,23 @@
 
 // call is the state of one Call.
 type call struct {
-	runner *Runner
-	work   Job
-	tries  dispatch.State
-	tried  []string
+	runner     *Runner
+	job        Job
+	retryState dispatch.State
+	excluded   []string
 }
 
 // attempt sends the request once. It returns a *router.NoUpstreamError, with
 // nothing sent, if there is nobody to send it to.
 func (c *call) attempt(ctx context.Context) (upstream.ServiceResponse, error) {
-	route := c.work.Route
-	route.Exclude = c.tried
+	route := c.job.Route
+	route.Exclude = c.excluded
 	plan, err := c.runner.Tracker.Pick(route)
 	if err != nil {
 		return upstream.ServiceResponse{}, err
 	}
-	c.tries.RecordAttempt()
-	c.tried = append(c.tried, plan.Engine)
+	c.retryState.RecordAttempt()
+	c.excluded = append(c.excluded, plan.Engine)
 	ticket := c.runner.Tracker.Begin(plan, route)
 	response, err := c.send(ctx, plan.Engine)
 	ticket.End(routerOutcome(ctx, response, err))
@@ -100,42 +100,42 @@
 	if service == nil {
 		return upstream.ServiceResponse{}, upstream.ErrNotSent
 	}
-	request := c.work.Request
+	request := c.job.Request
 	request.AttemptID = c.runner.NewID()
 	return service.Call(ctx, request)
 }
 
 // failed returns the final failure of a broken attempt, or nil if another may
 // be made.
-func (c *call) failed(ctx context.Context, err error) *outcome.Failure {
-	var lack *router.NoUpstreamError
-	if errors.As(err, &lack) {
+func (c *call) handleFailure(ctx context.Context, err error) *outcome.Failure {
+	var noUpstream *router.NoUpstreamError
+	if errors.As(err, &noUpstream) {
 		return c.fail(http.StatusServiceUnavailable, outcome.CodeNoUpstream, err,
-			"no service can take the request now").WithRetryAfter(retryNoService)
+			"no service can take the request now").WithRetryAfter(retryAfterNoService)
 	}
-	unsent := errors.Is(err, upstream.ErrNotSent) || errors.Is(err, upstream.ErrRefused)
-	fate := dispatch.NotRun
-	if !unsent {
-		fate = dispatch.MayHaveRun
-		c.tries.RecordRun()
+	notRun := errors.Is(err, upstream.ErrNotSent) || errors.Is(err, upstream.ErrRefused)
+	execution := dispatch.NotRun
+	if !notRun {
+		execution = dispatch.MayHaveRun
+		c.retryState.RecordRun()
 	}
 	if ctx.Err() != nil {
 		return c.contextFailure(ctx)
 	}
 	// An attempt that certainly did not run adds nothing to the load, so only
 	// others draw on the retry budget.
-	if c.tries.Next(fate, !unsent) == dispatch.Retry {
+	if c.retryState.Next(execution, !notRun) == dispatch.Retry {
 		return nil
 	}
-	if unsent {
+	if notRun {
 		return c.fail(http.StatusServiceUnavailable, outcome.CodeNoUpstream, err,
-			"the services took no work").WithRetryAfter(retryNoService)
+			"the services took no work").WithRetryAfter(retryAfterNoService)
 	}
 	return c.fail(http.StatusBadGateway, outcome.CodeUpstreamBroken, err, "the service broke off")
 }
 
 func (c *call) fail(status int, code outcome.Code, cause error, message string) *outcome.Failure {
-	return &outcome.Failure{Status: status, Code: code, Message: message, Execution: outcome.ExecutionOf(c.tries.MayHaveRun()), Cause: cause}
+	return &outcome.Failure{Status: status, Code: code, Message: message, Execution: outcome.ExecutionOf(c.retryState.MayHaveRun()), Cause: cause}
 }
 
 func (c *call) contextFailure(ctx context.Context) *outcome.Failure {
--- a/internal/entry/gateway/pressure_test.go
+++ b/internal/entry/gateway/backpressure_test.go
@@ -22,35 +22,35 @@
 )
 
 // endless is an engine whose answer never ends; it counts the tokens taken.
-type endless struct {
-	generator
-	taken int
+type endlessEngine struct {
+	unusedMethods
+	produced int
 }
 
 // generator stands for the parts of an engine that aren't used here.
-type generator interface{ upstream.Engine }
+type unusedMethods interface{ upstream.Engine }
 
-func (e *endless) Engine(string) upstream.Engine { return e }
+func (e *endlessEngine) Engine(string) upstream.Engine { return e }
 
-func (e *endless) Generate(context.Context, upstream.GenerateRequest) (upstream.TokenStream, error) {
+func (e *endlessEngine) Generate(context.Context, upstream.GenerateRequest) (upstream.TokenStream, error) {
 	return e, nil
 }
 
-func (e *endless) Next(context.Context) (upstream.Token, error) {
-	e.taken++
-	return upstream.Token{Index: e.taken - 1, Text: "word "}, nil
+func (e *endlessEngine) Next(context.Context) (upstream.Token, error) {
+	e.produced++
+	return upstream.Token{Index: e.produced - 1, Text: "word "}, nil
 }
 
-func (*endless) Close() error                              { return nil }
-func (*endless) Reserve(string) bool                       { return true }
-func (*endless) Release(string)                            {}
-func (*endless) Allow() bool                               { return true }
-func (*endless) RecordRequest(string, int, int)            {}
-func (*endless) RecordResponse(string, int, int, int, int) {}
+func (*endlessEngine) Close() error                              { return nil }
+func (*endlessEngine) Reserve(string) bool                       { return true }
+func (*endlessEngine) Release(string)                            {}
+func (*endlessEngine) Allow() bool                               { return true }
+func (*endlessEngine) RecordRequest(string, int, int)            {}
+func (*endlessEngine) RecordResponse(string, int, int, int, int) {}
 
-type innocent struct{ crash.Quarantine }
+type cleanQuarantine struct{ crash.Quarantine }
 
-func (innocent) Check(quarantine.Digest) (quarantine.Verdict, error) {
+func (cleanQuarantine) Check(quarantine.Digest) (quarantine.Verdict, error) {
 	return quarantine.Verdict{}, nil
 }
 
@@ -58,14 +58,14 @@
 // same. What the engine goes on producing must not pile up in the instance: the
 // tokens read ahead are few, and when the deadline comes the engine is let go
 // though the caller still hasn't read.
-func TestCallerThatDoesNotReadHoldsTheEngineBack(t *testing.T) {
+func TestSlowCallerStopsTheEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		engine := &endless{}
+		engine := &endlessEngine{}
 		budget := stream.NewMemoryBudget(1 << 20)
 		ups := []router.Upstream{{Name: "e", Kind: "engine", Pool: "p", DataCentre: "d", Models: []string{"m"}}}
 		runner := &answer.Runner{
 			Tracker: router.NewTracker(router.DefaultConfig("d"), ups, nil), Engines: engine, InFlight: engine,
-			CrashDetector: crash.New(innocent{}, nil), RetryBudget: engine, MemoryBudget: budget, MaxBufferedBytes: 1 << 10,
+			CrashDetector: crash.New(cleanQuarantine{}, nil), RetryBudget: engine, MemoryBudget: budget, MaxBufferedBytes: 1 << 10,
 			MaxAttempts: 2, NewID: func() string { return "id" },
 		}
 		g := New(Options{Heartbeat: time.Second, WriteTimeout: time.Hour}, Dependencies{
@@ -74,29 +74,29 @@
 		})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		work := answer.Job{
+		job := answer.Job{
 			Request: openai.Request{Model: "m", MaxTokens: 1 << 20, Stream: true},
 			Route:   router.Request{Pool: "p", Model: "m", OutputTokens: 1},
 		}
-		one := &running{call: &call{ctx: ctx, cancel: func(error) {}, stop: cancel}, work: work, answer: runner.Start(work)}
-		s := g.newSSE(nil, one, stream.RequestDigest{})
-		s.extended = time.Now().Add(time.Hour) // no connection whose deadline could be moved
+		run := &modelCall{call: &call{ctx: ctx, cancel: func(error) {}, stopTimer: cancel}, job: job, answer: runner.Start(job)}
+		s := g.newSSE(nil, run, stream.RequestDigest{})
+		s.deadlineSetAt = time.Now().Add(time.Hour) // no connection whose deadline could be moved
 		g.pumps.Go(s.pump)
 
 		synctest.Wait()
-		require.Equal(t, eventsAhead+1, engine.taken)
+		require.Equal(t, maxBufferedEvents+1, engine.produced)
 		p := make([]byte, 512)
 		for range 10 {
 			_, err := s.Read(p)
 			require.NoError(t, err)
 		}
 		synctest.Wait()
-		ahead := engine.taken
+		ahead := engine.produced
 		require.Less(t, ahead, 200, "512 bytes read ten times")
 
 		time.Sleep(2 * time.Minute) // the deadline passes unread
 		synctest.Wait()
-		require.Equal(t, ahead, engine.taken)
+		require.Equal(t, ahead, engine.produced)
 		require.Zero(t, budget.Used(), "the engine's stream is closed and its text given up")
 		rest, err := io.ReadAll(s)
 		require.NoError(t, err)
--- a/internal/entry/gateway/call.go
+++ b/internal/entry/gateway/call.go
@@ -43,10 +43,10 @@
 	decision     rules.Decision
 	deadline     time.Time
 
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-	stop   context.CancelFunc
-	watch  *callerwatch.Registration
+	ctx          context.Context
+	cancel       context.CancelCauseFunc
+	stopTimer    context.CancelFunc
+	registration *callerwatch.Registration
 }
 
 func newCall(c *fiber.Ctx, id string) (*call, *outcome.Failure) {
@@ -82,10 +82,10 @@
 		limit = min(limit, time.Duration(ms)*time.Millisecond)
 	}
 	k.deadline = k.began.Add(limit)
-	timed, stop := context.WithDeadline(g.base, k.deadline)
-	k.stop = stop
+	timed, stop := context.WithDeadline(g.baseContext, k.deadline)
+	k.stopTimer = stop
 	k.ctx, k.cancel = context.WithCancelCause(timed)
-	k.watch = g.parts.CallerWatch.Add(c.Context().Conn(), k.cancel)
+	k.registration = g.deps.CallerWatch.Add(c.Context().Conn(), k.cancel)
 	return nil
 }
 
@@ -94,17 +94,17 @@
 	if k.ctx == nil {
 		return
 	}
-	k.watch.Remove()
+	k.registration.Remove()
 	k.cancel(nil)
-	k.stop()
+	k.stopTimer()
 }
 
 // decide finds the first rule that holds.
-func (g *Gateway) decide(c *fiber.Ctx, k *call, r rules.Request) *outcome.Failure {
+func (g *Gateway) applyRules(c *fiber.Ctx, k *call, r rules.Request) *outcome.Failure {
 	r.Path, r.Method, r.Organisation = k.path, k.method, k.organisation
-	r.DataCentre, r.Load = g.opts.DataCentre, g.parts.Load()
+	r.DataCentre, r.Load = g.opts.DataCentre, g.deps.Load()
 	r.Header = func(name string) string { return c.Get(name) }
-	decision, known := g.parts.Rules.Match(r)
+	decision, known := g.deps.Rules.Match(r)
 	if !known {
 		return outcome.Refused(fiber.StatusServiceUnavailable, outcome.CodeRulesMissing,
 			"this instance has not learnt the rules yet").WithRetryAfter(time.Second)
@@ -140,12 +140,12 @@
 	case rules.ClassLong:
 		r.Class = admission.ClassLong
 	}
-	if plan, err := g.parts.Estimator.Pick(route); err == nil {
+	if plan, err := g.deps.Estimator.Pick(route); err == nil {
 		r.Estimate = admission.Estimate(plan.Estimate)
 	}
-	grant, err := g.parts.Admission.Acquire(k.ctx, r)
+	grant, err := g.deps.Admission.Acquire(k.ctx, r)
 	if err != nil {
-		return nil, refusedByAdmission(k, err)
+		return nil, admissionFailure(k, err)
 	}
 	return grant, nil
 }
--- a/internal/entry/gateway/failure.go
+++ b/internal/entry/gateway/failure.go
@@ -15,7 +15,7 @@
 )
 
 // refusedByAdmission turns admission's refusal into a failure. Nothing was sent.
-func refusedByAdmission(k *call, err error) *outcome.Failure {
+func admissionFailure(k *call, err error) *outcome.Failure {
 	var refusal *admission.Refusal
 	if !errors.As(err, &refusal) {
 		return outcome.Refused(fiber.StatusServiceUnavailable, outcome.CodeOverload, "%v", err)
@@ -52,7 +52,7 @@
 // never held until then.
 func (g *Gateway) fail(c *fiber.Ctx, k *call, f *outcome.Failure) error {
 	g.metrics.failed(f)
-	g.parts.Log.Debug("request failed", "request", k.id, "path", k.path, "rule", f.Rule,
+	g.deps.Log.Debug("request failed", "request", k.id, "path", k.path, "rule", f.Rule,
 		"code", f.Code, "outcome", f.Execution, "after", time.Since(k.began), "cause", f.Cause)
 	c.Set(headerRequestID, k.id)
 	return writeFailure(c, f)
--- a/internal/entry/gateway/gateway.go
+++ b/internal/entry/gateway/gateway.go
@@ -115,7 +115,7 @@
 // Gateway serves callers.
 type Gateway struct {
 	opts    Options
-	parts   Dependencies
+	deps    Dependencies
 	app     *fiber.App
 	metrics *metrics
 	// active counts requests that have begun and whose answer isn't out.
@@ -123,16 +123,16 @@
 	// pumps are the goroutines that read engines' streams.
 	pumps conc.WaitGroup
 	// leaving asks callers to close their connections.
-	leaving atomic.Bool
+	shuttingDown atomic.Bool
 	// base is the parent of all calls' contexts.
-	base  context.Context
-	abort context.CancelCauseFunc
+	baseContext context.Context
+	cancelAll   context.CancelCauseFunc
 }
 
 // New returns a gateway. It serves nothing until its App is given a listener.
-func New(o Options, p Dependencies) *Gateway {
-	g := &Gateway{opts: o, parts: p, metrics: newMetrics(p.Scope)}
-	g.base, g.abort = context.WithCancelCause(context.Background())
+func New(o Options, deps Dependencies) *Gateway {
+	g := &Gateway{opts: o, deps: deps, metrics: newMetrics(deps.Scope)}
+	g.baseContext, g.cancelAll = context.WithCancelCause(context.Background())
 	g.app = fiber.New(fiber.Config{
 		DisableStartupMessage: true,
 		BodyLimit:             o.MaxBodyBytes,
@@ -151,7 +151,7 @@
 }
 
 func (g *Gateway) routes() {
-	g.app.Use(g.askToClose)
+	g.app.Use(g.closeIfShuttingDown)
 	g.app.Get("/healthz", g.healthz)
 	g.app.Get("/readyz", g.readyz)
 	g.app.Get("/v1/where", g.where)
@@ -163,8 +163,8 @@
 
 // askToClose ends kept connections of callers while the instance is leaving, so
 // that they come back to another one instead of finding theirs closed.
-func (g *Gateway) askToClose(c *fiber.Ctx) error {
-	if g.leaving.Load() {
+func (g *Gateway) closeIfShuttingDown(c *fiber.Ctx) error {
+	if g.shuttingDown.Load() {
 		c.Response().SetConnectionClose()
 	}
 	return c.Next()
@@ -172,15 +172,15 @@
 
 // Leave begins to ask callers to close their connections. Requests are served
 // as before.
-func (g *Gateway) BeginShutdown() { g.leaving.Store(true) }
+func (g *Gateway) BeginShutdown() { g.shuttingDown.Store(true) }
 
 // Leaving reports whether Leave was called.
-func (g *Gateway) ShuttingDown() bool { return g.leaving.Load() }
+func (g *Gateway) ShuttingDown() bool { return g.shuttingDown.Load() }
 
 // Abort ends the requests still in progress, once the grace of a stop is over.
 // Their callers are told, and engines keep the streams for a while, so that
 // they can be taken up again at another instance.
-func (g *Gateway) Abort() { g.abort(outcome.ErrStopping) }
+func (g *Gateway) Abort() { g.cancelAll(outcome.ErrStopping) }
 
 // App returns the HTTP application.
 func (g *Gateway) App() *fiber.App { return g.app }
--- a/internal/entry/gateway/golden_test.go
+++ b/internal/entry/gateway/golden_test.go
@@ -24,7 +24,7 @@
 var update = flag.Bool("update", false, "write the golden files anew")
 
 // varying are the parts of a session that differ from run to run.
-var varying = []struct {
+var volatile = []struct {
 	pattern *regexp.Regexp
 	becomes string
 }{
@@ -62,7 +62,7 @@
 // have plain line ends; lengths are filled in.
 func session(t *testing.T, sent string) string {
 	service := &recordingService{calls: make(chan upstream.ServiceRequest, 1)}
-	p := &parts{
+	p := &fakeDeps{
 		engines:  map[string]*fakeEngine{"e1": newEngine(3)},
 		services: map[string]upstream.Service{"s1": service},
 		byPath: func(path string) rules.Then {
@@ -79,9 +79,9 @@
 			DataCentres: []settings.DataCentre{{Name: "dc"}},
 			Instances:   []settings.Instance{{Name: "i1", DataCentre: "dc", Callers: "10.0.0.1:80"}},
 			Discovery:   settings.Discovery{KeepSeconds: 5},
-		}, settings.Instance{Name: "i1", DataCentre: "dc"}, everybody{}),
+		}, settings.Instance{Name: "i1", DataCentre: "dc"}, allLive{}),
 	}
-	r := newRig(t, p, func(o *gateway.Options) { o.Heartbeat = time.Hour })
+	r := newHarness(t, p, func(o *gateway.Options) { o.Heartbeat = time.Hour })
 	conn, err := net.Dial("tcp", r.address)
 	require.NoError(t, err)
 	defer func() { _ = conn.Close() }()
@@ -95,12 +95,12 @@
 	answer, err := io.ReadAll(conn)
 	require.NoError(t, err)
 	got := string(answer)
-	for _, v := range varying {
+	for _, v := range volatile {
 		got = v.pattern.ReplaceAllString(got, v.becomes)
 	}
 	return strings.ReplaceAll(got, "\r\n", "\n")
 }
 
-type everybody struct{}
+type allLive struct{}
 
-func (everybody) State(string) membership.State { return membership.Live }
+func (allLive) State(string) membership.State { return membership.Live }
--- a/internal/entry/gateway/rig_test.go
+++ b/internal/entry/gateway/harness_test.go
@@ -39,9 +39,9 @@
 	total int
 	// dieAt breaks a stream off before the token with that index; silentAt
 	// stops there and says nothing more. Both are off below 0.
-	dieAt, silentAt int
+	dieAt, stallAt int
 	// spent, if set, lets one death happen among the engines that share it.
-	spent  *atomic.Bool
+	died   *atomic.Bool
 	refuse error
 
 	mu        sync.Mutex
@@ -51,7 +51,7 @@
 }
 
 func newEngine(total int) *fakeEngine {
-	return &fakeEngine{total: total, dieAt: -1, silentAt: -1, cancelled: make(chan string, 1024)}
+	return &fakeEngine{total: total, dieAt: -1, stallAt: -1, cancelled: make(chan string, 1024)}
 }
 
 func (e *fakeEngine) Generate(_ context.Context, r upstream.GenerateRequest) (upstream.TokenStream, error) {
@@ -104,11 +104,11 @@
 
 func (s *fakeStream) Next(ctx context.Context) (upstream.Token, error) {
 	e := s.engine
-	if s.next == e.dieAt && (e.spent == nil || e.spent.CompareAndSwap(false, true)) {
+	if s.next == e.dieAt && (e.died == nil || e.died.CompareAndSwap(false, true)) {
 		e.dead.Store(true)
 		return upstream.Token{}, upstream.ErrBroken
 	}
-	if s.next == e.silentAt {
+	if s.next == e.stallAt {
 		<-ctx.Done()
 		return upstream.Token{}, fmt.Errorf("%w: %w", upstream.ErrBroken, ctx.Err())
 	}
@@ -129,7 +129,7 @@
 func text(i int) string { return fmt.Sprintf(" t%d", i) }
 
 // whole is the answer's text.
-func whole(total int) string {
+func fullText(total int) string {
 	var b strings.Builder
 	for i := range total {
 		b.WriteString(text(i))
@@ -138,13 +138,13 @@
 }
 
 // parts implements the gateway's views of upstreams and rules.
-type parts struct {
-	engines  map[string]*fakeEngine
-	services map[string]upstream.Service
-	then     rules.Then
-	admitted func(admission.Request)
-	refuse   *admission.Refusal
-	control  *admission.Controller
+type fakeDeps struct {
+	engines    map[string]*fakeEngine
+	services   map[string]upstream.Service
+	then       rules.Then
+	admitted   func(admission.Request)
+	refuse     *admission.Refusal
+	controller *admission.Controller
 	// protected is nil where no call is.
 	protected gateway.ProtectedRunner
 	// byPath, if set, stands in for then; directory is nil where it isn't asked.
@@ -152,58 +152,58 @@
 	directory gateway.Directory
 }
 
-func (p *parts) Engine(name string) upstream.Engine {
+func (p *fakeDeps) Engine(name string) upstream.Engine {
 	if e := p.engines[name]; e != nil {
 		return e
 	}
 	return nil
 }
 
-func (p *parts) Service(name string) upstream.Service { return p.services[name] }
+func (p *fakeDeps) Service(name string) upstream.Service { return p.services[name] }
 
-func (p *parts) Match(r rules.Request) (rules.Decision, bool) {
+func (p *fakeDeps) Match(r rules.Request) (rules.Decision, bool) {
 	if p.byPath != nil {
 		return rules.Decision{Rule: "by path", Then: p.byPath(r.Path), Matched: true}, true
 	}
 	return rules.Decision{Rule: "all", Then: p.then, Matched: true}, true
 }
 
-func (p *parts) Acquire(ctx context.Context, r admission.Request) (*admission.Grant, error) {
+func (p *fakeDeps) Acquire(ctx context.Context, r admission.Request) (*admission.Grant, error) {
 	if p.admitted != nil {
 		p.admitted(r)
 	}
 	if p.refuse != nil {
 		return nil, p.refuse
 	}
-	return p.control.Acquire(ctx, r)
+	return p.controller.Acquire(ctx, r)
 }
 
-func (p *parts) probe(_ context.Context, name string) error {
+func (p *fakeDeps) probe(_ context.Context, name string) error {
 	if e := p.engines[name]; e != nil && e.dead.Load() {
 		return upstream.ErrNotSent
 	}
 	return nil
 }
 
-func (*parts) Reserve(string) bool                       { return true }
-func (*parts) Release(string)                            {}
-func (*parts) Allow() bool                               { return true }
-func (*parts) RecordRequest(string, int, int)            {}
-func (*parts) RecordResponse(string, int, int, int, int) {}
-func (*parts) Append(context.Context, journal.Entry) (journal.Position, error) {
+func (*fakeDeps) Reserve(string) bool                       { return true }
+func (*fakeDeps) Release(string)                            {}
+func (*fakeDeps) Allow() bool                               { return true }
+func (*fakeDeps) RecordRequest(string, int, int)            {}
+func (*fakeDeps) RecordResponse(string, int, int, int, int) {}
+func (*fakeDeps) Append(context.Context, journal.Entry) (journal.Position, error) {
 	return journal.Position{}, infra.ErrNotWritten
 }
 
 // rig is a gateway on a loopback address.
-type rig struct {
-	*parts
+type harness struct {
+	*fakeDeps
 	gateway *gateway.Gateway
 	address string
 }
 
 // newRig starts a gateway whose heartbeat is short, as nothing but their order
 // depends on it.
-func newRig(t *testing.T, p *parts, change ...func(*gateway.Options)) *rig {
+func newHarness(t *testing.T, p *fakeDeps, change ...func(*gateway.Options)) *harness {
 	var ups []router.Upstream
 	for name := range p.engines {
 		ups = append(ups, router.Upstream{Name: name, Kind: infra.KindEngine, Pool: "p", DataCentre: "dc", Models: []string{"m"}, Role: upstream.RoleMixed})
@@ -215,7 +215,7 @@
 		p.then.Pool = "p"
 	}
 	tracker := router.NewTracker(router.DefaultConfig("dc"), ups, nil)
-	p.control = admission.New(admission.DefaultConfig(), nil)
+	p.controller = admission.New(admission.DefaultConfig(), nil)
 	guard := quarantine.NewGuard(quarantine.DefaultConfig(), p, "w", nil)
 	watch := callerwatch.New()
 	ids := new(atomic.Int64)
@@ -252,11 +252,11 @@
 		<-done
 		g.Wait()
 	})
-	return &rig{parts: p, gateway: g, address: ln.Addr().String()}
+	return &harness{fakeDeps: p, gateway: g, address: ln.Addr().String()}
 }
 
 // post sends a request; header holds names and values in turn.
-func (r *rig) post(t *testing.T, path, body string, header ...string) *http.Response {
+func (r *harness) post(t *testing.T, path, body string, header ...string) *http.Response {
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+r.address+path, strings.NewReader(body))
 	require.NoError(t, err)
 	for i := 0; i < len(header); i += 2 {
@@ -268,7 +268,7 @@
 	return response
 }
 
-func read(t *testing.T, r *http.Response) string {
+func readBody(t *testing.T, r *http.Response) string {
 	body, err := io.ReadAll(r.Body)
 	require.NoError(t, err)
 	return string(body)
--- a/internal/entry/gateway/metrics.go
+++ b/internal/entry/gateway/metrics.go
@@ -18,7 +18,7 @@
 	continued  tally.Counter
 	tokens     tally.Counter
 	firstToken tally.Histogram
-	whole      tally.Histogram
+	complete   tally.Histogram
 
 	mu       sync.Mutex
 	failures map[failureKey]tally.Counter
@@ -39,7 +39,7 @@
 		continued:  s.Counter("answers_continued_elsewhere"),
 		tokens:     s.Counter("output_tokens"),
 		firstToken: s.Histogram("first_token", buckets),
-		whole:      s.Histogram("whole_answer", buckets),
+		complete:   s.Histogram("whole_answer", buckets),
 		failures:   map[failureKey]tally.Counter{},
 	}
 }
--- a/internal/entry/gateway/model.go
+++ b/internal/entry/gateway/model.go
@@ -25,7 +25,7 @@
 // model serves one model request.
 func (g *Gateway) model(c *fiber.Ctx, kind openai.Kind, idPrefix string) error {
 	g.active.Add(1)
-	k, f := newCall(c, idPrefix+g.parts.NewID())
+	k, f := newCall(c, idPrefix+g.deps.NewID())
 	if f == nil {
 		f = g.answerModel(c, k, kind)
 	}
@@ -44,7 +44,7 @@
 	if f != nil {
 		return f
 	}
-	f = g.decide(c, k, rules.Request{
+	f = g.applyRules(c, k, rules.Request{
 		Model:        request.Model,
 		PromptTokens: request.PromptTokens,
 		OutputTokens: request.MaxTokens,
@@ -54,25 +54,25 @@
 		return f
 	}
 	if g.opts.ServicePools[k.decision.Then.Pool] {
-		return g.passOn(c, k)
+		return g.forwardModelRequest(c, k)
 	}
 	if f := g.begin(c, k); f != nil {
 		return f
 	}
-	work := g.workOf(c, k, request)
+	job := g.newJob(c, k, request)
 	if id := c.Get(headerLastEventID); id != "" && request.Stream {
-		return g.resume(c, k, work, strings.Clone(id))
+		return g.resume(c, k, job, strings.Clone(id))
 	}
-	g.parts.Demand.RecordRequest(request.Model, request.PromptTokens, request.MaxTokens)
-	grant, f := g.admit(k, work.Route)
+	g.deps.Demand.RecordRequest(request.Model, request.PromptTokens, request.MaxTokens)
+	grant, f := g.admit(k, job.Route)
 	if f != nil {
 		return f
 	}
-	a := g.parts.Answers.Start(work)
+	a := g.deps.Answers.Start(job)
 	if request.Stream {
-		return g.stream(c, k, &running{call: k, work: work, answer: a, grant: grant})
+		return g.stream(c, k, &modelCall{call: k, job: job, answer: a, grant: grant})
 	}
-	return g.whole(c, &running{call: k, work: work, answer: a, grant: grant})
+	return g.sendPlain(c, &modelCall{call: k, job: job, answer: a, grant: grant})
 }
 
 func parseModel(c *fiber.Ctx, kind openai.Kind) (openai.Request, *outcome.Failure) {
@@ -92,7 +92,7 @@
 	return request, nil
 }
 
-func (g *Gateway) workOf(c *fiber.Ctx, k *call, request openai.Request) answer.Job {
+func (g *Gateway) newJob(c *fiber.Ctx, k *call, request openai.Request) answer.Job {
 	then := k.decision.Then
 	return answer.Job{
 		Request: request,
@@ -115,32 +115,32 @@
 }
 
 // running is a model request whose answer is under way.
-type running struct {
-	call   *call
-	work   answer.Job
-	answer *answer.Answer
-	grant  *admission.Grant
-	begun  bool
+type modelCall struct {
+	call           *call
+	job            answer.Job
+	answer         *answer.Answer
+	grant          *admission.Grant
+	firstTokenSeen bool
 }
 
 // next returns the next token, and keeps the figures.
-func (g *Gateway) next(r *running) (upstream.Token, error) {
+func (g *Gateway) next(r *modelCall) (upstream.Token, error) {
 	t, err := r.answer.Next(r.call.ctx)
 	if err != nil {
 		return t, err
 	}
-	if !r.begun {
-		r.begun = true
+	if !r.firstTokenSeen {
+		r.firstTokenSeen = true
 		if r.grant != nil {
 			r.grant.FirstToken()
 		}
-		g.metrics.firstToken.RecordDuration(sinceBegan(r.call))
+		g.metrics.firstToken.RecordDuration(elapsed(r.call))
 	}
 	return t, nil
 }
 
 // finish releases what the answer holds. A nil failure means that it is whole.
-func (g *Gateway) finish(r *running, f *outcome.Failure) {
+func (g *Gateway) finish(r *modelCall, f *outcome.Failure) {
 	r.answer.Close()
 	produced := r.answer.Tokens()
 	if r.grant != nil {
@@ -151,11 +151,11 @@
 		g.metrics.continued.Inc(int64(n - 1))
 	}
 	if f == nil {
-		request := &r.work.Request
+		request := &r.job.Request
 		prompt, _ := r.answer.PromptTokens()
-		g.parts.Demand.RecordResponse(request.Model, request.PromptTokens, request.MaxTokens, prompt, produced)
+		g.deps.Demand.RecordResponse(request.Model, request.PromptTokens, request.MaxTokens, prompt, produced)
 		g.metrics.answered.Inc(1)
-		g.metrics.whole.RecordDuration(sinceBegan(r.call))
+		g.metrics.complete.RecordDuration(elapsed(r.call))
 	}
 }
 
@@ -171,7 +171,7 @@
 }
 
 // whole collects the answer and sends it as one.
-func (g *Gateway) whole(c *fiber.Ctx, r *running) *outcome.Failure {
+func (g *Gateway) sendPlain(c *fiber.Ctx, r *modelCall) *outcome.Failure {
 	text, finish, f := g.collect(r)
 	prompt, cached := r.answer.PromptTokens()
 	usage := openai.NewUsage(prompt, cached, r.answer.Tokens())
@@ -179,7 +179,7 @@
 	if f != nil {
 		return f
 	}
-	k, request := r.call, &r.work.Request
+	k, request := r.call, &r.job.Request
 	k.end()
 	g.active.Add(-1)
 	c.Set(outcome.Header, string(outcome.Completed))
@@ -192,7 +192,7 @@
 	return nil
 }
 
-func (g *Gateway) collect(r *running) (text, finish string, f *outcome.Failure) {
+func (g *Gateway) collect(r *modelCall) (text, finish string, f *outcome.Failure) {
 	var all strings.Builder
 	for {
 		t, err := g.next(r)
@@ -209,19 +209,19 @@
 
 // resume takes a stream up again that another connection, or another instance,
 // has begun.
-func (g *Gateway) resume(c *fiber.Ctx, k *call, work answer.Job, id string) *outcome.Failure {
-	owner := stream.NewRequestDigest(k.organisation, k.path, c.BodyRaw())
-	origin, last, err := g.parts.Signer.Open(id, owner)
+func (g *Gateway) resume(c *fiber.Ctx, k *call, job answer.Job, id string) *outcome.Failure {
+	digest := stream.NewRequestDigest(k.organisation, k.path, c.BodyRaw())
+	origin, last, err := g.deps.Signer.Open(id, digest)
 	if err != nil {
 		return outcome.Refused(fiber.StatusBadRequest, outcome.CodeInvalidEventID, "%v", err)
 	}
-	work.Answer, work.Created = origin.Answer, timeOf(origin.Created)
-	a, f := g.parts.Answers.Resume(k.ctx, work, answer.ResumePoint{
+	job.Answer, job.Created = origin.Answer, unixTime(origin.Created)
+	a, f := g.deps.Answers.Resume(k.ctx, job, answer.ResumePoint{
 		Engine: origin.Upstream, Attempt: origin.Attempt, First: origin.First, Last: last,
 	})
 	if f != nil {
 		return f
 	}
 	g.metrics.resumed.Inc(1)
-	return g.stream(c, k, &running{call: k, work: work, answer: a, begun: true})
+	return g.stream(c, k, &modelCall{call: k, job: job, answer: a, firstTokenSeen: true})
 }
--- a/internal/entry/gateway/pages.go
+++ b/internal/entry/gateway/pages.go
@@ -14,7 +14,7 @@
 
 // readyz says whether callers may be sent here.
 func (g *Gateway) readyz(c *fiber.Ctx) error {
-	if err := g.parts.Ready(); err != nil {
+	if err := g.deps.Ready(); err != nil {
 		return c.Status(fiber.StatusServiceUnavailable).SendString(err.Error() + "\n")
 	}
 	return c.SendString("ready\n")
@@ -22,7 +22,7 @@
 
 // where names the addresses to use.
 func (g *Gateway) where(c *fiber.Ctx) error {
-	a := g.parts.Directory.Locate(c.Query("data_centre"))
+	a := g.deps.Directory.Locate(c.Query("data_centre"))
 	c.Set(fiber.HeaderCacheControl, "max-age="+strconv.Itoa(int(a.MaxAgeSeconds)))
 	return c.JSON(a)
 }
@@ -32,6 +32,6 @@
 	return c.JSON(openai.NewModelList(g.opts.Models))
 }
 
-func sinceBegan(k *call) time.Duration { return time.Since(k.began) }
+func elapsed(k *call) time.Duration { return time.Since(k.began) }
 
-func timeOf(unixSeconds int64) time.Time { return time.Unix(unixSeconds, 0) }
+func unixTime(unixSeconds int64) time.Time { return time.Unix(unixSeconds, 0) }
--- a/internal/entry/gateway/service.go
+++ b/internal/entry/gateway/service.go
@@ -22,10 +22,10 @@
 func (g *Gateway) service(c *fiber.Ctx) error {
 	g.active.Add(1)
 	defer g.active.Add(-1)
-	k, f := newCall(c, g.parts.NewID())
+	k, f := newCall(c, g.deps.NewID())
 	defer k.end()
 	if f == nil {
-		f = g.decide(c, k, rules.Request{})
+		f = g.applyRules(c, k, rules.Request{})
 	}
 	if f == nil && !g.opts.ServicePools[k.decision.Then.Pool] {
 		f = outcome.Refused(fiber.StatusNotFound, outcome.CodeInvalidRequest,
@@ -41,7 +41,7 @@
 }
 
 // passOn serves a model request that the rules send to a plain service.
-func (g *Gateway) passOn(c *fiber.Ctx, k *call) *outcome.Failure {
+func (g *Gateway) forwardModelRequest(c *fiber.Ctx, k *call) *outcome.Failure {
 	f := g.callService(c, k)
 	if f == nil {
 		k.end()
@@ -56,7 +56,7 @@
 		return f
 	}
 	then := k.decision.Then
-	work := forward.Job{
+	job := forward.Job{
 		Request: serviceRequest(c, k),
 		Route: router.Request{
 			Pool:         then.Pool,
@@ -72,17 +72,17 @@
 	if f := checkKey(then.Protected, key); f != nil {
 		return f
 	}
-	grant, f := g.admit(k, work.Route)
+	grant, f := g.admit(k, job.Route)
 	if f != nil {
 		return f
 	}
-	response, f := g.runService(k, work, key)
+	response, f := g.runService(k, job, key)
 	grant.Release(admissionResult(f), 0)
 	if f != nil {
 		return f
 	}
 	g.metrics.answered.Inc(1)
-	g.metrics.whole.RecordDuration(sinceBegan(k))
+	g.metrics.complete.RecordDuration(elapsed(k))
 	writeResponse(c, k, response)
 	return nil
 }
@@ -104,21 +104,21 @@
 
 // runService runs the call, at most once if it is protected. Of a protected
 // call only an attempt that certainly did not run is made again.
-func (g *Gateway) runService(k *call, work forward.Job, key string) (upstream.ServiceResponse, *outcome.Failure) {
+func (g *Gateway) runService(k *call, job forward.Job, key string) (upstream.ServiceResponse, *outcome.Failure) {
 	if !k.decision.Then.Protected {
-		return g.parts.Services.Call(k.ctx, work)
+		return g.deps.Services.Call(k.ctx, job)
 	}
-	if work.Retry == rules.RetryRepeatable {
-		work.Retry = rules.RetryUnsent
+	if job.Retry == rules.RetryRepeatable {
+		job.Retry = rules.RetryUnsent
 	}
-	protected := ProtectedCall{Organisation: k.organisation, Key: key, Digest: digestOf(work.Request)}
-	return g.parts.Protected.Do(k.ctx, protected, func(ctx context.Context) (upstream.ServiceResponse, *outcome.Failure) {
-		return g.parts.Services.Call(ctx, work)
+	protected := ProtectedCall{Organisation: k.organisation, Key: key, Digest: requestDigest(job.Request)}
+	return g.deps.Protected.Do(k.ctx, protected, func(ctx context.Context) (upstream.ServiceResponse, *outcome.Failure) {
+		return g.deps.Services.Call(ctx, job)
 	})
 }
 
 // digestOf tells a resend of a call from another under the same key.
-func digestOf(r upstream.ServiceRequest) string {
+func requestDigest(r upstream.ServiceRequest) string {
 	sum := stream.NewRequestDigest(r.Method, r.Path, r.Body)
 	return string(sum[:])
 }
--- a/internal/entry/gateway/service_test.go
+++ b/internal/entry/gateway/service_test.go
@@ -66,7 +66,7 @@
 			address := serveTCP(t, func(conn net.Conn, _ *http.Request) { runs.Add(1); _ = conn.Close() })
 			services[name] = serviceclient.New(address, httpx.Options{})
 		}
-		r := newRig(t, &parts{services: services, then: rules.Then{Pool: "s", Retry: retry}})
+		r := newHarness(t, &fakeDeps{services: services, then: rules.Then{Pool: "s", Retry: retry}})
 		response := r.post(t, "/bookings", "x")
 		require.Equal(t, 502, response.StatusCode)
 		require.Equal(t, string(outcome.MayHaveRun), response.Header.Get(outcome.Header))
@@ -86,7 +86,7 @@
 		}
 		reply(conn, "answer to "+string(body))
 	})
-	r := newRig(t, &parts{
+	r := newHarness(t, &fakeDeps{
 		services: map[string]upstream.Service{"s1": serviceclient.New(address, httpx.Options{})},
 		then:     rules.Then{Pool: "s"},
 	})
@@ -96,7 +96,7 @@
 	close(release)
 	for i := range 20 {
 		body := "next" + itoa(i)
-		require.Equal(t, "answer to "+body, read(t, r.post(t, "/bookings", body)))
+		require.Equal(t, "answer to "+body, readBody(t, r.post(t, "/bookings", body)))
 	}
 }
 
@@ -105,11 +105,11 @@
 // queue or a table keeps of the first caller must not turn into the second.
 func TestNothingKeptChangesWithTheNextRequest(t *testing.T) {
 	var kept []admission.Request
-	p := &parts{
+	p := &fakeDeps{
 		engines:  map[string]*fakeEngine{"e1": newEngine(2)},
 		admitted: func(r admission.Request) { kept = append(kept, r) },
 	}
-	r := newRig(t, p)
+	r := newHarness(t, p)
 	conn, err := net.Dial("tcp", r.address)
 	require.NoError(t, err)
 	defer func() { _ = conn.Close() }()
@@ -134,7 +134,7 @@
 // sent, not the bytes of the second.
 func TestCallThatOutlivesItsRequestKeepsItsBody(t *testing.T) {
 	service := &recordingService{calls: make(chan upstream.ServiceRequest, 2)}
-	r := newRig(t, &parts{services: map[string]upstream.Service{"s1": service}, then: rules.Then{Pool: "s"}})
+	r := newHarness(t, &fakeDeps{services: map[string]upstream.Service{"s1": service}, then: rules.Then{Pool: "s"}})
 	conn, err := net.Dial("tcp", r.address)
 	require.NoError(t, err)
 	defer func() { _ = conn.Close() }()
@@ -166,7 +166,7 @@
 func TestProtectedCallNeedsKey(t *testing.T) {
 	service := &recordingService{calls: make(chan upstream.ServiceRequest, 8)}
 	claims := &recordingClaims{}
-	r := newRig(t, &parts{
+	r := newHarness(t, &fakeDeps{
 		services:  map[string]upstream.Service{"s1": service},
 		then:      rules.Then{Pool: "s", Protected: true, Retry: rules.RetryRepeatable},
 		protected: claims,
@@ -179,7 +179,7 @@
 	done := r.post(t, "/bookings?field=3", "x", "Idempotency-Key", "k1", "OpenAI-Organization", "farm")
 	require.Equal(t, 201, done.StatusCode)
 	require.Equal(t, "7", done.Header.Get("X-Slip"))
-	require.Equal(t, "done", read(t, done))
+	require.Equal(t, "done", readBody(t, done))
 	sent := <-service.calls
 	require.Equal(t, "/bookings?field=3", sent.Path)
 	require.NotEmpty(t, sent.AttemptID)
@@ -200,7 +200,7 @@
 // A request that is given up gets its answer at once, though its deadline is an
 // hour away: a caller that is told when to come back can go elsewhere.
 func TestRefusalComesAtOnce(t *testing.T) {
-	r := newRig(t, &parts{
+	r := newHarness(t, &fakeDeps{
 		engines: map[string]*fakeEngine{"e1": newEngine(2)},
 		refuse:  &admission.Refusal{Reason: admission.ReasonQueueFull, RetryAfter: 1500 * time.Millisecond},
 		then:    rules.Then{DeadlineMillis: int(time.Hour / time.Millisecond)},
@@ -216,8 +216,8 @@
 // connections that are half closed get a clear error and hold nothing.
 func TestRequestsThatCannotBeServed(t *testing.T) {
 	engine := newEngine(20)
-	engine.silentAt = 0
-	r := newRig(t, &parts{engines: map[string]*fakeEngine{"e1": engine}}, func(o *gateway.Options) {
+	engine.stallAt = 0
+	r := newHarness(t, &fakeDeps{engines: map[string]*fakeEngine{"e1": engine}}, func(o *gateway.Options) {
 		o.ReadTimeout = 300 * time.Millisecond
 	})
 	for name, tc := range map[string]struct {
--- a/internal/entry/gateway/sse.go
+++ b/internal/entry/gateway/sse.go
@@ -21,9 +21,9 @@
 	// eventsAhead is how many tokens a stream reads ahead of its caller. When
 	// the caller doesn't read, they fill, the engine's connection isn't read
 	// any more, and so the engine waits in its turn.
-	eventsAhead = 8
+	maxBufferedEvents = 8
 	// fillBytes is how much is gathered for one write to the caller.
-	fillBytes = 2048
+	writeBatchBytes = 2048
 )
 
 var (
@@ -44,30 +44,30 @@
 // engine; the connection's own goroutine calls Read, which writes events and,
 // while there are none, heartbeats.
 type sse struct {
-	gateway *Gateway
-	running *running
-	conn    net.Conn
-	chunks  *openai.ChunkEncoder
-	owner   stream.RequestDigest
-	events  chan event
+	gateway   *Gateway
+	modelCall *modelCall
+	conn      net.Conn
+	chunks    *openai.ChunkEncoder
+	digest    stream.RequestDigest
+	events    chan event
 	// closed ends with the body: nobody reads events any more.
 	closed    chan struct{}
 	closeOnce sync.Once
 
 	heartbeat *time.Ticker
 	// extended is when the write deadline was moved last.
-	extended time.Time
-	quiet    bool
-	idPrefix string
-	buf      []byte
-	sent     int
-	over     bool
+	deadlineSetAt time.Time
+	idle          bool
+	idPrefix      string
+	buf           []byte
+	offset        int
+	ended         bool
 }
 
 // stream sends the answer as events. It waits for the first one, so that a
 // request that fails before it gets an ordinary HTTP error, but no longer than
 // until a heartbeat is due.
-func (g *Gateway) stream(c *fiber.Ctx, k *call, r *running) *outcome.Failure {
+func (g *Gateway) stream(c *fiber.Ctx, k *call, r *modelCall) *outcome.Failure {
 	s := g.newSSE(c.Context().Conn(), r, stream.NewRequestDigest(k.organisation, k.path, c.BodyRaw()))
 	g.pumps.Go(s.pump)
 	if f := s.awaitFirst(); f != nil {
@@ -85,15 +85,15 @@
 	return nil
 }
 
-func (g *Gateway) newSSE(conn net.Conn, r *running, owner stream.RequestDigest) *sse {
-	request := &r.work.Request
+func (g *Gateway) newSSE(conn net.Conn, r *modelCall, digest stream.RequestDigest) *sse {
+	request := &r.job.Request
 	return &sse{
 		gateway:   g,
-		running:   r,
+		modelCall: r,
 		conn:      conn,
-		chunks:    openai.NewChunkEncoder(request.Kind, r.work.Answer, request.Model, r.work.Created.Unix()),
-		owner:     owner,
-		events:    make(chan event, eventsAhead),
+		chunks:    openai.NewChunkEncoder(request.Kind, r.job.Answer, request.Model, r.job.Created.Unix()),
+		digest:    digest,
+		events:    make(chan event, maxBufferedEvents),
 		closed:    make(chan struct{}),
 		heartbeat: time.NewTicker(g.opts.Heartbeat),
 	}
@@ -107,7 +107,7 @@
 		if e.failure != nil {
 			return e.failure
 		}
-		s.add(e)
+		s.appendEvent(e)
 	case <-s.heartbeat.C:
 		s.buf = append(s.buf, heartbeatComment...)
 	}
@@ -118,7 +118,7 @@
 func (s *sse) pump() {
 	defer close(s.events)
 	f := s.forwardTokens()
-	s.gateway.finish(s.running, f)
+	s.gateway.finish(s.modelCall, f)
 	last := event{failure: f}
 	if f == nil {
 		last.usage = s.usage()
@@ -132,7 +132,7 @@
 func (s *sse) forwardTokens() *outcome.Failure {
 	attempt := 0
 	for {
-		t, err := s.gateway.next(s.running)
+		t, err := s.gateway.next(s.modelCall)
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
@@ -141,11 +141,11 @@
 			return f
 		}
 		e := event{token: t}
-		if n := s.running.answer.Attempt(); n != attempt {
+		if n := s.modelCall.answer.Attempt(); n != attempt {
 			attempt = n
-			e.idPrefix = s.gateway.parts.Signer.Prefix(s.running.answer.Origin(), s.owner)
+			e.idPrefix = s.gateway.deps.Signer.Prefix(s.modelCall.answer.Origin(), s.digest)
 		}
-		if f := s.offer(e); f != nil {
+		if f := s.send(e); f != nil {
 			return f
 		}
 	}
@@ -154,33 +154,33 @@
 // offer waits until the caller has read enough for one more event. It ends with
 // the call too, so that a caller that doesn't read holds no engine beyond the
 // deadline.
-func (s *sse) offer(e event) *outcome.Failure {
+func (s *sse) send(e event) *outcome.Failure {
 	select {
 	case s.events <- e:
 		return nil
-	case <-s.running.call.ctx.Done():
-		return s.running.answer.ContextFailure(s.running.call.ctx)
+	case <-s.modelCall.call.ctx.Done():
+		return s.modelCall.answer.ContextFailure(s.modelCall.call.ctx)
 	}
 }
 
 func (s *sse) usage() *openai.Usage {
-	prompt, cached := s.running.answer.PromptTokens()
-	u := openai.NewUsage(prompt, cached, s.running.answer.Tokens())
+	prompt, cached := s.modelCall.answer.PromptTokens()
+	u := openai.NewUsage(prompt, cached, s.modelCall.answer.Tokens())
 	return &u
 }
 
 // Read gives the next events to the server, which writes them out at once.
 func (s *sse) Read(p []byte) (int, error) {
-	if s.sent == len(s.buf) {
-		if s.over {
+	if s.offset == len(s.buf) {
+		if s.ended {
 			return 0, io.EOF
 		}
-		s.buf, s.sent = s.buf[:0], 0
+		s.buf, s.offset = s.buf[:0], 0
 		s.fill()
 		s.extendWriteDeadline()
 	}
-	n := copy(p, s.buf[s.sent:])
-	s.sent += n
+	n := copy(p, s.buf[s.offset:])
+	s.offset += n
 	return n, nil
 }
 
@@ -189,38 +189,38 @@
 func (s *sse) extendWriteDeadline() {
 	now := time.Now()
 	timeout := s.gateway.opts.WriteTimeout
-	if now.Sub(s.extended) < timeout/10 {
+	if now.Sub(s.deadlineSetAt) < timeout/10 {
 		return
 	}
-	s.extended = now
+	s.deadlineSetAt = now
 	_ = s.conn.SetWriteDeadline(now.Add(timeout))
 }
 
 // fill waits for an event or a heartbeat, and takes what else is there.
 func (s *sse) fill() {
-	for len(s.buf) == 0 && !s.over {
+	for len(s.buf) == 0 && !s.ended {
 		select {
 		case e, open := <-s.events:
-			s.take(e, open)
+			s.receive(e, open)
 		case <-s.heartbeat.C:
-			if s.quiet {
+			if s.idle {
 				s.buf = append(s.buf, heartbeatComment...)
 			}
-			s.quiet = true
+			s.idle = true
 		}
 	}
-	for len(s.buf) < fillBytes && !s.over {
+	for len(s.buf) < writeBatchBytes && !s.ended {
 		select {
 		case e, open := <-s.events:
-			s.take(e, open)
+			s.receive(e, open)
 		default:
 			return
 		}
 	}
 }
 
-func (s *sse) take(e event, open bool) {
-	s.quiet = false
+func (s *sse) receive(e event, open bool) {
+	s.idle = false
 	if !open {
 		// The pump always ends with a last event, unless it panicked.
 		e = event{failure: &outcome.Failure{
@@ -228,29 +228,29 @@
 			Message: "the stream broke inside the instance", Execution: outcome.MayHaveRun,
 		}}
 	}
-	s.add(e)
+	s.appendEvent(e)
 }
 
 // add appends an event in the form of server-sent events.
-func (s *sse) add(e event) {
+func (s *sse) appendEvent(e event) {
 	switch {
 	case e.failure != nil:
-		s.addFailure(e.failure)
-		s.over = true
+		s.appendFailure(e.failure)
+		s.ended = true
 	case e.usage != nil:
-		if s.running.work.Request.IncludeUsage {
+		if s.modelCall.job.Request.IncludeUsage {
 			s.buf = append(s.buf, "data: "...)
 			s.buf = s.chunks.AppendUsage(s.buf, *e.usage)
 			s.buf = append(s.buf, "\n\n"...)
 		}
 		s.buf = append(s.buf, doneEvent...)
-		s.over = true
+		s.ended = true
 	default:
-		s.addToken(e)
+		s.appendToken(e)
 	}
 }
 
-func (s *sse) addToken(e event) {
+func (s *sse) appendToken(e event) {
 	if e.idPrefix != "" {
 		s.idPrefix = e.idPrefix
 	}
@@ -263,7 +263,7 @@
 
 // addFailure appends the error event of a stream that can't be finished. No
 // [DONE] follows, so the answer can't be taken for a whole one.
-func (s *sse) addFailure(f *outcome.Failure) {
+func (s *sse) appendFailure(f *outcome.Failure) {
 	s.gateway.metrics.failed(f)
 	if f.RetryAfter > 0 {
 		s.buf = append(s.buf, "retry: "...)
@@ -285,7 +285,7 @@
 	s.closeOnce.Do(func() {
 		s.heartbeat.Stop()
 		close(s.closed)
-		s.running.call.end()
+		s.modelCall.call.end()
 		s.gateway.active.Add(-1)
 	})
 	return nil
--- a/internal/entry/gateway/stream_test.go
+++ b/internal/entry/gateway/stream_test.go
@@ -23,14 +23,14 @@
 )
 
 func TestAnswersPlainAndStreamed(t *testing.T) {
-	r := newRig(t, &parts{engines: map[string]*fakeEngine{"e1": newEngine(5)}})
+	r := newHarness(t, &fakeDeps{engines: map[string]*fakeEngine{"e1": newEngine(5)}})
 	plain := r.post(t, path, plainBody)
 	require.Equal(t, 200, plain.StatusCode)
 	require.Equal(t, string(outcome.Completed), plain.Header.Get(outcome.Header))
-	require.Contains(t, read(t, plain), `"text":"`+whole(5)+`"`)
+	require.Contains(t, readBody(t, plain), `"text":"`+fullText(5)+`"`)
 
 	streamed := r.post(t, path, streamBody)
-	body := read(t, streamed)
+	body := readBody(t, streamed)
 	require.Equal(t, "text/event-stream", streamed.Header.Get("Content-Type"))
 	require.Equal(t, 5, strings.Count(body, "id: "))
 	require.Contains(t, body, `"usage":{"prompt_tokens":4,"completion_tokens":5,"total_tokens":9}`)
@@ -44,11 +44,11 @@
 	spent := new(atomic.Bool)
 	engines := map[string]*fakeEngine{"e1": newEngine(12), "e2": newEngine(12)}
 	for _, e := range engines {
-		e.dieAt, e.spent = 5, spent
+		e.dieAt, e.died = 5, spent
 	}
-	r := newRig(t, &parts{engines: engines})
+	r := newHarness(t, &fakeDeps{engines: engines})
 	got, _, last := events(r.post(t, path, streamBody)).tokens(t, -1)
-	require.Equal(t, whole(12), got)
+	require.Equal(t, fullText(12), got)
 	require.Equal(t, "[DONE]", last.data)
 
 	first, second := engines["e1"].seen(), engines["e2"].seen()
@@ -58,7 +58,7 @@
 	require.Len(t, first, 1)
 	require.Len(t, second, 1)
 	require.Equal(t, 5, second[0].PriorTokens)
-	require.Equal(t, whole(5), second[0].Prior)
+	require.Equal(t, fullText(5), second[0].Prior)
 	require.NotEqual(t, first[0].AttemptID, second[0].AttemptID)
 }
 
@@ -80,8 +80,8 @@
 				engines[n] = newEngine(1000)
 				engines[n].dieAt = tc.dieAt
 			}
-			got, _, last := events(newRig(t, &parts{engines: engines}).post(t, path, streamBody)).tokens(t, -1)
-			require.Equal(t, whole(tc.dieAt), got)
+			got, _, last := events(newHarness(t, &fakeDeps{engines: engines}).post(t, path, streamBody)).tokens(t, -1)
+			require.Equal(t, fullText(tc.dieAt), got)
 			require.Equal(t, "error", last.name)
 			require.Contains(t, last.data, `"code":"`+string(tc.code)+`"`)
 			require.Contains(t, last.data, `"outcome":"may-have-run"`)
@@ -96,21 +96,21 @@
 // nothing.
 func TestResumeAtAnotherInstance(t *testing.T) {
 	engine := newEngine(20)
-	engine.silentAt = 8
-	first := newRig(t, &parts{engines: map[string]*fakeEngine{"e1": engine}})
+	engine.stallAt = 8
+	first := newHarness(t, &fakeDeps{engines: map[string]*fakeEngine{"e1": engine}})
 	head, id, _ := events(first.post(t, path, streamBody)).tokens(t, 7)
-	require.Equal(t, whole(7), head)
+	require.Equal(t, fullText(7), head)
 
 	dying := newEngine(20)
 	dying.dieAt = 12
-	second := newRig(t, &parts{engines: map[string]*fakeEngine{"e1": dying, "e2": newEngine(20)}})
+	second := newHarness(t, &fakeDeps{engines: map[string]*fakeEngine{"e1": dying, "e2": newEngine(20)}})
 	tail, _, last := events(second.post(t, path, streamBody, "Last-Event-ID", id)).tokens(t, -1)
-	require.Equal(t, whole(20), head+tail)
+	require.Equal(t, fullText(20), head+tail)
 	require.Equal(t, "[DONE]", last.data)
 
 	stranger := second.post(t, path, streamBody, "Last-Event-ID", id, "OpenAI-Organization", "other")
 	require.Equal(t, 400, stranger.StatusCode)
-	require.Contains(t, read(t, stranger), outcome.CodeInvalidEventID)
+	require.Contains(t, readBody(t, stranger), outcome.CodeInvalidEventID)
 
 	gone := second.post(t, path, streamBody, "Last-Event-ID", id)
 	require.Equal(t, 410, gone.StatusCode)
@@ -122,8 +122,8 @@
 // the caller takes the stream up again elsewhere.
 func TestAbortLeavesStreamsToOtherInstances(t *testing.T) {
 	engine := newEngine(20)
-	engine.silentAt = 4
-	r := newRig(t, &parts{engines: map[string]*fakeEngine{"e1": engine}})
+	engine.stallAt = 4
+	r := newHarness(t, &fakeDeps{engines: map[string]*fakeEngine{"e1": engine}})
 	s := events(r.post(t, path, streamBody))
 	s.tokens(t, 4)
 	r.gateway.Abort()
@@ -141,8 +141,8 @@
 	for name, body := range map[string]string{"plain": plainBody, "streamed": streamBody} {
 		t.Run(name, func(t *testing.T) {
 			engine := newEngine(20)
-			engine.silentAt = 0
-			r := newRig(t, &parts{engines: map[string]*fakeEngine{"e1": engine}}, func(o *gateway.Options) {
+			engine.stallAt = 0
+			r := newHarness(t, &fakeDeps{engines: map[string]*fakeEngine{"e1": engine}}, func(o *gateway.Options) {
 				o.Heartbeat = time.Hour // no write may give the caller's going away
 			})
 			conn, err := net.Dial("tcp", r.address)
@@ -169,8 +169,8 @@
 // and gives up. It must get the headers and heartbeats meanwhile.
 func TestHeartbeatsWhileEngineIsSilent(t *testing.T) {
 	engine := newEngine(20)
-	engine.silentAt = 2
-	r := newRig(t, &parts{engines: map[string]*fakeEngine{"e1": engine}})
+	engine.stallAt = 2
+	r := newHarness(t, &fakeDeps{engines: map[string]*fakeEngine{"e1": engine}})
 	s := events(r.post(t, path, streamBody))
 	s.tokens(t, 2)
 	for range 3 {
@@ -202,7 +202,7 @@
 			engines[n] = newEngine(3)
 			engines[n].refuse = tc.failure
 		}
-		r := newRig(t, &parts{engines: engines, then: rules.Then{Retry: tc.retry}})
+		r := newHarness(t, &fakeDeps{engines: engines, then: rules.Then{Retry: tc.retry}})
 		response := r.post(t, path, plainBody)
 		require.Equal(t, tc.status, response.StatusCode, tc)
 		require.Equal(t, string(tc.ran), response.Header.Get(outcome.Header))
@@ -218,8 +218,8 @@
 // moment, and told that the request may have run.
 func TestDeadline(t *testing.T) {
 	engine := newEngine(3)
-	engine.silentAt = 1
-	r := newRig(t, &parts{engines: map[string]*fakeEngine{"e1": engine}})
+	engine.stallAt = 1
+	r := newHarness(t, &fakeDeps{engines: map[string]*fakeEngine{"e1": engine}})
 	short := strings.Replace(plainBody, ":50", ":3", 1) // admission lets it in
 	response := r.post(t, path, short, "X-Request-Timeout-Ms", "300")
 	require.Equal(t, 504, response.StatusCode)
--- a/internal/entry/gauges.go
+++ b/internal/entry/gauges.go
@@ -10,7 +10,7 @@
 )
 
 // gaugeEvery is the time between two looks at the state.
-const gaugeEvery = time.Second
+const gaugeInterval = time.Second
 
 // gauges shows on the metrics page what the parts of the entry know of
 // themselves.
@@ -29,21 +29,21 @@
 
 // Serve looks until ctx ends.
 func (g *gauges) Serve(ctx context.Context) error {
-	return every(ctx, gaugeEvery, g.look)
+	return runEvery(ctx, gaugeInterval, g.update)
 }
 
-func (g *gauges) look() {
+func (g *gauges) update() {
 	e := g.entry
 	g.set("requests_in_progress", float64(e.gateway.Active()))
 	g.set("kept_text_bytes", float64(e.answers.MemoryBudget.Used()))
 	g.set("local_load", e.load.get())
-	g.lookAtLog()
-	g.lookAtAdmission()
+	g.updateLog()
+	g.updateAdmission()
 	claims := e.claims.Stats()
 	g.set("claims_keys", float64(claims.Keys))
 	g.set("claims_active", float64(claims.Active))
 	g.set("claims_outcomes_dropped", float64(claims.Dropped))
-	g.set("claims_history_complete", truth(claims.Complete))
+	g.set("claims_history_complete", boolGauge(claims.Complete))
 	live := 0
 	for _, m := range e.node.View().Members {
 		if m.State == membership.Live {
@@ -53,20 +53,20 @@
 	g.set("instances_live", float64(live))
 }
 
-func (g *gauges) lookAtLog() {
+func (g *gauges) updateLog() {
 	e := g.entry
 	health, stats := e.journal.Health(), e.journal.Stats()
-	g.set("log_up", truth(health.LogUp))
+	g.set("log_up", boolGauge(health.LogUp))
 	g.set("log_pending_entries", float64(health.Pending))
 	g.set("log_applied_offset", float64(e.journal.Applied().Offset))
 	g.set("log_appends", float64(stats.Appends))
 	g.set("log_appends_failed", float64(stats.FailedAppends))
 	rules := e.rules.Status()
 	g.set("rules_version_offset", float64(rules.InForce.Offset))
-	g.set("rules_settled", truth(rules.Settled))
+	g.set("rules_settled", boolGauge(rules.Settled))
 }
 
-func (g *gauges) lookAtAdmission() {
+func (g *gauges) updateAdmission() {
 	counts := g.entry.admission.Counts()
 	g.set("admission_waiting", float64(counts.Waiting))
 	g.set("admission_admitted", float64(counts.Admitted))
@@ -80,7 +80,7 @@
 func (g *gauges) set(name string, value float64) { g.scope.Gauge(name).Update(value) }
 
 // truth is 1 for true, as gauges are numbers.
-func truth(b bool) float64 {
+func boolGauge(b bool) float64 {
 	if b {
 		return 1
 	}
--- a/internal/entry/inflight/inflight.go
+++ b/internal/entry/inflight/inflight.go
@@ -27,11 +27,11 @@
 
 // NewBook returns a book for the engines named.
 func NewCounter(o Orders, a Applied, engines []string) *Counter {
-	b := &Counter{orders: o, applied: a, counts: make(map[string]*atomic.Int64, len(engines))}
+	c := &Counter{orders: o, applied: a, counts: make(map[string]*atomic.Int64, len(engines))}
 	for _, name := range engines {
-		b.counts[name] = new(atomic.Int64)
+		c.counts[name] = new(atomic.Int64)
 	}
-	return b
+	return c
 }
 
 // Hold counts a request at an engine and reports whether it may go there. If it
@@ -40,13 +40,13 @@
 // It counts first and asks second, which guards against a drain that is applied
 // between the pick and the sending: asked first, the request could be missing
 // from the counts that acknowledge the drain, and then be cut off by the order.
-func (b *Counter) Reserve(engine string) bool {
-	count := b.counts[engine]
+func (c *Counter) Reserve(engine string) bool {
+	count := c.counts[engine]
 	if count == nil {
 		return false
 	}
 	count.Add(1)
-	if b.orders.Snapshot().Engine(engine).TakesWork() {
+	if c.orders.Snapshot().Engine(engine).TakesWork() {
 		return true
 	}
 	count.Add(-1)
@@ -54,8 +54,8 @@
 }
 
 // Release uncounts a held request.
-func (b *Counter) Release(engine string) {
-	if n := b.counts[engine].Add(-1); n < 0 {
+func (c *Counter) Release(engine string) {
+	if n := c.counts[engine].Add(-1); n < 0 {
 		panic("inflight: released more often than held: " + engine)
 	}
 }
@@ -63,10 +63,10 @@
 // Status returns the place in the log up to which drains are obeyed, and the
 // engines that have requests. The position is read before the counts: a request
 // counted too late for it can't have been let through after it.
-func (b *Counter) Status() (journal.Position, map[string]int) {
-	applied := b.applied()
+func (c *Counter) Status() (journal.Position, map[string]int) {
+	applied := c.applied()
 	busy := map[string]int{}
-	for name, count := range b.counts {
+	for name, count := range c.counts {
 		if n := count.Load(); n > 0 {
 			busy[name] = int(n)
 		}
--- a/internal/entry/inflight/inflight_test.go
+++ b/internal/entry/inflight/inflight_test.go
@@ -36,22 +36,22 @@
 		},
 	}
 	o := &fakeOrders{snapshot: orders.Snapshot{Position: journal.Position{Offset: 8}}}
-	book := NewCounter(o, func() journal.Position { return o.snapshot.Position }, []string{"e1"})
+	counter := NewCounter(o, func() journal.Position { return o.snapshot.Position }, []string{"e1"})
 
 	o.before = func() {
 		o.before = nil
-		_, busy := book.Status()
+		_, busy := counter.Status()
 		require.Equal(t, map[string]int{"e1": 1}, busy, "counted before the look")
 		o.snapshot = drained
 	}
-	require.False(t, book.Reserve("e1"))
-	applied, busy := book.Status()
+	require.False(t, counter.Reserve("e1"))
+	applied, busy := counter.Status()
 	require.Equal(t, journal.Position{Offset: 9}, applied)
 	require.Empty(t, busy)
 
 	o.snapshot = orders.Snapshot{}
-	require.True(t, book.Reserve("e1"))
-	book.Release("e1")
-	require.False(t, book.Reserve("unknown"))
-	require.Panics(t, func() { book.Release("e1") })
+	require.True(t, counter.Reserve("e1"))
+	counter.Release("e1")
+	require.False(t, counter.Reserve("unknown"))
+	require.Panics(t, func() { counter.Release("e1") })
 }
--- a/internal/entry/listen_test.go
+++ b/internal/entry/listen_test.go
@@ -16,26 +16,26 @@
 
 // lateListener returns connections that are read late, as on a machine without a free
 // processor.
-type lateListener struct{ net.Listener }
+type slowListener struct{ net.Listener }
 
 // Accept implements net.Listener.
-func (l lateListener) Accept() (net.Conn, error) {
+func (l slowListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
-	return lateConn{c}, err
+	return slowConn{c}, err
 }
 
-const readLate = 75 * time.Millisecond
+const readDelay = 75 * time.Millisecond
 
-type lateConn struct{ net.Conn }
+type slowConn struct{ net.Conn }
 
 // Read implements io.Reader.
-func (c lateConn) Read(p []byte) (int, error) {
-	time.Sleep(readLate)
+func (c slowConn) Read(p []byte) (int, error) {
+	time.Sleep(readDelay)
 	return c.Conn.Read(p)
 }
 
 // NetConn returns the connection that is read late.
-func (c lateConn) NetConn() net.Conn { return c.Conn }
+func (c slowConn) NetConn() net.Conn { return c.Conn }
 
 // Guards against a stop that resets a kept connection on which a request has arrived unread.
 func TestStopAnswersWhatHasArrived(t *testing.T) {
@@ -45,7 +45,7 @@
 	l := newListener("callers", "127.0.0.1:0", nil, app, slog.New(slog.DiscardHandler))
 	require.NoError(t, l.bind())
 	address := l.bound.Addr().String()
-	l.bound = lateListener{l.bound}
+	l.bound = slowListener{l.bound}
 	ctx, stop := context.WithCancel(t.Context())
 	served := make(chan error, 1)
 	go func() { served <- l.Serve(ctx) }()
@@ -55,7 +55,7 @@
 	defer func() { _ = c.Close() }()
 	require.NoError(t, c.SetDeadline(time.Now().Add(time.Minute)))
 	in := bufio.NewReader(c)
-	ask := func() {
+	send := func() {
 		_, err := io.WriteString(c, request)
 		require.NoError(t, err)
 	}
@@ -66,9 +66,9 @@
 		require.NoError(t, err)
 		require.Equal(t, "whole", string(body))
 	}
-	ask()
+	send()
 	receive()
-	ask()
+	send()
 	for l.conns.CloseIdle() > 0 {
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/entry/openai/answer.go
+++ b/internal/entry/openai/answer.go
@@ -42,20 +42,20 @@
 }
 
 // AppendAnswer appends a whole answer.
-func AppendResponse(dst []byte, a Response) []byte {
-	object, before, after := "text_completion", `"text":`, ""
-	if a.Kind == Chat {
-		object, before, after = "chat.completion", `"message":{"role":"assistant","content":`, "}"
+func AppendResponse(dst []byte, r Response) []byte {
+	object, textPrefix, textSuffix := "text_completion", `"text":`, ""
+	if r.Kind == Chat {
+		object, textPrefix, textSuffix = "chat.completion", `"message":{"role":"assistant","content":`, "}"
 	}
-	dst = appendHead(dst, a.ID, object, a.Created, a.Model)
+	dst = appendHead(dst, r.ID, object, r.Created, r.Model)
 	dst = append(dst, `{"index":0,`...)
-	dst = append(dst, before...)
-	dst = AppendString(dst, a.Text)
-	dst = append(dst, after...)
+	dst = append(dst, textPrefix...)
+	dst = AppendString(dst, r.Text)
+	dst = append(dst, textSuffix...)
 	dst = append(dst, `,"finish_reason":`...)
-	dst = AppendString(dst, a.Finish)
+	dst = AppendString(dst, r.Finish)
 	dst = append(dst, `}],"usage":`...)
-	dst = appendUsage(dst, a.Usage)
+	dst = appendUsage(dst, r.Usage)
 	return append(dst, '}')
 }
 
@@ -83,28 +83,28 @@
 // Chunks writes the streamed chunks of one answer. The parts that all chunks
 // share are made once, as a chunk goes out for each token.
 type ChunkEncoder struct {
-	head   string
-	before string
-	after  string
+	head       string
+	textPrefix string
+	textSuffix string
 }
 
 // NewChunks returns the writer for an answer. Created is in Unix seconds.
 func NewChunkEncoder(kind Kind, id, model string, created int64) *ChunkEncoder {
-	object, before, after := "text_completion", `{"index":0,"text":`, `,"finish_reason":`
+	object, textPrefix, textSuffix := "text_completion", `{"index":0,"text":`, `,"finish_reason":`
 	if kind == Chat {
 		object = "chat.completion.chunk"
-		before, after = `{"index":0,"delta":{"content":`, `},"finish_reason":`
+		textPrefix, textSuffix = `{"index":0,"delta":{"content":`, `},"finish_reason":`
 	}
 	head := appendHead(nil, id, object, created, model)
-	return &ChunkEncoder{head: string(head), before: before, after: after}
+	return &ChunkEncoder{head: string(head), textPrefix: textPrefix, textSuffix: textSuffix}
 }
 
 // AppendToken appends the chunk of one token; finish is "" but for the last.
 func (c *ChunkEncoder) AppendToken(dst []byte, text, finish string) []byte {
 	dst = append(dst, c.head...)
-	dst = append(dst, c.before...)
+	dst = append(dst, c.textPrefix...)
 	dst = AppendString(dst, text)
-	dst = append(dst, c.after...)
+	dst = append(dst, c.textSuffix...)
 	if finish == "" {
 		dst = append(dst, "null"...)
 	} else {
@@ -124,7 +124,7 @@
 // AppendString appends a JSON string. Bytes that are no UTF-8 become U+FFFD,
 // so that the result is always valid.
 func AppendString(dst []byte, s string) []byte {
-	if isPlain(s) {
+	if needsNoEscape(s) {
 		dst = append(dst, '"')
 		dst = append(dst, s...)
 		return append(dst, '"')
@@ -134,7 +134,7 @@
 
 // isPlain reports whether a string is its own JSON form, which holds for
 // nearly every token.
-func isPlain(s string) bool {
+func needsNoEscape(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if c := s[i]; c < ' ' || c >= 0x7f || c == '"' || c == '\\' {
 			return false
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -41,7 +41,7 @@
 		Known:      known,
 		Trail:      e.trail,
 		Journal:    e.journal,
-		Quarantine: e.suspects,
+		Quarantine: e.quarantine,
 		Claims:     e.claims,
 		Status:     e.status,
 		Logger:     e.log,
--- a/internal/entry/operators_test.go
+++ b/internal/entry/operators_test.go
@@ -20,7 +20,7 @@
 // doesn't have. "chutectl rules validate -local" refused it and the entry took
 // it: each had its own list of known names, and the entry's was nil, which
 // stands for "not checked".
-func TestEntryKnowsTheNamesThatChutectlKnows(t *testing.T) {
+func TestEntryAndChutectlCheckTheSameNames(t *testing.T) {
 	d, err := settings.Load("../../deploy/kalku-rinda/settings.json")
 	require.NoError(t, err)
 	var services []settings.Upstream
--- a/internal/entry/peerdrains.go
+++ b/internal/entry/peerdrains.go
@@ -20,11 +20,11 @@
 
 	mu sync.Mutex
 	// told is nil once the log has been read.
-	told map[string]bool
+	reported map[string]bool
 }
 
 func newPeerDrains(o inflight.Orders, caughtUp <-chan struct{}) *peerDrains {
-	return &peerDrains{orders: o, caughtUp: caughtUp, told: map[string]bool{}}
+	return &peerDrains{orders: o, caughtUp: caughtUp, reported: map[string]bool{}}
 }
 
 // Avoid implements status.Drains. What was told before still counts: only the
@@ -33,8 +33,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, name := range engines {
-		if p.told != nil {
-			p.told[name] = true
+		if p.reported != nil {
+			p.reported[name] = true
 		}
 	}
 }
@@ -55,25 +55,25 @@
 func (p *peerDrains) Snapshot() *orders.Snapshot {
 	// Whether the log has been read is asked before the snapshot: the other way
 	// round, a drain could be missing from both.
-	told := p.stillTold()
+	reported := p.currentReports()
 	s := p.orders.Snapshot()
-	if len(told) == 0 {
+	if len(reported) == 0 {
 		return s
 	}
 	merged := &orders.Snapshot{Position: s.Position, Engines: maps.Clone(s.Engines)}
-	for _, name := range told {
+	for _, name := range reported {
 		merged.Engines[name] = orders.Engine{Name: name, Change: &orders.Change{Phase: orders.PhaseDraining}}
 	}
 	return merged
 }
 
-func (p *peerDrains) stillTold() []string {
+func (p *peerDrains) currentReports() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	select {
 	case <-p.caughtUp:
-		p.told = nil
+		p.reported = nil
 	default:
 	}
-	return slices.Collect(maps.Keys(p.told))
+	return slices.Collect(maps.Keys(p.reported))
 }
--- a/internal/entry/protect/protect.go
+++ b/internal/entry/protect/protect.go
@@ -31,11 +31,11 @@
 func New(g Guard) *Runner { return &Runner{g} }
 
 // retryRunning is when a resend may find the answer of a call that still runs.
-const retryRunning = time.Second
+const retryAfterRunning = time.Second
 
 // Do implements gateway.Protected.
-func (c *Runner) Do(ctx context.Context, p gateway.ProtectedCall, run gateway.CallFunc) (upstream.ServiceResponse, *outcome.Failure) {
-	result := c.guard.Do(ctx, ScopedKey(p.Organisation, p.Key), digest(p), func(ctx context.Context) (claim.Response, claim.DispatchResult) {
+func (r *Runner) Do(ctx context.Context, p gateway.ProtectedCall, run gateway.CallFunc) (upstream.ServiceResponse, *outcome.Failure) {
+	result := r.guard.Do(ctx, ScopedKey(p.Organisation, p.Key), shortDigest(p), func(ctx context.Context) (claim.Response, claim.DispatchResult) {
 		response, f := run(ctx)
 		switch {
 		case f == nil:
@@ -46,7 +46,7 @@
 			return claim.Response{}, claim.DispatchMayHaveRun
 		}
 	})
-	return answer(ctx, result)
+	return translate(ctx, result)
 }
 
 // KeyOf makes the keys of different organisations different. A UUID of version
@@ -67,15 +67,15 @@
 
 // digest tells a resend from another call under the same key. Its first 64
 // bits do: they guard against a caller's mistake, not against malice.
-func digest(p gateway.ProtectedCall) uint64 {
+func shortDigest(p gateway.ProtectedCall) uint64 {
 	return binary.BigEndian.Uint64([]byte(p.Digest))
 }
 
 // answer puts a result into a caller's terms.
-func answer(ctx context.Context, result claim.Result) (upstream.ServiceResponse, *outcome.Failure) {
+func translate(ctx context.Context, result claim.Result) (upstream.ServiceResponse, *outcome.Failure) {
 	switch r := result.(type) {
 	case claim.Done:
-		return done(r)
+		return completedResponse(r)
 	case claim.NotRun:
 		return upstream.ServiceResponse{}, notRun(ctx, r)
 	case claim.MayHaveRun:
@@ -96,7 +96,7 @@
 // replayedHeader marks an answer that an earlier request with the key got.
 const replayedHeader = "Chute-Replayed"
 
-func done(r claim.Done) (upstream.ServiceResponse, *outcome.Failure) {
+func completedResponse(r claim.Done) (upstream.ServiceResponse, *outcome.Failure) {
 	if !r.ResponseComplete {
 		f := failure(http.StatusConflict, outcome.CodeResponseNotRecorded, outcome.Completed,
 			"the call ran; its answer is no longer kept, or was too large to be")
@@ -122,7 +122,7 @@
 		f.Message += "; whether an earlier one with its key ran is not known now"
 	}
 	if r.Reason == claim.ReasonCallerGone && ctx.Err() != nil {
-		f.Status, f.Code = timeUp(ctx)
+		f.Status, f.Code = contextStatus(ctx)
 	}
 	return f
 }
@@ -130,12 +130,12 @@
 func mayHaveRun(ctx context.Context, r claim.MayHaveRun) *outcome.Failure {
 	switch {
 	case r.Reason == claim.ReasonRunning && ctx.Err() != nil:
-		status, code := timeUp(ctx)
+		status, code := contextStatus(ctx)
 		return failure(status, code, outcome.MayHaveRun,
-			"the time was up while the call may be running; ask again with the same key").WithRetryAfter(retryRunning)
+			"the time was up while the call may be running; ask again with the same key").WithRetryAfter(retryAfterRunning)
 	case r.Reason == claim.ReasonRunning:
 		return failure(http.StatusConflict, outcome.CodeKeyInProgress, outcome.MayHaveRun,
-			"a request with this key may be running; ask again with the same key").WithRetryAfter(retryRunning)
+			"a request with this key may be running; ask again with the same key").WithRetryAfter(retryAfterRunning)
 	case r.Reason == claim.ReasonBrokenOff:
 		return failure(http.StatusBadGateway, outcome.CodeUpstreamBroken, outcome.MayHaveRun,
 			"the service broke off; the call is not run again")
@@ -146,7 +146,7 @@
 }
 
 // timeUp tells a caller that has gone from a deadline that has passed.
-func timeUp(ctx context.Context) (status int, code outcome.Code) {
+func contextStatus(ctx context.Context) (status int, code outcome.Code) {
 	if errors.Is(context.Cause(ctx), callerwatch.ErrGone) {
 		return outcome.StatusCallerGone, outcome.CodeCallerGone
 	}
--- a/internal/entry/protect/protect_test.go
+++ b/internal/entry/protect/protect_test.go
@@ -16,12 +16,12 @@
 )
 
 // fixed is a guard with one answer; it runs the dispatch first.
-type fixed struct {
+type fixedGuard struct {
 	result   claim.Result
 	dispatch claim.DispatchResult
 }
 
-func (f *fixed) Do(ctx context.Context, _ string, _ uint64, d claim.Dispatch) claim.Result {
+func (f *fixedGuard) Do(ctx context.Context, _ string, _ uint64, d claim.Dispatch) claim.Result {
 	_, f.dispatch = d(ctx)
 	return f.result
 }
@@ -59,7 +59,7 @@
 		"answer not kept": {t.Context(), claim.Done{Replayed: true}, 409, outcome.Completed, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, f := New(&fixed{result: tc.result}).Do(tc.ctx, call, func(context.Context) (upstream.ServiceResponse, *outcome.Failure) {
+			_, f := New(&fixedGuard{result: tc.result}).Do(tc.ctx, call, func(context.Context) (upstream.ServiceResponse, *outcome.Failure) {
 				return upstream.ServiceResponse{}, nil
 			})
 			require.NotNil(t, f)
@@ -73,13 +73,13 @@
 
 // A service refuses a booking before running it, and the claim must learn
 // that; one whose connection broke must never be told as not run.
-func TestDispatchTellsWhatRan(t *testing.T) {
+func TestDispatchReportsExecution(t *testing.T) {
 	for f, want := range map[*outcome.Failure]claim.DispatchResult{
 		nil:                             claim.DispatchCompleted,
 		{Execution: outcome.NotRun}:     claim.DispatchNotRun,
 		{Execution: outcome.MayHaveRun}: claim.DispatchMayHaveRun,
 	} {
-		g := &fixed{result: claim.Done{ResponseComplete: true, Replayed: true}}
+		g := &fixedGuard{result: claim.Done{ResponseComplete: true, Replayed: true}}
 		response, failed := New(g).Do(t.Context(), gateway.ProtectedCall{Digest: "12345678"},
 			func(context.Context) (upstream.ServiceResponse, *outcome.Failure) {
 				return upstream.ServiceResponse{}, f
--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -20,7 +20,7 @@
 )
 
 // built returns an entry that doesn't run.
-func built(t *testing.T, d *settings.Deployment, log infra.Log, instance string) *Entry {
+func newTestEntry(t *testing.T, d *settings.Deployment, log infra.Log, instance string) *Entry {
 	metrics := telemetry.NewMetrics("chute-entry", instance)
 	t.Cleanup(func() { _ = metrics.Close() })
 	e, err := New(Config{
@@ -33,10 +33,10 @@
 
 // reading returns an entry of an instance that does
 // nothing but follow the log.
-func reading(t *testing.T, log *journaltest.Log, instance string) *Entry {
+func newFollowingEntry(t *testing.T, log *journaltest.Log, instance string) *Entry {
 	d, err := settings.Load("../../deploy/kalku-rinda/settings.json")
 	require.NoError(t, err)
-	e := built(t, d, log, instance)
+	e := newTestEntry(t, d, log, instance)
 	ctx, stop := context.WithCancel(context.Background())
 	var wg conc.WaitGroup
 	wg.Go(func() { _ = e.journal.Serve(ctx) })
@@ -50,25 +50,25 @@
 // the request in flight, which quarantined it, and only releases were recorded.
 // Every instance's trail must tell it, once, although each instance reports each
 // crash; after a release a new quarantine is told again.
-func TestQuarantineStandsInEveryTrailOnce(t *testing.T) {
+func TestQuarantineIsAuditedOnceOnEachInstance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := journaltest.NewLog()
 		d, err := settings.Load("../../deploy/kalku-rinda/settings.json")
 		require.NoError(t, err)
-		a, b := reading(t, log, d.Instances[0].Name), reading(t, log, d.Instances[1].Name)
+		a, b := newFollowingEntry(t, log, d.Instances[0].Name), newFollowingEntry(t, log, d.Instances[1].Name)
 		digest := quarantine.DigestOf("m", "/v1/completions", []byte("poison"))
 		crash := func(engine string) {
 			for _, e := range []*Entry{a, b} {
-				require.NoError(t, e.suspects.Crashed(t.Context(), engine, "1", []quarantine.Digest{digest}))
+				require.NoError(t, e.quarantine.Crashed(t.Context(), engine, "1", []quarantine.Digest{digest}))
 			}
 		}
 		crash("e1")
 		crash("e2")
-		require.NoError(t, a.suspects.Release(t.Context(), quarantine.Release{Digest: digest, Operator: "anna"}))
+		require.NoError(t, a.quarantine.Release(t.Context(), quarantine.Release{Digest: digest, Operator: "anna"}))
 		crash("e3")
 		crash("e4")
 		synctest.Wait()
-		late := reading(t, log, d.Instances[2].Name)
+		late := newFollowingEntry(t, log, d.Instances[2].Name)
 		record := func(engines string) audit.Record {
 			return audit.Record{
 				Who: a.self.Name + "/entry", What: audit.QuarantineEntered, Target: digest.String(),
--- a/internal/entry/shutdown/shutdown.go
+++ b/internal/entry/shutdown/shutdown.go
@@ -35,25 +35,25 @@
 	// Without it a request that arrives between the last look and the exit is cut off.
 	CloseIdle func() int
 
-	begun   bool
-	beganAt time.Time
+	started   bool
+	startedAt time.Time
 }
 
 // Begin starts the stop. Only the first call counts.
 func (s *State) Begin(now time.Time) {
-	if s.begun {
+	if s.started {
 		return
 	}
-	s.begun = true
-	s.beganAt = now
+	s.started = true
+	s.startedAt = now
 }
 
 // Phase returns the step at a time, with a number of requests in progress.
 func (s *State) Phase(now time.Time, active int) Phase {
-	if !s.begun {
+	if !s.started {
 		return Serving
 	}
-	waited := now.Sub(s.beganAt)
+	waited := now.Sub(s.startedAt)
 	switch {
 	case waited < s.DiscoveryTTL:
 		return Deregistered
@@ -65,13 +65,13 @@
 }
 
 // checkEvery is how often a stopping instance looks whether it may exit.
-const checkEvery = 50 * time.Millisecond
+const checkInterval = 50 * time.Millisecond
 
 // Drain begins the stop and returns when the instance may exit, or when done ends;
 // a nil done never does. Each phase is logged with the requests in progress.
 func (s *State) Drain(done <-chan error, active func() int, log *slog.Logger) {
 	s.Begin(time.Now())
-	ticker := time.NewTicker(checkEvery)
+	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
 	phase := Serving
 	for {
--- a/internal/entry/shutdown/shutdown_test.go
+++ b/internal/entry/shutdown/shutdown_test.go
@@ -13,7 +13,7 @@
 // comes with its kept answer, and a stream is still running; both are cut off
 // if the process exits as soon as it is told. It may exit only when every kept
 // answer has run out and every request has ended, or the grace is over.
-func TestStopWaitsForKeptAnswersAndRequests(t *testing.T) {
+func TestStopWaitsForDiscoveryTTLAndRequests(t *testing.T) {
 	began := time.Unix(1000, 0)
 	s := State{DiscoveryTTL: 5 * time.Second, Grace: 60 * time.Second}
 	require.Equal(t, Serving, s.Phase(began, 0))
--- a/internal/entry/stream/eventid.go
+++ b/internal/entry/stream/eventid.go
@@ -53,7 +53,7 @@
 const macBytes = 16
 
 // idContext separates these codes from other uses of the same secret.
-const idContext = "tamarackchute event id 1\x00"
+const macContext = "tamarackchute event id 1\x00"
 
 // Signer seals and opens event ids. All instances share its secret.
 type Signer struct{ secret []byte }
@@ -69,13 +69,13 @@
 // it covers the origin and the owner, so that a caller can neither make an id
 // nor use one of another's. The token index that follows isn't covered: every
 // index reaches only the caller's own answer.
-func (s *Signer) Prefix(o Origin, owner RequestDigest) string {
-	sealed, err := msgpack.Marshal(&o)
+func (s *Signer) Prefix(o Origin, digest RequestDigest) string {
+	signed, err := msgpack.Marshal(&o)
 	if err != nil {
 		panic(err) // a struct of strings and numbers always has a msgpack form
 	}
-	sealed = append(sealed, s.mac(sealed, owner)...)
-	return idEncoding.EncodeToString(sealed) + "."
+	signed = append(signed, s.mac(signed, digest)...)
+	return idEncoding.EncodeToString(signed) + "."
 }
 
 // AppendID appends the event id of one token.
@@ -86,18 +86,18 @@
 
 // Open checks an event id and returns its origin and token index. The error is
 // ErrEventID.
-func (s *Signer) Open(id string, owner RequestDigest) (Origin, int, error) {
+func (s *Signer) Open(id string, digest RequestDigest) (Origin, int, error) {
 	encoded, number, found := strings.Cut(id, ".")
 	index, err := strconv.Atoi(number)
 	if !found || err != nil || index < 0 {
 		return Origin{}, 0, ErrEventID
 	}
-	sealed, err := idEncoding.DecodeString(encoded)
-	if err != nil || len(sealed) < macBytes {
+	signed, err := idEncoding.DecodeString(encoded)
+	if err != nil || len(signed) < macBytes {
 		return Origin{}, 0, ErrEventID
 	}
-	body, mac := sealed[:len(sealed)-macBytes], sealed[len(sealed)-macBytes:]
-	if !hmac.Equal(mac, s.mac(body, owner)) {
+	body, mac := signed[:len(signed)-macBytes], signed[len(signed)-macBytes:]
+	if !hmac.Equal(mac, s.mac(body, digest)) {
 		return Origin{}, 0, ErrEventID
 	}
 	var o Origin
@@ -107,10 +107,10 @@
 	return o, index, nil
 }
 
-func (s *Signer) mac(body []byte, owner RequestDigest) []byte {
+func (s *Signer) mac(body []byte, digest RequestDigest) []byte {
 	h := hmac.New(sha256.New, s.secret)
-	h.Write([]byte(idContext))
-	h.Write(owner[:])
+	h.Write([]byte(macContext))
+	h.Write(digest[:])
 	h.Write(body)
 	return h.Sum(nil)[:macBytes]
 }
--- a/internal/entry/stream/prior.go
+++ b/internal/entry/stream/prior.go
@@ -14,7 +14,7 @@
 // Used returns the number of bytes kept now.
 func (b *MemoryBudget) Used() int64 { return b.used.Load() }
 
-func (b *MemoryBudget) take(n int) bool {
+func (b *MemoryBudget) reserve(n int) bool {
 	if b.used.Add(int64(n)) <= b.max {
 		return true
 	}
@@ -27,11 +27,11 @@
 // the budget has no room, gives its text up: it streams on in constant memory,
 // and can't be continued if its engine dies. It isn't safe for concurrent use.
 type OutputBuffer struct {
-	budget *MemoryBudget
-	limit  int
-	text   []byte
-	tokens int
-	lost   bool
+	budget    *MemoryBudget
+	limit     int
+	text      []byte
+	tokens    int
+	discarded bool
 }
 
 // NewPrior returns an empty one that keeps up to limit bytes.
@@ -40,37 +40,37 @@
 }
 
 // Add counts one token and keeps its text, if there is room.
-func (p *OutputBuffer) Add(text string) {
-	p.tokens++
-	if p.lost {
+func (o *OutputBuffer) Add(text string) {
+	o.tokens++
+	if o.discarded {
 		return
 	}
-	if len(p.text)+len(text) > p.limit || !p.budget.take(len(text)) {
-		p.Discard()
+	if len(o.text)+len(text) > o.limit || !o.budget.reserve(len(text)) {
+		o.Discard()
 		return
 	}
-	p.text = append(p.text, text...)
+	o.text = append(o.text, text...)
 }
 
 // Skip counts tokens whose text is not known here, as of an answer taken up
 // from another instance.
-func (p *OutputBuffer) Skip(tokens int) {
-	p.tokens += tokens
+func (o *OutputBuffer) Skip(tokens int) {
+	o.tokens += tokens
 	if tokens > 0 {
-		p.Discard()
+		o.Discard()
 	}
 }
 
 // Tokens returns the number of tokens so far, kept or not.
-func (p *OutputBuffer) Tokens() int { return p.tokens }
+func (o *OutputBuffer) Tokens() int { return o.tokens }
 
 // Text returns the whole text so far, and false if it was given up.
-func (p *OutputBuffer) Text() (string, bool) { return string(p.text), !p.lost }
+func (o *OutputBuffer) Text() (string, bool) { return string(o.text), !o.discarded }
 
 // GiveUp drops the text and returns its room to the budget. Call it when the
 // answer ends; it may be called twice.
-func (p *OutputBuffer) Discard() {
-	p.budget.used.Add(-int64(len(p.text)))
-	p.text = nil
-	p.lost = true
+func (o *OutputBuffer) Discard() {
+	o.budget.used.Add(-int64(len(o.text)))
+	o.text = nil
+	o.discarded = true
 }
--- a/internal/entry/stream/stream_test.go
+++ b/internal/entry/stream/stream_test.go
@@ -11,13 +11,13 @@
 // A caller edits the id of an event, or sends an id that it has seen in
 // another's log, so as to read an answer that isn't its own. Each such id must
 // be refused, while its own id opens at any instance that has the secret.
-func TestEventIDOpensOnlyForItsOwner(t *testing.T) {
+func TestEventIDOpensOnlyForItsRequest(t *testing.T) {
 	origin := Origin{Answer: "cmpl-1", Created: 5, Upstream: "Vík-3", Attempt: "a-1", First: 4}
-	owner := NewRequestDigest("farm-1", "/v1/completions", []byte("body"))
-	id := string(AppendID(nil, NewSigner([]byte("secret")).Prefix(origin, owner), 17))
+	digest := NewRequestDigest("farm-1", "/v1/completions", []byte("body"))
+	id := string(AppendID(nil, NewSigner([]byte("secret")).Prefix(origin, digest), 17))
 
 	other := NewSigner([]byte("secret"))
-	got, index, err := other.Open(id, owner)
+	got, index, err := other.Open(id, digest)
 	require.NoError(t, err)
 	require.Equal(t, origin, got)
 	require.Equal(t, 17, index)
@@ -36,14 +36,14 @@
 			return err
 		},
 		"other secret": func() error {
-			_, _, err := NewSigner([]byte("secret2")).Open(id, owner)
+			_, _, err := NewSigner([]byte("secret2")).Open(id, digest)
 			return err
 		},
 		"negative index": func() error {
-			_, _, err := other.Open(strings.Replace(id, ".17", ".-1", 1), owner)
+			_, _, err := other.Open(strings.Replace(id, ".17", ".-1", 1), digest)
 			return err
 		},
-		"empty": func() error { _, _, err := other.Open("", owner); return err },
+		"empty": func() error { _, _, err := other.Open("", digest); return err },
 	} {
 		require.ErrorIs(t, attempt(), ErrEventID, name)
 	}
@@ -54,7 +54,7 @@
 		if forged == id {
 			return
 		}
-		if got, _, err := other.Open(forged, owner); err == nil {
+		if got, _, err := other.Open(forged, digest); err == nil {
 			// The last character of base64 has bits that stand for nothing.
 			require.Equal(t, origin, got)
 		}
@@ -65,7 +65,7 @@
 // for its memory, because each kept its whole text. The text kept must stay
 // within the stream's limit and the process's budget, and come back in full
 // once the streams end.
-func TestPriorStaysWithinBudget(t *testing.T) {
+func TestOutputBuffersStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		budget := NewMemoryBudget(64)
 		streams := []*OutputBuffer{NewOutputBuffer(budget, 30), NewOutputBuffer(budget, 30), NewOutputBuffer(budget, 30)}
--- a/internal/entry/tree.go
+++ b/internal/entry/tree.go
@@ -41,27 +41,27 @@
 // A service that ends is started again by its own supervisor; one that keeps
 // failing is tried at growing intervals and takes nothing else down.
 func (e *Entry) tree() *suture.Supervisor {
-	root := suture.New("entry", e.spec())
+	root := suture.New("entry", e.supervisorSpec())
 	root.Add(e.claims)
 	root.Add(e.node)
-	root.Add(e.learning())
-	root.Add(e.serving())
+	root.Add(e.feedSupervisor())
+	root.Add(e.servingSupervisor())
 	return root
 }
 
-func (e *Entry) base() *suture.Supervisor {
-	s := suture.New("base", e.spec())
+func (e *Entry) baseSupervisor() *suture.Supervisor {
+	s := suture.New("base", e.supervisorSpec())
 	s.Add(e.journal)
 	return s
 }
 
-func (e *Entry) spec() suture.Spec {
-	return suture.Spec{EventHook: e.hook, FailureBackoff: time.Second, Timeout: stopTimeout}
+func (e *Entry) supervisorSpec() suture.Spec {
+	return suture.Spec{EventHook: e.logEvent, FailureBackoff: time.Second, Timeout: stopTimeout}
 }
 
-func (e *Entry) learning() *suture.Supervisor {
-	s := suture.New("learning", e.spec())
-	s.Add(&listFeed{list: e.cfg.List, take: e.listTakers()})
+func (e *Entry) feedSupervisor() *suture.Supervisor {
+	s := suture.New("learning", e.supervisorSpec())
+	s.Add(&listFeed{list: e.cfg.List, consumers: e.listConsumers()})
 	engines := engineNames(e.cfg.Deployment)
 	for _, name := range engines {
 		s.Add(&engineFeed{name: name, engine: e.cfg.Upstreams.Engine(name), tracker: e.tracker})
@@ -73,12 +73,12 @@
 		tracker:    e.tracker,
 		admission:  e.admission,
 		load:       e.load,
-		entries:    e.entries,
+		entries:    e.servingEntries,
 	})
 	s.Add(e.admission)
 	s.Add(e.checkpointer())
 	s.Add(newGauges(e))
-	s.Add(quarantineKeeper{e.suspects, seconds(e.cfg.Deployment.Platform.RetentionSeconds)})
+	s.Add(quarantineService{e.quarantine, seconds(e.cfg.Deployment.Platform.RetentionSeconds)})
 	return s
 }
 
@@ -94,26 +94,26 @@
 }
 
 // quarantineKeeper keeps the quarantine's records in the log.
-type quarantineKeeper struct {
+type quarantineService struct {
 	guard     *quarantine.Guard
 	retention time.Duration
 }
 
-func (k quarantineKeeper) String() string { return "quarantine" }
+func (k quarantineService) String() string { return "quarantine" }
 
 // Serve implements suture.Service.
-func (k quarantineKeeper) Serve(ctx context.Context) error { return k.guard.Serve(ctx, k.retention) }
+func (k quarantineService) Serve(ctx context.Context) error { return k.guard.Serve(ctx, k.retention) }
 
-func (e *Entry) serving() *suture.Supervisor {
-	s := suture.New("serving", e.spec())
-	s.Add(e.callers)
+func (e *Entry) servingSupervisor() *suture.Supervisor {
+	s := suture.New("serving", e.supervisorSpec())
+	s.Add(e.callerWatcher)
 	for _, l := range e.listeners {
 		s.Add(l)
 	}
 	return s
 }
 
-func (e *Entry) hook(event suture.Event) {
+func (e *Entry) logEvent(event suture.Event) {
 	e.log.Warn("supervisor", "event", event.String())
 }
 
@@ -129,7 +129,7 @@
 	}
 	base, stopBase := context.WithCancel(context.Background())
 	defer stopBase()
-	baseDone := e.base().ServeBackground(base)
+	baseDone := e.baseSupervisor().ServeBackground(base)
 	work, stopWork := context.WithCancel(context.Background())
 	defer stopWork()
 	done := e.tree().ServeBackground(work)
@@ -145,7 +145,7 @@
 	<-done
 	e.gateway.Wait()
 	e.answers.Wait()
-	e.crashes.Wait()
+	e.crashDetector.Wait()
 	stopBase()
 	<-baseDone
 	return nil
@@ -157,7 +157,7 @@
 	e.directory.BeginShutdown()
 	e.gateway.BeginShutdown()
 	e.node.Leave()
-	e.stop.CloseIdle = callers.CloseIdle
-	e.stop.Drain(done, func() int { return max(e.gateway.Active(), callers.Active()) }, e.log)
+	e.shutdown.CloseIdle = callers.CloseIdle
+	e.shutdown.Drain(done, func() int { return max(e.gateway.Active(), callers.Active()) }, e.log)
 	callers.Wait()
 }
