--- a/internal/entry/answer/answer.go
+++ b/internal/entry/answer/answer.go
@@ -10,25 +10,26 @@
 	"tamarackchute/upstream"
 )
 
-// Answer is one running answer. It is for one goroutine, but for Close.
+// Answer is the response to one model request while it is produced. It is for
+// use by one goroutine at a time.
 type Answer struct {
 	runner *Runner
-	work   Job
-	prior  *stream.OutputBuffer
+	job    Job
+	output *stream.OutputBuffer
 
 	attempt *attempt
-	// tried names the engines that the next attempt keeps away from.
-	tried []string
-	tries dispatch.State
-	// waited is how long it has looked for an engine since it lost one.
-	waited time.Duration
-	// noSplit keeps prefill and decode together after a handoff has failed.
+	// excluded names the engines that the next attempt must not use.
+	excluded   []string
+	retryState dispatch.State
+	// waitedForEngine is the total time spent waiting for another engine.
+	waitedForEngine time.Duration
+	// noSplit keeps prefill and decode on one engine after a KV transfer has failed.
 	noSplit bool
-	// deliverFrom is the index of the first token that the caller lacks: above
-	// 0 for an answer taken up again.
+	// deliverFrom is the index of the first token that the caller doesn't have:
+	// above 0 for a resumed answer.
 	deliverFrom int
 
-	// origin is that of the last token's attempt.
+	// origin identifies the attempt that produced the last token.
 	origin stream.Origin
 
 	promptTokens, cachedTokens int
@@ -44,14 +45,14 @@
 				return upstream.Token{}, f
 			}
 		}
-		t, err := a.attempt.next(ctx, a.prior.Tokens())
+		t, err := a.attempt.next(ctx, a.output.Tokens())
 		if err != nil {
-			if f := a.lose(ctx, err); f != nil {
+			if f := a.handleStreamFailure(ctx, err); f != nil {
 				return upstream.Token{}, f
 			}
 			continue
 		}
-		a.accept(t)
+		a.record(t)
 		if t.Index >= a.deliverFrom {
 			return t, nil
 		}
@@ -59,48 +60,48 @@
 	return upstream.Token{}, io.EOF
 }
 
-// accept books a token that came in its place.
-func (a *Answer) accept(t upstream.Token) {
+// record takes a token with the expected index into the answer's state.
+func (a *Answer) record(t upstream.Token) {
 	if t.PromptTokens > 0 {
 		a.promptTokens, a.cachedTokens = t.PromptTokens, t.CachedTokens
 	}
 	if a.origin.Attempt != a.attempt.id {
-		a.origin = a.attempt.origin(a.work)
+		a.origin = a.attempt.origin(a.job)
 	}
 	if t.Finish == "" {
-		a.prior.Add(t.Text)
+		a.output.Add(t.Text)
 		return
 	}
-	a.prior.Skip(1)
+	a.output.Skip(1)
 	a.finished = true
 	a.endAttempt(nil, false)
 }
 
-// Origin returns what an instance needs to take the answer up from the attempt
-// that gave the last token.
+// Origin returns what any instance needs to resume the answer from the attempt
+// that produced the last token.
 func (a *Answer) Origin() stream.Origin { return a.origin }
 
-// Attempt returns the number of the attempt that runs, counted from 1.
-func (a *Answer) Attempt() int { return a.tries.Attempts() }
+// Attempt returns the number of the current attempt, counted from 1.
+func (a *Answer) Attempt() int { return a.retryState.Attempts() }
 
-// PromptTokens returns the engine's count of the prompt, or the estimate if the
-// engine gave none, and how many of them came from its cache.
+// PromptTokens returns the engine's count of the prompt's tokens, or the estimate
+// if the engine gave none, and how many of them came from its prefix cache.
 func (a *Answer) PromptTokens() (all, cached int) {
 	if a.promptTokens == 0 {
-		return a.work.Request.PromptTokens, 0
+		return a.job.Request.PromptTokens, 0
 	}
 	return a.promptTokens, a.cachedTokens
 }
 
-// Tokens returns the number of tokens of the answer so far.
-func (a *Answer) Tokens() int { return a.prior.Tokens() }
+// Tokens returns the number of tokens produced so far.
+func (a *Answer) Tokens() int { return a.output.Tokens() }
 
-// Close ends the answer; the engine's work is cancelled unless it is done. It
-// must not run at the same time as Next.
+// Close ends the answer and cancels the engine's work unless it is complete. It
+// must not run concurrently with Next.
 func (a *Answer) Close() {
 	if a.attempt != nil {
 		a.endAttempt(context.Canceled, false)
 	}
 	a.finished = true
-	a.prior.Discard()
+	a.output.Discard()
 }
--- a/internal/entry/answer/attempt.go
+++ b/internal/entry/answer/attempt.go
@@ -12,72 +12,73 @@
 	"tamarackchute/upstream"
 )
 
-// attempt is one run at one engine.
+// attempt is one execution of the request at one engine.
 type attempt struct {
 	id     string
 	engine string
-	// holds names the engines at which the request is counted as in flight. A
-	// prefill engine stays among them until the end: the KV cache that it
-	// exports must not be lost to a change.
-	holds []string
-	// first is the index of its first token.
-	first  int
-	stream upstream.TokenStream
-	ticket *router.Ticket
-	run    *crash.Run
-	began  bool
-	// produced counts the tokens that came in their place.
+	// reserved names the engines at which the request is counted as in flight. A
+	// prefill engine stays among them until the end, so that no role change
+	// drops the KV cache that it exports.
+	reserved []string
+	// first is the index of the attempt's first token.
+	first          int
+	stream         upstream.TokenStream
+	ticket         *router.Ticket
+	run            *crash.Run
+	firstTokenSeen bool
+	// produced counts the tokens received with the expected index.
 	produced int
 }
 
-// acquitAfter is how many tokens a suspected request must give on an engine of
-// its own before it counts as innocent: what crashed the former engine was
-// further on than that, or something else.
-const acquitAfter = 4
+// clearAfterTokens is how many tokens a suspected request must produce in
+// isolation before it is no longer a suspect: the crash of the earlier engine then
+// had another cause, or comes later in the output.
+const clearAfterTokens = 4
 
-func (t *attempt) origin(w Job) stream.Origin {
+func (t *attempt) origin(job Job) stream.Origin {
 	return stream.Origin{
-		Answer:   w.Answer,
-		Created:  w.Created.Unix(),
+		Answer:   job.Answer,
+		Created:  job.Created.Unix(),
 		Upstream: t.engine,
 		Attempt:  t.id,
 		First:    t.first,
 	}
 }
 
-// gapError says that an engine left tokens out.
-type gapError struct{ want, got int }
+// missingTokensError says that an engine skipped tokens.
+type missingTokensError struct{ want, got int }
 
-func (e *gapError) Error() string {
-	return fmt.Sprintf("token %d came where %d was due", e.got, e.want)
+func (e *missingTokensError) Error() string {
+	return fmt.Sprintf("received token %d, expected token %d", e.got, e.want)
 }
 
-// Unwrap makes a gap count as broken off: the tokens missing won't come.
-func (e *gapError) Unwrap() error { return upstream.ErrBroken }
+// Unwrap makes the error count as a broken stream: the missing tokens will not
+// be sent later.
+func (e *missingTokensError) Unwrap() error { return upstream.ErrBroken }
 
-// next returns the token with the index that is due. Tokens before it, which an
-// engine may send again after a resume, are dropped; one after it means that
-// some are missing.
-func (t *attempt) next(ctx context.Context, due int) (upstream.Token, error) {
+// next returns the token with the expected index. It drops earlier tokens, which
+// an engine may send again after a resume; a later one means that tokens are
+// missing.
+func (t *attempt) next(ctx context.Context, expected int) (upstream.Token, error) {
 	for {
 		token, err := t.stream.Next(ctx)
 		if errors.Is(err, io.EOF) {
-			// The end without a finish reason is a short answer.
+			// A stream that ends without a finish reason is truncated.
 			return upstream.Token{}, fmt.Errorf("%w: ended without a finish reason", upstream.ErrBroken)
 		}
 		if err != nil {
 			return upstream.Token{}, err
 		}
-		if !t.began {
-			t.began = true
+		if !t.firstTokenSeen {
+			t.firstTokenSeen = true
 			t.ticket.FirstToken()
 		}
-		if token.Index > due {
-			return upstream.Token{}, &gapError{want: due, got: token.Index}
+		if token.Index > expected {
+			return upstream.Token{}, &missingTokensError{want: expected, got: token.Index}
 		}
-		if token.Index == due {
+		if token.Index == expected {
 			t.ticket.Tokens(1)
-			if t.produced++; t.produced == acquitAfter {
+			if t.produced++; t.produced == clearAfterTokens {
 				t.run.Clear()
 			}
 			return token, nil
@@ -85,7 +86,7 @@
 	}
 }
 
-// routerOutcome says in the router's terms how an attempt ended.
+// routerOutcome classifies the end of an attempt for the router.
 func routerOutcome(err error, ctxEnded bool) router.Outcome {
 	switch {
 	case err == nil:
@@ -94,7 +95,7 @@
 		return router.OutcomeNotSent
 	case errors.Is(err, context.DeadlineExceeded):
 		return router.OutcomeTimeout
-	case ctxEnded, errors.Is(err, context.Canceled), errors.Is(err, errNoTurn):
+	case ctxEnded, errors.Is(err, context.Canceled), errors.Is(err, errIsolationConflict):
 		return router.OutcomeCancelled
 	case errors.Is(err, upstream.ErrRefused):
 		return router.OutcomeRefused
@@ -103,7 +104,7 @@
 	}
 }
 
-// crashResult says in the quarantine's terms how an attempt ended.
+// crashResult classifies the end of an attempt for crash detection.
 func crashResult(err error, ctxEnded bool) crash.Result {
 	switch {
 	case err == nil:
--- a/internal/entry/answer/doc.go
+++ b/internal/entry/answer/doc.go
@@ -1,7 +1,7 @@
-// Package answer runs one model request to its end, over as many attempts as
-// its retry class and what was already sent allow.
+// Package answer runs one model request to completion, in as many attempts as
+// its retry class and the state of the response allow.
 //
-// An Answer gives the tokens of the whole answer in order, each once. It opens
-// an attempt at the engine that the router picks; if that engine refuses, dies
-// or breaks off, it goes on at another from the prompt and the tokens so far.
+// An Answer returns the tokens of the response in order, each exactly once. It
+// opens an attempt at the engine that the router picks. If that engine refuses,
+// crashes or breaks off, it continues at another from the prompt and the tokens so far.
 package answer
--- a/internal/entry/answer/fail.go
+++ b/internal/entry/answer/fail.go
@@ -14,34 +14,35 @@
 )
 
 const (
-	statusQuarantined = http.StatusUnprocessableEntity
-	statusNoUpstream  = http.StatusServiceUnavailable
-	retryNoUpstream   = time.Second
-	// retryElsewhere is next to nothing: other instances serve.
-	retryElsewhere = 100 * time.Millisecond
-	// cancelTimeout bounds a cancel whose caller no longer waits.
+	statusQuarantined    = http.StatusUnprocessableEntity
+	statusNoUpstream     = http.StatusServiceUnavailable
+	retryAfterNoUpstream = time.Second
+	// retryAfterStopping is short because other instances serve the retry.
+	retryAfterStopping = 100 * time.Millisecond
+	// cancelTimeout bounds a cancellation that runs in the background.
 	cancelTimeout = time.Second
 )
 
-// fail returns a failure that says what is known of the request's running.
+// fail returns a failure that states whether the request may have run.
 func (a *Answer) fail(status int, code outcome.Code, cause error, message string) *outcome.Failure {
-	return &outcome.Failure{Status: status, Code: code, Message: message, Execution: outcome.ExecutionOf(a.tries.MayHaveRun()), Cause: cause}
+	return &outcome.Failure{Status: status, Code: code, Message: message, Execution: outcome.ExecutionOf(a.retryState.MayHaveRun()), Cause: cause}
 }
 
-func (a *Answer) quarantined(cause error) *outcome.Failure {
+func (a *Answer) quarantineFailure(cause error) *outcome.Failure {
 	f := a.fail(statusQuarantined, outcome.CodeQuarantined, cause,
 		"the request has crashed engines and is kept from others")
-	var held *quarantine.Error
-	if errors.As(cause, &held) {
-		f.RetryAfter = held.RetryAfter
+	var quarantineErr *quarantine.Error
+	if errors.As(cause, &quarantineErr) {
+		f.RetryAfter = quarantineErr.RetryAfter
 		f.Message = fmt.Sprintf("the request was in flight when %d engines crashed and is kept from others; "+
-			"an operator may release it as %s", len(held.Verdict.Upstreams), held.Digest)
+			"an operator may release it as %s", len(quarantineErr.Verdict.Upstreams), quarantineErr.Digest)
 	}
 	return f
 }
 
 // ContextFailure returns the failure of an answer whose context has ended: the
-// deadline has passed, or the caller has gone.
+// deadline has passed, the caller has closed its connection, or the instance is
+// stopping.
 func (a *Answer) ContextFailure(ctx context.Context) *outcome.Failure {
 	cause := context.Cause(ctx)
 	if errors.Is(cause, callerwatch.ErrGone) {
@@ -49,16 +50,16 @@
 	}
 	if errors.Is(cause, outcome.ErrStopping) {
 		return a.fail(http.StatusServiceUnavailable, outcome.CodeStopping, cause,
-			"the instance is stopping; take the stream up again at another").WithRetryAfter(retryElsewhere)
+			"the instance is stopping; take the stream up again at another").WithRetryAfter(retryAfterStopping)
 	}
 	return a.fail(http.StatusGatewayTimeout, outcome.CodeDeadline, cause, "the deadline has passed")
 }
 
-// upstreamFailure is the failure of an answer that ran out of attempts.
-func (a *Answer) upstreamFailure(err error, unsent bool) *outcome.Failure {
-	if unsent {
+// upstreamFailure returns the failure of an answer that has no attempt left.
+func (a *Answer) upstreamFailure(err error, notRun bool) *outcome.Failure {
+	if notRun {
 		f := a.fail(statusNoUpstream, outcome.CodeNoUpstream, err, "the engines took no work")
-		return f.WithRetryAfter(retryNoUpstream)
+		return f.WithRetryAfter(retryAfterNoUpstream)
 	}
 	if errors.Is(err, upstream.ErrBroken) {
 		return a.fail(http.StatusBadGateway, outcome.CodeUpstreamBroken, err, "the engine broke off")
@@ -66,20 +67,21 @@
 	return a.fail(http.StatusBadGateway, outcome.CodeUpstreamError, err, "the engine answered with an error")
 }
 
-// lose handles an attempt that was taken and then broke off. It returns the
-// final failure, or nil if the answer may go on elsewhere.
-func (a *Answer) lose(ctx context.Context, err error) *outcome.Failure {
-	a.tried = append(a.tried, a.attempt.engine)
+// handleStreamFailure handles an attempt whose stream was opened and then broke
+// off. It returns the final failure, or nil if another engine may continue.
+func (a *Answer) handleStreamFailure(ctx context.Context, err error) *outcome.Failure {
+	a.excluded = append(a.excluded, a.attempt.engine)
 	if errors.Is(context.Cause(ctx), outcome.ErrStopping) {
-		// Not closed, so not cancelled: the engine sees the connection end with
-		// the process, and keeps the stream for whoever takes it up again.
+		// The stream isn't closed, as that would cancel it at the engine. The engine
+		// sees the connection end with the process and keeps the stream, so that
+		// the caller can resume it at another instance.
 		a.attempt.stream = nil
 	}
 	a.endAttempt(err, cancelled(ctx))
 	if cancelled(ctx) {
 		return a.ContextFailure(ctx)
 	}
-	if _, kept := a.prior.Text(); !kept {
+	if _, complete := a.output.Text(); !complete {
 		return a.fail(http.StatusBadGateway, outcome.CodeStreamLost, err,
 			"the engine died and the answer had grown too long to be continued elsewhere")
 	}
@@ -89,8 +91,8 @@
 	return nil
 }
 
-// cancelUnanswered drops what an engine may be doing for a call that ended
-// before the engine had answered it.
+// cancelUnanswered cancels in the background what an engine may be doing for a
+// call that ended before the engine responded.
 func (a *Answer) cancelUnanswered(ctx context.Context, engine upstream.Engine, id string, err error) {
 	if !cancelled(ctx) || errors.Is(err, upstream.ErrNotSent) {
 		return
--- a/internal/entry/answer/open.go
+++ b/internal/entry/answer/open.go
@@ -14,16 +14,16 @@
 	"tamarackchute/upstream"
 )
 
-// open starts attempts until an engine has taken the request. It returns the
-// final failure if none will.
+// open starts attempts until an engine accepts the request. It returns the final
+// failure if none does.
 func (a *Answer) open(ctx context.Context) *outcome.Failure {
 	for {
 		if ctx.Err() != nil {
 			return a.ContextFailure(ctx)
 		}
-		suspected, err := a.runner.CrashDetector.Check(a.work.Digest)
+		suspected, err := a.runner.CrashDetector.Check(a.job.Digest)
 		if err != nil {
-			return a.quarantined(err)
+			return a.quarantineFailure(err)
 		}
 		plan, route, f := a.pick(suspected)
 		if f != nil {
@@ -32,55 +32,55 @@
 			}
 			return f
 		}
-		if !a.hold(plan) {
+		if !a.reserve(plan) {
 			continue
 		}
 		err = a.dispatch(ctx, plan, route, suspected)
 		if err == nil {
 			return nil
 		}
-		if errors.Is(err, errEngineLeaves) {
-			a.planAnew()
+		if errors.Is(err, errEngineShuttingDown) {
+			a.replan()
 			continue
 		}
-		if f := a.notTaken(ctx, err); f != nil {
+		if f := a.handleNotAccepted(ctx, err); f != nil {
 			return f
 		}
 	}
 }
 
-// errEngineLeaves says that the engine planned for the answer has begun to
-// leave before the request was sent to it.
-var errEngineLeaves = errors.New("the engine has begun to leave")
+// errEngineShuttingDown says that the planned engine began to shut down before
+// the request was sent to it.
+var errEngineShuttingDown = errors.New("the planned engine is shutting down")
 
-// errNoTurn says that the request may not run on the engine now because another
-// suspect does: to the request it is a refusal, but not the engine's own. Booked as
-// one, it had the only engine left ejected, again and again, until the streams that
-// waited for their turn there had waited too long.
-var errNoTurn = fmt.Errorf("another suspect runs there: %w", upstream.ErrRefused)
+// errIsolationConflict says that the request may not run on the engine now because
+// another suspect runs there. It counts as a refusal for the request but not for the
+// engine: recorded as the engine's own, such refusals ejected the only engine left
+// until the streams that waited for it had exceeded MaxEngineWait.
+var errIsolationConflict = fmt.Errorf("another suspected request runs on the engine: %w", upstream.ErrRefused)
 
-// planAnew gives a plan up whose engine leaves. No attempt was made, so it
-// counts as none, whatever the rule's retry class.
-func (a *Answer) planAnew() {
-	a.tries.RemoveAttempt()
-	a.tried = append(a.tried, a.attempt.engine)
+// replan drops a plan whose engine is shutting down. Nothing was sent, so it
+// doesn't count as an attempt, whatever the rule's retry class.
+func (a *Answer) replan() {
+	a.retryState.RemoveAttempt()
+	a.excluded = append(a.excluded, a.attempt.engine)
 	a.endAttempt(context.Canceled, true)
 }
 
-// engineLook is the time between two looks for an engine.
-const engineLook = 100 * time.Millisecond
+// engineRetryInterval is the time between two tries to find an engine.
+const engineRetryInterval = 100 * time.Millisecond
 
-// waitForEngine waits a little and reports whether to look for an engine again.
-// Only a request that has lost its engine waits: to refuse it would cut off an
-// answer, whereas a new one is better told at once to come back. After a crash
-// all that were in flight are suspects, who take turns on the other engines.
+// waitForEngine waits for one interval and reports whether to pick an engine
+// again. Only a request that has lost its engine waits, as refusing it would cut
+// off an answer; a new request is better refused at once. After a crash all requests
+// that were in flight are suspects and run one at a time on the other engines.
 func (a *Answer) waitForEngine(ctx context.Context) bool {
-	if !a.tries.MayHaveRun() || a.waited >= a.runner.MaxEngineWait {
+	if !a.retryState.MayHaveRun() || a.waitedForEngine >= a.runner.MaxEngineWait {
 		return false
 	}
-	a.waited += engineLook
-	a.tried = nil
-	timer := time.NewTimer(engineLook)
+	a.waitedForEngine += engineRetryInterval
+	a.excluded = nil
+	timer := time.NewTimer(engineRetryInterval)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -89,46 +89,46 @@
 	return true
 }
 
-// pick asks the router. A suspected request stays on one engine, where no other
-// suspect runs.
+// pick asks the router for a plan. A suspected request isn't split and runs only
+// on an engine without other suspects.
 func (a *Answer) pick(suspected bool) (router.Plan, router.Request, *outcome.Failure) {
-	route := a.work.Route
-	route.Exclude = a.tried
-	route.NoSplit = route.NoSplit || a.noSplit || suspected || a.prior.Tokens() > 0
-	route.OutputTokens = max(1, route.OutputTokens-a.prior.Tokens())
+	route := a.job.Route
+	route.Exclude = a.excluded
+	route.NoSplit = route.NoSplit || a.noSplit || suspected || a.output.Tokens() > 0
+	route.OutputTokens = max(1, route.OutputTokens-a.output.Tokens())
 	if suspected {
-		digest := a.work.Digest
+		digest := a.job.Digest
 		route.MayRunOn = func(engine string) bool { return a.runner.CrashDetector.MayRunOn(engine, digest) }
 	}
 	plan, err := a.runner.Tracker.Pick(route)
 	if err != nil {
-		return plan, route, a.noEngine(err)
+		return plan, route, a.noEngineFailure(err)
 	}
 	return plan, route, nil
 }
 
-func (a *Answer) noEngine(err error) *outcome.Failure {
-	var lack *router.NoUpstreamError
-	if errors.As(err, &lack) && lack.Reason == router.NoUpstreamIsolation {
-		return a.quarantined(a.runner.CrashDetector.IsolationError(a.work.Digest))
+func (a *Answer) noEngineFailure(err error) *outcome.Failure {
+	var noUpstream *router.NoUpstreamError
+	if errors.As(err, &noUpstream) && noUpstream.Reason == router.NoUpstreamIsolation {
+		return a.quarantineFailure(a.runner.CrashDetector.IsolationError(a.job.Digest))
 	}
 	f := a.fail(statusNoUpstream, outcome.CodeNoUpstream, err, "no engine can take the request now")
-	return f.WithRetryAfter(retryNoUpstream)
+	return f.WithRetryAfter(retryAfterNoUpstream)
 }
 
-// hold counts the request at the plan's engines. If one of them has begun to be
-// drained since the pick, nothing is counted and that engine is left out.
-func (a *Answer) hold(plan router.Plan) bool {
-	holds := a.runner.InFlight
-	if !holds.Reserve(plan.Engine) {
-		a.tried = append(a.tried, plan.Engine)
+// reserve counts the request as in flight at the plan's engines. If one of them
+// has started to drain since the pick, it counts nothing and excludes that engine.
+func (a *Answer) reserve(plan router.Plan) bool {
+	inFlight := a.runner.InFlight
+	if !inFlight.Reserve(plan.Engine) {
+		a.excluded = append(a.excluded, plan.Engine)
 		return false
 	}
-	if plan.Prefill == "" || holds.Reserve(plan.Prefill) {
+	if plan.Prefill == "" || inFlight.Reserve(plan.Prefill) {
 		return true
 	}
-	holds.Release(plan.Engine)
-	a.tried = append(a.tried, plan.Prefill)
+	inFlight.Release(plan.Engine)
+	a.excluded = append(a.excluded, plan.Prefill)
 	return false
 }
 
@@ -140,21 +140,21 @@
 	}
 }
 
-// dispatch sends the request to the plan's engines. The attempt is booked
-// before a byte goes out and stays booked if this succeeds.
+// dispatch sends the request to the plan's engines. The attempt is recorded
+// before anything is sent and remains the current one if dispatch succeeds.
 func (a *Answer) dispatch(ctx context.Context, plan router.Plan, route router.Request, suspected bool) error {
-	a.tries.RecordAttempt()
+	a.retryState.RecordAttempt()
 	t := &attempt{
-		id:     a.runner.NewID(),
-		engine: plan.Engine,
-		holds:  []string{plan.Engine, plan.Prefill},
-		first:  a.prior.Tokens(),
-		ticket: a.runner.Tracker.Begin(plan, route),
+		id:       a.runner.NewID(),
+		engine:   plan.Engine,
+		reserved: []string{plan.Engine, plan.Prefill},
+		first:    a.output.Tokens(),
+		ticket:   a.runner.Tracker.Begin(plan, route),
 	}
 	a.attempt = t
 	var err error
-	if t.run, err = a.runner.CrashDetector.Begin(ctx, plan.Engine, a.work.Digest, suspected); err != nil {
-		return errNoTurn
+	if t.run, err = a.runner.CrashDetector.Begin(ctx, plan.Engine, a.job.Digest, suspected); err != nil {
+		return errIsolationConflict
 	}
 	request := a.generateRequest(t.id)
 	if plan.Prefill != "" {
@@ -165,11 +165,11 @@
 		request.KV = &handle
 		t.ticket.PrefillDone()
 	}
-	// Waiting for the prompt elsewhere, or for a suspect's turn, takes seconds.
-	// An engine that has begun to leave meanwhile must not get new work: the
-	// platform could stop it, and with it the answer.
+	// A prefill on another engine, or the wait for isolation, can take seconds. An
+	// engine that began to shut down meanwhile must not get new work: the platform
+	// could stop it and cut the answer off.
 	if t.ticket.EngineShuttingDown() {
-		return errEngineLeaves
+		return errEngineShuttingDown
 	}
 	engine := a.runner.Engines.Engine(plan.Engine)
 	if engine == nil {
@@ -177,15 +177,15 @@
 	}
 	t.stream, err = engine.Generate(ctx, request)
 	if err == nil {
-		a.tries.RecordRun()
+		a.retryState.RecordRun()
 		return nil
 	}
 	a.cancelUnanswered(ctx, engine, t.id, err)
 	return err
 }
 
-// prefillError is a failure of the prefill half of a split plan. The engine to
-// blame isn't the one that the attempt's ticket names.
+// prefillError is a failure of the prefill phase of a split plan. The engine that
+// failed isn't the one that the attempt's ticket names.
 type prefillError struct {
 	engine string
 	cause  error
@@ -196,91 +196,91 @@
 // Unwrap returns the cause.
 func (e *prefillError) Unwrap() error { return e.cause }
 
-func (a *Answer) prefill(ctx context.Context, plan router.Plan, q upstream.GenerateRequest) (upstream.KVHandle, error) {
+func (a *Answer) prefill(ctx context.Context, plan router.Plan, request upstream.GenerateRequest) (upstream.KVHandle, error) {
 	engine := a.runner.Engines.Engine(plan.Prefill)
 	if engine == nil {
 		return upstream.KVHandle{}, &prefillError{plan.Prefill, upstream.ErrNotSent}
 	}
-	run, err := a.runner.CrashDetector.Begin(ctx, plan.Prefill, a.work.Digest, false)
+	run, err := a.runner.CrashDetector.Begin(ctx, plan.Prefill, a.job.Digest, false)
 	if err != nil {
 		return upstream.KVHandle{}, &prefillError{plan.Prefill, upstream.ErrRefused}
 	}
-	handle, err := engine.Prefill(ctx, q)
+	handle, err := engine.Prefill(ctx, request)
 	run.End(prefillResult(err, cancelled(ctx)))
 	if err == nil {
 		return handle, nil
 	}
-	a.cancelUnanswered(ctx, engine, q.AttemptID, err)
+	a.cancelUnanswered(ctx, engine, request.AttemptID, err)
 	if !cancelled(ctx) {
-		// A booking of its own tells the router who failed.
-		own := router.Plan{Engine: plan.Prefill}
-		a.runner.Tracker.Begin(own, router.Request{}).End(routerOutcome(err, false))
+		// A separate ticket reports the failure for the prefill engine.
+		prefillPlan := router.Plan{Engine: plan.Prefill}
+		a.runner.Tracker.Begin(prefillPlan, router.Request{}).End(routerOutcome(err, false))
 	}
 	return handle, &prefillError{plan.Prefill, err}
 }
 
-// notTaken handles an attempt that no engine took. It returns the final
-// failure, or nil if another attempt may be made.
-func (a *Answer) notTaken(ctx context.Context, err error) *outcome.Failure {
-	unsent := errors.Is(err, upstream.ErrNotSent) || errors.Is(err, upstream.ErrRefused)
-	var half *prefillError
-	if errors.As(err, &half) {
-		// The decode engine did nothing wrong.
+// handleNotAccepted handles an attempt that no engine accepted. It returns the
+// final failure, or nil if another attempt may be made.
+func (a *Answer) handleNotAccepted(ctx context.Context, err error) *outcome.Failure {
+	notRun := errors.Is(err, upstream.ErrNotSent) || errors.Is(err, upstream.ErrRefused)
+	var prefillErr *prefillError
+	if errors.As(err, &prefillErr) {
+		// The decode engine didn't fail.
 		a.noSplit = true
-		a.tried = append(a.tried, half.engine)
+		a.excluded = append(a.excluded, prefillErr.engine)
 		a.endAttempt(context.Canceled, false)
 	} else {
-		a.tried = append(a.tried, a.attempt.engine)
+		a.excluded = append(a.excluded, a.attempt.engine)
 		a.endAttempt(err, cancelled(ctx))
 	}
-	fate := dispatch.NotRun
-	if !unsent {
-		fate = dispatch.MayHaveRun
-		a.tries.RecordRun()
-	} else if a.tries.MayHaveRun() {
-		// The answer goes on as soon as an engine takes it; EngineWait bounds
-		// the looking, not the number of engines that refuse meanwhile.
-		a.tries.RemoveAttempt()
+	execution := dispatch.NotRun
+	if !notRun {
+		execution = dispatch.MayHaveRun
+		a.retryState.RecordRun()
+	} else if a.retryState.MayHaveRun() {
+		// A started answer is limited by MaxEngineWait, not by the number of engines
+		// that refuse it meanwhile.
+		a.retryState.RemoveAttempt()
 	}
 	if cancelled(ctx) {
 		return a.ContextFailure(ctx)
 	}
-	// An attempt that certainly did not run adds nothing to the load, so only
-	// others draw on the retry budget.
-	if a.tries.Next(fate, !unsent) == dispatch.Retry {
+	// An attempt that certainly did not run added no load, so only other attempts
+	// consume the retry budget.
+	if a.retryState.Next(execution, !notRun) == dispatch.Retry {
 		return nil
 	}
-	return a.upstreamFailure(err, unsent)
+	return a.upstreamFailure(err, notRun)
 }
 
-// mayContinue reports whether an answer whose engine died may go on elsewhere.
-// A stream may in every class but never: its caller already has a part of the
-// answer, so the only other end would be a broken one. Continuations are
-// bounded by the streams that a dead engine had, and by the attempts of each,
-// so they go without the retry budget.
+// mayContinue reports whether another engine may continue an answer whose engine
+// failed. A stream may in every class except never, as its caller already has a
+// part of the answer. Continuations are bounded by the failed engine's streams and
+// by the attempts of each, so they don't consume the retry budget.
 func (a *Answer) mayContinue() bool {
-	if !a.work.Request.Stream {
-		return a.tries.Next(dispatch.MayHaveRun, true) == dispatch.Retry
+	if !a.job.Request.Stream {
+		return a.retryState.Next(dispatch.MayHaveRun, true) == dispatch.Retry
 	}
-	return !a.tries.Exhausted() && a.work.Retry != rules.RetryNever
+	return !a.retryState.Exhausted() && a.job.Retry != rules.RetryNever
 }
 
-// endAttempt closes the attempt's books. A nil error means that its answer came
-// whole.
+// endAttempt releases what the attempt holds and reports its result. A nil error
+// means that the response is complete.
 func (a *Answer) endAttempt(err error, ctxEnded bool) {
 	t := a.attempt
 	a.attempt = nil
 	if t.stream != nil {
 		_ = t.stream.Close()
 	}
-	a.release(t.holds...)
+	a.release(t.reserved...)
 	t.ticket.End(routerOutcome(err, ctxEnded))
 	if t.run != nil {
 		t.run.End(crashResult(err, ctxEnded))
 	}
 }
 
-// prefillResult is the result of a prefill, which is no whole answer.
+// prefillResult returns the result of a prefill. A successful one proves nothing,
+// as it isn't a complete response.
 func prefillResult(err error, ctxEnded bool) crash.Result {
 	if err == nil {
 		return crash.Inconclusive
--- a/internal/entry/answer/resume.go
+++ b/internal/entry/answer/resume.go
@@ -10,23 +10,23 @@
 	"tamarackchute/upstream"
 )
 
-// Place is where an answer is taken up again.
+// ResumePoint is the point from which an answer is resumed.
 type ResumePoint struct {
 	Engine, Attempt string
-	// First is the index of the attempt's first token, Last that of the last
-	// token that the caller has.
+	// First is the index of the attempt's first token, Last the index of the last
+	// token that the caller has received.
 	First, Last int
 }
 
-// Resume returns the answer that an event id names, from the token after the
-// last one that the caller has. It asks the engine for the whole attempt and keeps
-// the tokens that the caller has already, so that the answer can still go on
-// elsewhere if this engine dies.
-func (r *Runner) Resume(ctx context.Context, w Job, from ResumePoint) (*Answer, *outcome.Failure) {
-	a := r.Start(w)
-	a.tries.RecordRun()
+// Resume returns the answer that an event id names, from the token after the last
+// one that the caller has. It requests the attempt from its first token and buffers
+// the tokens that the caller already has, so that another engine can still continue
+// the answer if this one fails.
+func (r *Runner) Resume(ctx context.Context, job Job, from ResumePoint) (*Answer, *outcome.Failure) {
+	a := r.Start(job)
+	a.retryState.RecordRun()
 	a.deliverFrom = from.Last + 1
-	a.prior.Skip(from.First)
+	a.output.Skip(from.First)
 	engine := r.Engines.Engine(from.Engine)
 	if engine == nil {
 		return nil, a.fail(http.StatusGone, outcome.CodeStreamLost, nil, "the engine of this answer is gone")
@@ -35,31 +35,31 @@
 		return nil, a.fail(http.StatusGone, outcome.CodeStreamLost, nil,
 			"the engine of this answer is being changed; ask again without Last-Event-ID")
 	}
-	run, err := r.CrashDetector.Begin(ctx, from.Engine, w.Digest, false)
+	run, err := r.CrashDetector.Begin(ctx, from.Engine, job.Digest, false)
 	if err != nil {
 		a.release(from.Engine)
-		return nil, a.quarantined(err)
+		return nil, a.quarantineFailure(err)
 	}
-	route := w.Route
+	route := job.Route
 	route.OutputTokens = max(1, route.OutputTokens-from.Last)
 	plan := router.Plan{Engine: from.Engine, CachedTokens: route.PromptTokens}
 	t := &attempt{
-		id:     from.Attempt,
-		engine: from.Engine,
-		holds:  []string{from.Engine},
-		first:  from.First,
-		run:    run,
-		ticket: r.Tracker.Begin(plan, route),
+		id:       from.Attempt,
+		engine:   from.Engine,
+		reserved: []string{from.Engine},
+		first:    from.First,
+		run:      run,
+		ticket:   r.Tracker.Begin(plan, route),
 	}
 	a.attempt = t
-	a.tries.RecordAttempt()
+	a.retryState.RecordAttempt()
 	t.stream, err = engine.Resume(ctx, from.Attempt, from.First)
 	if err == nil {
 		return a, nil
 	}
 	f := a.resumeFailure(ctx, err)
 	a.endAttempt(err, cancelled(ctx))
-	a.prior.Discard()
+	a.output.Discard()
 	return nil, f
 }
 
@@ -72,7 +72,7 @@
 			"the engine no longer knows this answer; ask again without Last-Event-ID")
 	case errors.Is(err, upstream.ErrRefused):
 		return a.fail(http.StatusServiceUnavailable, outcome.CodeOverload, err,
-			"the engine takes no work now").WithRetryAfter(retryNoUpstream)
+			"the engine takes no work now").WithRetryAfter(retryAfterNoUpstream)
 	default:
 		return a.fail(http.StatusBadGateway, outcome.CodeStreamLost, err,
 			"the engine of this answer has died; ask again without Last-Event-ID")
--- a/internal/entry/answer/runner.go
+++ b/internal/entry/answer/runner.go
@@ -16,19 +16,19 @@
 	"tamarackchute/upstream"
 )
 
-// Books picks engines and books attempts; router.Tracker is one.
+// Tracker picks engines and records attempts; router.Tracker implements it.
 type Tracker interface {
 	Pick(r router.Request) (router.Plan, error)
 	Begin(p router.Plan, r router.Request) *router.Ticket
 }
 
-// Engines finds the adapter of an engine, or nil if the name is unknown.
+// Engines returns the adapter of an engine, or nil if the name is unknown.
 type Engines interface {
 	Engine(name string) upstream.Engine
 }
 
-// Suspects keeps requests that crash engines from crashing more of them;
-// crash.Watch is one.
+// CrashDetector keeps requests that crash engines from crashing more of them;
+// crash.Detector implements it.
 type CrashDetector interface {
 	Check(d quarantine.Digest) (suspected bool, err error)
 	MayRunOn(engine string, d quarantine.Digest) bool
@@ -36,15 +36,15 @@
 	IsolationError(d quarantine.Digest) error
 }
 
-// Holds counts requests at engines for the drains that precede orders;
-// inflight.Book is one.
+// InFlight counts requests at engines for the drains that precede orders;
+// inflight.Counter implements it.
 type InFlight interface {
 	Reserve(engine string) bool
 	Release(engine string)
 }
 
-// Retries bounds what failures may add to the load; it counts one more attempt
-// and reports whether that may be made.
+// RetryBudget bounds the load that retries add. Allow counts one more attempt and
+// reports whether it may be made.
 type RetryBudget interface {
 	Allow() bool
 }
@@ -58,61 +58,61 @@
 	CrashDetector CrashDetector
 	RetryBudget   RetryBudget
 	MemoryBudget  *stream.MemoryBudget
-	// PriorLimit bounds the text kept of one answer, in bytes.
+	// MaxBufferedBytes bounds the text kept of one answer, in bytes.
 	MaxBufferedBytes int
 	// MaxAttempts bounds the attempts of one request.
 	MaxAttempts int
-	// EngineWait bounds how long a request that has lost its engine looks for
-	// another, over all its losses.
+	// MaxEngineWait bounds the total time that a request waits for another engine
+	// after it has lost one.
 	MaxEngineWait time.Duration
 	NewID         func() string
 
-	// background holds cancels whose caller no longer waits.
+	// background runs cancellations that nobody waits for.
 	background conc.WaitGroup
 }
 
-// Work is one model request with what the rules made of it.
+// Job is one model request with its route and the settings of the matched rule.
 type Job struct {
 	Request openai.Request
 	Route   router.Request
 	Retry   rules.RetryClass
 	Digest  quarantine.Digest
-	// Answer is the answer's id as the caller sees it.
+	// Answer is the response's id as the caller sees it.
 	Answer  string
 	Created time.Time
 }
 
 // Start returns the answer of a request. Nothing is sent until its first Next.
-func (r *Runner) Start(w Job) *Answer {
+func (r *Runner) Start(job Job) *Answer {
 	return &Answer{
 		runner: r,
-		work:   w,
-		tries: dispatch.New(dispatch.Policy{
-			Mode: dispatch.RetryModeOf(w.Retry), MaxAttempts: r.MaxAttempts, CountNotRun: true, AllowRetry: r.RetryBudget.Allow,
+		job:    job,
+		retryState: dispatch.New(dispatch.Policy{
+			Mode: dispatch.RetryModeOf(job.Retry), MaxAttempts: r.MaxAttempts, CountNotRun: true, AllowRetry: r.RetryBudget.Allow,
 		}),
-		prior: stream.NewOutputBuffer(r.MemoryBudget, r.MaxBufferedBytes),
+		output: stream.NewOutputBuffer(r.MemoryBudget, r.MaxBufferedBytes),
 	}
 }
 
-// Wait returns once the cancels under way are done.
+// Wait returns once the cancellations in progress have ended.
 func (r *Runner) Wait() { r.background.Wait() }
 
-// generateRequest is the request for the next attempt.
+// generateRequest returns the engine request of an attempt.
 func (a *Answer) generateRequest(attempt string) upstream.GenerateRequest {
-	text, _ := a.prior.Text()
-	q := &a.work.Request
+	text, _ := a.output.Text()
+	request := &a.job.Request
 	return upstream.GenerateRequest{
 		AttemptID:   attempt,
-		Model:       q.Model,
-		Adapter:     q.Adapter,
-		Prompt:      q.Prompt,
+		Model:       request.Model,
+		Adapter:     request.Adapter,
+		Prompt:      request.Prompt,
 		Prior:       text,
-		PriorTokens: a.prior.Tokens(),
-		MaxTokens:   q.MaxTokens,
-		Priority:    a.work.Route.Priority,
+		PriorTokens: a.output.Tokens(),
+		MaxTokens:   request.MaxTokens,
+		Priority:    a.job.Route.Priority,
 	}
 }
 
 // cancelled reports whether the context ended the attempt, in which case the
-// engine is not to blame.
+// engine has not failed.
 func cancelled(ctx context.Context) bool { return ctx.Err() != nil }
--- a/internal/entry/answer/wait_test.go
+++ b/internal/entry/answer/wait_test.go
@@ -23,54 +23,56 @@
 	"tamarackchute/upstream"
 )
 
-// crowd is two engines, of which the first crashes with all that it runs.
-type crowd struct {
-	world
+// crashingFleet has two engines, of which the first crashes with all its requests.
+type crashingFleet struct {
+	fakeFleet
 	crashes *crash.Detector
 	down    chan struct{}
 }
 
-func (c *crowd) Check(d quarantine.Digest) (bool, error)     { return c.crashes.Check(d) }
-func (c *crowd) MayRunOn(e string, d quarantine.Digest) bool { return c.crashes.MayRunOn(e, d) }
-func (c *crowd) IsolationError(d quarantine.Digest) error    { return c.crashes.IsolationError(d) }
-func (c *crowd) Reserve(string) bool                         { return true }
-func (c *crowd) Release(string)                              {}
-func (c *crowd) Engine(name string) upstream.Engine          { return crowdEngine{engine{&c.world, name}, c} }
-func (c *crowd) Append(context.Context, journal.Entry) (journal.Position, error) {
+func (c *crashingFleet) Check(d quarantine.Digest) (bool, error)     { return c.crashes.Check(d) }
+func (c *crashingFleet) MayRunOn(e string, d quarantine.Digest) bool { return c.crashes.MayRunOn(e, d) }
+func (c *crashingFleet) IsolationError(d quarantine.Digest) error    { return c.crashes.IsolationError(d) }
+func (c *crashingFleet) Reserve(string) bool                         { return true }
+func (c *crashingFleet) Release(string)                              {}
+func (c *crashingFleet) Engine(name string) upstream.Engine {
+	return crashingEngine{fakeEngine{&c.fakeFleet, name}, c}
+}
+func (c *crashingFleet) Append(context.Context, journal.Entry) (journal.Position, error) {
 	return journal.Position{}, errors.New("the log is down")
 }
 
-func (c *crowd) Begin(ctx context.Context, e string, d quarantine.Digest, s bool) (*crash.Run, error) {
+func (c *crashingFleet) Begin(ctx context.Context, e string, d quarantine.Digest, s bool) (*crash.Run, error) {
 	return c.crashes.Begin(ctx, e, d, s)
 }
 
-type crowdEngine struct {
-	engine
-	crowd *crowd
+type crashingEngine struct {
+	fakeEngine
+	fleet *crashingFleet
 }
 
-func (e crowdEngine) Generate(_ context.Context, r upstream.GenerateRequest) (upstream.TokenStream, error) {
+func (e crashingEngine) Generate(_ context.Context, r upstream.GenerateRequest) (upstream.TokenStream, error) {
 	if e.name == "e0" {
 		select {
-		case <-e.crowd.down:
+		case <-e.fleet.down:
 			return nil, upstream.ErrNotSent
 		default:
-			return &doomed{down: e.crowd.down}, nil
+			return &doomedStream{down: e.fleet.down}, nil
 		}
 	}
 	if e.name == "e1" && r.PriorTokens == 0 {
-		return nil, upstream.ErrRefused // so that all begin at the other
+		return nil, upstream.ErrRefused // so that all requests start on e0
 	}
-	return &script{fault: fault{dieAfter: total + 1}, next: r.PriorTokens}, nil
+	return &scriptedStream{fault: fault{dieAfter: totalTokens + 1}, next: r.PriorTokens}, nil
 }
 
-// doomed gives one token, and breaks when its engine goes down.
-type doomed struct {
+// doomedStream returns one token and breaks when its engine goes down.
+type doomedStream struct {
 	down chan struct{}
 	sent bool
 }
 
-func (d *doomed) Next(context.Context) (upstream.Token, error) {
+func (d *doomedStream) Next(context.Context) (upstream.Token, error) {
 	if !d.sent {
 		d.sent = true
 		return upstream.Token{Text: word(0)}, nil
@@ -79,18 +81,17 @@
 	return upstream.Token{}, upstream.ErrBroken
 }
 
-func (*doomed) Close() error { return nil }
+func (*doomedStream) Close() error { return nil }
 
-// An engine dies with twenty streams, and one other is left. All twenty are
-// suspects and may use it only one after the other; the nineteen that don't get
-// it at first were refused in an earlier form of this code, in the middle of
-// their answers. Each must wait its turn and come to its end.
+// An engine crashes with twenty streams, and one other engine is left. All twenty
+// are suspects and may run there only one at a time. Guards against refusing the
+// nineteen that have to wait, which would cut their answers off.
 func TestStreamsOfADeadEngineTakeTurns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := &crowd{down: make(chan struct{})}
+		c := &crashingFleet{down: make(chan struct{})}
 		guard := quarantine.NewGuard(quarantine.DefaultConfig(), c, "w", nil)
 		c.crashes = crash.New(guard, func(context.Context, string) error { return upstream.ErrNotSent })
-		runner := newRunner(&c.world, 2)
+		runner := newRunner(&c.fakeFleet, 2)
 		runner.Engines, runner.InFlight, runner.CrashDetector = c, c, c
 		runner.MaxEngineWait, runner.MaxAttempts = time.Minute, 4
 		var ids atomic.Int64
@@ -99,8 +100,8 @@
 		for i := range 20 {
 			wg.Go(func() {
 				a := runner.Start(Job{
-					Request: openai.Request{Model: "m", MaxTokens: total, Stream: true},
-					Route:   router.Request{Pool: "p", Model: "m", OutputTokens: total},
+					Request: openai.Request{Model: "m", MaxTokens: totalTokens, Stream: true},
+					Route:   router.Request{Pool: "p", Model: "m", OutputTokens: totalTokens},
 					Retry:   rules.RetryUnsent,
 					Digest:  quarantine.Digest{A: uint64(i)},
 				})
@@ -115,7 +116,7 @@
 					require.False(t, errors.As(err, &f), "%v", f)
 					got++
 				}
-				require.Equal(t, total, got)
+				require.Equal(t, totalTokens, got)
 			})
 		}
 		synctest.Wait()
@@ -125,20 +126,20 @@
 	})
 }
 
-// An engine dies, and its streams look for another at once. Only one of them may run
-// there at a time; each of the others that asked between the look and the start was
-// booked as a refusal of the engine's. Three of them had it ejected, though it had
-// refused nothing, and the streams waited for an engine that nobody sent work to.
-func TestWaitingForATurnIsNoRefusal(t *testing.T) {
-	c := &crowd{down: make(chan struct{})}
+// An engine crashes, and its streams pick another one at the same time, on which only
+// one suspect may run. Guards against recording an isolation conflict between the pick
+// and the start as the engine's refusal: three such refusals ejected a healthy engine,
+// and the streams waited for an engine that got no work.
+func TestIsolationConflictIsNoRefusal(t *testing.T) {
+	c := &crashingFleet{down: make(chan struct{})}
 	close(c.down)
-	runner := newRunner(&c.world, 2)
-	runner.Engines, runner.InFlight, runner.CrashDetector = c, c, taken{}
+	runner := newRunner(&c.fakeFleet, 2)
+	runner.Engines, runner.InFlight, runner.CrashDetector = c, c, occupiedEngines{}
 	runner.MaxAttempts = 10
 	for range 5 {
 		a := runner.Start(Job{
-			Request: openai.Request{Model: "m", MaxTokens: total, Stream: true},
-			Route:   router.Request{Pool: "p", Model: "m", OutputTokens: total, Exclude: []string{"e0"}},
+			Request: openai.Request{Model: "m", MaxTokens: totalTokens, Stream: true},
+			Route:   router.Request{Pool: "p", Model: "m", OutputTokens: totalTokens, Exclude: []string{"e0"}},
 			Retry:   rules.RetryUnsent,
 		})
 		_, err := a.Next(t.Context())
@@ -151,12 +152,14 @@
 	require.Zero(t, e1.FailureRate)
 }
 
-// taken is the answer of a quarantine under which another suspect runs everywhere.
-type taken struct{}
+// occupiedEngines is a crash detector by which another suspect runs on every engine.
+type occupiedEngines struct{}
 
-func (taken) Check(quarantine.Digest) (bool, error)   { return true, nil }
-func (taken) MayRunOn(string, quarantine.Digest) bool { return true }
-func (taken) IsolationError(quarantine.Digest) error  { return errors.New("another suspect runs") }
-func (taken) Begin(context.Context, string, quarantine.Digest, bool) (*crash.Run, error) {
+func (occupiedEngines) Check(quarantine.Digest) (bool, error)   { return true, nil }
+func (occupiedEngines) MayRunOn(string, quarantine.Digest) bool { return true }
+func (occupiedEngines) IsolationError(quarantine.Digest) error {
+	return errors.New("another suspect runs")
+}
+func (occupiedEngines) Begin(context.Context, string, quarantine.Digest, bool) (*crash.Run, error) {
 	return nil, errors.New("another suspect runs")
 }
