--- a/internal/entry/crash/crash.go
+++ b/internal/entry/crash/crash.go
@@ -1,5 +1,5 @@
-// Package crash tells the quarantine which requests were in flight when an
-// engine died.
+// Package crash detects engine crashes and reports the requests that were in flight
+// there to the quarantine.
 package crash
 
 import (
@@ -14,7 +14,8 @@
 	"tamarackchute/upstream"
 )
 
-// Guard answers what may run where; quarantine.Guard is one.
+// Quarantine decides which requests may run on which engine and records crashes;
+// quarantine.Guard implements it.
 type Quarantine interface {
 	Check(d quarantine.Digest) (quarantine.Verdict, error)
 	MayRunOn(upstream string, d quarantine.Digest) bool
@@ -24,27 +25,27 @@
 	Waiting(d quarantine.Digest) *quarantine.Error
 }
 
-// Probe asks an engine for a sign of life. An error that matches
-// upstream.ErrNotSent means that nothing listens there.
+// Probe checks whether an engine responds. An error that matches
+// upstream.ErrNotSent means that nothing listens at its address.
 type Probe func(ctx context.Context, engine string) error
 
 const (
-	// probes are made this often, probeGap apart. A process that died is gone
-	// for longer than that, even if something restarts it.
+	// An engine is probed probeAttempts times, probeInterval apart. A crashed process
+	// is down for longer than that, even if a supervisor restarts it.
 	probeAttempts = 3
 	probeInterval = 50 * time.Millisecond
 	probeTimeout  = 200 * time.Millisecond
-	// reportWait is how long a broken request waits for the log to take the
-	// report. The report goes on behind it.
+	// reportWait is how long a request that broke off waits until the crash report is
+	// in the log. The report itself continues in the background.
 	reportWait    = 200 * time.Millisecond
 	reportTimeout = 5 * time.Second
-	// isolateTimeout bounds the wait for the log to take an isolation. Without
-	// the log the suspects are kept apart within this process.
+	// isolateTimeout bounds the wait until an isolation is in the log. While the log is
+	// unavailable, suspects are isolated only within this process.
 	isolateTimeout = 250 * time.Millisecond
 )
 
-// Watch knows the requests in flight at each engine. It is safe for use by many
-// goroutines.
+// Detector tracks the requests in flight at each engine and finds out whether an
+// engine has crashed. It is safe for concurrent use.
 type Detector struct {
 	quarantine Quarantine
 	probe      Probe
@@ -55,7 +56,7 @@
 	tasks   conc.WaitGroup
 }
 
-// New returns a watch that reports to a guard.
+// New returns a detector that reports crashes to a quarantine.
 func New(q Quarantine, p Probe) *Detector {
 	return &Detector{
 		quarantine: q,
@@ -65,10 +66,10 @@
 	}
 }
 
-// Wait returns once the reports under way are done.
+// Wait returns once all checks and reports in progress have ended.
 func (det *Detector) Wait() { det.tasks.Wait() }
 
-// Check reports whether a request is suspected, or its refusal if it is
+// Check reports whether a request is suspected, and returns an error if it is
 // quarantined.
 func (det *Detector) Check(d quarantine.Digest) (suspected bool, err error) {
 	v, err := det.quarantine.Check(d)
@@ -80,23 +81,24 @@
 	return det.quarantine.MayRunOn(engine, d)
 }
 
-// Waiting returns the refusal of a suspect that found no engine to itself.
+// IsolationError returns the refusal of a suspect that found no engine without
+// other suspects.
 func (det *Detector) IsolationError(d quarantine.Digest) error { return det.quarantine.Waiting(d) }
 
-// Result says how a run ended.
+// Result says how a run at an engine ended.
 type Result uint8
 
 // The results of a run.
 const (
-	// Ended is a run that says nothing: cancelled, refused, never sent.
+	// Inconclusive is a run that was cancelled, refused or never sent.
 	Inconclusive Result = iota
-	// Answered is a run that got its whole answer.
+	// Completed is a run that received its complete response.
 	Completed
-	// Broken is a run that broke off, maybe because the engine died.
+	// Broken is a run that broke off, possibly because the engine crashed.
 	Broken
 )
 
-// Run is one request at one engine.
+// Run is one request in flight at one engine.
 type Run struct {
 	detector  *Detector
 	engine    string
@@ -104,8 +106,9 @@
 	isolation *quarantine.Isolation
 }
 
-// Begin books a request at an engine before anything is sent there. A suspected
-// one gets the engine without other suspects, or quarantine.ErrReserved.
+// Begin records a request as in flight at an engine before anything is sent. A
+// suspected request is isolated from other suspects there, or Begin returns
+// quarantine.ErrReserved.
 func (det *Detector) Begin(ctx context.Context, engine string, d quarantine.Digest, suspected bool) (*Run, error) {
 	r := &Run{detector: det, engine: engine, digest: d}
 	if suspected {
@@ -127,7 +130,7 @@
 }
 
 // End ends the run. After Broken it returns once it is known whether the engine
-// died, so that the request doesn't go to the next engine as an innocent one.
+// crashed, so that a suspect isn't sent to the next engine as an unsuspected request.
 func (r *Run) End(result Result) {
 	det := r.detector
 	switch result {
@@ -144,9 +147,9 @@
 	}
 }
 
-// Acquit ends the isolation of a suspected run that has got further than the
-// one that made it a suspect. If its engine crashes after that, it is a suspect
-// for the first time again. It must not run at the same time as End.
+// Clear ends the isolation of a suspected run once it counts as not having caused
+// the earlier crash. If its engine crashes after that, it becomes a suspect as if
+// for the first time. Clear must not run concurrently with End.
 func (r *Run) Clear() {
 	if r.isolation == nil {
 		return
@@ -155,7 +158,8 @@
 	r.isolation = nil
 }
 
-// endIsolation writes to the log, which may be slow; nobody waits for it.
+// endIsolation ends an isolation in the background, as it writes to the log, which
+// may be slow.
 func (det *Detector) endIsolation(i *quarantine.Isolation, passed bool) {
 	det.tasks.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
@@ -164,15 +168,15 @@
 	})
 }
 
-// check finds out whether one engine has died.
+// crashCheck is a check in progress of whether one engine has crashed.
 type crashCheck struct {
 	digests map[quarantine.Digest]struct{}
 	done    chan struct{}
 }
 
-// broken waits for the check of the run's engine, and starts one if none runs.
-// The suspects are all that are in flight there now or join meanwhile: an
-// engine takes all of them down with it, and which one did it isn't known.
+// awaitCheck waits for the check of the run's engine and starts one if none is in
+// progress. The suspects are all requests in flight there now and those that break
+// off during the check, as it isn't known which of them crashed the engine.
 func (det *Detector) awaitCheck(r *Run) {
 	det.mu.Lock()
 	c := det.checks[r.engine]
@@ -207,7 +211,7 @@
 		defer close(reported)
 		ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 		defer cancel()
-		_ = det.quarantine.Crashed(ctx, engine, "", suspects) // the guard keeps what the log doesn't take
+		_ = det.quarantine.Crashed(ctx, engine, "", suspects) // the quarantine retries what the log didn't accept
 	})
 	timer := time.NewTimer(reportWait)
 	defer timer.Stop()
@@ -217,8 +221,8 @@
 	}
 }
 
-// dead reports whether nothing listens at the engine's address. A connection
-// that broke with the engine alive is no crash.
+// engineDead reports whether nothing listens at the engine's address. A connection
+// that broke while the engine still responds is no crash.
 func (det *Detector) engineDead(engine string) bool {
 	for i := range probeAttempts {
 		if i > 0 {
--- a/internal/entry/crash/crash_test.go
+++ b/internal/entry/crash/crash_test.go
@@ -15,7 +15,7 @@
 	"tamarackchute/upstream"
 )
 
-// ownLog is a log that folds each entry at once.
+// applyingLog is a log that applies each entry to the quarantine at once.
 type applyingLog struct {
 	mu    sync.Mutex
 	guard *quarantine.Guard
@@ -33,11 +33,10 @@
 
 func digest(name string) quarantine.Digest { return quarantine.DigestOf("m", "/p", []byte(name)) }
 
-// One request in a batch crashes its engine and takes four others with it. All
-// five are suspects, wait until that is known, and then run apart; the innocent
-// ones get through and are free again, the guilty one crashes a second engine
-// and is quarantined. A connection that breaks while the engine lives makes
-// nobody a suspect.
+// One request crashes its engine, on which four others were in flight. All five
+// become suspects and then run in isolation: those that complete are cleared, and the
+// one that crashes a second engine is quarantined. A connection that breaks while the
+// engine still responds creates no suspects.
 func TestOnlyTheCrashingRequestIsQuarantined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dead := map[string]bool{"e1": true, "e2": true}
@@ -60,10 +59,10 @@
 			return v.Status
 		}
 
-		begin("e3", "unlucky", false).End(Broken)
-		require.Equal(t, quarantine.Clean, statusOf("unlucky"), "the engine lives")
+		begin("e3", "cut off", false).End(Broken)
+		require.Equal(t, quarantine.Clean, statusOf("cut off"), "the engine still responds")
 
-		names := []string{"guilty", "a", "b", "c", "d"}
+		names := []string{"crashing", "a", "b", "c", "d"}
 		var wg sync.WaitGroup
 		for _, name := range names {
 			run := begin("e1", name, false)
@@ -76,15 +75,15 @@
 
 		run := begin("e3", "a", true)
 		_, err := det.Begin(t.Context(), "e3", digest("b"), true)
-		require.ErrorIs(t, err, quarantine.ErrReserved, "suspects run apart")
+		require.ErrorIs(t, err, quarantine.ErrReserved, "suspects are isolated from each other")
 		run.Clear()
 		det.Wait()
 		require.Equal(t, quarantine.Clean, statusOf("a"))
 		run.End(Inconclusive)
 
-		begin("e2", "guilty", true).End(Broken)
+		begin("e2", "crashing", true).End(Broken)
 		det.Wait()
-		require.Equal(t, quarantine.Quarantined, statusOf("guilty"))
+		require.Equal(t, quarantine.Quarantined, statusOf("crashing"))
 		require.Equal(t, quarantine.Suspected, statusOf("c"))
 	})
 }
--- a/internal/entry/forward/forward.go
+++ b/internal/entry/forward/forward.go
@@ -1,5 +1,5 @@
-// Package forward sends a request to a plain service, and again to another one
-// if its retry class allows.
+// Package forward sends a request to a plain service and retries it at another
+// one if its retry class allows.
 package forward
 
 import (
@@ -16,18 +16,19 @@
 	"tamarackchute/upstream"
 )
 
-// Books picks services and books attempts; router.Tracker is one.
+// Tracker picks services and records attempts; router.Tracker implements it.
 type Tracker interface {
 	Pick(r router.Request) (router.Plan, error)
 	Begin(p router.Plan, r router.Request) *router.Ticket
 }
 
-// Services finds the adapter of a service, or nil if the name is unknown.
+// Services returns the adapter of a service, or nil if the name is unknown.
 type Services interface {
 	Service(name string) upstream.Service
 }
 
-// Retries bounds what failures may add to the load.
+// RetryBudget bounds the load that retries add. Allow counts one more attempt and
+// reports whether it may be made.
 type RetryBudget interface {
 	Allow() bool
 }
@@ -41,17 +42,17 @@
 	NewID       func() string
 }
 
-// Work is one request with what the rules made of it.
+// Job is one request with its route and the settings of the matched rule.
 type Job struct {
 	Request upstream.ServiceRequest
 	Route   router.Request
 	Retry   rules.RetryClass
 }
 
-// retryNoService is when asking again is worth while if no service took it.
+// retryAfterNoService is the Retry-After of a request that no service accepted.
 const retryAfterNoService = time.Second
 
-// Call sends the request and returns the service's answer, whatever its status.
+// Call sends the request and returns the service's response, whatever its status.
 func (r *Runner) Call(ctx context.Context, job Job) (upstream.ServiceResponse, *outcome.Failure) {
 	c := call{runner: r, job: job, retryState: dispatch.New(dispatch.Policy{
 		Mode: dispatch.RetryModeOf(job.Retry), MaxAttempts: r.MaxAttempts, CountNotRun: true, AllowRetry: r.RetryBudget.Allow,
@@ -78,8 +79,8 @@
 	excluded   []string
 }
 
-// attempt sends the request once. It returns a *router.NoUpstreamError, with
-// nothing sent, if there is nobody to send it to.
+// attempt sends the request once. It returns a *router.NoUpstreamError, and sends
+// nothing, if no service is available.
 func (c *call) attempt(ctx context.Context) (upstream.ServiceResponse, error) {
 	route := c.job.Route
 	route.Exclude = c.excluded
@@ -105,8 +106,8 @@
 	return service.Call(ctx, request)
 }
 
-// failed returns the final failure of a broken attempt, or nil if another may
-// be made.
+// handleFailure returns the final failure after a failed attempt, or nil if
+// another attempt may be made.
 func (c *call) handleFailure(ctx context.Context, err error) *outcome.Failure {
 	var noUpstream *router.NoUpstreamError
 	if errors.As(err, &noUpstream) {
@@ -122,8 +123,8 @@
 	if ctx.Err() != nil {
 		return c.contextFailure(ctx)
 	}
-	// An attempt that certainly did not run adds nothing to the load, so only
-	// others draw on the retry budget.
+	// An attempt that certainly did not run added no load, so only other attempts
+	// consume the retry budget.
 	if c.retryState.Next(execution, !notRun) == dispatch.Retry {
 		return nil
 	}
--- a/internal/entry/outcome/outcome.go
+++ b/internal/entry/outcome/outcome.go
@@ -1,5 +1,5 @@
-// Package outcome holds how a request ended: whether it ran, and if it failed,
-// why, with which HTTP status, and when the caller may come back.
+// Package outcome describes how a request ended: whether it ran, and if it failed,
+// the reason, the HTTP status and when the caller may retry.
 package outcome
 
 import (
@@ -9,21 +9,20 @@
 	"time"
 )
 
-// Ran says whether a request ran, as far as the system knows for certain.
+// Execution says whether a request ran, as far as the system knows for certain.
 type Execution string
 
-// The answers to the question whether a request ran. They stand in the
-// Chute-Outcome header.
+// The values of Execution, as the Chute-Outcome header carries them.
 const (
-	// RanWhole is a request whose answer came.
+	// Completed is a request whose response was received.
 	Completed Execution = "ran"
 	// NotRun is a request that certainly did not run and never will.
 	NotRun Execution = "not-run"
-	// MayHaveRun is everything else.
+	// MayHaveRun is a request of which neither is certain.
 	MayHaveRun Execution = "may-have-run"
 )
 
-// RanOf says of a request without an answer whether it ran.
+// ExecutionOf returns the Execution of a request without a response.
 func ExecutionOf(mayHaveRun bool) Execution {
 	if mayHaveRun {
 		return MayHaveRun
@@ -31,28 +30,28 @@
 	return NotRun
 }
 
-// Header is the response header that carries a Ran.
+// Header is the response header that carries the Execution.
 const Header = "Chute-Outcome"
 
-// StatusCallerGone is what logs usually show for a caller that closed its
-// connection; the caller sees it only if it closed just its sending side.
+// StatusCallerGone is the status that servers commonly log for a caller that closed
+// its connection. A caller sees it only if it closed just its sending side.
 const StatusCallerGone = 499
 
-// KeyHeader is set to KeyOutcomeUnknown beside a not-run that speaks of one
-// request only, and not of earlier ones with its idempotency key.
+// KeyHeader is set to KeyOutcomeUnknown with a not-run that covers only this
+// request and not earlier ones with the same idempotency key.
 const (
 	KeyHeader         = "Chute-Key-Outcome"
 	KeyOutcomeUnknown = "unknown"
 )
 
-// ErrStopping is the cause of a context that ended because the instance stops
-// and its grace is over.
+// ErrStopping is the cause of a context that ended because the instance is
+// stopping and its grace period is over.
 var ErrStopping = errors.New("the instance is stopping")
 
-// Code names the reason of a failure for programs.
+// Code is the machine-readable reason of a failure.
 type Code string
 
-// The reasons of failures.
+// The failure codes that callers receive.
 const (
 	CodeInvalidRequest      Code = "invalid_request"
 	CodeBodyTooLarge        Code = "body_too_large"
@@ -81,21 +80,21 @@
 	CodeInternal            Code = "internal_error"
 )
 
-// Failure is a request that got no answer of an upstream. It is an error and a
-// value: each has its status, its reason and what is known of its running.
+// Failure is the error of a request that got no response from an upstream, with
+// its HTTP status, its code and whether the request may have run.
 type Failure struct {
 	Status    int
 	Code      Code
 	Message   string
 	Execution Execution
-	// RetryAfter is when asking again is worth while; 0 says nothing.
+	// RetryAfter is the time after which a retry may succeed; 0 means unknown.
 	RetryAfter time.Duration
-	// KeyUnknown says of a protected call that was not run that an earlier
-	// request with its key may have been.
+	// KeyUnknown is set for a protected call that did not run if an earlier request
+	// with its key may have run.
 	KeyUnknown bool
-	// Rule names the rule that decided, if one did.
+	// Rule names the rule that caused the failure, if one did.
 	Rule string
-	// Cause is for the log; the caller doesn't see it.
+	// Cause is for the log and isn't sent to the caller.
 	Cause error
 }
 
@@ -109,7 +108,7 @@
 // Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.Cause }
 
-// Type returns the failure's class as the OpenAI interface names it.
+// Type returns the error type of the OpenAI API.
 func (f *Failure) Type() string {
 	switch {
 	case f.Status == http.StatusTooManyRequests:
@@ -123,19 +122,19 @@
 	}
 }
 
-// Refused returns the failure of a request that was not run.
+// Refused returns the failure of a request that did not run.
 func Refused(status int, code Code, format string, args ...any) *Failure {
 	return &Failure{Status: status, Code: code, Message: fmt.Sprintf(format, args...), Execution: NotRun}
 }
 
-// After sets when asking again is worth while, and returns the failure.
+// WithRetryAfter sets RetryAfter and returns the failure.
 func (f *Failure) WithRetryAfter(d time.Duration) *Failure {
 	f.RetryAfter = d
 	return f
 }
 
-// RetryAfterSeconds returns the Retry-After header's number: whole seconds,
-// rounded up, as 0 would mean at once.
+// RetryAfterSeconds returns the value of the Retry-After header: whole seconds,
+// rounded up, as 0 would mean an immediate retry.
 func (f *Failure) RetryAfterSeconds() int {
 	return int((f.RetryAfter + time.Second - 1) / time.Second)
 }
--- a/internal/entry/protect/protect.go
+++ b/internal/entry/protect/protect.go
@@ -1,5 +1,5 @@
-// Package protect runs protected calls over the claims, and puts what became of
-// them into a caller's terms.
+// Package protect runs protected calls under claims and translates the results
+// into responses and failures for the caller.
 package protect
 
 import (
@@ -19,21 +19,21 @@
 	"tamarackchute/upstream"
 )
 
-// Guard runs a call unless its key was claimed before; claim.Guard is one.
+// Guard runs a call unless its key was claimed before; claim.Guard implements it.
 type Guard interface {
 	Do(ctx context.Context, key string, digest uint64, dispatch claim.Dispatch) claim.Result
 }
 
-// Calls implements gateway.Protected.
+// Runner implements gateway.ProtectedRunner.
 type Runner struct{ guard Guard }
 
-// New returns the protected calls over a guard.
+// New returns a runner whose calls are claimed at a guard.
 func New(g Guard) *Runner { return &Runner{g} }
 
-// retryRunning is when a resend may find the answer of a call that still runs.
+// retryAfterRunning is the Retry-After for a key whose call is still in progress.
 const retryAfterRunning = time.Second
 
-// Do implements gateway.Protected.
+// Do implements gateway.ProtectedRunner.
 func (r *Runner) Do(ctx context.Context, p gateway.ProtectedCall, run gateway.CallFunc) (upstream.ServiceResponse, *outcome.Failure) {
 	result := r.guard.Do(ctx, ScopedKey(p.Organisation, p.Key), shortDigest(p), func(ctx context.Context) (claim.Response, claim.DispatchResult) {
 		response, f := run(ctx)
@@ -49,9 +49,9 @@
 	return translate(ctx, result)
 }
 
-// KeyOf makes the keys of different organisations different. A UUID of version
-// 7 keeps its time, by which the claims tell a key that is too old from a new
-// one; only its random part changes.
+// ScopedKey makes equal keys of different organisations different. A version 7
+// UUID keeps its timestamp, by which the claims recognise a key that is too old;
+// only its random part changes.
 func ScopedKey(organisation, key string) string {
 	sum := sha256.Sum256([]byte(organisation + "\x00" + key))
 	u, err := uuid.Parse(key)
@@ -65,13 +65,13 @@
 	return u.String()
 }
 
-// digest tells a resend from another call under the same key. Its first 64
-// bits do: they guard against a caller's mistake, not against malice.
+// shortDigest distinguishes a resend from another call under the same key. The
+// first 64 bits suffice: they detect a caller's mistake, not an attack.
 func shortDigest(p gateway.ProtectedCall) uint64 {
 	return binary.BigEndian.Uint64([]byte(p.Digest))
 }
 
-// answer puts a result into a caller's terms.
+// translate turns the result of a claim into a response or a failure.
 func translate(ctx context.Context, result claim.Result) (upstream.ServiceResponse, *outcome.Failure) {
 	switch r := result.(type) {
 	case claim.Done:
@@ -84,8 +84,8 @@
 		return upstream.ServiceResponse{}, outcome.Refused(http.StatusUnprocessableEntity, outcome.CodeKeyReused,
 			"the idempotency key belongs to a different request")
 	case claim.KeyTooOld:
-		// The request itself did not run, but an earlier one with the key may
-		// have, and that is what its caller wants to know.
+		// The request itself did not run, but the caller needs to know about the key,
+		// and an earlier request with it may have run.
 		return upstream.ServiceResponse{}, failure(http.StatusConflict, outcome.CodeKeyExpired, outcome.MayHaveRun,
 			"the idempotency key is older than keys are known; an earlier request with it may have run")
 	default:
@@ -93,7 +93,8 @@
 	}
 }
 
-// replayedHeader marks an answer that an earlier request with the key got.
+// replayedHeader marks a response that was recorded for an earlier request with
+// the same key.
 const replayedHeader = "Chute-Replayed"
 
 func completedResponse(r claim.Done) (upstream.ServiceResponse, *outcome.Failure) {
@@ -145,7 +146,8 @@
 	}
 }
 
-// timeUp tells a caller that has gone from a deadline that has passed.
+// contextStatus returns the status and code of an ended context: the caller has
+// closed its connection, or the deadline has passed.
 func contextStatus(ctx context.Context) (status int, code outcome.Code) {
 	if errors.Is(context.Cause(ctx), callerwatch.ErrGone) {
 		return outcome.StatusCallerGone, outcome.CodeCallerGone
--- a/internal/entry/protect/protect_test.go
+++ b/internal/entry/protect/protect_test.go
@@ -15,7 +15,7 @@
 	"tamarackchute/upstream"
 )
 
-// fixed is a guard with one answer; it runs the dispatch first.
+// fixedGuard runs the dispatch and then returns a fixed result.
 type fixedGuard struct {
 	result   claim.Result
 	dispatch claim.DispatchResult
@@ -26,9 +26,9 @@
 	return f.result
 }
 
-// A haulier's booking is told "not run" although it may have run, its driver
-// books again and two trucks come. Each result of a claim must reach the caller
-// with the outcome that is certain, and no other.
+// Guards against reporting "not run" for a call that may have run, which leads the
+// caller to repeat it. Each result of a claim must reach the caller with the execution
+// that is certain.
 func TestResultsKeepTheirOutcome(t *testing.T) {
 	ended, cancel := context.WithCancelCause(t.Context())
 	cancel(errors.New("over"))
@@ -71,8 +71,8 @@
 	}
 }
 
-// A service refuses a booking before running it, and the claim must learn
-// that; one whose connection broke must never be told as not run.
+// A call that the service refused must be reported to the claim as not run; one
+// whose connection broke must not.
 func TestDispatchReportsExecution(t *testing.T) {
 	for f, want := range map[*outcome.Failure]claim.DispatchResult{
 		nil:                             claim.DispatchCompleted,
@@ -90,9 +90,8 @@
 	}
 }
 
-// Two organisations number their bookings from 1. The second one's booking must
-// not be taken for a resend of the first one's. A key that carries its time
-// must keep it.
+// Two organisations that use the same key must not collide: the second one's call
+// would be taken for a resend of the first one's. A key with a timestamp must keep it.
 func TestKeysOfOrganisationsDiffer(t *testing.T) {
 	require.NotEqual(t, ScopedKey("a", "1"), ScopedKey("b", "1"))
 	require.NotEqual(t, ScopedKey("a", "b\x001"), ScopedKey("a\x00b", "2"))
