--- a/internal/entry/answer/wait_test.go
+++ b/internal/entry/answer/wait_test.go
@@ -86,7 +86,7 @@
 // An engine crashes with twenty streams, and one other engine is left. All twenty
 // are suspects and may run there only one at a time. Guards against refusing the
 // nineteen that have to wait, which would cut their answers off.
-func TestStreamsOfADeadEngineTakeTurns(t *testing.T) {
+func TestStreamsOfACrashedEngineRunOneAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &crashingFleet{down: make(chan struct{})}
 		guard := quarantine.NewGuard(quarantine.DefaultConfig(), c, "w", nil)
--- a/internal/entry/callerwatch/watch_test.go
+++ b/internal/entry/callerwatch/watch_test.go
@@ -12,7 +12,7 @@
 // on for nobody: the server reads the connection only between requests, so it
 // doesn't see the close. The watch must see it, and must not take a caller for
 // gone that has merely sent its next request early.
-func TestSweepSeesCallersThatHaveGone(t *testing.T) {
+func TestSweepDetectsClosedConnections(t *testing.T) {
 	for name, tc := range map[string]struct {
 		caller func(t *testing.T, c *net.TCPConn)
 		gone   bool
--- a/internal/entry/gateway/backpressure_test.go
+++ b/internal/entry/gateway/backpressure_test.go
@@ -21,13 +21,13 @@
 	"tamarackchute/upstream"
 )
 
-// endless is an engine whose answer never ends; it counts the tokens taken.
+// endlessEngine is an engine whose answer never ends; it counts the tokens read.
 type endlessEngine struct {
 	unusedMethods
 	produced int
 }
 
-// generator stands for the parts of an engine that aren't used here.
+// unusedMethods provides the methods of an engine that this test doesn't call.
 type unusedMethods interface{ upstream.Engine }
 
 func (e *endlessEngine) Engine(string) upstream.Engine { return e }
@@ -54,10 +54,9 @@
 	return quarantine.Verdict{}, nil
 }
 
-// A tablet in a tunnel stops reading its answer, and a thousand others do the
-// same. What the engine goes on producing must not pile up in the instance: the
-// tokens read ahead are few, and when the deadline comes the engine is let go
-// though the caller still hasn't read.
+// Guards against unbounded buffering for callers that stop reading: only a few tokens
+// are read ahead, and at the deadline the engine is released although the caller
+// still hasn't read.
 func TestSlowCallerStopsTheEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engine := &endlessEngine{}
@@ -80,7 +79,7 @@
 		}
 		run := &modelCall{call: &call{ctx: ctx, cancel: func(error) {}, stopTimer: cancel}, job: job, answer: runner.Start(job)}
 		s := g.newSSE(nil, run, stream.RequestDigest{})
-		s.deadlineSetAt = time.Now().Add(time.Hour) // no connection whose deadline could be moved
+		s.deadlineSetAt = time.Now().Add(time.Hour) // there is no connection with a deadline to extend
 		g.pumps.Go(s.pump)
 
 		synctest.Wait()
@@ -97,7 +96,7 @@
 		time.Sleep(2 * time.Minute) // the deadline passes unread
 		synctest.Wait()
 		require.Equal(t, ahead, engine.produced)
-		require.Zero(t, budget.Used(), "the engine's stream is closed and its text given up")
+		require.Zero(t, budget.Used(), "the engine's stream is closed and its text discarded")
 		rest, err := io.ReadAll(s)
 		require.NoError(t, err)
 		require.Contains(t, string(rest), `"code":"deadline_exceeded"`)
--- a/internal/entry/gateway/call.go
+++ b/internal/entry/gateway/call.go
@@ -26,14 +26,14 @@
 
 const (
 	defaultOrganisation = "anonymous"
-	// maxOrganisation bounds an organisation's name, in bytes, as names are
-	// kept in tables.
+	// maxOrganisation bounds an organisation's name, in bytes, as names are kept in
+	// memory.
 	maxOrganisation = 128
 )
 
-// call is one request of a caller. It holds copies only: fiber reuses the
-// memory of headers, paths and bodies for the next request of the connection,
-// while parts of a call live on in queues, tables and streams.
+// call is one request of a caller. It holds only copies: fiber reuses the memory of
+// headers, paths and bodies for the connection's next request, while queues, tables
+// and streams may still hold parts of the call.
 type call struct {
 	id           string
 	began        time.Time
@@ -67,7 +67,7 @@
 	return k, nil
 }
 
-// begin starts the clock of the call and the watch on its caller.
+// begin sets the call's deadline and starts to watch the caller's connection.
 func (g *Gateway) begin(c *fiber.Ctx, k *call) *outcome.Failure {
 	limit := g.opts.DefaultDeadline
 	if d := k.decision.Then.Deadline(); d > 0 {
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// end releases what begin took. It may be called without begin.
+// end releases what begin acquired. It may be called without begin.
 func (k *call) end() {
 	if k.ctx == nil {
 		return
@@ -99,7 +99,7 @@
 	k.stopTimer()
 }
 
-// decide finds the first rule that holds.
+// applyRules sets the decision of the first rule that matches, or returns its refusal.
 func (g *Gateway) applyRules(c *fiber.Ctx, k *call, r rules.Request) *outcome.Failure {
 	r.Path, r.Method, r.Organisation = k.path, k.method, k.organisation
 	r.DataCentre, r.Load = g.opts.DataCentre, g.deps.Load()
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// admit waits for leave to send the request.
+// admit waits until admission grants or refuses the request.
 func (g *Gateway) admit(k *call, route router.Request) (*admission.Grant, *outcome.Failure) {
 	r := admission.Request{
 		Pool:         route.Pool,
@@ -150,8 +150,8 @@
 	return grant, nil
 }
 
-// limitsOf returns the limits of the rule that matched. A rule's limit is for
-// one instance, as rules.Limit says.
+// limitsOf returns the limits of the matched rule. A rule's limit applies to each
+// instance separately.
 func limitsOf(d rules.Decision) []admission.Limit {
 	l := d.Then.Limit
 	if l == nil {
--- a/internal/entry/gateway/failure.go
+++ b/internal/entry/gateway/failure.go
@@ -14,7 +14,7 @@
 	"tamarackchute/internal/entry/outcome"
 )
 
-// refusedByAdmission turns admission's refusal into a failure. Nothing was sent.
+// admissionFailure turns admission's refusal into a failure. Nothing was sent.
 func admissionFailure(k *call, err error) *outcome.Failure {
 	var refusal *admission.Refusal
 	if !errors.As(err, &refusal) {
@@ -48,8 +48,8 @@
 	}}
 }
 
-// fail answers with a failure, at once: a caller is told when to come back, and
-// never held until then.
+// fail responds with a failure at once: the caller gets a Retry-After instead of
+// being kept waiting.
 func (g *Gateway) fail(c *fiber.Ctx, k *call, f *outcome.Failure) error {
 	g.metrics.failed(f)
 	g.deps.Log.Debug("request failed", "request", k.id, "path", k.path, "rule", f.Rule,
@@ -70,8 +70,8 @@
 	return c.JSON(errorBody(f))
 }
 
-// serverError answers what fasthttp refused before any handler ran: bodies and
-// headers that are too large, slow senders, requests that are no HTTP.
+// serverError responds to requests that fasthttp refused before any handler ran:
+// bodies or headers that are too large, senders that are too slow, invalid HTTP.
 func (g *Gateway) serverError(c *fiber.Ctx, err error) error {
 	f := outcome.Refused(fiber.StatusBadRequest, outcome.CodeInvalidRequest, "the request can't be read")
 	var status *fiber.Error
--- a/internal/entry/gateway/gateway.go
+++ b/internal/entry/gateway/gateway.go
@@ -1,5 +1,5 @@
-// Package gateway serves callers over HTTP: model requests plain and streamed,
-// requests to plain services, where to connect, health and readiness.
+// Package gateway serves callers over HTTP: plain and streamed model requests,
+// requests to plain services, instance discovery, health and readiness.
 package gateway
 
 import (
@@ -24,41 +24,41 @@
 	"tamarackchute/upstream"
 )
 
-// Rules matches requests. It reports false as long as no rules are known.
+// Rules matches requests. Match reports false as long as no rules are loaded.
 type Rules interface {
 	Match(r rules.Request) (rules.Decision, bool)
 }
 
-// Admission lets requests in; admission.Controller is one.
+// Admission admits or refuses requests; admission.Controller implements it.
 type Admission interface {
 	Acquire(ctx context.Context, r admission.Request) (*admission.Grant, error)
 }
 
-// Estimator foresees where and how long a request would run; router.Tracker is
-// one.
+// Estimator predicts where and how long a request would run; router.Tracker
+// implements it.
 type Estimator interface {
 	Pick(r router.Request) (router.Plan, error)
 }
 
-// Protected runs calls at most once per key.
+// ProtectedRunner runs calls at most once per idempotency key.
 type ProtectedRunner interface {
-	// Do runs the call unless its key was claimed before. The response may be
-	// one that was recorded then.
+	// Do runs the call unless its key was claimed before, in which case the response
+	// may be the recorded one.
 	Do(ctx context.Context, c ProtectedCall, run CallFunc) (upstream.ServiceResponse, *outcome.Failure)
 }
 
-// RunCall sends a call to a service.
+// CallFunc sends a call to a service.
 type CallFunc func(ctx context.Context) (upstream.ServiceResponse, *outcome.Failure)
 
-// ProtectedCall names a call that must run at most once.
+// ProtectedCall identifies a call that must run at most once.
 type ProtectedCall struct {
 	Organisation string
 	Key          string
-	// Digest tells a resend from another call under the same key.
+	// Digest distinguishes a resend from another call under the same key.
 	Digest string
 }
 
-// Directory names the addresses that callers may use.
+// Directory returns the addresses that callers may connect to.
 type Directory interface {
 	Locate(dataCentre string) discovery.Response
 }
@@ -67,22 +67,22 @@
 type Options struct {
 	DataCentre   string
 	MaxBodyBytes int
-	// DefaultDeadline is for requests whose rule sets none.
+	// DefaultDeadline applies to requests whose rule sets no deadline.
 	DefaultDeadline time.Duration
-	// Heartbeat is the longest that a stream is silent.
+	// Heartbeat is the longest time without an event or a heartbeat on a stream.
 	Heartbeat time.Duration
-	// WriteTimeout is the longest that a caller may leave an answer unread.
+	// WriteTimeout bounds how long a caller may leave a response unread.
 	WriteTimeout time.Duration
-	// ReadTimeout is the longest that a caller may take to send a request,
-	// IdleTimeout the longest that a connection is kept between two.
+	// ReadTimeout bounds how long a caller may take to send a request, IdleTimeout
+	// how long a connection is kept open between two requests.
 	ReadTimeout, IdleTimeout time.Duration
-	// Models are listed to callers.
+	// Models are the models listed to callers.
 	Models []string
 	// ServicePools names the pools of plain services; all others have engines.
 	ServicePools map[string]bool
 }
 
-// Parts are what the gateway works with.
+// Dependencies are the components that the gateway uses.
 type Dependencies struct {
 	Rules       Rules
 	Admission   Admission
@@ -96,19 +96,21 @@
 	Demand      DemandRecorder
 	// Ready returns nil once the instance can serve.
 	Ready func() error
-	// Load is the share of the local engines' capacity in use.
+	// Load returns the fraction of the capacity of the data centre's engines that is
+	// in use.
 	Load  func() float64
 	NewID func() string
 	Scope tally.Scope
 	Log   *slog.Logger
 }
 
-// Demand is told what callers ask for.
+// DemandRecorder records what callers request.
 type DemandRecorder interface {
-	// Asked counts a request with the estimate of its prompt and the bound on
-	// its output, before it can be refused.
+	// RecordRequest counts a request, before it can be refused, with the estimate of
+	// its prompt tokens and the bound on its output tokens.
 	RecordRequest(model string, promptTokens, maxTokens int)
-	// Answered tells, of a whole answer, what the engine counted for these.
+	// RecordResponse compares the estimate and the bound of a complete response with
+	// the engine's counts.
 	RecordResponse(model string, promptTokens, maxTokens, prompt, output int)
 }
 
@@ -118,18 +120,18 @@
 	deps    Dependencies
 	app     *fiber.App
 	metrics *metrics
-	// active counts requests that have begun and whose answer isn't out.
+	// active counts requests whose response isn't completely sent.
 	active atomic.Int64
 	// pumps are the goroutines that read engines' streams.
 	pumps conc.WaitGroup
-	// leaving asks callers to close their connections.
+	// shuttingDown makes each response ask its caller to close the connection.
 	shuttingDown atomic.Bool
-	// base is the parent of all calls' contexts.
+	// baseContext is the parent of all calls' contexts.
 	baseContext context.Context
 	cancelAll   context.CancelCauseFunc
 }
 
-// New returns a gateway. It serves nothing until its App is given a listener.
+// New returns a gateway. It serves nothing until its App gets a listener.
 func New(o Options, deps Dependencies) *Gateway {
 	g := &Gateway{opts: o, deps: deps, metrics: newMetrics(deps.Scope)}
 	g.baseContext, g.cancelAll = context.WithCancelCause(context.Background())
@@ -138,12 +140,12 @@
 		BodyLimit:             o.MaxBodyBytes,
 		ReadTimeout:           o.ReadTimeout,
 		IdleTimeout:           o.IdleTimeout,
-		// Read buffers are given back while a request is served, which counts
-		// for thousands of open streams.
+		// Releases read buffers while a request is served, which matters with
+		// thousands of open streams.
 		ReduceMemoryUsage: true,
-		WriteTimeout:      o.WriteTimeout, // of plain answers; streams move theirs on
+		WriteTimeout:      o.WriteTimeout, // for plain responses; streams extend their own deadline
 		ErrorHandler:      g.serverError,
-		// A body is parsed by the handler that knows its form.
+		// The handlers parse the bodies themselves.
 		DisablePreParseMultipartForm: true,
 	})
 	g.routes()
@@ -161,8 +163,9 @@
 	g.app.Use(g.service)
 }
 
-// askToClose ends kept connections of callers while the instance is leaving, so
-// that they come back to another one instead of finding theirs closed.
+// closeIfShuttingDown ends keep-alive connections with the next response while the
+// instance is shutting down, so that callers reconnect to another instance before
+// theirs is closed.
 func (g *Gateway) closeIfShuttingDown(c *fiber.Ctx) error {
 	if g.shuttingDown.Load() {
 		c.Response().SetConnectionClose()
@@ -170,16 +173,16 @@
 	return c.Next()
 }
 
-// Leave begins to ask callers to close their connections. Requests are served
-// as before.
+// BeginShutdown makes all further responses ask callers to close their connections.
+// Requests are served as before.
 func (g *Gateway) BeginShutdown() { g.shuttingDown.Store(true) }
 
-// Leaving reports whether Leave was called.
+// ShuttingDown reports whether BeginShutdown was called.
 func (g *Gateway) ShuttingDown() bool { return g.shuttingDown.Load() }
 
-// Abort ends the requests still in progress, once the grace of a stop is over.
-// Their callers are told, and engines keep the streams for a while, so that
-// they can be taken up again at another instance.
+// Abort ends the requests still in progress when the grace period of a shutdown is
+// over. Their callers get an error, and engines keep the streams for a while, so that
+// callers can resume them at another instance.
 func (g *Gateway) Abort() { g.cancelAll(outcome.ErrStopping) }
 
 // App returns the HTTP application.
@@ -188,5 +191,6 @@
 // Active returns the number of requests in progress.
 func (g *Gateway) Active() int { return int(g.active.Load()) }
 
-// Wait returns once no stream is read any more. No request may come meanwhile.
+// Wait returns once no engine stream is read any more. No request may arrive
+// meanwhile.
 func (g *Gateway) Wait() { g.pumps.Wait() }
--- a/internal/entry/gateway/golden_test.go
+++ b/internal/entry/gateway/golden_test.go
@@ -21,24 +21,24 @@
 	"tamarackchute/upstream"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// varying are the parts of a session that differ from run to run.
+// volatile are the parts of a response that differ from run to run.
 var volatile = []struct {
 	pattern *regexp.Regexp
 	becomes string
 }{
 	{regexp.MustCompile(`Date: [^\r]*`), "Date: DATE"},
 	{regexp.MustCompile(`"created":\d{5,}`), `"created":CREATED`},
-	// How events share the chunks of the transfer depends on their timing.
+	// How events are grouped into HTTP chunks depends on timing.
 	{regexp.MustCompile(`\r\n[0-9a-f]+\r\n`), ""},
 	{regexp.MustCompile(`id: [A-Za-z0-9_-]+\.`), "id: ORIGIN."},
 }
 
 const separator = "\n=== answer ===\n"
 
-// Each file of testdata is one whole session of a caller, byte for byte: what
-// it sends, and what it gets.
+// Each file of testdata holds one session of a caller byte for byte: its request and
+// the response.
 func TestSessions(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.http")
 	require.NoError(t, err)
@@ -58,8 +58,8 @@
 	}
 }
 
-// session sends a session's bytes and returns all that comes back. The files
-// have plain line ends; lengths are filled in.
+// session sends a request and returns the complete response. The files use plain
+// line ends, and Content-Length is added.
 func session(t *testing.T, sent string) string {
 	service := &recordingService{calls: make(chan upstream.ServiceRequest, 1)}
 	p := &fakeDeps{
--- a/internal/entry/gateway/harness_test.go
+++ b/internal/entry/gateway/harness_test.go
@@ -34,13 +34,13 @@
 	"tamarackchute/upstream"
 )
 
-// fakeEngine gives the tokens t0, t1, … of any prompt.
+// fakeEngine returns the tokens t0, t1, … for any prompt.
 type fakeEngine struct {
 	total int
-	// dieAt breaks a stream off before the token with that index; silentAt
-	// stops there and says nothing more. Both are off below 0.
+	// dieAt breaks a stream off before the token with that index; stallAt blocks the
+	// stream there. Values below 0 turn them off.
 	dieAt, stallAt int
-	// spent, if set, lets one death happen among the engines that share it.
+	// died, if set, limits the crashes to one among the engines that share it.
 	died   *atomic.Bool
 	refuse error
 
@@ -128,7 +128,7 @@
 
 func text(i int) string { return fmt.Sprintf(" t%d", i) }
 
-// whole is the answer's text.
+// fullText returns the text of a complete answer.
 func fullText(total int) string {
 	var b strings.Builder
 	for i := range total {
@@ -137,7 +137,7 @@
 	return b.String()
 }
 
-// parts implements the gateway's views of upstreams and rules.
+// fakeDeps implements the gateway's dependencies on rules, admission and upstreams.
 type fakeDeps struct {
 	engines    map[string]*fakeEngine
 	services   map[string]upstream.Service
@@ -145,9 +145,9 @@
 	admitted   func(admission.Request)
 	refuse     *admission.Refusal
 	controller *admission.Controller
-	// protected is nil where no call is.
+	// protected is nil if no call is protected.
 	protected gateway.ProtectedRunner
-	// byPath, if set, stands in for then; directory is nil where it isn't asked.
+	// byPath, if set, replaces then; directory is nil if the test doesn't use it.
 	byPath    func(path string) rules.Then
 	directory gateway.Directory
 }
@@ -194,14 +194,14 @@
 	return journal.Position{}, infra.ErrNotWritten
 }
 
-// rig is a gateway on a loopback address.
+// harness is a gateway that listens on a loopback address.
 type harness struct {
 	*fakeDeps
 	gateway *gateway.Gateway
 	address string
 }
 
-// newRig starts a gateway whose heartbeat is short, as nothing but their order
+// newHarness starts a gateway with a short heartbeat; only the order of events
 // depends on it.
 func newHarness(t *testing.T, p *fakeDeps, change ...func(*gateway.Options)) *harness {
 	var ups []router.Upstream
@@ -255,7 +255,7 @@
 	return &harness{fakeDeps: p, gateway: g, address: ln.Addr().String()}
 }
 
-// post sends a request; header holds names and values in turn.
+// post sends a request; header holds alternating names and values.
 func (r *harness) post(t *testing.T, path, body string, header ...string) *http.Response {
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+r.address+path, strings.NewReader(body))
 	require.NoError(t, err)
@@ -274,14 +274,14 @@
 	return string(body)
 }
 
-// sseEvent is one event of a stream; a heartbeat has no field set.
+// sseEvent is one event of a stream; a heartbeat sets no field.
 type sseEvent struct{ id, name, data string }
 
 type sseReader struct{ lines *bufio.Scanner }
 
 func events(r *http.Response) *sseReader { return &sseReader{bufio.NewScanner(r.Body)} }
 
-// next returns the next event, and false at the stream's end.
+// next returns the next event, or false at the end of the stream.
 func (r *sseReader) next() (sseEvent, bool) {
 	var e sseEvent
 	for r.lines.Scan() {
@@ -300,8 +300,8 @@
 	return e, false
 }
 
-// tokens reads up to n token events, or to the end if n is below 0, and returns
-// their text, the last id, and the last event.
+// tokens reads up to n token events, or all if n is below 0, and returns their text,
+// the last id and the last event.
 func (r *sseReader) tokens(t *testing.T, n int) (all, id string, last sseEvent) {
 	for count := 0; count != n; {
 		e, more := r.next()
--- a/internal/entry/gateway/metrics.go
+++ b/internal/entry/gateway/metrics.go
@@ -9,7 +9,7 @@
 	"tamarackchute/internal/entry/outcome"
 )
 
-// metrics are the gateway's figures.
+// metrics are the gateway's metrics.
 type metrics struct {
 	scope      tally.Scope
 	answered   tally.Counter
@@ -44,7 +44,7 @@
 	}
 }
 
-// failed counts a failure by its reason and outcome.
+// failed counts a failure by its code and execution.
 func (m *metrics) failed(f *outcome.Failure) {
 	m.failure(failureKey{f.Code, f.Execution}).Inc(1)
 }
--- a/internal/entry/gateway/model.go
+++ b/internal/entry/gateway/model.go
@@ -37,8 +37,8 @@
 	return g.fail(c, k, f)
 }
 
-// answerModel answers a model request, or returns its failure with everything
-// released but the call itself.
+// answerModel serves a model request, or returns its failure with everything
+// released except the call itself.
 func (g *Gateway) answerModel(c *fiber.Ctx, k *call, kind openai.Kind) *outcome.Failure {
 	request, f := parseModel(c, kind)
 	if f != nil {
@@ -77,7 +77,7 @@
 
 func parseModel(c *fiber.Ctx, kind openai.Kind) (openai.Request, *outcome.Failure) {
 	if !c.Request().Header.IsHTTP11() {
-		// Its answer would have to be gathered whole before the first byte.
+		// Without chunked encoding the whole response would have to be buffered first.
 		return openai.Request{}, outcome.Refused(fiber.StatusHTTPVersionNotSupported, outcome.CodeInvalidRequest,
 			"model requests need HTTP/1.1")
 	}
@@ -114,7 +114,7 @@
 	}
 }
 
-// running is a model request whose answer is under way.
+// modelCall is a model request whose answer is in progress.
 type modelCall struct {
 	call           *call
 	job            answer.Job
@@ -123,7 +123,7 @@
 	firstTokenSeen bool
 }
 
-// next returns the next token, and keeps the figures.
+// next returns the next token and records the time to the first one.
 func (g *Gateway) next(r *modelCall) (upstream.Token, error) {
 	t, err := r.answer.Next(r.call.ctx)
 	if err != nil {
@@ -139,7 +139,8 @@
 	return t, nil
 }
 
-// finish releases what the answer holds. A nil failure means that it is whole.
+// finish releases what the answer holds and updates the metrics. A nil failure means
+// that the answer is complete.
 func (g *Gateway) finish(r *modelCall, f *outcome.Failure) {
 	r.answer.Close()
 	produced := r.answer.Tokens()
@@ -170,7 +171,7 @@
 	}
 }
 
-// whole collects the answer and sends it as one.
+// sendPlain collects the complete answer and sends it as one response.
 func (g *Gateway) sendPlain(c *fiber.Ctx, r *modelCall) *outcome.Failure {
 	text, finish, f := g.collect(r)
 	prompt, cached := r.answer.PromptTokens()
@@ -207,8 +208,8 @@
 	}
 }
 
-// resume takes a stream up again that another connection, or another instance,
-// has begun.
+// resume continues a stream that another connection, possibly to another instance,
+// has started.
 func (g *Gateway) resume(c *fiber.Ctx, k *call, job answer.Job, id string) *outcome.Failure {
 	digest := stream.NewRequestDigest(k.organisation, k.path, c.BodyRaw())
 	origin, last, err := g.deps.Signer.Open(id, digest)
--- a/internal/entry/gateway/pages.go
+++ b/internal/entry/gateway/pages.go
@@ -9,10 +9,10 @@
 	"tamarackchute/internal/entry/openai"
 )
 
-// healthz says that the process runs.
+// healthz reports that the process is running.
 func (g *Gateway) healthz(c *fiber.Ctx) error { return c.SendString("ok\n") }
 
-// readyz says whether callers may be sent here.
+// readyz reports whether callers may use this instance.
 func (g *Gateway) readyz(c *fiber.Ctx) error {
 	if err := g.deps.Ready(); err != nil {
 		return c.Status(fiber.StatusServiceUnavailable).SendString(err.Error() + "\n")
@@ -20,7 +20,7 @@
 	return c.SendString("ready\n")
 }
 
-// where names the addresses to use.
+// where lists the addresses that the caller may connect to.
 func (g *Gateway) where(c *fiber.Ctx) error {
 	a := g.deps.Directory.Locate(c.Query("data_centre"))
 	c.Set(fiber.HeaderCacheControl, "max-age="+strconv.Itoa(int(a.MaxAgeSeconds)))
--- a/internal/entry/gateway/service.go
+++ b/internal/entry/gateway/service.go
@@ -18,7 +18,7 @@
 // maxIdempotencyKey bounds a caller's key, in bytes.
 const maxIdempotencyKey = 256
 
-// service serves any path that the rules send to a plain service.
+// service serves any path that the rules route to a plain service.
 func (g *Gateway) service(c *fiber.Ctx) error {
 	g.active.Add(1)
 	defer g.active.Add(-1)
@@ -40,7 +40,7 @@
 	return g.fail(c, k, f)
 }
 
-// passOn serves a model request that the rules send to a plain service.
+// forwardModelRequest serves a model request that the rules route to a plain service.
 func (g *Gateway) forwardModelRequest(c *fiber.Ctx, k *call) *outcome.Failure {
 	f := g.callService(c, k)
 	if f == nil {
@@ -50,7 +50,7 @@
 	return f
 }
 
-// callService forwards the request and writes the service's answer.
+// callService forwards the request and writes the service's response.
 func (g *Gateway) callService(c *fiber.Ctx, k *call) *outcome.Failure {
 	if f := g.begin(c, k); f != nil {
 		return f
@@ -102,8 +102,8 @@
 	return nil
 }
 
-// runService runs the call, at most once if it is protected. Of a protected
-// call only an attempt that certainly did not run is made again.
+// runService runs the call, at most once if it is protected. An attempt of a
+// protected call is retried only if it certainly did not run.
 func (g *Gateway) runService(k *call, job forward.Job, key string) (upstream.ServiceResponse, *outcome.Failure) {
 	if !k.decision.Then.Protected {
 		return g.deps.Services.Call(k.ctx, job)
@@ -117,14 +117,14 @@
 	})
 }
 
-// digestOf tells a resend of a call from another under the same key.
+// requestDigest distinguishes a resend of a call from another one under the same key.
 func requestDigest(r upstream.ServiceRequest) string {
 	sum := stream.NewRequestDigest(r.Method, r.Path, r.Body)
 	return string(sum[:])
 }
 
-// serviceRequest copies the request: the call may outlive the handler, whose
-// memory is used again for the connection's next request.
+// serviceRequest copies the request: the call may outlive the handler, whose memory
+// is reused for the connection's next request.
 func serviceRequest(c *fiber.Ctx, k *call) upstream.ServiceRequest {
 	r := upstream.ServiceRequest{
 		Method: k.method,
--- a/internal/entry/gateway/service_test.go
+++ b/internal/entry/gateway/service_test.go
@@ -22,8 +22,7 @@
 	"tamarackchute/upstream"
 )
 
-// serveTCP runs a server that handles each request by hand, and returns its
-// address.
+// serveTCP runs a server whose handler writes raw responses, and returns its address.
 func serveTCP(t *testing.T, handle func(conn net.Conn, request *http.Request)) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -54,10 +53,9 @@
 	_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: "+itoa(len(body))+"\r\n\r\n"+body)
 }
 
-// A booking server takes a request and dies before it answers. fasthttp's own
-// client sent one PUT five times to such a server, and five trucks would come.
-// By the rule's class it must reach the server once, or once a repeat that the
-// rule allows.
+// A service reads a request and closes the connection without a response. Guards
+// against hidden retries: fasthttp's client sent one PUT five times to such a server.
+// The number of attempts must be that of the rule's retry class.
 func TestServerThatClosesWithoutAnswer(t *testing.T) {
 	for retry, want := range map[rules.RetryClass]int64{rules.RetryUnsent: 1, rules.RetryNever: 1, rules.RetryRepeatable: 3} {
 		var runs atomic.Int64
@@ -74,10 +72,10 @@
 	}
 }
 
-// A booking server answers after the caller's deadline, and the connection
-// serves the next caller. A call that timed out goes on in fasthttp's
-// background; its late answer must never come to the next request.
-func TestLateAnswerReachesNobody(t *testing.T) {
+// A service responds after the caller's deadline. fasthttp continues a timed-out call
+// in the background; its late response must never reach the next request on the same
+// connection.
+func TestLateResponseIsDropped(t *testing.T) {
 	release := make(chan struct{})
 	address := serveTCP(t, func(conn net.Conn, request *http.Request) {
 		body, _ := io.ReadAll(request.Body)
@@ -100,10 +98,10 @@
 	}
 }
 
-// Two callers share a connection's memory in turn: fiber hands out strings that
-// lie in the connection's buffer, which the next request overwrites. What a
-// queue or a table keeps of the first caller must not turn into the second.
-func TestNothingKeptChangesWithTheNextRequest(t *testing.T) {
+// fiber returns strings that point into the connection's buffer, which the next
+// request overwrites. Guards against a queue or a table that holds such a string, as
+// the first caller's data would turn into the second one's.
+func TestKeptDataSurvivesTheNextRequest(t *testing.T) {
 	var kept []admission.Request
 	p := &fakeDeps{
 		engines:  map[string]*fakeEngine{"e1": newEngine(2)},
@@ -129,9 +127,9 @@
 	require.Equal(t, "farm-one", p.engines["e1"].seen()[0].Prompt)
 }
 
-// A booking goes on after its caller's deadline, while the same connection
-// already brings the next request. The service must get what the first caller
-// sent, not the bytes of the second.
+// A call continues after its caller's deadline while the same connection already
+// carries the next request. The service must get the first request's bytes, not those
+// of the second.
 func TestCallThatOutlivesItsRequestKeepsItsBody(t *testing.T) {
 	service := &recordingService{calls: make(chan upstream.ServiceRequest, 2)}
 	r := newHarness(t, &fakeDeps{services: map[string]upstream.Service{"s1": service}, then: rules.Then{Pool: "s"}})
@@ -153,7 +151,7 @@
 	require.Contains(t, first.Headers, upstream.Header{Name: "X-Name", Value: "first-farm"})
 }
 
-// recordingService keeps what it was called with.
+// recordingService records the requests that it gets.
 type recordingService struct{ calls chan upstream.ServiceRequest }
 
 func (s *recordingService) Call(_ context.Context, r upstream.ServiceRequest) (upstream.ServiceResponse, error) {
@@ -161,7 +159,7 @@
 	return upstream.ServiceResponse{Status: 201, Headers: []upstream.Header{{Name: "X-Slip", Value: "7"}}, Body: []byte("done")}, nil
 }
 
-// A protected call without a key can't be told from its resend, so it must be
+// A protected call without a key can't be distinguished from its resend, so it must be
 // refused before anything is sent. With a key it goes through the claims.
 func TestProtectedCallNeedsKey(t *testing.T) {
 	service := &recordingService{calls: make(chan upstream.ServiceRequest, 8)}
@@ -197,8 +195,8 @@
 	return run(ctx)
 }
 
-// A request that is given up gets its answer at once, though its deadline is an
-// hour away: a caller that is told when to come back can go elsewhere.
+// A refused request must be answered at once with a Retry-After, although its deadline
+// is an hour away, so that the caller can go elsewhere.
 func TestRefusalComesAtOnce(t *testing.T) {
 	r := newHarness(t, &fakeDeps{
 		engines: map[string]*fakeEngine{"e1": newEngine(2)},
@@ -212,8 +210,8 @@
 	require.Empty(t, r.engines["e1"].seen())
 }
 
-// Bodies and headers that are too large, senders that stop in the middle, and
-// connections that are half closed get a clear error and hold nothing.
+// Requests with too large a body or header, senders that stop midway, and half-closed
+// connections must get the right status and leave no request active.
 func TestRequestsThatCannotBeServed(t *testing.T) {
 	engine := newEngine(20)
 	engine.stallAt = 0
--- a/internal/entry/gateway/sse.go
+++ b/internal/entry/gateway/sse.go
@@ -18,11 +18,11 @@
 )
 
 const (
-	// eventsAhead is how many tokens a stream reads ahead of its caller. When
-	// the caller doesn't read, they fill, the engine's connection isn't read
-	// any more, and so the engine waits in its turn.
+	// maxBufferedEvents bounds the tokens read ahead of the caller. If the caller
+	// doesn't read, the buffer fills, the engine's connection isn't read any more, and
+	// the engine has to wait too.
 	maxBufferedEvents = 8
-	// fillBytes is how much is gathered for one write to the caller.
+	// writeBatchBytes is how much is collected for one write to the caller.
 	writeBatchBytes = 2048
 )
 
@@ -31,8 +31,8 @@
 	doneEvent        = []byte("data: [DONE]\n\n")
 )
 
-// event is one step of a stream: a token, or its end. idPrefix is set with the
-// first token of each attempt.
+// event is a token of a stream or its end. idPrefix is set on the first token of
+// each attempt.
 type event struct {
 	token    upstream.Token
 	idPrefix string
@@ -40,9 +40,9 @@
 	failure  *outcome.Failure
 }
 
-// sse is the body of a streamed answer. One goroutine, the pump, reads the
-// engine; the connection's own goroutine calls Read, which writes events and,
-// while there are none, heartbeats.
+// sse is the body of a streamed response. One goroutine, the pump, reads from the
+// engine; the connection's goroutine calls Read, which returns events and, while there
+// are none, heartbeats.
 type sse struct {
 	gateway   *Gateway
 	modelCall *modelCall
@@ -50,12 +50,12 @@
 	chunks    *openai.ChunkEncoder
 	digest    stream.RequestDigest
 	events    chan event
-	// closed ends with the body: nobody reads events any more.
+	// closed is closed with the body, after which nobody reads events.
 	closed    chan struct{}
 	closeOnce sync.Once
 
 	heartbeat *time.Ticker
-	// extended is when the write deadline was moved last.
+	// deadlineSetAt is when the write deadline was last extended.
 	deadlineSetAt time.Time
 	idle          bool
 	idPrefix      string
@@ -64,9 +64,9 @@
 	ended         bool
 }
 
-// stream sends the answer as events. It waits for the first one, so that a
-// request that fails before it gets an ordinary HTTP error, but no longer than
-// until a heartbeat is due.
+// stream sends the answer as server-sent events. It waits for the first event, but
+// not longer than one heartbeat, so that a request that fails before its first token
+// gets an ordinary HTTP error.
 func (g *Gateway) stream(c *fiber.Ctx, k *call, r *modelCall) *outcome.Failure {
 	s := g.newSSE(c.Context().Conn(), r, stream.NewRequestDigest(k.organisation, k.path, c.BodyRaw()))
 	g.pumps.Go(s.pump)
@@ -78,8 +78,7 @@
 	c.Set(headerRequestID, k.id)
 	c.Set(fiber.HeaderContentType, "text/event-stream")
 	c.Set(fiber.HeaderCacheControl, "no-cache")
-	// The server takes this deadline back when the response is out; Read
-	// moves it on.
+	// The server resets this deadline when the response is sent; Read extends it.
 	_ = c.Context().SetWriteDeadline(time.Now().Add(g.opts.WriteTimeout))
 	c.Context().SetBodyStream(s, -1)
 	return nil
@@ -99,8 +98,8 @@
 	}
 }
 
-// awaitFirst returns the failure of an answer that fails before its first
-// token.
+// awaitFirst waits for the first token or heartbeat, and returns the failure of an
+// answer that fails before it.
 func (s *sse) awaitFirst() *outcome.Failure {
 	select {
 	case e := <-s.events:
@@ -114,7 +113,7 @@
 	return nil
 }
 
-// pump hands the answer's tokens to Read until the answer or the call ends.
+// pump passes the answer's tokens to Read until the answer or the call ends.
 func (s *sse) pump() {
 	defer close(s.events)
 	f := s.forwardTokens()
@@ -151,9 +150,8 @@
 	}
 }
 
-// offer waits until the caller has read enough for one more event. It ends with
-// the call too, so that a caller that doesn't read holds no engine beyond the
-// deadline.
+// send waits until there is room for one more event. It also ends with the call, so
+// that a caller that doesn't read occupies no engine beyond the deadline.
 func (s *sse) send(e event) *outcome.Failure {
 	select {
 	case s.events <- e:
@@ -169,7 +167,7 @@
 	return &u
 }
 
-// Read gives the next events to the server, which writes them out at once.
+// Read returns the next events to the server, which writes them at once.
 func (s *sse) Read(p []byte) (int, error) {
 	if s.offset == len(s.buf) {
 		if s.ended {
@@ -184,8 +182,8 @@
 	return n, nil
 }
 
-// extendWriteDeadline gives the caller WriteTimeout from now on, to within the
-// tenth that a move of the deadline may be late.
+// extendWriteDeadline gives the caller WriteTimeout from now on. It skips updates for
+// a tenth of that time, so the deadline may come up to a tenth early.
 func (s *sse) extendWriteDeadline() {
 	now := time.Now()
 	timeout := s.gateway.opts.WriteTimeout
@@ -196,7 +194,8 @@
 	_ = s.conn.SetWriteDeadline(now.Add(timeout))
 }
 
-// fill waits for an event or a heartbeat, and takes what else is there.
+// fill waits for an event or a heartbeat, and then adds further events that are
+// already available.
 func (s *sse) fill() {
 	for len(s.buf) == 0 && !s.ended {
 		select {
@@ -222,7 +221,7 @@
 func (s *sse) receive(e event, open bool) {
 	s.idle = false
 	if !open {
-		// The pump always ends with a last event, unless it panicked.
+		// The pump always sends a last event, unless it panicked.
 		e = event{failure: &outcome.Failure{
 			Status: fiber.StatusInternalServerError, Code: outcome.CodeInternal,
 			Message: "the stream broke inside the instance", Execution: outcome.MayHaveRun,
@@ -231,7 +230,7 @@
 	s.appendEvent(e)
 }
 
-// add appends an event in the form of server-sent events.
+// appendEvent appends an event in the server-sent events format.
 func (s *sse) appendEvent(e event) {
 	switch {
 	case e.failure != nil:
@@ -261,8 +260,8 @@
 	s.buf = append(s.buf, "\n\n"...)
 }
 
-// addFailure appends the error event of a stream that can't be finished. No
-// [DONE] follows, so the answer can't be taken for a whole one.
+// appendFailure appends the error event of a stream that can't be completed. No
+// [DONE] follows, so that the answer can't be taken for a complete one.
 func (s *sse) appendFailure(f *outcome.Failure) {
 	s.gateway.metrics.failed(f)
 	if f.RetryAfter > 0 {
@@ -279,8 +278,8 @@
 	s.buf = append(s.buf, "\n\n"...)
 }
 
-// Close is called by the server when the response is out or its connection has
-// failed; the engine's work is cancelled if it isn't done.
+// Close is called by the server when the response is sent or its connection has
+// failed. It cancels the engine's work unless it is complete.
 func (s *sse) Close() error {
 	s.closeOnce.Do(func() {
 		s.heartbeat.Stop()
--- a/internal/entry/gateway/stream_test.go
+++ b/internal/entry/gateway/stream_test.go
@@ -37,10 +37,10 @@
 	require.True(t, strings.HasSuffix(body, "data: [DONE]\n\n"))
 }
 
-// A driver reads an answer as it comes, and its engine dies in the middle. The
-// caller must get every token once and in order, from another engine that was
-// given the text so far, and the usual end.
-func TestStreamGoesOnAfterEngineDeath(t *testing.T) {
+// An engine crashes in the middle of a stream. The caller must get every token once
+// and in order from another engine, which continues from the text so far, and the
+// usual end.
+func TestStreamContinuesAfterEngineCrash(t *testing.T) {
 	spent := new(atomic.Bool)
 	engines := map[string]*fakeEngine{"e1": newEngine(12), "e2": newEngine(12)}
 	for _, e := range engines {
@@ -62,10 +62,10 @@
 	require.NotEqual(t, first[0].AttemptID, second[0].AttemptID)
 }
 
-// The engine of a long stream dies when the stream has outgrown the text that
-// is kept of it, or there is no other engine. The caller must see an error
-// event and no [DONE], so that it can't take the part for the whole.
-func TestStreamThatCannotGoOnSaysSo(t *testing.T) {
+// An engine crashes after its stream has exceeded the buffered text, or when no other
+// engine exists. The caller must see an error event and no [DONE], so that it can't
+// take the partial answer for a complete one.
+func TestInterruptedStreamEndsWithError(t *testing.T) {
 	for name, tc := range map[string]struct {
 		dieAt  int
 		others int
@@ -89,11 +89,10 @@
 	}
 }
 
-// An entry instance is killed while it streams. Its caller comes to another
-// instance with the last event's id and the same body, and must get exactly the
-// rest; the engine dies then too, and the answer must still go on, for the
-// second instance has the text from the engine. A stranger with the id gets
-// nothing.
+// An entry instance is killed while it streams, and the caller repeats its request at
+// another instance with the last event's id. It must get exactly the remaining tokens,
+// even if the engine crashes then too, as the second instance has the text from the
+// engine. Another organisation with the same id must be refused.
 func TestResumeAtAnotherInstance(t *testing.T) {
 	engine := newEngine(20)
 	engine.stallAt = 8
@@ -117,10 +116,10 @@
 	require.Equal(t, string(outcome.MayHaveRun), gone.Header.Get(outcome.Header))
 }
 
-// An instance is stopped for good while a stream still runs beyond the grace.
-// Its caller must be told, and the engine must not be told to drop the work:
-// the caller takes the stream up again elsewhere.
-func TestAbortLeavesStreamsToOtherInstances(t *testing.T) {
+// A stream is still open when the grace period of a shutdown ends. The caller must get
+// an error, and the stream must not be cancelled at the engine, so that the caller can
+// resume it at another instance.
+func TestAbortKeepsEngineStreams(t *testing.T) {
 	engine := newEngine(20)
 	engine.stallAt = 4
 	r := newHarness(t, &fakeDeps{engines: map[string]*fakeEngine{"e1": engine}})
@@ -134,16 +133,16 @@
 	require.Empty(t, engine.cancelled)
 }
 
-// A driver closes the app while the engine still works through a long prompt.
-// Nothing is written then, so no write fails, and fasthttp doesn't read the
-// connection: without a look at it the engine would work on for nobody.
+// A caller closes its connection during a long prefill. Nothing is written then, so no
+// write fails, and fasthttp doesn't read the connection. Guards against an engine that
+// keeps working for a closed connection.
 func TestCallerGoneWhileEngineIsSilent(t *testing.T) {
 	for name, body := range map[string]string{"plain": plainBody, "streamed": streamBody} {
 		t.Run(name, func(t *testing.T) {
 			engine := newEngine(20)
 			engine.stallAt = 0
 			r := newHarness(t, &fakeDeps{engines: map[string]*fakeEngine{"e1": engine}}, func(o *gateway.Options) {
-				o.Heartbeat = time.Hour // no write may give the caller's going away
+				o.Heartbeat = time.Hour // so that no failed write reveals the closed connection
 			})
 			conn, err := net.Dial("tcp", r.address)
 			require.NoError(t, err)
@@ -165,8 +164,8 @@
 	return "POST " + path + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + itoa(len(body)) + "\r\n\r\n" + body
 }
 
-// A caller of a streamed answer hears nothing for the time of a long prefill
-// and gives up. It must get the headers and heartbeats meanwhile.
+// Guards against callers that time out during a long prefill: they must get the
+// headers and heartbeats meanwhile.
 func TestHeartbeatsWhileEngineIsSilent(t *testing.T) {
 	engine := newEngine(20)
 	engine.stallAt = 2
@@ -180,9 +179,9 @@
 	}
 }
 
-// An engine refuses, or can't be reached: the request certainly did not run and
-// may go elsewhere in every class but never. One that broke off may have run
-// and goes elsewhere only if it is repeatable.
+// A request that an engine refused, or that couldn't be sent, certainly did not run
+// and may be retried in every class except never. One that broke off may have run and
+// is retried only if it is repeatable.
 func TestRetryClasses(t *testing.T) {
 	for _, tc := range []struct {
 		retry   rules.RetryClass
@@ -214,8 +213,8 @@
 	}
 }
 
-// A deadline passes while the engine is silent. The caller must be told at that
-// moment, and told that the request may have run.
+// The deadline passes while the engine is silent. The caller must get an error at that
+// moment which says that the request may have run.
 func TestDeadline(t *testing.T) {
 	engine := newEngine(3)
 	engine.stallAt = 1
--- a/internal/entry/listen_test.go
+++ b/internal/entry/listen_test.go
@@ -38,7 +38,7 @@
 func (c slowConn) NetConn() net.Conn { return c.Conn }
 
 // Guards against a stop that resets a kept connection on which a request has arrived unread.
-func TestStopAnswersWhatHasArrived(t *testing.T) {
+func TestShutdownAnswersUnreadRequests(t *testing.T) {
 	const request = "GET /x HTTP/1.1\r\nHost: h\r\n\r\n"
 	app := fiber.New(fiber.Config{DisableStartupMessage: true, ReduceMemoryUsage: true})
 	app.Get("/x", func(c *fiber.Ctx) error { return c.SendString("whole") })
--- a/internal/entry/shutdown/shutdown_test.go
+++ b/internal/entry/shutdown/shutdown_test.go
@@ -38,7 +38,7 @@
 // A caller's request arrives while the instance leaves, and is cut off with "connection reset by
 // peer" when it exits: the machine was so busy that the request still waited to be read when
 // the instance looked for the last time, and found nothing in progress.
-func TestStopReadsWhatHasArrived(t *testing.T) {
+func TestShutdownServesUnreadRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		unread, inProgress, answered := 1, 0, 0
 		s := State{DiscoveryTTL: time.Second, Grace: time.Minute}
