--- a/internal/entry/openai/answer.go
+++ b/internal/entry/openai/answer.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// Usage counts the tokens of one answer.
+// Usage counts the tokens of one response.
 type Usage struct {
 	PromptTokens     int           `json:"prompt_tokens"`
 	CompletionTokens int           `json:"completion_tokens"`
@@ -13,12 +13,12 @@
 	Details          *UsageDetails `json:"prompt_tokens_details,omitempty"`
 }
 
-// UsageDetails says how much of the prompt was not worked through again.
+// UsageDetails says how many prompt tokens came from the prefix cache.
 type UsageDetails struct {
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// NewUsage returns the usage of an answer.
+// NewUsage returns the usage of a response.
 func NewUsage(prompt, cached, completion int) Usage {
 	u := Usage{
 		PromptTokens:     prompt,
@@ -31,7 +31,7 @@
 	return u
 }
 
-// Answer is a whole answer to a completion or a chat request.
+// Response is the complete response to a completion or a chat request.
 type Response struct {
 	Kind      Kind
 	ID, Model string
@@ -41,7 +41,7 @@
 	Usage        Usage
 }
 
-// AppendAnswer appends a whole answer.
+// AppendResponse appends a response as JSON.
 func AppendResponse(dst []byte, r Response) []byte {
 	object, textPrefix, textSuffix := "text_completion", `"text":`, ""
 	if r.Kind == Chat {
@@ -59,7 +59,7 @@
 	return append(dst, '}')
 }
 
-// appendHead appends what answers and chunks begin with, up to their choices.
+// appendHead appends the common start of responses and chunks, up to their choices.
 func appendHead(dst []byte, id, object string, created int64, model string) []byte {
 	dst = append(dst, `{"id":`...)
 	dst = AppendString(dst, id)
@@ -80,15 +80,15 @@
 	return append(dst, text...)
 }
 
-// Chunks writes the streamed chunks of one answer. The parts that all chunks
-// share are made once, as a chunk goes out for each token.
+// ChunkEncoder encodes the chunks of one streamed response. The parts that all chunks
+// share are encoded once, as each token is a chunk.
 type ChunkEncoder struct {
 	head       string
 	textPrefix string
 	textSuffix string
 }
 
-// NewChunks returns the writer for an answer. Created is in Unix seconds.
+// NewChunkEncoder returns the encoder for one response. created is in Unix seconds.
 func NewChunkEncoder(kind Kind, id, model string, created int64) *ChunkEncoder {
 	object, textPrefix, textSuffix := "text_completion", `{"index":0,"text":`, `,"finish_reason":`
 	if kind == Chat {
@@ -99,7 +99,7 @@
 	return &ChunkEncoder{head: string(head), textPrefix: textPrefix, textSuffix: textSuffix}
 }
 
-// AppendToken appends the chunk of one token; finish is "" but for the last.
+// AppendToken appends the chunk of one token; finish is "" except for the last one.
 func (c *ChunkEncoder) AppendToken(dst []byte, text, finish string) []byte {
 	dst = append(dst, c.head...)
 	dst = append(dst, c.textPrefix...)
@@ -113,7 +113,7 @@
 	return append(dst, "}]}"...)
 }
 
-// AppendUsage appends the last chunk, which has no choice but the usage.
+// AppendUsage appends the last chunk, which has the usage and no choices.
 func (c *ChunkEncoder) AppendUsage(dst []byte, u Usage) []byte {
 	dst = append(dst, c.head...)
 	dst = append(dst, `],"usage":`...)
@@ -121,8 +121,7 @@
 	return append(dst, '}')
 }
 
-// AppendString appends a JSON string. Bytes that are no UTF-8 become U+FFFD,
-// so that the result is always valid.
+// AppendString appends a JSON string. Bytes that aren't valid UTF-8 become U+FFFD.
 func AppendString(dst []byte, s string) []byte {
 	if needsNoEscape(s) {
 		dst = append(dst, '"')
@@ -132,8 +131,8 @@
 	return append(dst, quoted(s)...)
 }
 
-// isPlain reports whether a string is its own JSON form, which holds for
-// nearly every token.
+// needsNoEscape reports whether a string can be quoted as it is, which is the fast
+// path for nearly every token.
 func needsNoEscape(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if c := s[i]; c < ' ' || c >= 0x7f || c == '"' || c == '\\' {
@@ -151,7 +150,7 @@
 	return string(text)
 }
 
-// Model is one row of the list of models.
+// Model is one entry of the list of models.
 type Model struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
@@ -159,13 +158,13 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// ModelList is the answer to GET /v1/models.
+// ModelList is the response to GET /v1/models.
 type ModelList struct {
 	Object string  `json:"object"`
 	Data   []Model `json:"data"`
 }
 
-// NewModelList returns the list of the models named.
+// NewModelList returns the list of the named models.
 func NewModelList(names []string) ModelList {
 	list := ModelList{Object: "list", Data: make([]Model, len(names))}
 	for i, name := range names {
--- a/internal/entry/openai/openai_test.go
+++ b/internal/entry/openai/openai_test.go
@@ -50,8 +50,8 @@
 	require.ErrorContains(t, err, `"image_url" is not supported`)
 }
 
-// Whatever an engine sends as a token's text, the chunk is valid JSON and gives
-// valid text back unchanged.
+// For any token text the chunk must be valid JSON, and valid UTF-8 text must be
+// preserved unchanged.
 func TestChunkCarriesAnyText(t *testing.T) {
 	chunks := NewChunkEncoder(Chat, "chatcmpl-1", "Vík \"7b\"", 12)
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/entry/openai/request.go
+++ b/internal/entry/openai/request.go
@@ -1,5 +1,5 @@
-// Package openai reads and writes the OpenAI-compatible forms in which callers
-// speak to the system: completion and chat requests, plain answers, streamed
+// Package openai decodes and encodes the OpenAI-compatible messages that callers
+// exchange with the system: completion and chat requests, plain responses, streamed
 // chunks, the list of models and errors.
 package openai
 
@@ -10,23 +10,23 @@
 	"strings"
 )
 
-// Kind tells the two sorts of request apart.
+// Kind is the kind of a model request.
 type Kind uint8
 
-// The sorts of request.
+// The kinds of request.
 const (
 	Completion Kind = iota
 	Chat
 )
 
-// DefaultMaxTokens is the output bound of a request that names none.
+// DefaultMaxTokens is the output bound of a request that sets none.
 const DefaultMaxTokens = 256
 
-// maxTokensLimit is the largest output bound that is taken.
+// maxTokensLimit is the largest accepted output bound.
 const maxTokensLimit = 1 << 20
 
-// Request is a checked request. Its strings don't share memory with the body
-// that it was read from.
+// Request is a validated request. Its strings share no memory with the body from
+// which it was parsed.
 type Request struct {
 	Kind      Kind
 	Model     string
@@ -34,9 +34,9 @@
 	Prompt    string
 	MaxTokens int
 	Stream    bool
-	// IncludeUsage asks for a last chunk with the usage.
+	// IncludeUsage requests a last chunk with the usage.
 	IncludeUsage bool
-	// PromptTokens is an estimate from the number of words.
+	// PromptTokens is estimated from the number of words.
 	PromptTokens int
 }
 
@@ -49,9 +49,8 @@
 	return &RequestError{Message: fmt.Sprintf(format, args...)}
 }
 
-// body has the members of both sorts of request that change the answer.
-// Sampling settings (temperature, top_p, seed) are left to the engine and read
-// by nobody here.
+// body has the members of both kinds of request that affect the response. Sampling
+// parameters (temperature, top_p, seed) are ignored here; the engine decides on them.
 type body struct {
 	Model               string    `json:"model"`
 	Adapter             string    `json:"adapter"`
@@ -64,8 +63,7 @@
 		IncludeUsage bool `json:"include_usage"`
 	} `json:"stream_options"`
 
-	// Members that would change the shape of the answer, and that no engine
-	// behind the interface can honour.
+	// Members that would change the form of the response and that no engine supports.
 	N              *int            `json:"n"`
 	BestOf         *int            `json:"best_of"`
 	Echo           bool            `json:"echo"`
@@ -81,13 +79,13 @@
 	Content json.RawMessage `json:"content"`
 }
 
-// contentPart is one part of a message whose content is a list.
+// contentPart is one item of a message content that is a list.
 type contentPart struct {
 	Type string `json:"type"`
 	Text string `json:"text"`
 }
 
-// ParseRequest reads a request's body. The error is a *RequestError.
+// ParseRequest parses a request's body. The error is a *RequestError.
 func ParseRequest(kind Kind, data []byte) (Request, error) {
 	var b body
 	if err := json.Unmarshal(data, &b); err != nil {
@@ -178,8 +176,8 @@
 	return requestErrorf("the body is no JSON request: %v", err)
 }
 
-// chatPrompt lays the messages out as one text, a line a message, and leaves
-// the last line to the assistant.
+// chatPrompt joins the messages into one text, one line each, and ends with the start
+// of the assistant's line.
 func (b *body) chatPrompt() (string, error) {
 	if len(b.Messages) == 0 {
 		return "", requestErrorf("the member messages is missing or empty")
@@ -218,8 +216,8 @@
 	return all.String(), nil
 }
 
-// EstimateTokens guesses the number of tokens of a text: four for every three
-// words, which is the usual ratio for English.
+// EstimateTokens estimates the number of tokens of a text as four for every three
+// words, the usual ratio for English.
 func EstimateTokens(text string) int {
 	words, inWord := 0, false
 	for i := 0; i < len(text); i++ {
--- a/internal/entry/stream/prior.go
+++ b/internal/entry/stream/buffer.go
@@ -2,16 +2,16 @@
 
 import "sync/atomic"
 
-// Budget bounds the text that all open streams of a process keep together.
+// MemoryBudget bounds the total text that all open streams of a process buffer.
 type MemoryBudget struct {
 	max  int64
 	used atomic.Int64
 }
 
-// NewBudget returns a budget of a number of bytes.
+// NewMemoryBudget returns a budget of a number of bytes.
 func NewMemoryBudget(bytes int64) *MemoryBudget { return &MemoryBudget{max: bytes} }
 
-// Used returns the number of bytes kept now.
+// Used returns the number of bytes buffered now.
 func (b *MemoryBudget) Used() int64 { return b.used.Load() }
 
 func (b *MemoryBudget) reserve(n int) bool {
@@ -22,10 +22,10 @@
 	return false
 }
 
-// Prior keeps the text that an answer has sent so far, which another engine
-// needs to go on from there. A stream longer than its limit, or one for which
-// the budget has no room, gives its text up: it streams on in constant memory,
-// and can't be continued if its engine dies. It isn't safe for concurrent use.
+// OutputBuffer holds the text of an answer so far, which another engine needs to
+// continue it. If the text exceeds the limit or the budget, it is discarded: the
+// stream goes on in constant memory but can't be continued if its engine fails.
+// An OutputBuffer isn't safe for concurrent use.
 type OutputBuffer struct {
 	budget    *MemoryBudget
 	limit     int
@@ -34,12 +34,12 @@
 	discarded bool
 }
 
-// NewPrior returns an empty one that keeps up to limit bytes.
+// NewOutputBuffer returns an empty buffer of up to limit bytes.
 func NewOutputBuffer(budget *MemoryBudget, limit int) *OutputBuffer {
 	return &OutputBuffer{budget: budget, limit: limit}
 }
 
-// Add counts one token and keeps its text, if there is room.
+// Add counts one token and buffers its text if there is room.
 func (o *OutputBuffer) Add(text string) {
 	o.tokens++
 	if o.discarded {
@@ -52,8 +52,8 @@
 	o.text = append(o.text, text...)
 }
 
-// Skip counts tokens whose text is not known here, as of an answer taken up
-// from another instance.
+// Skip counts tokens whose text isn't known here, such as those of an answer that
+// another instance started.
 func (o *OutputBuffer) Skip(tokens int) {
 	o.tokens += tokens
 	if tokens > 0 {
@@ -61,14 +61,14 @@
 	}
 }
 
-// Tokens returns the number of tokens so far, kept or not.
+// Tokens returns the number of tokens so far, buffered or not.
 func (o *OutputBuffer) Tokens() int { return o.tokens }
 
-// Text returns the whole text so far, and false if it was given up.
+// Text returns the complete text so far, or false if it was discarded.
 func (o *OutputBuffer) Text() (string, bool) { return string(o.text), !o.discarded }
 
-// GiveUp drops the text and returns its room to the budget. Call it when the
-// answer ends; it may be called twice.
+// Discard drops the text and returns its bytes to the budget. It must be called when
+// the answer ends and may be called repeatedly.
 func (o *OutputBuffer) Discard() {
 	o.budget.used.Add(-int64(len(o.text)))
 	o.text = nil
--- a/internal/entry/stream/eventid.go
+++ b/internal/entry/stream/eventid.go
@@ -1,7 +1,6 @@
-// Package stream holds what a streamed answer needs to outlive an engine or an
-// entry instance: event ids from which any instance can take it up again, the
-// text sent so far within a bounded memory, and the join that lets no token
-// through twice or out of order.
+// Package stream holds what a streamed answer needs to survive the failure of an
+// engine or an entry instance: event ids from which any instance can resume it, and
+// a bounded buffer of the text so far.
 package stream
 
 import (
@@ -15,25 +14,25 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Origin is what an instance needs to take up a running answer.
+// Origin is what an instance needs to resume an answer in progress.
 type Origin struct {
 	// Answer is the answer's id as the caller sees it, Created its time in
 	// Unix seconds.
 	Answer  string `msgpack:"i"`
 	Created int64  `msgpack:"c"`
-	// Upstream names the engine, Attempt the attempt that runs there.
+	// Upstream names the engine, Attempt the attempt in progress there.
 	Upstream string `msgpack:"u"`
 	Attempt  string `msgpack:"a"`
-	// First is the index of the attempt's first token: 0 unless it continues
-	// what another engine began.
+	// First is the index of the attempt's first token: 0 unless it continues the
+	// answer of another engine.
 	First int `msgpack:"f"`
 }
 
-// Owner is the digest of what a resume must repeat: the caller's organisation,
-// the path and the request's body.
+// RequestDigest is the digest of what a request to resume must repeat: the caller's
+// organisation, the path and the request's body.
 type RequestDigest [sha256.Size]byte
 
-// NewOwner returns the digest of a request.
+// NewRequestDigest returns the digest of a request.
 func NewRequestDigest(organisation, path string, body []byte) RequestDigest {
 	h := sha256.New()
 	for _, part := range []string{organisation, path} {
@@ -46,16 +45,16 @@
 }
 
 // ErrEventID says that an event id was not issued by this deployment for the
-// request that brings it.
+// request that carries it.
 var ErrEventID = errors.New("the event id doesn't belong to this request")
 
-// macBytes is the length of the authentication code kept in an id: 128 bits.
+// macBytes is the length of the message authentication code in an id: 128 bits.
 const macBytes = 16
 
-// idContext separates these codes from other uses of the same secret.
+// macContext separates these codes from other uses of the same secret.
 const macContext = "tamarackchute event id 1\x00"
 
-// Signer seals and opens event ids. All instances share its secret.
+// Signer signs and verifies event ids. All instances share its secret.
 type Signer struct{ secret []byte }
 
 // NewSigner returns a signer with the secret that the instances share.
@@ -65,10 +64,10 @@
 
 var idEncoding = base64.RawURLEncoding
 
-// Prefix returns the part that all event ids of one attempt share. The code in
-// it covers the origin and the owner, so that a caller can neither make an id
-// nor use one of another's. The token index that follows isn't covered: every
-// index reaches only the caller's own answer.
+// Prefix returns the part that all event ids of one attempt share. Its code covers
+// the origin and the request's digest, so that a caller can neither forge an id nor
+// use another caller's. The token index that follows needs no cover: any index leads
+// only to the caller's own answer.
 func (s *Signer) Prefix(o Origin, digest RequestDigest) string {
 	signed, err := msgpack.Marshal(&o)
 	if err != nil {
@@ -84,8 +83,8 @@
 	return strconv.AppendInt(dst, int64(index), 10)
 }
 
-// Open checks an event id and returns its origin and token index. The error is
-// ErrEventID.
+// Open verifies an event id and returns its origin and token index. The error is
+// always ErrEventID.
 func (s *Signer) Open(id string, digest RequestDigest) (Origin, int, error) {
 	encoded, number, found := strings.Cut(id, ".")
 	index, err := strconv.Atoi(number)
--- a/internal/entry/stream/stream_test.go
+++ b/internal/entry/stream/stream_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// A caller edits the id of an event, or sends an id that it has seen in
-// another's log, so as to read an answer that isn't its own. Each such id must
-// be refused, while its own id opens at any instance that has the secret.
+// Guards against reading another caller's answer with a forged or copied event id.
+// Such ids must be refused, while the caller's own id opens at every instance that
+// has the secret.
 func TestEventIDOpensOnlyForItsRequest(t *testing.T) {
 	origin := Origin{Answer: "cmpl-1", Created: 5, Upstream: "Vík-3", Attempt: "a-1", First: 4}
 	digest := NewRequestDigest("farm-1", "/v1/completions", []byte("body"))
@@ -55,16 +55,15 @@
 			return
 		}
 		if got, _, err := other.Open(forged, digest); err == nil {
-			// The last character of base64 has bits that stand for nothing.
+			// The last base64 character has unused bits.
 			require.Equal(t, origin, got)
 		}
 	})
 }
 
-// A thousand long answers run at once and the entry is killed by the kernel
-// for its memory, because each kept its whole text. The text kept must stay
-// within the stream's limit and the process's budget, and come back in full
-// once the streams end.
+// Guards against running out of memory with many long answers: the buffered text must
+// stay within each stream's limit and the process's budget, and all of it must return
+// to the budget when the streams end.
 func TestOutputBuffersStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		budget := NewMemoryBudget(64)
