--- a/cmd/chute-entry/main.go
+++ b/cmd/chute-entry/main.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// callTimeout bounds a call to an upstream whose request has no earlier
-	// deadline.
+	// callTimeout bounds a call to an upstream; a request's own deadline is usually
+	// earlier.
 	callTimeout = 10 * time.Minute
-	// maxAnswer bounds the answer of a plain service, in bytes.
-	maxAnswer = 8 << 20
+	// maxResponse bounds the response of a plain service, in bytes.
+	maxResponse = 8 << 20
 	// platformTimeout bounds a call to a service of the platform.
 	platformTimeout = 5 * time.Second
 )
 
 func main() {
-	uuid.EnableRandPool() // ids are made for each request and attempt
+	uuid.EnableRandPool() // faster, as each request and attempt needs an id
 	program.Main("chute-entry", build)
 }
 
@@ -32,7 +32,7 @@
 	d := env.Deployment
 	sender := env.Instance + "/entry"
 	toPlatform := httpx.Options{TLS: env.ClientTLS, Timeout: platformTimeout, Sender: sender}
-	toUpstreams := httpx.Options{TLS: env.ClientTLS, Timeout: callTimeout, MaxBody: maxAnswer, Sender: sender}
+	toUpstreams := httpx.Options{TLS: env.ClientTLS, Timeout: callTimeout, MaxBody: maxResponse, Sender: sender}
 	return entry.New(entry.Config{
 		Deployment: d,
 		Instance:   env.Instance,
--- a/internal/entry/answer/answer_test.go
+++ b/internal/entry/answer/answer_test.go
@@ -25,12 +25,12 @@
 
 // fault describes how one attempt fails.
 type fault struct {
-	// replay is how many earlier tokens are sent again; skip is the position at which
-	// a token is omitted; dieAfter is how many tokens are sent before the stream
-	// breaks, or with early before it ends without a finish reason.
-	replay, skip, dieAfter int
-	early                  bool
-	refuse                 error
+	// replay is how many earlier tokens are sent again; skipAt, if above 0, is how many
+	// tokens are sent before one is omitted; breakAfter is how many are sent before the
+	// stream breaks, or with endEarly before it ends without a finish reason.
+	replay, skipAt, breakAfter int
+	endEarly                   bool
+	refuse                     error
 }
 
 // fakeFleet is a fleet of engines whose attempts follow a script, one fault each.
@@ -74,7 +74,7 @@
 	if r.Prior != prior {
 		e.fleet.wrongPriors = append(e.fleet.wrongPriors, r.Prior)
 	}
-	f := fault{dieAfter: totalTokens + 1}
+	f := fault{breakAfter: totalTokens + 1}
 	if len(e.fleet.script) > 0 {
 		f, e.fleet.script = e.fleet.script[0], e.fleet.script[1:]
 	}
@@ -106,13 +106,13 @@
 }
 
 func (s *scriptedStream) Next(context.Context) (upstream.Token, error) {
-	if s.sent == s.dieAfter {
-		if s.early {
+	if s.sent == s.breakAfter {
+		if s.endEarly {
 			return upstream.Token{}, io.EOF
 		}
 		return upstream.Token{}, upstream.ErrBroken
 	}
-	if s.skip > 0 && s.sent == s.skip {
+	if s.skipAt > 0 && s.sent == s.skipAt {
 		s.next++
 	}
 	if s.next >= totalTokens {
@@ -154,11 +154,11 @@
 		attempts := rapid.IntRange(1, 5).Draw(t, "attempts")
 		w := &fakeFleet{script: rapid.SliceOfN(rapid.Custom(func(t *rapid.T) fault {
 			return fault{
-				replay:   rapid.IntRange(0, 3).Draw(t, "replay"),
-				skip:     rapid.IntRange(0, 4).Draw(t, "skip"),
-				dieAfter: rapid.IntRange(0, totalTokens).Draw(t, "die"),
-				early:    rapid.Bool().Draw(t, "early"),
-				refuse:   rapid.SampledFrom([]error{nil, nil, upstream.ErrRefused, upstream.ErrNotSent}).Draw(t, "refuse"),
+				replay:     rapid.IntRange(0, 3).Draw(t, "replay"),
+				skipAt:     rapid.IntRange(0, 4).Draw(t, "skip"),
+				breakAfter: rapid.IntRange(0, totalTokens).Draw(t, "die"),
+				endEarly:   rapid.Bool().Draw(t, "early"),
+				refuse:     rapid.SampledFrom([]error{nil, nil, upstream.ErrRefused, upstream.ErrNotSent}).Draw(t, "refuse"),
 			}
 		}), 0, 5).Draw(t, "script")}
 		runner := newRunner(w, attempts)
--- a/internal/entry/answer/wait_test.go
+++ b/internal/entry/answer/wait_test.go
@@ -63,7 +63,7 @@
 	if e.name == "e1" && r.PriorTokens == 0 {
 		return nil, upstream.ErrRefused // so that all requests start on e0
 	}
-	return &scriptedStream{fault: fault{dieAfter: totalTokens + 1}, next: r.PriorTokens}, nil
+	return &scriptedStream{fault: fault{breakAfter: totalTokens + 1}, next: r.PriorTokens}, nil
 }
 
 // doomedStream returns one token and breaks when its engine goes down.
--- a/internal/entry/callerwatch/watch.go
+++ b/internal/entry/callerwatch/watch.go
@@ -1,11 +1,9 @@
-// Package callerwatch notices callers that have gone.
+// Package callerwatch detects callers that have closed their connection.
 //
-// fasthttp reads a connection only between requests and its request context
-// never ends when the caller closes, so a handler that waits for a silent
-// engine would wait for nobody. The watch asks the kernel instead: a poll for
-// POLLRDHUP tells a connection that the far end has closed, or closed for
-// sending, and consumes nothing, so bytes of a pipelined request stay where
-// they are.
+// fasthttp reads a connection only between requests, and its request context doesn't
+// end when the caller closes, so a handler could wait for an engine on behalf of a
+// closed connection. The watcher polls the sockets for POLLRDHUP, which reports that
+// the peer has closed or half-closed and leaves bytes of a pipelined request unread.
 package callerwatch
 
 import (
@@ -19,37 +17,35 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrGone is the cause of a context that ended because its caller has gone. A
-// caller that closes only its sending side counts as gone too, as it does for
-// net/http.
+// ErrGone is the cause of a context that ended because its caller has closed the
+// connection. Closing only the sending side counts too, as with net/http.
 var ErrGone = errors.New("the caller has closed its connection")
 
-// Interval is how often connections are looked at: a caller's going is noticed
-// after at most twice this time.
+// Interval is the time between two polls. A closed connection is detected after at
+// most twice this time.
 const Interval = 200 * time.Millisecond
 
-// Watch looks at the connections of requests in progress. A request that ends
-// within an interval costs no system call.
+// Watcher polls the connections of requests in progress. A request that ends within
+// an interval costs no system call.
 type Watcher struct {
 	mu     sync.Mutex
 	active map[*Registration]struct{}
 }
 
-// New returns an empty watch. It notices nothing until Serve runs.
+// New returns a watcher without connections. It detects nothing until Serve runs.
 func New() *Watcher { return &Watcher{active: map[*Registration]struct{}{}} }
 
-// Watched is one request under watch.
+// Registration is one request whose connection is watched.
 type Registration struct {
 	watcher *Watcher
 	conn    syscall.RawConn
 	cancel  context.CancelCauseFunc
-	// seen is set once a sweep has passed over the request: only those older
-	// than that are looked at.
+	// swept is set by the first sweep after Add; only later sweeps poll the connection.
 	swept bool
 }
 
-// Add watches a connection until Remove, and calls cancel with ErrGone if its
-// caller goes. A connection of a kind that can't be asked is not watched.
+// Add watches a connection until Remove and calls cancel with ErrGone if the caller
+// closes it. It returns nil for a connection that has no pollable socket.
 func (w *Watcher) Add(conn net.Conn, cancel context.CancelCauseFunc) *Registration {
 	raw := rawConn(conn)
 	if raw == nil {
@@ -62,7 +58,7 @@
 	return r
 }
 
-// Remove ends the watch of a request. It may be called on nil.
+// Remove stops watching the connection. It may be called on nil.
 func (r *Registration) Remove() {
 	if r == nil {
 		return
@@ -72,7 +68,7 @@
 	r.watcher.mu.Unlock()
 }
 
-// Serve looks at the connections at each interval until ctx ends.
+// Serve polls the connections at each interval until ctx ends.
 func (w *Watcher) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(Interval)
 	defer ticker.Stop()
@@ -108,7 +104,7 @@
 	return due
 }
 
-// netConner is a connection around another, as a TLS connection is.
+// netConner is a connection that wraps another one, such as a TLS connection.
 type netConner interface{ NetConn() net.Conn }
 
 func rawConn(conn net.Conn) syscall.RawConn {
@@ -130,8 +126,8 @@
 	return raw
 }
 
-// gone reports whether the far end has closed or reset the connection. The
-// descriptor can't be closed and given to another file while Control runs.
+// peerClosed reports whether the peer has closed, half-closed or reset the connection.
+// Control keeps the descriptor from being closed and reused meanwhile.
 func peerClosed(conn syscall.RawConn) bool {
 	closed := false
 	err := conn.Control(func(fd uintptr) {
--- a/internal/entry/callerwatch/watch_test.go
+++ b/internal/entry/callerwatch/watch_test.go
@@ -8,23 +8,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A driver closes the app while the engine still thinks, and the engine works
-// on for nobody: the server reads the connection only between requests, so it
-// doesn't see the close. The watch must see it, and must not take a caller for
-// gone that has merely sent its next request early.
+// A caller closes its connection while the engine is still working; the server reads
+// the connection only between requests and doesn't notice. The watcher must detect it,
+// and must not mistake a pipelined request for a close.
 func TestSweepDetectsClosedConnections(t *testing.T) {
 	for name, tc := range map[string]struct {
 		caller func(t *testing.T, c *net.TCPConn)
 		gone   bool
 	}{
-		"waits":                 {func(*testing.T, *net.TCPConn) {}, false},
-		"pipelines":             {func(t *testing.T, c *net.TCPConn) { write(t, c) }, false},
-		"closes":                {func(t *testing.T, c *net.TCPConn) { require.NoError(t, c.Close()) }, true},
-		"writes and goes":       {func(t *testing.T, c *net.TCPConn) { write(t, c); require.NoError(t, c.Close()) }, true},
-		"half closes":           {func(t *testing.T, c *net.TCPConn) { require.NoError(t, c.CloseWrite()) }, true},
-		"resets":                {func(t *testing.T, c *net.TCPConn) { require.NoError(t, c.SetLinger(0)); require.NoError(t, c.Close()) }, true},
-		"goes, but ended":       {func(t *testing.T, c *net.TCPConn) { require.NoError(t, c.Close()) }, false},
-		"goes behind a wrapper": {func(t *testing.T, c *net.TCPConn) { require.NoError(t, c.Close()) }, true},
+		"waits":               {func(*testing.T, *net.TCPConn) {}, false},
+		"pipelines":           {func(t *testing.T, c *net.TCPConn) { write(t, c) }, false},
+		"closes":              {func(t *testing.T, c *net.TCPConn) { require.NoError(t, c.Close()) }, true},
+		"writes and closes":   {func(t *testing.T, c *net.TCPConn) { write(t, c); require.NoError(t, c.Close()) }, true},
+		"half closes":         {func(t *testing.T, c *net.TCPConn) { require.NoError(t, c.CloseWrite()) }, true},
+		"resets":              {func(t *testing.T, c *net.TCPConn) { require.NoError(t, c.SetLinger(0)); require.NoError(t, c.Close()) }, true},
+		"closes after Remove": {func(t *testing.T, c *net.TCPConn) { require.NoError(t, c.Close()) }, false},
+		"closes, wrapped":     {func(t *testing.T, c *net.TCPConn) { require.NoError(t, c.Close()) }, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			caller, served := connPair(t)
@@ -32,18 +31,18 @@
 			defer cancel(nil)
 			w := New()
 			var conn net.Conn = served
-			if name == "goes behind a wrapper" {
+			if name == "closes, wrapped" {
 				conn = wrapper{served}
 			}
 			registration := w.Add(conn, cancel)
 			w.sweep()
-			require.NoError(t, ctx.Err(), "the first sweep looks at nobody")
+			require.NoError(t, ctx.Err(), "the first sweep polls nothing")
 			tc.caller(t, caller)
-			if name == "goes, but ended" {
+			if name == "closes after Remove" {
 				registration.Remove()
 			}
 			if tc.gone {
-				// Loopback delivers the close soon, but not at once.
+				// Loopback delivers the close with a short delay.
 				for ctx.Err() == nil && t.Context().Err() == nil {
 					w.sweep()
 				}
--- a/internal/entry/crash/crash.go
+++ b/internal/entry/crash/crash.go
@@ -195,7 +195,7 @@
 
 func (det *Detector) runCheck(engine string, c *crashCheck) {
 	defer close(c.done)
-	dead := det.engineDead(engine)
+	crashed := det.engineCrashed(engine)
 	det.mu.Lock()
 	delete(det.checks, engine)
 	suspects := make([]quarantine.Digest, 0, len(c.digests))
@@ -203,7 +203,7 @@
 		suspects = append(suspects, d)
 	}
 	det.mu.Unlock()
-	if !dead {
+	if !crashed {
 		return
 	}
 	reported := make(chan struct{})
@@ -221,9 +221,9 @@
 	}
 }
 
-// engineDead reports whether nothing listens at the engine's address. A connection
+// engineCrashed reports whether nothing listens at the engine's address. A connection
 // that broke while the engine still responds is no crash.
-func (det *Detector) engineDead(engine string) bool {
+func (det *Detector) engineCrashed(engine string) bool {
 	for i := range probeAttempts {
 		if i > 0 {
 			time.Sleep(probeInterval)
--- a/internal/entry/crash/crash_test.go
+++ b/internal/entry/crash/crash_test.go
@@ -39,12 +39,12 @@
 // engine still responds creates no suspects.
 func TestOnlyTheCrashingRequestIsQuarantined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		dead := map[string]bool{"e1": true, "e2": true}
+		down := map[string]bool{"e1": true, "e2": true}
 		log := &applyingLog{}
 		guard := quarantine.NewGuard(quarantine.DefaultConfig(), log, "w", nil)
 		log.guard = guard
 		det := New(guard, func(_ context.Context, engine string) error {
-			if dead[engine] {
+			if down[engine] {
 				return upstream.ErrNotSent
 			}
 			return nil
--- a/internal/entry/demand.go
+++ b/internal/entry/demand.go
@@ -12,51 +12,51 @@
 	"tamarackchute/rules"
 )
 
-// The demand's window is the time constant of its smoothing: what was asked
-// that long ago counts about a third. It follows the time that a role change
-// takes, as the demand serves to decide on these.
+// The window is the time constant of the exponential smoothing: a request that old
+// counts about a third. It is proportional to the time that a role change takes, as
+// the demand serves to decide on role changes.
 const (
 	windowPerRoleChange = 0.5
 	minDemandWindow     = 200 * time.Millisecond
 )
 
-// demandWindow returns the window for a deployment.
+// demandWindow returns the window of a deployment.
 func demandWindow(r settings.Roles) time.Duration {
 	w := time.Duration(windowPerRoleChange * r.ChangeSeconds * float64(time.Second))
 	return max(w, minDemandWindow)
 }
 
-// demand measures what callers ask of each model, whether it is let in or not.
-// A measure of what was produced would never exceed the capacity, and so hide
-// each shortage from those who could end it.
+// demandMeter measures what callers request of each model, whether it is admitted or
+// not. The work that was done would never exceed the capacity, and so would hide a
+// shortage from the leaders that could end it.
 type demandMeter struct {
 	now    func() time.Time
 	window time.Duration
 
 	mu sync.Mutex
-	// models is bounded by the models that the rules let through to an engine.
+	// models is bounded by the models that the rules route to an engine.
 	models map[string]*modelDemand
 }
 
 type modelDemand struct {
 	requests, prompt, output rate
-	// promptShare and outputShare are what the estimates have to be multiplied
-	// by: the engine's count of prompt tokens over ours, the tokens of whole
-	// answers over their bounds.
+	// promptRatio and outputRatio correct the estimates: the engine's count of prompt
+	// tokens over the estimate, and the output tokens of complete responses over their
+	// bounds.
 	promptRatio, outputRatio float64
 }
 
-// learnShare is the weight of one answer in the learnt shares.
+// ratioWeight is the weight of one response in the moving averages of the ratios.
 const ratioWeight = 0.02
 
-// rate is a smoothed number a second.
+// rate is an exponentially smoothed rate per second.
 type rate struct {
 	sum  float64
 	last time.Time
 }
 
-// add counts n at a time. The sum decays, so that divided by the window it is
-// the rate.
+// add counts n at a time. The sum decays exponentially, so that the sum divided by
+// the window is the rate.
 func (r *rate) add(n float64, now time.Time, window time.Duration) {
 	if !r.last.IsZero() {
 		r.sum *= math.Exp(-now.Sub(r.last).Seconds() / window.Seconds())
@@ -74,8 +74,7 @@
 	return &demandMeter{now: now, window: window, models: map[string]*modelDemand{}}
 }
 
-// Asked counts a request before anything can refuse it. The tokens are our
-// estimate of the prompt and the bound on the output.
+// RecordRequest implements gateway.DemandRecorder.
 func (d *demandMeter) RecordRequest(model string, promptTokens, maxTokens int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -86,8 +85,8 @@
 	m.output.add(float64(maxTokens)*m.outputRatio, now, d.window)
 }
 
-// Answered learns from a whole answer how far the estimates are from what the
-// engine counted.
+// RecordResponse implements gateway.DemandRecorder: it updates the ratios from a
+// complete response.
 func (d *demandMeter) RecordResponse(model string, promptTokens, maxTokens, prompt, output int) {
 	if promptTokens <= 0 || maxTokens <= 0 {
 		return
@@ -108,7 +107,7 @@
 	return m
 }
 
-// report returns the demand for the leaders' picture.
+// report returns the demand that is reported to the leaders.
 func (d *demandMeter) report() []wire.ModelDemand {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -125,27 +124,27 @@
 	return all
 }
 
-// loadShare is the share of the local engines' capacity in use.
+// loadFraction is the fraction in use of the capacity of the data centre's engines.
 type loadFraction struct{ bits atomic.Uint64 }
 
 func (l *loadFraction) set(v float64) { l.bits.Store(math.Float64bits(v)) }
 
 func (l *loadFraction) get() float64 { return math.Float64frombits(l.bits.Load()) }
 
-// retries is admission's retry budget in the words of the runners.
+// retryBudget adapts admission's retry budget to the runners.
 type retryBudget struct{ admission *admission.Controller }
 
-// Allow implements answer.Retries and forward.Retries.
+// Allow implements answer.RetryBudget and forward.RetryBudget.
 func (r retryBudget) Allow() bool { return r.admission.MayRetry() }
 
-// ruleSource matches requests against the rules in force.
+// ruleSource matches requests against the rules that are in force.
 type ruleSource struct {
 	replica  *rules.Replica
 	caughtUp <-chan struct{}
 }
 
-// Match implements gateway.Rules. Before the log has been read once, the zero
-// version only means that nothing is known.
+// Match implements gateway.Rules. Until the log has been read once, the zero version
+// means that no rules are known yet.
 func (s ruleSource) Match(r rules.Request) (rules.Decision, bool) {
 	inForce := s.current()
 	if inForce == nil {
--- a/internal/entry/deployment.go
+++ b/internal/entry/deployment.go
@@ -57,7 +57,7 @@
 	return names
 }
 
-// poolModel names the engines that can serve alike.
+// poolModel identifies a set of engines that can serve the same requests.
 type poolModel struct{ pool, model string }
 
 func poolModels(d *settings.Deployment) []poolModel {
--- a/internal/entry/discovery/discovery.go
+++ b/internal/entry/discovery/discovery.go
@@ -1,4 +1,4 @@
-// Package discovery names the addresses that callers may use, nearest first.
+// Package discovery lists the addresses that callers may connect to, nearest first.
 package discovery
 
 import (
@@ -8,41 +8,40 @@
 	"tamarackchute/membership"
 )
 
-// Members says what is believed about an instance; a hint only. What follows
-// from a wrong one is a caller sent to an instance that it can't reach, who
-// then takes the next of the answer's addresses.
+// Members returns the assumed state of an instance, which is only a hint. If it is
+// wrong, a caller can't reach the instance and uses the next address of the response.
 type Members interface {
 	State(instance string) membership.State
 }
 
-// Answer says where to connect.
+// Response lists the addresses to connect to.
 type Response struct {
 	Addresses []Address `json:"addresses"`
-	// KeepSeconds is how long the answer may be kept. An instance that stops
-	// serves on for at least that long.
+	// MaxAgeSeconds is how long the response may be cached. An instance that shuts down
+	// continues to serve for at least that long.
 	MaxAgeSeconds float64 `json:"keep_s"`
 }
 
-// Address is one instance to connect to.
+// Address is the address of one instance.
 type Address struct {
 	Address    string `json:"address"`
 	DataCentre string `json:"data_centre"`
 	Instance   string `json:"instance"`
 }
 
-// Directory answers for one instance. It is safe for use by many goroutines.
+// Directory is the discovery service of one instance. It is safe for concurrent use.
 type Directory struct {
 	self    settings.Instance
 	maxAge  float64
 	members Members
-	// near holds, for each data centre, all instances, the nearest first.
+	// byDistance holds, for each data centre, all instances, nearest first.
 	byDistance   map[string][]settings.Instance
 	shuttingDown atomic.Bool
-	// turn counts answers; each begins with another instance of a data centre.
+	// rotation counts responses; each starts with the next instance of a data centre.
 	rotation atomic.Uint64
 }
 
-// New returns the directory of the instance self.
+// New returns the directory of an instance.
 func New(d *settings.Deployment, self settings.Instance, m Members) *Directory {
 	dir := &Directory{
 		self:       self,
@@ -62,15 +61,15 @@
 	return dir
 }
 
-// Leave takes the own instance out of all further answers.
+// BeginShutdown removes this instance from all further responses.
 func (d *Directory) BeginShutdown() { d.shuttingDown.Store(true) }
 
-// Where answers for a caller in a data centre; one that is not known counts as
-// the instance's own. Instances that are only suspected come after all others,
-// since they may well be up; those that leave or have gone don't come at all.
+// Locate returns the addresses for a caller in a data centre; an unknown one counts as
+// this instance's own. Suspected instances come last, as they may still be up; those
+// that are shutting down or gone are omitted.
 //
-// Callers connect to the first address. So that they don't all go to the same
-// instance, those of one data centre take turns in being named first.
+// Callers connect to the first address, so the instances of a data centre are rotated
+// to distribute them.
 func (d *Directory) Locate(dataCentre string) Response {
 	instances, known := d.byDistance[dataCentre]
 	if !known {
--- a/internal/entry/discovery/discovery_test.go
+++ b/internal/entry/discovery/discovery_test.go
@@ -13,9 +13,9 @@
 
 func (m members) State(name string) membership.State { return m[name] }
 
-// A crew's tablet keeps an answer that names an instance about to stop, and
-// finds it gone. An instance that leaves must be out of every answer from the
-// moment it knows; one that is only suspected must not take a near one's place.
+// Guards against callers that cache the address of an instance about to exit: an
+// instance that shuts down must be missing from every response from then on. A
+// suspected instance must not precede a live one, however near.
 func TestLocateNamesServingInstances(t *testing.T) {
 	d := &settings.Deployment{
 		DataCentres: []settings.DataCentre{{Name: "hella"}, {Name: "vik"}, {Name: "selfoss"}},
@@ -42,7 +42,7 @@
 		return got
 	}
 	require.Equal(t, []string{"h1", "h2", "s1", "v1"}, names(""))
-	require.Equal(t, []string{"h2", "h1", "s1", "v1"}, names("nowhere"), "instances take turns")
+	require.Equal(t, []string{"h2", "h1", "s1", "v1"}, names("nowhere"), "instances rotate")
 	require.Equal(t, []string{"v1", "s1", "h1", "h2"}, names("vik"))
 	require.Equal(t, []string{"v1", "s1", "h2", "h1"}, names("vik"), "within a data centre only")
 	require.Equal(t, Address{"10.0.0.3:1", "vik", "v1"}, dir.Locate("vik").Addresses[0])
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,5 +1,5 @@
-// Package entry assembles chute-entry: what serves callers, what it learns from
-// the log, the list and the engines, and the supervisor tree that runs it all.
+// Package entry assembles chute-entry: the servers for callers and operators, the
+// feeds from the log, the instance list and the engines, and the supervisor tree.
 package entry
 
 import (
@@ -35,12 +35,12 @@
 	"tamarackchute/rules"
 )
 
-// Bounds of an entry that no setting changes.
+// Fixed limits of an entry.
 const (
 	// maxAttempts bounds the attempts of one request.
 	maxAttempts = 4
-	// engineWait bounds how long a request that has lost its engine looks for
-	// another; its deadline may be earlier.
+	// engineWait bounds how long a request that has lost its engine waits for another
+	// one; its deadline may be earlier.
 	engineWait   = 30 * time.Second
 	heartbeat    = 2 * time.Second
 	writeTimeout = 30 * time.Second
@@ -48,10 +48,10 @@
 	idleTimeout  = 60 * time.Second
 )
 
-// Config is what an entry works with.
+// Config holds an entry's settings and its connections to other components.
 type Config struct {
 	Deployment *settings.Deployment
-	// Instance is the name of the instance that it runs on.
+	// Instance is the name of the instance that the entry runs on.
 	Instance string
 	Log      infra.Log
 	List     infra.InstanceList
@@ -125,7 +125,7 @@
 
 func (e *Entry) writer() string { return e.cfg.Instance + "/entry/" + e.incarnation }
 
-// buildJournal makes the journal and what is folded from it.
+// buildJournal creates the journal and the views that are built from its entries.
 func (e *Entry) buildJournal() error {
 	d := e.cfg.Deployment
 	e.journal = journal.New(e.cfg.Log, journal.Config{
@@ -166,12 +166,12 @@
 		MaxRecordedBytes: d.Protected.MaxRecordedBytes,
 	}
 	if c.MaxRecordedBytes == 0 {
-		c.MaxRecordedBytes = -1 // none; 0 stands for the default there
+		c.MaxRecordedBytes = -1 // record none; in claim.Config 0 selects the default
 	}
 	return c
 }
 
-// buildDecisions makes what decides where and when a request runs.
+// buildRouting creates the components that decide where and when a request runs.
 func (e *Entry) buildRouting() {
 	d := e.cfg.Deployment
 	e.tracker = router.NewTracker(routerConfig(d, e.self.DataCentre), routerUpstreams(d), nil)
@@ -187,7 +187,7 @@
 	e.crashDetector = crash.New(e.quarantine, e.cfg.Upstreams.Probe)
 }
 
-// buildServing makes what callers see.
+// buildGateway creates the gateway and what it depends on.
 func (e *Entry) buildGateway() {
 	e.directory = discovery.New(e.cfg.Deployment, e.self, e.node)
 	e.callerWatcher = callerwatch.New()
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -11,8 +11,8 @@
 	"tamarackchute/journal/journaltest"
 )
 
-// An operator gives the entries less memory for streams and a shorter deadline.
-// What the settings say must hold, not what was once built in.
+// The stream limits and the default deadline must come from the settings, not from
+// built-in values.
 func TestStreamsFollowTheSettings(t *testing.T) {
 	d, err := settings.Load("../../deploy/kalku-rinda/settings.json")
 	require.NoError(t, err)
--- a/internal/entry/entrybench/main.go
+++ b/internal/entry/entrybench/main.go
@@ -1,7 +1,7 @@
-// Command entrybench measures what an entry adds to going straight to an
-// upstream: latency, processor time and memory. It plays the upstreams itself,
-// with no delay of their own, so that what is measured is the entry. run.sh
-// starts the processes around it.
+// Command entrybench measures what an entry adds to a direct connection to an
+// upstream: latency, processor time and memory. It serves as the upstreams itself,
+// without any delay, so that only the entry is measured. run.sh starts the other
+// processes.
 package main
 
 import (
@@ -15,7 +15,7 @@
 	"tamarackchute/internal/settings"
 )
 
-// options are the command line.
+// options are the command-line flags.
 type options struct {
 	settings string
 	instance string
@@ -75,7 +75,7 @@
 	return measureAll(o, t)
 }
 
-// targets are the addresses that are compared.
+// addresses are the addresses of the measured entry and of the two upstreams.
 type addresses struct{ entry, engine, service string }
 
 func measureAll(o options, t addresses) error {
--- a/internal/entry/entrybench/plain.go
+++ b/internal/entry/entrybench/plain.go
@@ -15,7 +15,7 @@
 	"tamarackchute/internal/adapters/engineclient"
 )
 
-// request makes one request of a kind to one address.
+// request is a request that is sent repeatedly to one address.
 type request struct {
 	address string
 	method  string
@@ -27,7 +27,7 @@
 	return request{address: address, method: fasthttp.MethodGet, path: "/bookings/1"}
 }
 
-// generateRequest asks an engine for a short answer, gapless.
+// generateRequest asks an engine for a short response without gaps between tokens.
 func generateRequest(address string) request {
 	body, err := json.Marshal(engineclient.GenerateMessage{
 		AttemptID: "bench", Model: "agronomy", Prompt: "0 x", MaxTokens: plainTokens,
@@ -43,14 +43,14 @@
 	return request{address: address, method: fasthttp.MethodPost, path: "/v1/completions", body: []byte(body)}
 }
 
-// Bounds of the latencies kept: 1 µs to 10 s, three figures.
+// newHistogram records latencies from 1 µs to 10 s with three significant digits.
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 10_000_000, 3) }
 
-// measurePlain sends requests straight and through the entry, in turn, each at
-// the rate. Latencies count from the moment at which a request was due.
+// measurePlain sends requests directly and through the entry, concurrently and each at
+// the rate. Latencies count from the scheduled time of a request.
 func measurePlain(o options, p process, name string, direct, viaEntry request) error {
 	targets := []*target{newTarget(direct), newTarget(viaEntry)}
-	for _, s := range targets { // connections and caches are warm before the clock runs
+	for _, s := range targets { // warm up connections and caches
 		s.drive(o.rate/4, time.Second)
 		s.latencies.Reset()
 	}
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// side is one of the two ways.
+// target sends one request at a rate and records its latencies.
 type target struct {
 	request   request
 	client    *fasthttp.HostClient
@@ -99,8 +99,8 @@
 	}
 }
 
-// senders is how many goroutines share the sending; each takes every senders-th
-// moment, and a late answer delays only its own next request.
+// senders is the number of sending goroutines. Each sends every senders-th request, so
+// that a late response delays only that goroutine's next request.
 const senders = 128
 
 func (s *target) drive(rate int, length time.Duration) {
--- a/internal/entry/entrybench/process.go
+++ b/internal/entry/entrybench/process.go
@@ -14,10 +14,10 @@
 	"tamarackchute/internal/operator/api"
 )
 
-// process is the measured entry, as the kernel counts it.
+// process reads the resource usage of the measured entry from /proc.
 type process struct{ pid int }
 
-// clockTicks is the unit of processor time in /proc: a hundredth of a second.
+// ticksPerSecond is the unit of processor time in /proc: a hundredth of a second.
 const ticksPerSecond = 100
 
 // cpu returns the processor time used so far, system time included.
@@ -53,7 +53,7 @@
 	return kib << 10, err
 }
 
-// publish puts the rules in force, as an operator would.
+// publish publishes the rules through the operators' API.
 func publish(operators, token, file string) error {
 	document, err := os.ReadFile(file)
 	if err != nil {
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// readyTries bounds the wait for the entry, a tenth of a second each.
+// readyAttempts bounds the readiness checks, which are a tenth of a second apart.
 const readyAttempts = 100
 
 func awaitReady(address string) error {
@@ -89,7 +89,7 @@
 		if err == nil {
 			_ = response.Body.Close()
 			if response.StatusCode == http.StatusOK {
-				// The first reports of the engines have to come too.
+				// Leave time for the engines' first load reports.
 				time.Sleep(time.Second)
 				return nil
 			}
--- a/internal/entry/entrybench/streams.go
+++ b/internal/entry/entrybench/streams.go
@@ -18,14 +18,14 @@
 	"tamarackchute/internal/adapters/engineclient"
 )
 
-// tokenGap is the time between two tokens of a measured stream, openGap that of
-// the streams that are only held open.
+// tokenGap is the time between two tokens of a measured stream, openGap that of a
+// stream that is only kept open.
 const (
 	tokenGap = 20 * time.Millisecond
 	openGap  = time.Second
 )
 
-// tokenTimes collects how long tokens took.
+// tokenLatencies records the latencies of tokens.
 type tokenLatencies struct {
 	mu     sync.Mutex
 	times  *hdrhistogram.Histogram
@@ -45,7 +45,7 @@
 	_ = t.times.RecordValue(max(1, (time.Now().UnixNano()-ns)/1000))
 }
 
-// measureTokens reads streams straight and through the entry at the same time.
+// measureTokens reads streams directly and through the entry concurrently.
 func measureTokens(o options, p process, t addresses) error {
 	tokens := int(o.length / tokenGap)
 	direct, viaEntry := newTokenLatencies(), newTokenLatencies()
@@ -55,7 +55,7 @@
 	}
 	var wg conc.WaitGroup
 	for i := range o.streams {
-		// Spread over a gap, so that tokens don't come in one burst.
+		// Spread the starts over one gap to avoid bursts of tokens.
 		delay := time.Duration(i) * tokenGap / time.Duration(o.streams)
 		wg.Go(func() { time.Sleep(delay); readEngine(t.engine, tokens, direct) })
 		wg.Go(func() { time.Sleep(delay); readEvents(t.entry, tokens, tokenGap, viaEntry, nil) })
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// measureOpen holds streams open and looks at the entry's memory.
+// measureOpen keeps streams open and measures the entry's memory.
 func measureOpen(o options, p process, t addresses) error {
 	times := newTokenLatencies()
 	started := make(chan struct{}, o.open)
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// dialAndSend sends one request by hand and returns the reader of what comes.
+// dialAndSend sends one raw HTTP request and returns a reader of the response.
 func dialAndSend(address, path, body string) (net.Conn, *bufio.Reader, error) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -111,7 +111,7 @@
 	return conn, bufio.NewReader(conn), err
 }
 
-// readEngine reads a stream of the engine's own lines.
+// readEngine reads a stream in the engine's line format.
 func readEngine(address string, tokens int, times *tokenLatencies) {
 	body, err := json.Marshal(engineclient.GenerateMessage{
 		AttemptID: "bench", Model: "agronomy", Prompt: gapPrompt(tokenGap), MaxTokens: tokens,
@@ -128,7 +128,7 @@
 	readTokens(lines, `{"i":`, `"t":"`, tokens, times, nil)
 }
 
-// readEvents reads a stream of the entry's events.
+// readEvents reads a stream of server-sent events from the entry.
 func readEvents(address string, tokens int, gap time.Duration, times *tokenLatencies, started chan<- struct{}) {
 	body := fmt.Sprintf(`{"model":"agronomy","prompt":%q,"max_tokens":%d,"stream":true}`, gapPrompt(gap), tokens)
 	conn, lines, err := dialAndSend(address, "/v1/completions", body)
@@ -151,8 +151,8 @@
 	return strconv.FormatInt(gap.Milliseconds(), 10) + " x"
 }
 
-// readTokens takes the lines that begin with a prefix as tokens, whose text
-// follows a marker.
+// readTokens reads the lines that start with a prefix as tokens, whose text follows a
+// marker.
 func readTokens(lines *bufio.Reader, prefix, marker string, tokens int, times *tokenLatencies, started chan<- struct{}) {
 	for count := 0; count < tokens; {
 		line, err := lines.ReadString('\n')
--- a/internal/entry/entrybench/upstream.go
+++ b/internal/entry/entrybench/upstream.go
@@ -15,10 +15,10 @@
 	"tamarackchute/upstream"
 )
 
-// plainTokens is the length of the plain completions' answers.
+// plainTokens is the number of tokens of a plain completion.
 const plainTokens = 8
 
-// serveUpstream plays an engine and a service on one address, until the process
+// serveUpstream serves as an engine and a service at one address until the process
 // ends.
 func serveUpstream(address string) error {
 	ln, err := net.Listen("tcp", address)
@@ -57,9 +57,9 @@
 	ctx.SetBody(body)
 }
 
-// handleGenerate answers with as many tokens as are asked for. The prompt says
-// how many milliseconds lie between two; each token's text is the time of its
-// sending, so that the reader can tell how long it took.
+// handleGenerate responds with as many tokens as requested. The prompt gives the gap
+// between them in milliseconds; each token's text is its send time, from which the
+// reader computes the latency.
 func handleGenerate(ctx *fasthttp.RequestCtx) {
 	var m engineclient.GenerateMessage
 	if err := json.Unmarshal(ctx.PostBody(), &m); err != nil {
--- a/internal/entry/exchange.go
+++ b/internal/entry/exchange.go
@@ -12,13 +12,13 @@
 	"tamarackchute/membership"
 )
 
-// The reasons for not being ready.
+// The reasons why an instance isn't ready; /readyz returns their text.
 var (
 	errShuttingDown = eris.New("this instance is stopping")
 	errNoRules      = eris.New("this instance has not learnt the rules yet")
 )
 
-// ready returns nil once callers may be sent here.
+// ready returns nil if callers may use this instance.
 func (e *Entry) ready() error {
 	if e.gateway.ShuttingDown() {
 		return errShuttingDown
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// buildExchange makes the exchange with peers and leaders.
+// buildExchange creates the node that exchanges state with peers and leaders.
 func (e *Entry) buildExchange() {
 	e.node = status.NewNode(status.Options{
 		Deployment: e.cfg.Deployment,
@@ -47,7 +47,7 @@
 	})
 }
 
-// entryStatus is what the leaders need to know of this entry.
+// entryStatus returns the state of this entry for the leaders.
 func (e *Entry) entryStatus() wire.EntryStatus {
 	applied, busy := e.inflight.Status()
 	s := wire.EntryStatus{Applied: applied, Demand: e.demand.report()}
@@ -62,7 +62,7 @@
 
 func compareStrings(a, b string) int { return strings.Compare(a, b) }
 
-// entries counts the instances that share the engines.
+// servingEntries counts the instances that share the engines.
 func (e *Entry) servingEntries() int {
 	serving := 0
 	for _, m := range e.node.View().Members {
@@ -73,7 +73,7 @@
 	return max(1, serving)
 }
 
-// listTakers are told each answer of the platform's list.
+// listConsumers returns the functions that receive each version of the instance list.
 func (e *Entry) listConsumers() []func([]infra.Instance) {
 	return []func([]infra.Instance){e.tracker.SetInstances, e.node.TakeList}
 }
--- a/internal/entry/feeds.go
+++ b/internal/entry/feeds.go
@@ -11,19 +11,19 @@
 	"tamarackchute/upstream"
 )
 
-// Times of the feeds.
+// Intervals and timeouts of the feeds.
 const (
-	// listEvery bounds, with the list's own lag, how long a leaving upstream
+	// listInterval plus the list's own lag bounds how long a terminating upstream
 	// still gets new work.
 	listInterval = 500 * time.Millisecond
 	listTimeout  = 2 * time.Second
-	// reportEvery is the time between two questions to one engine.
+	// reportInterval is the time between two polls of one engine.
 	reportInterval   = 500 * time.Millisecond
 	reportTimeout    = time.Second
 	capacityInterval = 250 * time.Millisecond
 )
 
-// listFeed brings the platform's list to the router and to the membership.
+// listFeed passes the platform's instance list to the router and the membership.
 type listFeed struct {
 	list      infra.InstanceList
 	consumers []func([]infra.Instance)
@@ -31,8 +31,8 @@
 
 func (f *listFeed) String() string { return "platform's list" }
 
-// Serve asks for the list until ctx ends. While the list can't be had, the last
-// one counts: it is a hint that lags anyway.
+// Serve polls the list until ctx ends. While the list is unavailable, the last one
+// remains in use: it is only a hint and lags anyway.
 func (f *listFeed) Serve(ctx context.Context) error {
 	return runEvery(ctx, listInterval, func() {
 		callCtx, cancel := context.WithTimeout(ctx, listTimeout)
@@ -47,7 +47,7 @@
 	})
 }
 
-// engineFeed brings one engine's load reports and cache events to the router.
+// engineFeed passes one engine's load reports and cache events to the router.
 type engineFeed struct {
 	name    string
 	engine  upstream.Engine
@@ -57,8 +57,8 @@
 
 func (f *engineFeed) String() string { return "reports of " + f.name }
 
-// Serve asks the engine until ctx ends. A report that fails to come leaves the
-// last one, whose age the router allows for.
+// Serve polls the engine until ctx ends. If a poll fails, the last report remains in
+// use; the router takes its age into account.
 func (f *engineFeed) Serve(ctx context.Context) error {
 	return runEvery(ctx, reportInterval, func() {
 		callCtx, cancel := context.WithTimeout(ctx, reportTimeout)
@@ -77,7 +77,7 @@
 	})
 }
 
-// capacityFeed tells admission, and the rules, what the engines can take.
+// capacityFeed passes the engines' capacity to admission and their load to the rules.
 type capacityFeed struct {
 	deployment *settings.Deployment
 	dataCentre string
@@ -89,7 +89,7 @@
 
 func (f *capacityFeed) String() string { return "capacity" }
 
-// Serve sums the engines up until ctx ends.
+// Serve updates the capacity and the load until ctx ends.
 func (f *capacityFeed) Serve(ctx context.Context) error {
 	pools := poolModels(f.deployment)
 	return runEvery(ctx, capacityInterval, func() {
@@ -107,8 +107,8 @@
 	})
 }
 
-// localShare is the reported work of the data centre's engines over what their
-// batches hold.
+// localLoad returns the requests at the data centre's engines, as reported and
+// corrected by local changes, divided by the total batch size.
 func (f *capacityFeed) localLoad() float64 {
 	requests, capacity := 0, 0
 	for _, u := range f.tracker.Snapshot().Upstreams(time.Now()) {
@@ -124,7 +124,7 @@
 	return float64(requests) / float64(capacity)
 }
 
-// every runs a step at once and then at each interval until ctx ends.
+// runEvery runs a step immediately and then at each interval until ctx ends.
 func runEvery(ctx context.Context, interval time.Duration, step func()) error {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/internal/entry/gateway/harness_test.go
+++ b/internal/entry/gateway/harness_test.go
@@ -37,21 +37,21 @@
 // fakeEngine returns the tokens t0, t1, … for any prompt.
 type fakeEngine struct {
 	total int
-	// dieAt breaks a stream off before the token with that index; stallAt blocks the
+	// crashAt breaks a stream off before the token with that index; stallAt blocks the
 	// stream there. Values below 0 turn them off.
-	dieAt, stallAt int
-	// died, if set, limits the crashes to one among the engines that share it.
-	died   *atomic.Bool
-	refuse error
+	crashAt, stallAt int
+	// crashedOnce, if set, limits the crashes to one among the engines that share it.
+	crashedOnce *atomic.Bool
+	refuse      error
 
 	mu        sync.Mutex
 	requests  []upstream.GenerateRequest
 	cancelled chan string
-	dead      atomic.Bool
+	crashed   atomic.Bool
 }
 
 func newEngine(total int) *fakeEngine {
-	return &fakeEngine{total: total, dieAt: -1, stallAt: -1, cancelled: make(chan string, 1024)}
+	return &fakeEngine{total: total, crashAt: -1, stallAt: -1, cancelled: make(chan string, 1024)}
 }
 
 func (e *fakeEngine) Generate(_ context.Context, r upstream.GenerateRequest) (upstream.TokenStream, error) {
@@ -65,7 +65,7 @@
 }
 
 func (e *fakeEngine) Resume(_ context.Context, attempt string, from int) (upstream.TokenStream, error) {
-	if e.dead.Load() {
+	if e.crashed.Load() {
 		return nil, upstream.ErrGone
 	}
 	return &fakeStream{engine: e, attempt: attempt, next: from, closed: make(chan struct{})}, nil
@@ -104,8 +104,8 @@
 
 func (s *fakeStream) Next(ctx context.Context) (upstream.Token, error) {
 	e := s.engine
-	if s.next == e.dieAt && (e.died == nil || e.died.CompareAndSwap(false, true)) {
-		e.dead.Store(true)
+	if s.next == e.crashAt && (e.crashedOnce == nil || e.crashedOnce.CompareAndSwap(false, true)) {
+		e.crashed.Store(true)
 		return upstream.Token{}, upstream.ErrBroken
 	}
 	if s.next == e.stallAt {
@@ -179,7 +179,7 @@
 }
 
 func (p *fakeDeps) probe(_ context.Context, name string) error {
-	if e := p.engines[name]; e != nil && e.dead.Load() {
+	if e := p.engines[name]; e != nil && e.crashed.Load() {
 		return upstream.ErrNotSent
 	}
 	return nil
--- a/internal/entry/gateway/stream_test.go
+++ b/internal/entry/gateway/stream_test.go
@@ -41,10 +41,10 @@
 // and in order from another engine, which continues from the text so far, and the
 // usual end.
 func TestStreamContinuesAfterEngineCrash(t *testing.T) {
-	spent := new(atomic.Bool)
+	crashedOnce := new(atomic.Bool)
 	engines := map[string]*fakeEngine{"e1": newEngine(12), "e2": newEngine(12)}
 	for _, e := range engines {
-		e.dieAt, e.died = 5, spent
+		e.crashAt, e.crashedOnce = 5, crashedOnce
 	}
 	r := newHarness(t, &fakeDeps{engines: engines})
 	got, _, last := events(r.post(t, path, streamBody)).tokens(t, -1)
@@ -52,7 +52,7 @@
 	require.Equal(t, "[DONE]", last.data)
 
 	first, second := engines["e1"].seen(), engines["e2"].seen()
-	if engines["e2"].dead.Load() {
+	if engines["e2"].crashed.Load() {
 		first, second = second, first
 	}
 	require.Len(t, first, 1)
@@ -67,9 +67,9 @@
 // take the partial answer for a complete one.
 func TestInterruptedStreamEndsWithError(t *testing.T) {
 	for name, tc := range map[string]struct {
-		dieAt  int
-		others int
-		code   outcome.Code
+		crashAt int
+		others  int
+		code    outcome.Code
 	}{
 		"outgrown":        {800, 1, outcome.CodeStreamLost},
 		"no other engine": {5, 0, outcome.CodeNoUpstream},
@@ -78,10 +78,10 @@
 			engines := map[string]*fakeEngine{}
 			for _, n := range []string{"e1", "e2"}[:tc.others+1] {
 				engines[n] = newEngine(1000)
-				engines[n].dieAt = tc.dieAt
+				engines[n].crashAt = tc.crashAt
 			}
 			got, _, last := events(newHarness(t, &fakeDeps{engines: engines}).post(t, path, streamBody)).tokens(t, -1)
-			require.Equal(t, fullText(tc.dieAt), got)
+			require.Equal(t, fullText(tc.crashAt), got)
 			require.Equal(t, "error", last.name)
 			require.Contains(t, last.data, `"code":"`+string(tc.code)+`"`)
 			require.Contains(t, last.data, `"outcome":"may-have-run"`)
@@ -100,16 +100,16 @@
 	head, id, _ := events(first.post(t, path, streamBody)).tokens(t, 7)
 	require.Equal(t, fullText(7), head)
 
-	dying := newEngine(20)
-	dying.dieAt = 12
-	second := newHarness(t, &fakeDeps{engines: map[string]*fakeEngine{"e1": dying, "e2": newEngine(20)}})
+	crashing := newEngine(20)
+	crashing.crashAt = 12
+	second := newHarness(t, &fakeDeps{engines: map[string]*fakeEngine{"e1": crashing, "e2": newEngine(20)}})
 	tail, _, last := events(second.post(t, path, streamBody, "Last-Event-ID", id)).tokens(t, -1)
 	require.Equal(t, fullText(20), head+tail)
 	require.Equal(t, "[DONE]", last.data)
 
-	stranger := second.post(t, path, streamBody, "Last-Event-ID", id, "OpenAI-Organization", "other")
-	require.Equal(t, 400, stranger.StatusCode)
-	require.Contains(t, readBody(t, stranger), outcome.CodeInvalidEventID)
+	otherCaller := second.post(t, path, streamBody, "Last-Event-ID", id, "OpenAI-Organization", "other")
+	require.Equal(t, 400, otherCaller.StatusCode)
+	require.Contains(t, readBody(t, otherCaller), outcome.CodeInvalidEventID)
 
 	gone := second.post(t, path, streamBody, "Last-Event-ID", id)
 	require.Equal(t, 410, gone.StatusCode)
--- a/internal/entry/gauges.go
+++ b/internal/entry/gauges.go
@@ -9,15 +9,14 @@
 	"tamarackchute/membership"
 )
 
-// gaugeEvery is the time between two looks at the state.
+// gaugeInterval is the time between two updates of the gauges.
 const gaugeInterval = time.Second
 
-// gauges shows on the metrics page what the parts of the entry know of
-// themselves.
+// gauges exports the state of the entry's components as metrics.
 type gauges struct {
 	entry *Entry
 	scope tally.Scope
-	// refused holds admission's counts as last shown, by reason.
+	// refused holds admission's counts as last exported, by reason.
 	refused map[string]uint64
 }
 
@@ -27,7 +26,7 @@
 
 func (g *gauges) String() string { return "gauges" }
 
-// Serve looks until ctx ends.
+// Serve updates the gauges until ctx ends.
 func (g *gauges) Serve(ctx context.Context) error {
 	return runEvery(ctx, gaugeInterval, g.update)
 }
@@ -79,7 +78,7 @@
 
 func (g *gauges) set(name string, value float64) { g.scope.Gauge(name).Update(value) }
 
-// truth is 1 for true, as gauges are numbers.
+// boolGauge returns 1 for true and 0 for false.
 func boolGauge(b bool) float64 {
 	if b {
 		return 1
--- a/internal/entry/inflight/inflight.go
+++ b/internal/entry/inflight/inflight.go
@@ -1,5 +1,5 @@
-// Package inflight counts an entry's requests at each engine for the drains
-// that precede orders.
+// Package inflight counts an entry's requests at each engine, so that an order, such
+// as a role change, waits until its engine is drained.
 package inflight
 
 import (
@@ -9,23 +9,23 @@
 	"tamarackchute/orders"
 )
 
-// Orders tells which engines are being drained or changed; orders.View is one.
+// Orders returns which engines are draining or changing; orders.View implements it.
 type Orders interface {
 	Snapshot() *orders.Snapshot
 }
 
-// Applied tells the place in the log up to which every entry has been folded;
+// Applied returns the position in the log up to which all entries have been applied;
 // journal.Journal.Applied is one.
 type Applied func() journal.Position
 
-// Book counts requests at engines. It is safe for use by many goroutines.
+// Counter counts requests at engines. It is safe for concurrent use.
 type Counter struct {
 	orders  Orders
 	applied Applied
 	counts  map[string]*atomic.Int64
 }
 
-// NewBook returns a book for the engines named.
+// NewCounter returns a counter for the named engines.
 func NewCounter(o Orders, a Applied, engines []string) *Counter {
 	c := &Counter{orders: o, applied: a, counts: make(map[string]*atomic.Int64, len(engines))}
 	for _, name := range engines {
@@ -34,12 +34,12 @@
 	return c
 }
 
-// Hold counts a request at an engine and reports whether it may go there. If it
-// may, the caller must Release it.
+// Reserve counts a request at an engine and reports whether it may be sent there. If
+// it may, it must be ended by Release.
 //
-// It counts first and asks second, which guards against a drain that is applied
-// between the pick and the sending: asked first, the request could be missing
-// from the counts that acknowledge the drain, and then be cut off by the order.
+// The request is counted before the orders are checked. In the opposite order, a
+// drain applied in between could be acknowledged with counts that lack the request,
+// and the order would then cut it off.
 func (c *Counter) Reserve(engine string) bool {
 	count := c.counts[engine]
 	if count == nil {
@@ -53,16 +53,16 @@
 	return false
 }
 
-// Release uncounts a held request.
+// Release removes a reserved request from the count.
 func (c *Counter) Release(engine string) {
 	if n := c.counts[engine].Add(-1); n < 0 {
-		panic("inflight: released more often than held: " + engine)
+		panic("inflight: released more often than reserved: " + engine)
 	}
 }
 
-// Status returns the place in the log up to which drains are obeyed, and the
-// engines that have requests. The position is read before the counts: a request
-// counted too late for it can't have been let through after it.
+// Status returns the log position up to which drains are applied, and the engines that
+// have requests. The position is read before the counts: a request that they lack is
+// checked against the orders only after the drains up to that position were applied.
 func (c *Counter) Status() (journal.Position, map[string]int) {
 	applied := c.applied()
 	busy := map[string]int{}
--- a/internal/entry/inflight/inflight_test.go
+++ b/internal/entry/inflight/inflight_test.go
@@ -9,7 +9,7 @@
 	"tamarackchute/orders"
 )
 
-// fakeOrders runs a step at each look at the snapshot.
+// fakeOrders calls before, if set, on each read of the snapshot.
 type fakeOrders struct {
 	snapshot orders.Snapshot
 	before   func()
@@ -23,11 +23,10 @@
 	return &s
 }
 
-// A driver's answer is cut off by a planned role change. The entry picked the
-// engine, then the drain was applied and the entry reported nothing in flight
-// there, and only then did it count and send the request. The order went out on
-// that report. Whatever happens between the count and the look at the orders,
-// a request that is let through must stand in every report of a later position.
+// Guards against a role change that cuts off a request: the drain is applied and
+// acknowledged between the pick of the engine and the count of the request. A request
+// that is admitted must be in every report of a later position, whatever happens
+// between the count and the check of the orders.
 func TestDrainBetweenPickAndSend(t *testing.T) {
 	drained := orders.Snapshot{
 		Position: journal.Position{Offset: 9},
@@ -41,7 +40,7 @@
 	o.before = func() {
 		o.before = nil
 		_, busy := counter.Status()
-		require.Equal(t, map[string]int{"e1": 1}, busy, "counted before the look")
+		require.Equal(t, map[string]int{"e1": 1}, busy, "counted before the check")
 		o.snapshot = drained
 	}
 	require.False(t, counter.Reserve("e1"))
--- a/internal/entry/listen.go
+++ b/internal/entry/listen.go
@@ -16,7 +16,7 @@
 	"tamarackchute/internal/graceful"
 )
 
-// closeTimeout bounds the end of an address's last connections.
+// closeTimeout bounds the wait for an address's last connections to close.
 const closeTimeout = 2 * time.Second
 
 // listener serves a fiber application on an address. It is a suture service.
@@ -25,9 +25,9 @@
 	addr string
 	tls  *tls.Config
 	app  *fiber.App
-	// conns follows the connections, so that a stop cuts off no request.
+	// conns tracks the connections, so that a shutdown cuts off no request.
 	conns *graceful.Connections
-	// bound is the address taken before the first Serve.
+	// bound is the open socket until the first Serve uses it.
 	bound net.Listener
 }
 
@@ -41,12 +41,12 @@
 
 func (l *listener) String() string { return l.name + " " + l.addr }
 
-// bind takes the address, so that a wrong or occupied one ends the program at
-// its start instead of being tried again and again.
+// bind opens the address, so that an invalid or occupied one ends the program at
+// startup instead of being retried by the supervisor.
 func (l *listener) bind() error {
 	ln, err := net.Listen("tcp", l.addr)
 	if err != nil {
-		return eris.Wrapf(err, "%s address %s can't be taken", l.name, l.addr)
+		return eris.Wrapf(err, "listen on %s address %s", l.name, l.addr)
 	}
 	ln = l.conns.Listen(ln)
 	if l.tls != nil {
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// Serve answers until ctx ends, then lets requests in progress end.
+// Serve serves requests until ctx ends, then waits for those in progress.
 func (l *listener) Serve(ctx context.Context) error {
 	if l.bound == nil {
 		if err := l.bind(); err != nil {
--- a/internal/entry/listen_test.go
+++ b/internal/entry/listen_test.go
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// lateListener returns connections that are read late, as on a machine without a free
-// processor.
+// slowListener returns connections whose reads are delayed, as on an overloaded
+// machine.
 type slowListener struct{ net.Listener }
 
 // Accept implements net.Listener.
@@ -34,10 +34,11 @@
 	return c.Conn.Read(p)
 }
 
-// NetConn returns the connection that is read late.
+// NetConn returns the underlying connection.
 func (c slowConn) NetConn() net.Conn { return c.Conn }
 
-// Guards against a stop that resets a kept connection on which a request has arrived unread.
+// Guards against a shutdown that resets a keep-alive connection on which a request has
+// arrived but hasn't been read.
 func TestShutdownAnswersUnreadRequests(t *testing.T) {
 	const request = "GET /x HTTP/1.1\r\nHost: h\r\n\r\n"
 	app := fiber.New(fiber.Config{DisableStartupMessage: true, ReduceMemoryUsage: true})
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -11,16 +11,16 @@
 	"tamarackchute/rules"
 )
 
-// Bounds of the operators' address.
+// Limits of the operators' address.
 const (
-	// operatorsMaxBody holds the largest rule set with its escapes.
+	// operatorsMaxBody has room for the largest rule set with JSON escapes.
 	operatorsMaxBody = 1 << 20
 	operatorsTimeout = 15 * time.Second
 	contentMetrics   = "text/plain; version=0.0.4; charset=utf-8"
 )
 
-// operatorsApp serves the operators' address: the metrics page and, behind
-// their tokens, what operators do.
+// operatorsApp returns the application at the operators' address: the metrics page
+// and, behind operator tokens, the operator API.
 func (e *Entry) operatorsApp() *fiber.App {
 	app := fiber.New(fiber.Config{
 		DisableStartupMessage: true,
@@ -49,7 +49,7 @@
 	return app
 }
 
-// status tells operators what this instance knows.
+// status returns the status page of this instance.
 func (e *Entry) status() api.Status {
 	claims := e.claims.Stats()
 	s := api.Status{
--- a/internal/entry/operators_test.go
+++ b/internal/entry/operators_test.go
@@ -16,10 +16,9 @@
 	"tamarackchute/rules"
 )
 
-// An operator of a deployment of plain services writes a rule on a model that it
-// doesn't have. "chutectl rules validate -local" refused it and the entry took
-// it: each had its own list of known names, and the entry's was nil, which
-// stands for "not checked".
+// A deployment of plain services has no models. Guards against an entry whose list of
+// known models is nil, which turns the check off: it accepted a rule on an unknown
+// model that "chutectl rules validate -local" refused.
 func TestEntryAndChutectlCheckTheSameNames(t *testing.T) {
 	d, err := settings.Load("../../deploy/kalku-rinda/settings.json")
 	require.NoError(t, err)
--- a/internal/entry/ordersfeed.go
+++ b/internal/entry/ordersfeed.go
@@ -7,9 +7,9 @@
 	"tamarackchute/router"
 )
 
-// ordersFeed tells the router which engines are drained or changed and which
-// roles they have by the journal. It is only the router's hint: the book of
-// requests in flight asks the orders themselves.
+// ordersFeed passes to the router which engines are draining or changing and which
+// roles the journal gives them. This is only a hint for the router: the in-flight
+// counter checks the orders themselves.
 type ordersFeed struct {
 	orders  *orders.View
 	engines []string
@@ -18,7 +18,7 @@
 
 func (f *ordersFeed) String() string { return "orders" }
 
-// Serve follows the orders until ctx ends.
+// Serve applies each change of the orders until ctx ends.
 func (f *ordersFeed) Serve(ctx context.Context) error {
 	for {
 		changed := f.orders.Changed()
--- a/internal/entry/peerdrains.go
+++ b/internal/entry/peerdrains.go
@@ -9,17 +9,16 @@
 	"tamarackchute/orders"
 )
 
-// peerDrains adds to the journal's orders, until the log has been read, the
-// drains that peers told of. An entry that starts without the log serves on a
-// peer's rules; without the drains it could send a request to an engine whose
-// order is under way, and the order would cut it off. It implements
-// inflight.Orders and status.Drains.
+// peerDrains adds the drains that peers report to the journal's orders until the log
+// has been read. An entry that starts while the log is down serves with a peer's rules
+// and could otherwise send a request to a draining engine, whose order would cut it
+// off. It implements inflight.Orders and status.Drains.
 type peerDrains struct {
 	orders   inflight.Orders
 	caughtUp <-chan struct{}
 
 	mu sync.Mutex
-	// told is nil once the log has been read.
+	// reported is nil once the log has been read.
 	reported map[string]bool
 }
 
@@ -27,8 +26,8 @@
 	return &peerDrains{orders: o, caughtUp: caughtUp, reported: map[string]bool{}}
 }
 
-// Avoid implements status.Drains. What was told before still counts: only the
-// log can say that a drain has ended.
+// Avoid implements status.Drains. Earlier reports remain valid, as only the log shows
+// that a drain has ended.
 func (p *peerDrains) Avoid(engines []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -53,8 +52,8 @@
 
 // Snapshot implements inflight.Orders.
 func (p *peerDrains) Snapshot() *orders.Snapshot {
-	// Whether the log has been read is asked before the snapshot: the other way
-	// round, a drain could be missing from both.
+	// The reports are read before the snapshot. In the opposite order a drain could be
+	// missing from both, if the log is read completely in between.
 	reported := p.currentReports()
 	s := p.orders.Snapshot()
 	if len(reported) == 0 {
--- a/internal/entry/peerdrains_test.go
+++ b/internal/entry/peerdrains_test.go
@@ -14,10 +14,10 @@
 
 func (f *fixedOrders) Snapshot() *orders.Snapshot { return &f.snapshot }
 
-// A driver's answer is cut off by a planned role change. The entry was killed
-// after it had acknowledged the drain; its successor starts while the log is
-// down, learns the rules from a peer and sends a request to the engine just as
-// the order goes out. The peer's drains must hold it back until the log tells.
+// An entry is killed after it has acknowledged a drain, and its replacement starts while
+// the log is down. Guards against sending a request to the draining engine, which the
+// role change would cut off: the drains that a peer reports must apply until the log
+// has been read.
 func TestPeerDrainsApplyUntilTheLogIsRead(t *testing.T) {
 	log := &fixedOrders{orders.Snapshot{Engines: map[string]orders.Engine{}}}
 	caughtUp := make(chan struct{})
@@ -27,11 +27,11 @@
 	drains.Avoid(nil) // another peer, which hasn't applied the drain yet
 	require.False(t, counter.Reserve("e1"))
 	require.True(t, counter.Reserve("e2"))
-	require.Equal(t, []string{"e1"}, drains.Draining(), "who asks us must learn it too")
+	require.Equal(t, []string{"e1"}, drains.Draining(), "peers get the reported drains too")
 
 	close(caughtUp)
 	require.True(t, counter.Reserve("e1"))
-	drains.Avoid([]string{"e2"}) // comes late
+	drains.Avoid([]string{"e2"}) // a late report has no effect
 	require.True(t, counter.Reserve("e2"))
 	require.Empty(t, drains.Draining())
 }
--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -19,7 +19,7 @@
 	"tamarackchute/quarantine"
 )
 
-// built returns an entry that doesn't run.
+// newTestEntry returns an entry that isn't started.
 func newTestEntry(t *testing.T, d *settings.Deployment, log infra.Log, instance string) *Entry {
 	metrics := telemetry.NewMetrics("chute-entry", instance)
 	t.Cleanup(func() { _ = metrics.Close() })
@@ -31,8 +31,7 @@
 	return e
 }
 
-// reading returns an entry of an instance that does
-// nothing but follow the log.
+// newFollowingEntry returns an entry that only reads the log.
 func newFollowingEntry(t *testing.T, log *journaltest.Log, instance string) *Entry {
 	d, err := settings.Load("../../deploy/kalku-rinda/settings.json")
 	require.NoError(t, err)
@@ -45,11 +44,9 @@
 	return e
 }
 
-// A farmer's request is answered 422 from one moment to the next. The operator
-// looks into the audit trail and finds no word of it: two engines had died with
-// the request in flight, which quarantined it, and only releases were recorded.
-// Every instance's trail must tell it, once, although each instance reports each
-// crash; after a release a new quarantine is told again.
+// Two crashes with a request in flight quarantine it. Guards against audit trails that
+// record only releases: every instance's trail must record the quarantine exactly
+// once, although each instance reports each crash, and again after a release.
 func TestQuarantineIsAuditedOnceOnEachInstance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := journaltest.NewLog()
--- a/internal/entry/shutdown/shutdown.go
+++ b/internal/entry/shutdown/shutdown.go
@@ -1,4 +1,4 @@
-// Package shutdown orders the steps of a graceful stop.
+// Package shutdown sequences the phases of a graceful shutdown.
 package shutdown
 
 import (
@@ -6,40 +6,39 @@
 	"time"
 )
 
-// Phase is a step of a stop.
+// Phase is a phase of a shutdown.
 type Phase uint8
 
-// The phases, in their order.
+// The phases, in order.
 const (
-	// Serving is before the stop.
+	// Serving is before the shutdown.
 	Serving Phase = iota
-	// Leaving: out of every new answer of where to connect, but callers still
-	// hold answers that name this instance, so new requests are served.
+	// Deregistered: new discovery responses omit this instance, but callers may still
+	// have cached ones that name it, so new requests are served.
 	Deregistered
-	// Draining: no caller holds such an answer any more; requests in progress
-	// are served to their end, and new ones too, as nothing is gained by
-	// refusing them.
+	// Draining: all cached discovery responses have expired; requests in progress are
+	// completed, and new ones are served too, as refusing them has no benefit.
 	Draining
-	// Stopped: nothing is in progress, or the grace has run out.
+	// Stopped: nothing is in progress, or the grace period is over.
 	Stopped
 )
 
-// State decides when an instance may exit. The zero value serves.
+// State decides when an instance may exit. The zero value is in phase Serving.
 type State struct {
-	// Keep is how long callers may keep an answer, Grace how long the instance
-	// waits beyond that for its requests to end.
+	// DiscoveryTTL is how long callers may cache a discovery response, Grace how long
+	// the instance waits after that for its requests to end.
 	DiscoveryTTL, Grace time.Duration
-	// CloseIdle, if set, is called when nothing is in progress any more, and again until
-	// the stop is over. It takes no new connections, ends those on which no request has
-	// arrived, and returns the number of the others, which are served to their end.
-	// Without it a request that arrives between the last look and the exit is cut off.
+	// CloseIdle, if set, is called repeatedly once nothing is in progress. It stops
+	// accepting connections, closes those without a request, and returns the number of
+	// the others, which are served. Without it, a request that arrives between the last
+	// check and the exit is cut off.
 	CloseIdle func() int
 
 	started   bool
 	startedAt time.Time
 }
 
-// Begin starts the stop. Only the first call counts.
+// Begin starts the shutdown. Further calls have no effect.
 func (s *State) Begin(now time.Time) {
 	if s.started {
 		return
@@ -48,7 +47,7 @@
 	s.startedAt = now
 }
 
-// Phase returns the step at a time, with a number of requests in progress.
+// Phase returns the phase at a time, given the number of requests in progress.
 func (s *State) Phase(now time.Time, active int) Phase {
 	if !s.started {
 		return Serving
@@ -64,11 +63,11 @@
 	}
 }
 
-// checkEvery is how often a stopping instance looks whether it may exit.
+// checkInterval is the time between two checks of whether the instance may exit.
 const checkInterval = 50 * time.Millisecond
 
-// Drain begins the stop and returns when the instance may exit, or when done ends;
-// a nil done never does. Each phase is logged with the requests in progress.
+// Drain begins the shutdown and returns when the instance may exit or done yields a
+// value; done may be nil. Each phase is logged with the number of requests in progress.
 func (s *State) Drain(done <-chan error, active func() int, log *slog.Logger) {
 	s.Begin(time.Now())
 	ticker := time.NewTicker(checkInterval)
@@ -94,7 +93,7 @@
 	}
 }
 
-// String returns the phase's name for logs.
+// String returns the name of the phase in logs.
 func (p Phase) String() string {
 	switch p {
 	case Deregistered:
--- a/internal/entry/shutdown/shutdown_test.go
+++ b/internal/entry/shutdown/shutdown_test.go
@@ -9,10 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An instance is replaced. A caller that asked a moment before where to connect
-// comes with its kept answer, and a stream is still running; both are cut off
-// if the process exits as soon as it is told. It may exit only when every kept
-// answer has run out and every request has ended, or the grace is over.
+// Guards against an exit that cuts off callers with a cached discovery response or with
+// a stream in progress. The instance may exit only when the cached responses have
+// expired and all requests have ended, or when the grace period is over.
 func TestStopWaitsForDiscoveryTTLAndRequests(t *testing.T) {
 	began := time.Unix(1000, 0)
 	s := State{DiscoveryTTL: 5 * time.Second, Grace: 60 * time.Second}
@@ -35,9 +34,9 @@
 	}
 }
 
-// A caller's request arrives while the instance leaves, and is cut off with "connection reset by
-// peer" when it exits: the machine was so busy that the request still waited to be read when
-// the instance looked for the last time, and found nothing in progress.
+// Guards against cutting off a request that has arrived but hasn't been read at the last
+// check, as on an overloaded machine: it isn't in progress yet, and the caller would get
+// "connection reset by peer" at the exit.
 func TestShutdownServesUnreadRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		unread, inProgress, answered := 1, 0, 0
--- a/internal/entry/tree.go
+++ b/internal/entry/tree.go
@@ -13,33 +13,33 @@
 	"tamarackchute/rules"
 )
 
-// stopTimeout bounds the end of a service: claims take up to 5 s to record
-// what became of calls under way.
+// stopTimeout bounds the wait for a service to end: claims need up to 5 s to record
+// the results of calls in progress.
 const stopTimeout = 8 * time.Second
 
 // tree is the supervisor tree:
 //
-//	base                   outlives the rest
-//	└── journal            reads the whole log, appends in groups
+//	base                   ends after all others
+//	└── journal            reads the complete log, appends in batches
 //	entry
-//	├── claims             checkpoints; at the end records what is under way
+//	├── claims             checkpoints; at the end records calls in progress
 //	├── learning
 //	│   ├── platform's list
-//	│   ├── reports of …   one an engine: load and cache events
+//	│   ├── reports of …   one for each engine: load and cache events
 //	│   ├── orders         drains and roles from the journal to the router
-//	│   ├── capacity       sums for admission and rules
-//	│   ├── admission      refuses early what can't be in time
+//	│   ├── capacity       engines' capacity for admission, load for rules
+//	│   ├── admission      refuses early what can't meet its deadline
 //	│   ├── gauges         state for the metrics page
 //	│   ├── rules          checkpoints
-//	│   └── quarantine     checkpoints; crash reports that the log hasn't taken
+//	│   └── quarantine     checkpoints; crash reports that aren't in the log yet
 //	├── exchange with peers  membership, status to the leaders, peers' rules
 //	└── serving
 //	    ├── callers' connections
 //	    ├── callers        HTTP
 //	    └── operators      HTTP
 //
-// A service that ends is started again by its own supervisor; one that keeps
-// failing is tried at growing intervals and takes nothing else down.
+// Each supervisor restarts its services. One that keeps failing is retried after a
+// pause and doesn't end the others.
 func (e *Entry) tree() *suture.Supervisor {
 	root := suture.New("entry", e.supervisorSpec())
 	root.Add(e.claims)
@@ -93,7 +93,7 @@
 	})
 }
 
-// quarantineKeeper keeps the quarantine's records in the log.
+// quarantineService runs the quarantine's log writer as a suture service.
 type quarantineService struct {
 	guard     *quarantine.Guard
 	retention time.Duration
@@ -117,7 +117,7 @@
 	e.log.Warn("supervisor", "event", event.String())
 }
 
-// Run works until ctx ends, and then on until a graceful stop is done.
+// Run serves until ctx ends, then shuts down gracefully and returns.
 func (e *Entry) Run(ctx context.Context) error {
 	callers := newListener("callers", e.self.Callers, e.cfg.ServerTLS, e.gateway.App(), e.log)
 	operators := newListener("operators", e.self.Operators, e.cfg.ServerTLS, e.operatorsApp(), e.log)
@@ -151,8 +151,8 @@
 	return nil
 }
 
-// drain leaves the answers of where to connect at once, and returns when the
-// instance may exit.
+// drain removes the instance from discovery responses at once and returns when it may
+// exit.
 func (e *Entry) drain(done <-chan error, callers *graceful.Connections) {
 	e.directory.BeginShutdown()
 	e.gateway.BeginShutdown()
--- a/internal/entry/upstreams.go
+++ b/internal/entry/upstreams.go
@@ -16,8 +16,8 @@
 	services map[string]upstream.Service
 }
 
-// NewUpstreams makes the adapters. Calls are bounded by their requests'
-// deadlines, so o.Timeout should be no shorter than the longest of those.
+// NewUpstreams creates the adapters. Calls are bounded by their requests' deadlines,
+// so o.Timeout should be at least the longest of those.
 func NewUpstreams(d *settings.Deployment, o httpx.Options) *Upstreams {
 	us := &Upstreams{engines: map[string]upstream.Engine{}, services: map[string]upstream.Service{}}
 	for _, u := range d.Upstreams {
@@ -36,7 +36,8 @@
 // Service returns the adapter of a service, or nil if the name is unknown.
 func (us *Upstreams) Service(name string) upstream.Service { return us.services[name] }
 
-// Probe asks an engine for a sign of life: any answer is one.
+// Probe checks whether an engine responds; any response, also an error status, shows
+// that it is running.
 func (us *Upstreams) Probe(ctx context.Context, name string) error {
 	engine := us.engines[name]
 	if engine == nil {
