--- a/internal/entry/answer/answer_test.go
+++ b/internal/entry/answer/answer_test.go
@@ -40,19 +40,19 @@
 	reserved    map[string]int
 }
 
-func (w *fakeFleet) Engine(name string) upstream.Engine { return fakeEngine{w, name} }
+func (f *fakeFleet) Engine(name string) upstream.Engine { return fakeEngine{f, name} }
 
-func (w *fakeFleet) Reserve(name string) bool { w.reserved[name]++; return true }
-func (w *fakeFleet) Release(name string)      { w.reserved[name]-- }
-func (w *fakeFleet) Allow() bool              { return true }
+func (f *fakeFleet) Reserve(name string) bool { f.reserved[name]++; return true }
+func (f *fakeFleet) Release(name string)      { f.reserved[name]-- }
+func (f *fakeFleet) Allow() bool              { return true }
 
-func (w *fakeFleet) Check(quarantine.Digest) (bool, error)   { return false, nil }
-func (w *fakeFleet) MayRunOn(string, quarantine.Digest) bool { return true }
-func (w *fakeFleet) IsolationError(quarantine.Digest) error  { return nil }
-func (w *fakeFleet) guard() *crash.Detector                  { return crash.New(noQuarantine{}, unreachable) }
+func (f *fakeFleet) Check(quarantine.Digest) (bool, error)   { return false, nil }
+func (f *fakeFleet) MayRunOn(string, quarantine.Digest) bool { return true }
+func (f *fakeFleet) IsolationError(quarantine.Digest) error  { return nil }
+func (f *fakeFleet) detector() *crash.Detector               { return crash.New(noQuarantine{}, unreachable) }
 func unreachable(context.Context, string) error              { return upstream.ErrNotSent }
-func (w *fakeFleet) Begin(ctx context.Context, e string, d quarantine.Digest, s bool) (*crash.Run, error) {
-	return w.guard().Begin(ctx, e, d, s)
+func (f *fakeFleet) Begin(ctx context.Context, e string, d quarantine.Digest, s bool) (*crash.Run, error) {
+	return f.detector().Begin(ctx, e, d, s)
 }
 
 type noQuarantine struct{ crash.Quarantine }
@@ -131,15 +131,15 @@
 
 func word(i int) string { return fmt.Sprintf("<%d>", i) }
 
-func newRunner(w *fakeFleet, attempts int) *Runner {
+func newRunner(fleet *fakeFleet, attempts int) *Runner {
 	ups := make([]router.Upstream, attempts)
 	for i := range ups {
 		ups[i] = router.Upstream{Name: fmt.Sprint("e", i), Kind: "engine", Pool: "p", DataCentre: "d", Models: []string{"m"}, Role: upstream.RoleMixed}
 	}
-	w.reserved = map[string]int{}
+	fleet.reserved = map[string]int{}
 	id := 0
 	return &Runner{
-		Tracker: router.NewTracker(router.DefaultConfig("d"), ups, nil), Engines: w, InFlight: w, CrashDetector: w, RetryBudget: w,
+		Tracker: router.NewTracker(router.DefaultConfig("d"), ups, nil), Engines: fleet, InFlight: fleet, CrashDetector: fleet, RetryBudget: fleet,
 		MemoryBudget: stream.NewMemoryBudget(1 << 20), MaxBufferedBytes: 1 << 10, MaxAttempts: attempts,
 		NewID: func() string { id++; return fmt.Sprint(id) },
 	}
@@ -152,7 +152,7 @@
 func TestTokensComeOnceAndInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		attempts := rapid.IntRange(1, 5).Draw(t, "attempts")
-		w := &fakeFleet{script: rapid.SliceOfN(rapid.Custom(func(t *rapid.T) fault {
+		fleet := &fakeFleet{script: rapid.SliceOfN(rapid.Custom(func(t *rapid.T) fault {
 			return fault{
 				replay:     rapid.IntRange(0, 3).Draw(t, "replay"),
 				skipAt:     rapid.IntRange(0, 4).Draw(t, "skip"),
@@ -161,7 +161,7 @@
 				refuse:     rapid.SampledFrom([]error{nil, nil, upstream.ErrRefused, upstream.ErrNotSent}).Draw(t, "refuse"),
 			}
 		}), 0, 5).Draw(t, "script")}
-		runner := newRunner(w, attempts)
+		runner := newRunner(fleet, attempts)
 		a := runner.Start(Job{
 			Request: openai.Request{Model: "m", MaxTokens: totalTokens, Stream: true},
 			Route:   router.Request{Pool: "p", Model: "m", OutputTokens: totalTokens},
@@ -187,10 +187,10 @@
 			require.Equal(t, io.EOF, err)
 			require.Equal(t, totalTokens, got)
 		}
-		require.Empty(t, w.wrongPriors, "prior text")
+		require.Empty(t, fleet.wrongPriors, "prior text")
 		require.LessOrEqual(t, a.Attempt(), attempts)
 		require.Zero(t, runner.MemoryBudget.Used())
-		for name, n := range w.reserved {
+		for name, n := range fleet.reserved {
 			require.Zero(t, n, name)
 		}
 	})
--- a/internal/entry/answer/open.go
+++ b/internal/entry/answer/open.go
@@ -57,7 +57,7 @@
 // another suspect runs there. It counts as a refusal for the request but not for the
 // engine: recorded as the engine's own, such refusals ejected the only engine left
 // until the streams that waited for it had exceeded MaxEngineWait.
-var errIsolationConflict = fmt.Errorf("another suspected request runs on the engine: %w", upstream.ErrRefused)
+var errIsolationConflict = fmt.Errorf("another suspect runs on the engine: %w", upstream.ErrRefused)
 
 // replan drops a plan whose engine is shutting down. Nothing was sent, so it
 // doesn't count as an attempt, whatever the rule's retry class.
--- a/internal/entry/answer/runner.go
+++ b/internal/entry/answer/runner.go
@@ -49,8 +49,8 @@
 	Allow() bool
 }
 
-// Runner runs model requests. Its fields are set once; it is safe for use by
-// many goroutines.
+// Runner runs model requests. Its fields must not change after the first use; it
+// is safe for concurrent use.
 type Runner struct {
 	Tracker       Tracker
 	Engines       Engines
--- a/internal/entry/answer/wait_test.go
+++ b/internal/entry/answer/wait_test.go
@@ -26,24 +26,29 @@
 // crashingFleet has two engines, of which the first crashes with all its requests.
 type crashingFleet struct {
 	fakeFleet
-	crashes *crash.Detector
-	down    chan struct{}
+	detector *crash.Detector
+	down     chan struct{}
 }
 
-func (c *crashingFleet) Check(d quarantine.Digest) (bool, error)     { return c.crashes.Check(d) }
-func (c *crashingFleet) MayRunOn(e string, d quarantine.Digest) bool { return c.crashes.MayRunOn(e, d) }
-func (c *crashingFleet) IsolationError(d quarantine.Digest) error    { return c.crashes.IsolationError(d) }
-func (c *crashingFleet) Reserve(string) bool                         { return true }
-func (c *crashingFleet) Release(string)                              {}
+func (c *crashingFleet) Check(d quarantine.Digest) (bool, error) { return c.detector.Check(d) }
+func (c *crashingFleet) MayRunOn(e string, d quarantine.Digest) bool {
+	return c.detector.MayRunOn(e, d)
+}
+func (c *crashingFleet) IsolationError(d quarantine.Digest) error {
+	return c.detector.IsolationError(d)
+}
+func (c *crashingFleet) Reserve(string) bool { return true }
+func (c *crashingFleet) Release(string)      {}
 func (c *crashingFleet) Engine(name string) upstream.Engine {
 	return crashingEngine{fakeEngine{&c.fakeFleet, name}, c}
 }
+
 func (c *crashingFleet) Append(context.Context, journal.Entry) (journal.Position, error) {
 	return journal.Position{}, errors.New("the log is down")
 }
 
 func (c *crashingFleet) Begin(ctx context.Context, e string, d quarantine.Digest, s bool) (*crash.Run, error) {
-	return c.crashes.Begin(ctx, e, d, s)
+	return c.detector.Begin(ctx, e, d, s)
 }
 
 type crashingEngine struct {
@@ -90,7 +95,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := &crashingFleet{down: make(chan struct{})}
 		guard := quarantine.NewGuard(quarantine.DefaultConfig(), c, "w", nil)
-		c.crashes = crash.New(guard, func(context.Context, string) error { return upstream.ErrNotSent })
+		c.detector = crash.New(guard, func(context.Context, string) error { return upstream.ErrNotSent })
 		runner := newRunner(&c.fakeFleet, 2)
 		runner.Engines, runner.InFlight, runner.CrashDetector = c, c, c
 		runner.MaxEngineWait, runner.MaxAttempts = time.Minute, 4
@@ -122,7 +127,7 @@
 		synctest.Wait()
 		close(c.down)
 		wg.Wait()
-		c.crashes.Wait()
+		c.detector.Wait()
 	})
 }
 
--- a/internal/entry/forward/forward.go
+++ b/internal/entry/forward/forward.go
@@ -33,7 +33,7 @@
 	Allow() bool
 }
 
-// Runner sends requests to services. It is safe for use by many goroutines.
+// Runner sends requests to services. It is safe for concurrent use.
 type Runner struct {
 	Tracker     Tracker
 	Services    Services
--- a/internal/entry/gateway/golden_test.go
+++ b/internal/entry/gateway/golden_test.go
@@ -62,7 +62,7 @@
 // line ends, and Content-Length is added.
 func session(t *testing.T, sent string) string {
 	service := &recordingService{calls: make(chan upstream.ServiceRequest, 1)}
-	p := &fakeDeps{
+	deps := &fakeDeps{
 		engines:  map[string]*fakeEngine{"e1": newEngine(3)},
 		services: map[string]upstream.Service{"s1": service},
 		byPath: func(path string) rules.Then {
@@ -81,8 +81,8 @@
 			Discovery:   settings.Discovery{KeepSeconds: 5},
 		}, settings.Instance{Name: "i1", DataCentre: "dc"}, allLive{}),
 	}
-	r := newHarness(t, p, func(o *gateway.Options) { o.Heartbeat = time.Hour })
-	conn, err := net.Dial("tcp", r.address)
+	h := newHarness(t, deps, func(o *gateway.Options) { o.Heartbeat = time.Hour })
+	conn, err := net.Dial("tcp", h.address)
 	require.NoError(t, err)
 	defer func() { _ = conn.Close() }()
 	head, body, _ := strings.Cut(sent, "\n\n")
--- a/internal/entry/gateway/harness_test.go
+++ b/internal/entry/gateway/harness_test.go
@@ -152,34 +152,34 @@
 	directory gateway.Directory
 }
 
-func (p *fakeDeps) Engine(name string) upstream.Engine {
-	if e := p.engines[name]; e != nil {
+func (d *fakeDeps) Engine(name string) upstream.Engine {
+	if e := d.engines[name]; e != nil {
 		return e
 	}
 	return nil
 }
 
-func (p *fakeDeps) Service(name string) upstream.Service { return p.services[name] }
+func (d *fakeDeps) Service(name string) upstream.Service { return d.services[name] }
 
-func (p *fakeDeps) Match(r rules.Request) (rules.Decision, bool) {
-	if p.byPath != nil {
-		return rules.Decision{Rule: "by path", Then: p.byPath(r.Path), Matched: true}, true
+func (d *fakeDeps) Match(r rules.Request) (rules.Decision, bool) {
+	if d.byPath != nil {
+		return rules.Decision{Rule: "by path", Then: d.byPath(r.Path), Matched: true}, true
 	}
-	return rules.Decision{Rule: "all", Then: p.then, Matched: true}, true
+	return rules.Decision{Rule: "all", Then: d.then, Matched: true}, true
 }
 
-func (p *fakeDeps) Acquire(ctx context.Context, r admission.Request) (*admission.Grant, error) {
-	if p.admitted != nil {
-		p.admitted(r)
+func (d *fakeDeps) Acquire(ctx context.Context, r admission.Request) (*admission.Grant, error) {
+	if d.admitted != nil {
+		d.admitted(r)
 	}
-	if p.refuse != nil {
-		return nil, p.refuse
+	if d.refuse != nil {
+		return nil, d.refuse
 	}
-	return p.controller.Acquire(ctx, r)
+	return d.controller.Acquire(ctx, r)
 }
 
-func (p *fakeDeps) probe(_ context.Context, name string) error {
-	if e := p.engines[name]; e != nil && e.crashed.Load() {
+func (d *fakeDeps) probe(_ context.Context, name string) error {
+	if e := d.engines[name]; e != nil && e.crashed.Load() {
 		return upstream.ErrNotSent
 	}
 	return nil
@@ -203,20 +203,20 @@
 
 // newHarness starts a gateway with a short heartbeat; only the order of events
 // depends on it.
-func newHarness(t *testing.T, p *fakeDeps, change ...func(*gateway.Options)) *harness {
+func newHarness(t *testing.T, deps *fakeDeps, change ...func(*gateway.Options)) *harness {
 	var ups []router.Upstream
-	for name := range p.engines {
+	for name := range deps.engines {
 		ups = append(ups, router.Upstream{Name: name, Kind: infra.KindEngine, Pool: "p", DataCentre: "dc", Models: []string{"m"}, Role: upstream.RoleMixed})
 	}
-	for name := range p.services {
+	for name := range deps.services {
 		ups = append(ups, router.Upstream{Name: name, Kind: infra.KindService, Pool: "s", DataCentre: "dc"})
 	}
-	if p.then.Pool == "" {
-		p.then.Pool = "p"
+	if deps.then.Pool == "" {
+		deps.then.Pool = "p"
 	}
 	tracker := router.NewTracker(router.DefaultConfig("dc"), ups, nil)
-	p.controller = admission.New(admission.DefaultConfig(), nil)
-	guard := quarantine.NewGuard(quarantine.DefaultConfig(), p, "w", nil)
+	deps.controller = admission.New(admission.DefaultConfig(), nil)
+	guard := quarantine.NewGuard(quarantine.DefaultConfig(), deps, "w", nil)
 	watch := callerwatch.New()
 	ids := new(atomic.Int64)
 	newID := func() string { return fmt.Sprint("id", ids.Add(1)) }
@@ -228,14 +228,14 @@
 		c(&options)
 	}
 	g := gateway.New(options, gateway.Dependencies{
-		Rules: p, Admission: p, Estimator: tracker, Demand: p, CallerWatch: watch,
+		Rules: deps, Admission: deps, Estimator: tracker, Demand: deps, CallerWatch: watch,
 		Answers: &answer.Runner{
-			Tracker: tracker, Engines: p, InFlight: p, CrashDetector: crash.New(guard, p.probe), RetryBudget: p,
+			Tracker: tracker, Engines: deps, InFlight: deps, CrashDetector: crash.New(guard, deps.probe), RetryBudget: deps,
 			MemoryBudget: stream.NewMemoryBudget(1 << 20), MaxBufferedBytes: 1 << 10, MaxAttempts: 3, NewID: newID,
 		},
-		Services:  &forward.Runner{Tracker: tracker, Services: p, RetryBudget: p, MaxAttempts: 3, NewID: newID},
-		Protected: p.protected,
-		Directory: p.directory,
+		Services:  &forward.Runner{Tracker: tracker, Services: deps, RetryBudget: deps, MaxAttempts: 3, NewID: newID},
+		Protected: deps.protected,
+		Directory: deps.directory,
 		Signer:    stream.NewSigner([]byte("secret")),
 		Load:      func() float64 { return 0 },
 		NewID:     newID, Scope: tally.NoopScope, Log: slog.New(slog.DiscardHandler),
@@ -252,7 +252,7 @@
 		<-done
 		g.Wait()
 	})
-	return &harness{fakeDeps: p, gateway: g, address: ln.Addr().String()}
+	return &harness{fakeDeps: deps, gateway: g, address: ln.Addr().String()}
 }
 
 // post sends a request; header holds alternating names and values.
--- a/internal/entry/gateway/service_test.go
+++ b/internal/entry/gateway/service_test.go
@@ -103,11 +103,11 @@
 // the first caller's data would turn into the second one's.
 func TestKeptDataSurvivesTheNextRequest(t *testing.T) {
 	var kept []admission.Request
-	p := &fakeDeps{
+	deps := &fakeDeps{
 		engines:  map[string]*fakeEngine{"e1": newEngine(2)},
 		admitted: func(r admission.Request) { kept = append(kept, r) },
 	}
-	r := newHarness(t, p)
+	r := newHarness(t, deps)
 	conn, err := net.Dial("tcp", r.address)
 	require.NoError(t, err)
 	defer func() { _ = conn.Close() }()
@@ -124,7 +124,7 @@
 	}
 	require.Equal(t, "farm-one", kept[0].Organisation)
 	require.Equal(t, "FARM-TWO", kept[1].Organisation)
-	require.Equal(t, "farm-one", p.engines["e1"].seen()[0].Prompt)
+	require.Equal(t, "farm-one", deps.engines["e1"].seen()[0].Prompt)
 }
 
 // A call continues after its caller's deadline while the same connection already
--- a/internal/entry/gateway/sse.go
+++ b/internal/entry/gateway/sse.go
@@ -57,11 +57,12 @@
 	heartbeat *time.Ticker
 	// deadlineSetAt is when the write deadline was last extended.
 	deadlineSetAt time.Time
-	idle          bool
-	idPrefix      string
-	buf           []byte
-	offset        int
-	ended         bool
+	// idle is set by each heartbeat tick and reset by each event.
+	idle     bool
+	idPrefix string
+	buf      []byte
+	offset   int
+	ended    bool
 }
 
 // stream sends the answer as server-sent events. It waits for the first event, but
--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -44,9 +44,10 @@
 	return e
 }
 
-// Two crashes with a request in flight quarantine it. Guards against audit trails that
-// record only releases: every instance's trail must record the quarantine exactly
-// once, although each instance reports each crash, and again after a release.
+// Two crashes with a request in flight quarantine it, and it is answered 422. Guards
+// against audit trails that record only releases: every instance's trail must record
+// the quarantine exactly once, although each instance reports each crash, and again
+// after a release.
 func TestQuarantineIsAuditedOnceOnEachInstance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := journaltest.NewLog()
