--- a/internal/entry/entrybench/plain.go
+++ b/internal/entry/entrybench/plain.go
@@ -50,17 +50,17 @@
 // the rate. Latencies count from the scheduled time of a request.
 func measurePlain(o options, p process, name string, direct, viaEntry request) error {
 	targets := []*target{newTarget(direct), newTarget(viaEntry)}
-	for _, s := range targets { // warm up connections and caches
-		s.drive(o.rate/4, time.Second)
-		s.latencies.Reset()
+	for _, t := range targets { // warm up connections and caches
+		t.drive(o.rate/4, time.Second)
+		t.latencies.Reset()
 	}
 	before, err := p.cpu()
 	if err != nil {
 		return err
 	}
 	var wg conc.WaitGroup
-	for _, s := range targets {
-		wg.Go(func() { s.drive(o.rate, o.length) })
+	for _, t := range targets {
+		wg.Go(func() { t.drive(o.rate, o.length) })
 	}
 	wg.Wait()
 	after, err := p.cpu()
@@ -103,7 +103,7 @@
 // that a late response delays only that goroutine's next request.
 const senders = 128
 
-func (s *target) drive(rate int, length time.Duration) {
+func (t *target) drive(rate int, length time.Duration) {
 	start := time.Now()
 	step := time.Second / time.Duration(rate)
 	total := int(length / step)
@@ -113,25 +113,25 @@
 			for i := k; i < total; i += senders {
 				due := start.Add(time.Duration(i) * step)
 				time.Sleep(time.Until(due))
-				s.send(due)
+				t.send(due)
 			}
 		})
 	}
 	wg.Wait()
 }
 
-func (s *target) send(due time.Time) {
+func (t *target) send(due time.Time) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	req.Header.SetMethod(s.request.method)
-	req.SetRequestURI("http://" + s.request.address + s.request.path)
-	req.SetBodyRaw(s.request.body)
-	if err := s.client.Do(req, resp); err != nil || resp.StatusCode() != fasthttp.StatusOK {
-		s.failed.Add(1)
+	req.Header.SetMethod(t.request.method)
+	req.SetRequestURI("http://" + t.request.address + t.request.path)
+	req.SetBodyRaw(t.request.body)
+	if err := t.client.Do(req, resp); err != nil || resp.StatusCode() != fasthttp.StatusOK {
+		t.failed.Add(1)
 		return
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	_ = s.latencies.RecordValue(max(1, time.Since(due).Microseconds()))
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	_ = t.latencies.RecordValue(max(1, time.Since(due).Microseconds()))
 }
