--- a/internal/entry/callerwatch/watch.go
+++ b/internal/entry/callerwatch/watch.go
@@ -1,9 +1,7 @@
-// Package callerwatch detects callers that have closed their connection.
-//
-// fasthttp reads a connection only between requests, and its request context doesn't
-// end when the caller closes, so a handler could wait for an engine on behalf of a
-// closed connection. The watcher polls the sockets for POLLRDHUP, which reports that
-// the peer has closed or half-closed and leaves bytes of a pipelined request unread.
+// Package callerwatch detects callers that have closed their connection. fasthttp reads
+// a connection only between requests and doesn't end the request's context on a close,
+// so a handler would keep an engine busy. The watcher polls the sockets for POLLRDHUP,
+// which reports a close or half-close and leaves bytes of a pipelined request unread.
 package callerwatch
 
 import (
--- a/internal/entry/discovery/discovery.go
+++ b/internal/entry/discovery/discovery.go
@@ -66,10 +66,8 @@
 
 // Locate returns the addresses for a caller in a data centre; an unknown one counts as
 // this instance's own. Suspected instances come last, as they may still be up; those
-// that are shutting down or gone are omitted.
-//
-// Callers connect to the first address, so the instances of a data centre are rotated
-// to distribute them.
+// that are shutting down or gone are omitted. The instances of a data centre are
+// rotated, as callers connect to the first address.
 func (d *Directory) Locate(dataCentre string) Response {
 	instances, known := d.byDistance[dataCentre]
 	if !known {
--- a/internal/entry/inflight/inflight.go
+++ b/internal/entry/inflight/inflight.go
@@ -34,12 +34,10 @@
 	return c
 }
 
-// Reserve counts a request at an engine and reports whether it may be sent there. If
-// it may, it must be ended by Release.
-//
-// The request is counted before the orders are checked. In the opposite order, a
-// drain applied in between could be acknowledged with counts that lack the request,
-// and the order would then cut it off.
+// Reserve counts a request at an engine and reports whether it may be sent there; if
+// so, Release must follow. It counts before it checks the orders: in the opposite
+// order, a drain applied in between could be acknowledged with counts that lack the
+// request, and the order would then cut it off.
 func (c *Counter) Reserve(engine string) bool {
 	count := c.counts[engine]
 	if count == nil {
