--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,5 +1,5 @@
-// Package entry assembles chute-entry: what serves callers, what it learns from
-// the log, the list and the engines, and the supervisor tree that runs it all.
+// Package entry assembles chute-entry: the servers for callers and operators, the
+// feeds from the log, the instance list and the engines, and the supervisor tree.
 package entry
 
 import (
@@ -35,12 +35,12 @@
 	"tamarackchute/rules"
 )
 
-// Bounds of an entry that no setting changes.
+// Fixed limits of an entry.
 const (
 	// maxAttempts bounds the attempts of one request.
 	maxAttempts = 4
-	// engineWait bounds how long a request that has lost its engine looks for
-	// another; its deadline may be earlier.
+	// engineWait bounds how long a request that has lost its engine waits for another
+	// one; its deadline may be earlier.
 	engineWait   = 30 * time.Second
 	heartbeat    = 2 * time.Second
 	writeTimeout = 30 * time.Second
@@ -48,10 +48,10 @@
 	idleTimeout  = 60 * time.Second
 )
 
-// Config is what an entry works with.
+// Config holds an entry's settings and its connections to other components.
 type Config struct {
 	Deployment *settings.Deployment
-	// Instance is the name of the instance that it runs on.
+	// Instance is the name of the instance that the entry runs on.
 	Instance string
 	Log      infra.Log
 	List     infra.InstanceList
@@ -72,28 +72,28 @@
 	incarnation string
 	log         *slog.Logger
 
-	journal   *journal.Journal
-	rules     *rules.Replica
-	source    ruleSource
-	trail     *audit.Trail
-	leases    *lease.View
-	orders    *orders.View
-	drains    *peerDrains
-	suspects  *quarantine.Guard
-	crashes   *crash.Watch
-	tracker   *router.Tracker
-	admission *admission.Controller
-	inflight  *inflight.Book
-	demand    *demand
-	load      *loadShare
-	node      *status.Node
-	directory *discovery.Directory
-	answers   *answer.Runner
-	callers   *callerwatch.Watch
-	gateway   *gateway.Gateway
-	claims    *claim.Guard
-	listeners []*listener
-	stop      shutdown.State
+	journal       *journal.Journal
+	rules         *rules.Replica
+	ruleSource    ruleSource
+	trail         *audit.Trail
+	leases        *lease.View
+	orders        *orders.View
+	drains        *peerDrains
+	quarantine    *quarantine.Guard
+	crashDetector *crash.Detector
+	tracker       *router.Tracker
+	admission     *admission.Controller
+	inflight      *inflight.Counter
+	demand        *demandMeter
+	load          *loadFraction
+	node          *status.Node
+	directory     *discovery.Directory
+	answers       *answer.Runner
+	callerWatcher *callerwatch.Watcher
+	gateway       *gateway.Gateway
+	claims        *claim.Guard
+	listeners     []*listener
+	shutdown      shutdown.State
 }
 
 // New returns an entry; Run runs it.
@@ -107,17 +107,17 @@
 		self:        self,
 		incarnation: uuid.NewString(),
 		log:         cfg.Logger,
-		stop: shutdown.State{
-			Keep:  seconds(cfg.Deployment.Discovery.KeepSeconds),
-			Grace: seconds(cfg.Deployment.Discovery.GraceSeconds),
+		shutdown: shutdown.State{
+			DiscoveryTTL: seconds(cfg.Deployment.Discovery.KeepSeconds),
+			Grace:        seconds(cfg.Deployment.Discovery.GraceSeconds),
 		},
 	}
 	if err := e.buildJournal(); err != nil {
 		return nil, err
 	}
-	e.buildDecisions()
+	e.buildRouting()
 	e.buildExchange()
-	e.buildServing()
+	e.buildGateway()
 	return e, nil
 }
 
@@ -125,7 +125,7 @@
 
 func (e *Entry) writer() string { return e.cfg.Instance + "/entry/" + e.incarnation }
 
-// buildJournal makes the journal and what is folded from it.
+// buildJournal creates the journal and the views that are built from its entries.
 func (e *Entry) buildJournal() error {
 	d := e.cfg.Deployment
 	e.journal = journal.New(e.cfg.Log, journal.Config{
@@ -137,16 +137,16 @@
 	})
 	e.trail = audit.NewTrail(0, e.log)
 	e.rules = rules.NewReplica(rules.ReplicaOptions{Logger: e.log, Observe: e.trail.ObserveRules})
-	e.source = ruleSource{e.rules, e.journal.CaughtUp()}
+	e.ruleSource = ruleSource{e.rules, e.journal.CaughtUp()}
 	e.leases = lease.NewView()
 	e.orders = orders.NewView(e.leases)
-	e.suspects = quarantine.NewGuard(quarantine.DefaultConfig(), e.journal, e.writer(), nil)
-	e.suspects.Observe(e.trail.ObserveQuarantine)
+	e.quarantine = quarantine.NewGuard(quarantine.DefaultConfig(), e.journal, e.writer(), nil)
+	e.quarantine.Observe(e.trail.ObserveQuarantine)
 	e.journal.Register(journal.KindRules, e.rules)
 	e.journal.Register(journal.KindAudit, e.trail)
 	e.journal.Register(journal.KindLease, e.leases)
 	e.journal.Register(journal.KindOrder, e.orders)
-	e.journal.Register(journal.KindQuarantine, e.suspects)
+	e.journal.Register(journal.KindQuarantine, e.quarantine)
 	var err error
 	e.claims, err = claim.NewGuard(e.journal, e.claimConfig())
 	if err != nil {
@@ -166,13 +166,13 @@
 		MaxRecordedBytes: d.Protected.MaxRecordedBytes,
 	}
 	if c.MaxRecordedBytes == 0 {
-		c.MaxRecordedBytes = -1 // none; 0 stands for the default there
+		c.MaxRecordedBytes = -1 // record none; in claim.Config 0 selects the default
 	}
 	return c
 }
 
-// buildDecisions makes what decides where and when a request runs.
-func (e *Entry) buildDecisions() {
+// buildRouting creates the components that decide where and when a request runs.
+func (e *Entry) buildRouting() {
 	d := e.cfg.Deployment
 	e.tracker = router.NewTracker(routerConfig(d, e.self.DataCentre), routerUpstreams(d), nil)
 	a := admission.DefaultConfig()
@@ -181,50 +181,50 @@
 	a.RetryBudgetRatio = d.Admission.RetryBudget
 	e.admission = admission.New(a, nil)
 	e.drains = newPeerDrains(e.orders, e.journal.CaughtUp())
-	e.inflight = inflight.NewBook(e.drains, e.journal.Applied, engineNames(d))
+	e.inflight = inflight.NewCounter(e.drains, e.journal.Applied, engineNames(d))
 	e.demand = newDemand(time.Now, demandWindow(d.Roles))
-	e.load = &loadShare{}
-	e.crashes = crash.New(e.suspects, e.cfg.Upstreams.Probe)
+	e.load = &loadFraction{}
+	e.crashDetector = crash.New(e.quarantine, e.cfg.Upstreams.Probe)
 }
 
-// buildServing makes what callers see.
-func (e *Entry) buildServing() {
+// buildGateway creates the gateway and what it depends on.
+func (e *Entry) buildGateway() {
 	e.directory = discovery.New(e.cfg.Deployment, e.self, e.node)
-	e.callers = callerwatch.New()
+	e.callerWatcher = callerwatch.New()
 	e.answers = &answer.Runner{
-		Books:       e.tracker,
-		Engines:     e.cfg.Upstreams,
-		Holds:       e.inflight,
-		Suspects:    e.crashes,
-		Retries:     retries{e.admission},
-		Budget:      stream.NewBudget(e.cfg.Deployment.Streams.KeptBytesInAll),
-		PriorLimit:  e.cfg.Deployment.Streams.KeptBytes,
-		MaxAttempts: maxAttempts,
-		EngineWait:  engineWait,
-		NewID:       uuid.NewString,
+		Tracker:          e.tracker,
+		Engines:          e.cfg.Upstreams,
+		InFlight:         e.inflight,
+		CrashDetector:    e.crashDetector,
+		RetryBudget:      retryBudget{e.admission},
+		MemoryBudget:     stream.NewMemoryBudget(e.cfg.Deployment.Streams.KeptBytesInAll),
+		MaxBufferedBytes: e.cfg.Deployment.Streams.KeptBytes,
+		MaxAttempts:      maxAttempts,
+		MaxEngineWait:    engineWait,
+		NewID:            uuid.NewString,
 	}
-	e.gateway = gateway.New(e.gatewayOptions(), gateway.Parts{
-		Rules:     e.source,
+	e.gateway = gateway.New(e.gatewayOptions(), gateway.Dependencies{
+		Rules:     e.ruleSource,
 		Admission: e.admission,
 		Estimator: e.tracker,
 		Answers:   e.answers,
 		Services: &forward.Runner{
-			Books:       e.tracker,
+			Tracker:     e.tracker,
 			Services:    e.cfg.Upstreams,
-			Retries:     retries{e.admission},
+			RetryBudget: retryBudget{e.admission},
 			MaxAttempts: maxAttempts,
 			NewID:       uuid.NewString,
 		},
-		Protected: protect.New(e.claims),
-		Directory: e.directory,
-		Signer:    stream.NewSigner(e.cfg.Secret),
-		Watch:     e.callers,
-		Demand:    e.demand,
-		Ready:     e.ready,
-		Load:      e.load.get,
-		NewID:     uuid.NewString,
-		Scope:     e.cfg.Metrics.Scope,
-		Log:       e.log,
+		Protected:   protect.New(e.claims),
+		Directory:   e.directory,
+		Signer:      stream.NewSigner(e.cfg.Secret),
+		CallerWatch: e.callerWatcher,
+		Demand:      e.demand,
+		Ready:       e.ready,
+		Load:        e.load.get,
+		NewID:       uuid.NewString,
+		Scope:       e.cfg.Metrics.Scope,
+		Log:         e.log,
 	})
 }
 
--- a/internal/entry/entrybench/main.go
+++ b/internal/entry/entrybench/main.go
@@ -1,7 +1,7 @@
-// Command entrybench measures what an entry adds to going straight to an
-// upstream: latency, processor time and memory. It plays the upstreams itself,
-// with no delay of their own, so that what is measured is the entry. run.sh
-// starts the processes around it.
+// Command entrybench measures what an entry adds to a direct connection to an
+// upstream: latency, processor time and memory. It serves as the upstreams itself,
+// without any delay, so that only the entry is measured. run.sh starts the other
+// processes.
 package main
 
 import (
@@ -15,7 +15,7 @@
 	"tamarackchute/internal/settings"
 )
 
-// options are the command line.
+// options are the command-line flags.
 type options struct {
 	settings string
 	instance string
@@ -55,7 +55,7 @@
 	if !ok {
 		return eris.Errorf("the settings name no instance %q", o.instance)
 	}
-	t := targets{entry: in.Callers}
+	t := addresses{entry: in.Callers}
 	for _, u := range d.Upstreams {
 		if err := serveUpstream(u.Address); err != nil {
 			return err
@@ -75,10 +75,10 @@
 	return measureAll(o, t)
 }
 
-// targets are the addresses that are compared.
-type targets struct{ entry, engine, service string }
+// addresses are the addresses of the measured entry and of the two upstreams.
+type addresses struct{ entry, engine, service string }
 
-func measureAll(o options, t targets) error {
+func measureAll(o options, t addresses) error {
 	p := process{o.pid}
 	idle, err := p.memory()
 	if err != nil {
--- a/internal/entry/entrybench/plain.go
+++ b/internal/entry/entrybench/plain.go
@@ -15,7 +15,7 @@
 	"tamarackchute/internal/adapters/engineclient"
 )
 
-// request makes one request of a kind to one address.
+// request is a request that is sent repeatedly to one address.
 type request struct {
 	address string
 	method  string
@@ -27,7 +27,7 @@
 	return request{address: address, method: fasthttp.MethodGet, path: "/bookings/1"}
 }
 
-// generateRequest asks an engine for a short answer, gapless.
+// generateRequest asks an engine for a short response without gaps between tokens.
 func generateRequest(address string) request {
 	body, err := json.Marshal(engineclient.GenerateMessage{
 		AttemptID: "bench", Model: "agronomy", Prompt: "0 x", MaxTokens: plainTokens,
@@ -43,38 +43,38 @@
 	return request{address: address, method: fasthttp.MethodPost, path: "/v1/completions", body: []byte(body)}
 }
 
-// Bounds of the latencies kept: 1 µs to 10 s, three figures.
+// newHistogram records latencies from 1 µs to 10 s with three significant digits.
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 10_000_000, 3) }
 
-// measurePlain sends requests straight and through the entry, in turn, each at
-// the rate. Latencies count from the moment at which a request was due.
-func measurePlain(o options, p process, name string, straight, through request) error {
-	sides := []*side{newSide(straight), newSide(through)}
-	for _, s := range sides { // connections and caches are warm before the clock runs
-		s.drive(o.rate/4, time.Second)
-		s.latencies.Reset()
+// measurePlain sends requests directly and through the entry, concurrently and each at
+// the rate. Latencies count from the scheduled time of a request.
+func measurePlain(o options, p process, name string, direct, viaEntry request) error {
+	targets := []*target{newTarget(direct), newTarget(viaEntry)}
+	for _, t := range targets { // warm up connections and caches
+		t.drive(o.rate/4, time.Second)
+		t.latencies.Reset()
 	}
 	before, err := p.cpu()
 	if err != nil {
 		return err
 	}
 	var wg conc.WaitGroup
-	for _, s := range sides {
-		wg.Go(func() { s.drive(o.rate, o.length) })
+	for _, t := range targets {
+		wg.Go(func() { t.drive(o.rate, o.length) })
 	}
 	wg.Wait()
 	after, err := p.cpu()
 	if err != nil {
 		return err
 	}
-	return reportPlain(name, sides[0], sides[1], after-before)
+	return reportPlain(name, targets[0], targets[1], after-before)
 }
 
-func reportPlain(name string, straight, through *side, cpu time.Duration) error {
-	if n := straight.failed.Load() + through.failed.Load(); n > 0 {
+func reportPlain(name string, direct, viaEntry *target, cpu time.Duration) error {
+	if n := direct.failed.Load() + viaEntry.failed.Load(); n > 0 {
 		return eris.Errorf("%s: %d requests failed", name, n)
 	}
-	a, b := straight.latencies, through.latencies
+	a, b := direct.latencies, viaEntry.latencies
 	fmt.Printf("%-22s straight p50 %d µs p99 %d µs, through p50 %d µs p99 %d µs, added p50 %d µs p99 %d µs, %.0f µs of processor time a request, n %d\n",
 		name, a.ValueAtQuantile(50), a.ValueAtQuantile(99), b.ValueAtQuantile(50), b.ValueAtQuantile(99),
 		b.ValueAtQuantile(50)-a.ValueAtQuantile(50), b.ValueAtQuantile(99)-a.ValueAtQuantile(99),
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// side is one of the two ways.
-type side struct {
+// target sends one request at a rate and records its latencies.
+type target struct {
 	request   request
 	client    *fasthttp.HostClient
 	failed    atomic.Int64
@@ -91,19 +91,19 @@
 	latencies *hdrhistogram.Histogram
 }
 
-func newSide(r request) *side {
-	return &side{
+func newTarget(r request) *target {
+	return &target{
 		request:   r,
 		client:    &fasthttp.HostClient{Addr: r.address, MaxConns: 4096, MaxIdemponentCallAttempts: 1},
 		latencies: newHistogram(),
 	}
 }
 
-// senders is how many goroutines share the sending; each takes every senders-th
-// moment, and a late answer delays only its own next request.
+// senders is the number of sending goroutines. Each sends every senders-th request, so
+// that a late response delays only that goroutine's next request.
 const senders = 128
 
-func (s *side) drive(rate int, length time.Duration) {
+func (t *target) drive(rate int, length time.Duration) {
 	start := time.Now()
 	step := time.Second / time.Duration(rate)
 	total := int(length / step)
@@ -113,25 +113,25 @@
 			for i := k; i < total; i += senders {
 				due := start.Add(time.Duration(i) * step)
 				time.Sleep(time.Until(due))
-				s.send(due)
+				t.send(due)
 			}
 		})
 	}
 	wg.Wait()
 }
 
-func (s *side) send(due time.Time) {
+func (t *target) send(due time.Time) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	req.Header.SetMethod(s.request.method)
-	req.SetRequestURI("http://" + s.request.address + s.request.path)
-	req.SetBodyRaw(s.request.body)
-	if err := s.client.Do(req, resp); err != nil || resp.StatusCode() != fasthttp.StatusOK {
-		s.failed.Add(1)
+	req.Header.SetMethod(t.request.method)
+	req.SetRequestURI("http://" + t.request.address + t.request.path)
+	req.SetBodyRaw(t.request.body)
+	if err := t.client.Do(req, resp); err != nil || resp.StatusCode() != fasthttp.StatusOK {
+		t.failed.Add(1)
 		return
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	_ = s.latencies.RecordValue(max(1, time.Since(due).Microseconds()))
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	_ = t.latencies.RecordValue(max(1, time.Since(due).Microseconds()))
 }
--- a/internal/entry/entrybench/streams.go
+++ b/internal/entry/entrybench/streams.go
@@ -18,23 +18,23 @@
 	"tamarackchute/internal/adapters/engineclient"
 )
 
-// tokenGap is the time between two tokens of a measured stream, openGap that of
-// the streams that are only held open.
+// tokenGap is the time between two tokens of a measured stream, openGap that of a
+// stream that is only kept open.
 const (
 	tokenGap = 20 * time.Millisecond
 	openGap  = time.Second
 )
 
-// tokenTimes collects how long tokens took.
-type tokenTimes struct {
+// tokenLatencies records the latencies of tokens.
+type tokenLatencies struct {
 	mu     sync.Mutex
 	times  *hdrhistogram.Histogram
 	broken atomic.Int64
 }
 
-func newTokenTimes() *tokenTimes { return &tokenTimes{times: newHistogram()} }
+func newTokenLatencies() *tokenLatencies { return &tokenLatencies{times: newHistogram()} }
 
-func (t *tokenTimes) add(sentAt string) {
+func (t *tokenLatencies) add(sentAt string) {
 	ns, err := strconv.ParseInt(sentAt, 10, 64)
 	if err != nil {
 		t.broken.Add(1)
@@ -45,30 +45,30 @@
 	_ = t.times.RecordValue(max(1, (time.Now().UnixNano()-ns)/1000))
 }
 
-// measureTokens reads streams straight and through the entry at the same time.
-func measureTokens(o options, p process, t targets) error {
+// measureTokens reads streams directly and through the entry concurrently.
+func measureTokens(o options, p process, t addresses) error {
 	tokens := int(o.length / tokenGap)
-	straight, through := newTokenTimes(), newTokenTimes()
+	direct, viaEntry := newTokenLatencies(), newTokenLatencies()
 	before, err := p.cpu()
 	if err != nil {
 		return err
 	}
 	var wg conc.WaitGroup
 	for i := range o.streams {
-		// Spread over a gap, so that tokens don't come in one burst.
-		later := time.Duration(i) * tokenGap / time.Duration(o.streams)
-		wg.Go(func() { time.Sleep(later); readEngine(t.engine, tokens, straight) })
-		wg.Go(func() { time.Sleep(later); readEvents(t.entry, tokens, tokenGap, through, nil) })
+		// Spread the starts over one gap to avoid bursts of tokens.
+		delay := time.Duration(i) * tokenGap / time.Duration(o.streams)
+		wg.Go(func() { time.Sleep(delay); readEngine(t.engine, tokens, direct) })
+		wg.Go(func() { time.Sleep(delay); readEvents(t.entry, tokens, tokenGap, viaEntry, nil) })
 	}
 	wg.Wait()
 	after, err := p.cpu()
 	if err != nil {
 		return err
 	}
-	if n := straight.broken.Load() + through.broken.Load(); n > 0 {
+	if n := direct.broken.Load() + viaEntry.broken.Load(); n > 0 {
 		return eris.Errorf("token: %d streams broke", n)
 	}
-	a, b := straight.times, through.times
+	a, b := direct.times, viaEntry.times
 	fmt.Printf("%-22s straight p50 %d µs p99 %d µs, through p50 %d µs p99 %d µs, added p50 %d µs p99 %d µs, %.1f µs of processor time a token, n %d\n",
 		"token", a.ValueAtQuantile(50), a.ValueAtQuantile(99), b.ValueAtQuantile(50), b.ValueAtQuantile(99),
 		b.ValueAtQuantile(50)-a.ValueAtQuantile(50), b.ValueAtQuantile(99)-a.ValueAtQuantile(99),
@@ -76,17 +76,17 @@
 	return nil
 }
 
-// measureOpen holds streams open and looks at the entry's memory.
-func measureOpen(o options, p process, t targets) error {
-	times := newTokenTimes()
-	begun := make(chan struct{}, o.open)
+// measureOpen keeps streams open and measures the entry's memory.
+func measureOpen(o options, p process, t addresses) error {
+	times := newTokenLatencies()
+	started := make(chan struct{}, o.open)
 	tokens := int(o.length/openGap) + 2
 	var wg conc.WaitGroup
 	for range o.open {
-		wg.Go(func() { readEvents(t.entry, tokens, openGap, times, begun) })
+		wg.Go(func() { readEvents(t.entry, tokens, openGap, times, started) })
 	}
 	for range o.open {
-		<-begun
+		<-started
 	}
 	time.Sleep(o.length / 2)
 	resident, err := p.memory()
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// dialAndSend sends one request by hand and returns the reader of what comes.
+// dialAndSend sends one raw HTTP request and returns a reader of the response.
 func dialAndSend(address, path, body string) (net.Conn, *bufio.Reader, error) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -111,8 +111,8 @@
 	return conn, bufio.NewReader(conn), err
 }
 
-// readEngine reads a stream of the engine's own lines.
-func readEngine(address string, tokens int, times *tokenTimes) {
+// readEngine reads a stream in the engine's line format.
+func readEngine(address string, tokens int, times *tokenLatencies) {
 	body, err := json.Marshal(engineclient.GenerateMessage{
 		AttemptID: "bench", Model: "agronomy", Prompt: gapPrompt(tokenGap), MaxTokens: tokens,
 	})
@@ -128,22 +128,22 @@
 	readTokens(lines, `{"i":`, `"t":"`, tokens, times, nil)
 }
 
-// readEvents reads a stream of the entry's events.
-func readEvents(address string, tokens int, gap time.Duration, times *tokenTimes, begun chan<- struct{}) {
+// readEvents reads a stream of server-sent events from the entry.
+func readEvents(address string, tokens int, gap time.Duration, times *tokenLatencies, started chan<- struct{}) {
 	body := fmt.Sprintf(`{"model":"agronomy","prompt":%q,"max_tokens":%d,"stream":true}`, gapPrompt(gap), tokens)
 	conn, lines, err := dialAndSend(address, "/v1/completions", body)
 	if err != nil {
 		times.broken.Add(1)
-		signal(begun)
+		signal(started)
 		return
 	}
 	defer func() { _ = conn.Close() }()
-	readTokens(lines, "data: {", `"text":"`, tokens, times, begun)
+	readTokens(lines, "data: {", `"text":"`, tokens, times, started)
 }
 
-func signal(begun chan<- struct{}) {
-	if begun != nil {
-		begun <- struct{}{}
+func signal(started chan<- struct{}) {
+	if started != nil {
+		started <- struct{}{}
 	}
 }
 
@@ -151,15 +151,15 @@
 	return strconv.FormatInt(gap.Milliseconds(), 10) + " x"
 }
 
-// readTokens takes the lines that begin with a prefix as tokens, whose text
-// follows a marker.
-func readTokens(lines *bufio.Reader, prefix, marker string, tokens int, times *tokenTimes, begun chan<- struct{}) {
+// readTokens reads the lines that start with a prefix as tokens, whose text follows a
+// marker.
+func readTokens(lines *bufio.Reader, prefix, marker string, tokens int, times *tokenLatencies, started chan<- struct{}) {
 	for count := 0; count < tokens; {
 		line, err := lines.ReadString('\n')
 		if err != nil {
 			times.broken.Add(1)
 			if count == 0 {
-				signal(begun)
+				signal(started)
 			}
 			return
 		}
@@ -170,7 +170,7 @@
 		text, _, _ = strings.Cut(text, `"`)
 		times.add(text)
 		if count == 0 {
-			signal(begun)
+			signal(started)
 		}
 		count++
 	}
--- a/internal/entry/forward/forward.go
+++ b/internal/entry/forward/forward.go
@@ -1,5 +1,5 @@
-// Package forward sends a request to a plain service, and again to another one
-// if its retry class allows.
+// Package forward sends a request to a plain service and retries it at another
+// one if its retry class allows.
 package forward
 
 import (
@@ -16,45 +16,46 @@
 	"tamarackchute/upstream"
 )
 
-// Books picks services and books attempts; router.Tracker is one.
-type Books interface {
+// Tracker picks services and records attempts; router.Tracker implements it.
+type Tracker interface {
 	Pick(r router.Request) (router.Plan, error)
 	Begin(p router.Plan, r router.Request) *router.Ticket
 }
 
-// Services finds the adapter of a service, or nil if the name is unknown.
+// Services returns the adapter of a service, or nil if the name is unknown.
 type Services interface {
 	Service(name string) upstream.Service
 }
 
-// Retries bounds what failures may add to the load.
-type Retries interface {
+// RetryBudget bounds the load that retries add. Allow counts one more attempt and
+// reports whether it may be made.
+type RetryBudget interface {
 	Allow() bool
 }
 
-// Runner sends requests to services. It is safe for use by many goroutines.
+// Runner sends requests to services. It is safe for concurrent use.
 type Runner struct {
-	Books       Books
+	Tracker     Tracker
 	Services    Services
-	Retries     Retries
+	RetryBudget RetryBudget
 	MaxAttempts int
 	NewID       func() string
 }
 
-// Work is one request with what the rules made of it.
-type Work struct {
+// Job is one request with its route and the settings of the matched rule.
+type Job struct {
 	Request upstream.ServiceRequest
 	Route   router.Request
 	Retry   rules.RetryClass
 }
 
-// retryNoService is when asking again is worth while if no service took it.
-const retryNoService = time.Second
+// retryAfterNoService is the Retry-After of a request that no service accepted.
+const retryAfterNoService = time.Second
 
-// Call sends the request and returns the service's answer, whatever its status.
-func (r *Runner) Call(ctx context.Context, w Work) (upstream.ServiceResponse, *outcome.Failure) {
-	c := call{runner: r, work: w, tries: dispatch.New(dispatch.Policy{
-		Mode: dispatch.RetryModeOf(w.Retry), MaxAttempts: r.MaxAttempts, CountNotRun: true, AllowRetry: r.Retries.Allow,
+// Call sends the request and returns the service's response, whatever its status.
+func (r *Runner) Call(ctx context.Context, job Job) (upstream.ServiceResponse, *outcome.Failure) {
+	c := call{runner: r, job: job, retryState: dispatch.New(dispatch.Policy{
+		Mode: dispatch.RetryModeOf(job.Retry), MaxAttempts: r.MaxAttempts, CountNotRun: true, AllowRetry: r.RetryBudget.Allow,
 	})}
 	for {
 		if ctx.Err() != nil {
@@ -64,7 +65,7 @@
 		if err == nil {
 			return response, nil
 		}
-		if f := c.failed(ctx, err); f != nil {
+		if f := c.handleFailure(ctx, err); f != nil {
 			return upstream.ServiceResponse{}, f
 		}
 	}
@@ -72,24 +73,24 @@
 
 // call is the state of one Call.
 type call struct {
-	runner *Runner
-	work   Work
-	tries  dispatch.State
-	tried  []string
+	runner     *Runner
+	job        Job
+	retryState dispatch.State
+	excluded   []string
 }
 
-// attempt sends the request once. It returns a *router.NoUpstreamError, with
-// nothing sent, if there is nobody to send it to.
+// attempt sends the request once. It returns a *router.NoUpstreamError, and sends
+// nothing, if no service is available.
 func (c *call) attempt(ctx context.Context) (upstream.ServiceResponse, error) {
-	route := c.work.Route
-	route.Exclude = c.tried
-	plan, err := c.runner.Books.Pick(route)
+	route := c.job.Route
+	route.Exclude = c.excluded
+	plan, err := c.runner.Tracker.Pick(route)
 	if err != nil {
 		return upstream.ServiceResponse{}, err
 	}
-	c.tries.RecordAttempt()
-	c.tried = append(c.tried, plan.Engine)
-	ticket := c.runner.Books.Begin(plan, route)
+	c.retryState.RecordAttempt()
+	c.excluded = append(c.excluded, plan.Engine)
+	ticket := c.runner.Tracker.Begin(plan, route)
 	response, err := c.send(ctx, plan.Engine)
 	ticket.End(routerOutcome(ctx, response, err))
 	return response, err
@@ -100,42 +101,42 @@
 	if service == nil {
 		return upstream.ServiceResponse{}, upstream.ErrNotSent
 	}
-	request := c.work.Request
+	request := c.job.Request
 	request.AttemptID = c.runner.NewID()
 	return service.Call(ctx, request)
 }
 
-// failed returns the final failure of a broken attempt, or nil if another may
-// be made.
-func (c *call) failed(ctx context.Context, err error) *outcome.Failure {
-	var lack *router.NoUpstreamError
-	if errors.As(err, &lack) {
+// handleFailure returns the final failure after a failed attempt, or nil if
+// another attempt may be made.
+func (c *call) handleFailure(ctx context.Context, err error) *outcome.Failure {
+	var noUpstream *router.NoUpstreamError
+	if errors.As(err, &noUpstream) {
 		return c.fail(http.StatusServiceUnavailable, outcome.CodeNoUpstream, err,
-			"no service can take the request now").After(retryNoService)
+			"no service can take the request now").WithRetryAfter(retryAfterNoService)
 	}
-	unsent := errors.Is(err, upstream.ErrNotSent) || errors.Is(err, upstream.ErrRefused)
-	fate := dispatch.NotRun
-	if !unsent {
-		fate = dispatch.MayHaveRun
-		c.tries.RecordRun()
+	notRun := errors.Is(err, upstream.ErrNotSent) || errors.Is(err, upstream.ErrRefused)
+	execution := dispatch.NotRun
+	if !notRun {
+		execution = dispatch.MayHaveRun
+		c.retryState.RecordRun()
 	}
 	if ctx.Err() != nil {
 		return c.contextFailure(ctx)
 	}
-	// An attempt that certainly did not run adds nothing to the load, so only
-	// others draw on the retry budget.
-	if c.tries.Next(fate, !unsent) == dispatch.Retry {
+	// An attempt that certainly did not run added no load, so only other attempts
+	// consume the retry budget.
+	if c.retryState.Next(execution, !notRun) == dispatch.Retry {
 		return nil
 	}
-	if unsent {
+	if notRun {
 		return c.fail(http.StatusServiceUnavailable, outcome.CodeNoUpstream, err,
-			"the services took no work").After(retryNoService)
+			"the services took no work").WithRetryAfter(retryAfterNoService)
 	}
 	return c.fail(http.StatusBadGateway, outcome.CodeUpstreamBroken, err, "the service broke off")
 }
 
 func (c *call) fail(status int, code outcome.Code, cause error, message string) *outcome.Failure {
-	return &outcome.Failure{Status: status, Code: code, Message: message, Ran: outcome.RanOf(c.tries.MayHaveRun()), Cause: cause}
+	return &outcome.Failure{Status: status, Code: code, Message: message, Execution: outcome.ExecutionOf(c.retryState.MayHaveRun()), Cause: cause}
 }
 
 func (c *call) contextFailure(ctx context.Context) *outcome.Failure {
--- a/internal/entry/gateway/rig_test.go
+++ b/internal/entry/gateway/harness_test.go
@@ -34,24 +34,24 @@
 	"tamarackchute/upstream"
 )
 
-// fakeEngine gives the tokens t0, t1, … of any prompt.
+// fakeEngine returns the tokens t0, t1, … for any prompt.
 type fakeEngine struct {
 	total int
-	// dieAt breaks a stream off before the token with that index; silentAt
-	// stops there and says nothing more. Both are off below 0.
-	dieAt, silentAt int
-	// spent, if set, lets one death happen among the engines that share it.
-	spent  *atomic.Bool
-	refuse error
+	// crashAt breaks a stream off before the token with that index; stallAt blocks the
+	// stream there. Values below 0 turn them off.
+	crashAt, stallAt int
+	// crashedOnce, if set, limits the crashes to one among the engines that share it.
+	crashedOnce *atomic.Bool
+	refuse      error
 
 	mu        sync.Mutex
 	requests  []upstream.GenerateRequest
 	cancelled chan string
-	dead      atomic.Bool
+	crashed   atomic.Bool
 }
 
 func newEngine(total int) *fakeEngine {
-	return &fakeEngine{total: total, dieAt: -1, silentAt: -1, cancelled: make(chan string, 1024)}
+	return &fakeEngine{total: total, crashAt: -1, stallAt: -1, cancelled: make(chan string, 1024)}
 }
 
 func (e *fakeEngine) Generate(_ context.Context, r upstream.GenerateRequest) (upstream.TokenStream, error) {
@@ -65,7 +65,7 @@
 }
 
 func (e *fakeEngine) Resume(_ context.Context, attempt string, from int) (upstream.TokenStream, error) {
-	if e.dead.Load() {
+	if e.crashed.Load() {
 		return nil, upstream.ErrGone
 	}
 	return &fakeStream{engine: e, attempt: attempt, next: from, closed: make(chan struct{})}, nil
@@ -104,11 +104,11 @@
 
 func (s *fakeStream) Next(ctx context.Context) (upstream.Token, error) {
 	e := s.engine
-	if s.next == e.dieAt && (e.spent == nil || e.spent.CompareAndSwap(false, true)) {
-		e.dead.Store(true)
+	if s.next == e.crashAt && (e.crashedOnce == nil || e.crashedOnce.CompareAndSwap(false, true)) {
+		e.crashed.Store(true)
 		return upstream.Token{}, upstream.ErrBroken
 	}
-	if s.next == e.silentAt {
+	if s.next == e.stallAt {
 		<-ctx.Done()
 		return upstream.Token{}, fmt.Errorf("%w: %w", upstream.ErrBroken, ctx.Err())
 	}
@@ -128,8 +128,8 @@
 
 func text(i int) string { return fmt.Sprintf(" t%d", i) }
 
-// whole is the answer's text.
-func whole(total int) string {
+// fullText returns the text of a complete answer.
+func fullText(total int) string {
 	var b strings.Builder
 	for i := range total {
 		b.WriteString(text(i))
@@ -137,86 +137,86 @@
 	return b.String()
 }
 
-// parts implements the gateway's views of upstreams and rules.
-type parts struct {
-	engines  map[string]*fakeEngine
-	services map[string]upstream.Service
-	then     rules.Then
-	admitted func(admission.Request)
-	refuse   *admission.Refusal
-	control  *admission.Controller
-	// protected is nil where no call is.
-	protected gateway.Protected
-	// byPath, if set, stands in for then; directory is nil where it isn't asked.
+// fakeDeps implements the gateway's dependencies on rules, admission and upstreams.
+type fakeDeps struct {
+	engines    map[string]*fakeEngine
+	services   map[string]upstream.Service
+	then       rules.Then
+	admitted   func(admission.Request)
+	refuse     *admission.Refusal
+	controller *admission.Controller
+	// protected is nil if no call is protected.
+	protected gateway.ProtectedRunner
+	// byPath, if set, replaces then; directory is nil if the test doesn't use it.
 	byPath    func(path string) rules.Then
 	directory gateway.Directory
 }
 
-func (p *parts) Engine(name string) upstream.Engine {
-	if e := p.engines[name]; e != nil {
+func (d *fakeDeps) Engine(name string) upstream.Engine {
+	if e := d.engines[name]; e != nil {
 		return e
 	}
 	return nil
 }
 
-func (p *parts) Service(name string) upstream.Service { return p.services[name] }
+func (d *fakeDeps) Service(name string) upstream.Service { return d.services[name] }
 
-func (p *parts) Match(r rules.Request) (rules.Decision, bool) {
-	if p.byPath != nil {
-		return rules.Decision{Rule: "by path", Then: p.byPath(r.Path), Matched: true}, true
+func (d *fakeDeps) Match(r rules.Request) (rules.Decision, bool) {
+	if d.byPath != nil {
+		return rules.Decision{Rule: "by path", Then: d.byPath(r.Path), Matched: true}, true
 	}
-	return rules.Decision{Rule: "all", Then: p.then, Matched: true}, true
+	return rules.Decision{Rule: "all", Then: d.then, Matched: true}, true
 }
 
-func (p *parts) Acquire(ctx context.Context, r admission.Request) (*admission.Grant, error) {
-	if p.admitted != nil {
-		p.admitted(r)
+func (d *fakeDeps) Acquire(ctx context.Context, r admission.Request) (*admission.Grant, error) {
+	if d.admitted != nil {
+		d.admitted(r)
 	}
-	if p.refuse != nil {
-		return nil, p.refuse
+	if d.refuse != nil {
+		return nil, d.refuse
 	}
-	return p.control.Acquire(ctx, r)
+	return d.controller.Acquire(ctx, r)
 }
 
-func (p *parts) probe(_ context.Context, name string) error {
-	if e := p.engines[name]; e != nil && e.dead.Load() {
+func (d *fakeDeps) probe(_ context.Context, name string) error {
+	if e := d.engines[name]; e != nil && e.crashed.Load() {
 		return upstream.ErrNotSent
 	}
 	return nil
 }
 
-func (*parts) Hold(string) bool                    { return true }
-func (*parts) Release(string)                      {}
-func (*parts) Allow() bool                         { return true }
-func (*parts) Asked(string, int, int)              {}
-func (*parts) Answered(string, int, int, int, int) {}
-func (*parts) Append(context.Context, journal.Entry) (journal.Position, error) {
+func (*fakeDeps) Reserve(string) bool                       { return true }
+func (*fakeDeps) Release(string)                            {}
+func (*fakeDeps) Allow() bool                               { return true }
+func (*fakeDeps) RecordRequest(string, int, int)            {}
+func (*fakeDeps) RecordResponse(string, int, int, int, int) {}
+func (*fakeDeps) Append(context.Context, journal.Entry) (journal.Position, error) {
 	return journal.Position{}, infra.ErrNotWritten
 }
 
-// rig is a gateway on a loopback address.
-type rig struct {
-	*parts
+// harness is a gateway that listens on a loopback address.
+type harness struct {
+	*fakeDeps
 	gateway *gateway.Gateway
 	address string
 }
 
-// newRig starts a gateway whose heartbeat is short, as nothing but their order
+// newHarness starts a gateway with a short heartbeat; only the order of events
 // depends on it.
-func newRig(t *testing.T, p *parts, change ...func(*gateway.Options)) *rig {
+func newHarness(t *testing.T, deps *fakeDeps, change ...func(*gateway.Options)) *harness {
 	var ups []router.Upstream
-	for name := range p.engines {
+	for name := range deps.engines {
 		ups = append(ups, router.Upstream{Name: name, Kind: infra.KindEngine, Pool: "p", DataCentre: "dc", Models: []string{"m"}, Role: upstream.RoleMixed})
 	}
-	for name := range p.services {
+	for name := range deps.services {
 		ups = append(ups, router.Upstream{Name: name, Kind: infra.KindService, Pool: "s", DataCentre: "dc"})
 	}
-	if p.then.Pool == "" {
-		p.then.Pool = "p"
+	if deps.then.Pool == "" {
+		deps.then.Pool = "p"
 	}
 	tracker := router.NewTracker(router.DefaultConfig("dc"), ups, nil)
-	p.control = admission.New(admission.DefaultConfig(), nil)
-	guard := quarantine.NewGuard(quarantine.DefaultConfig(), p, "w", nil)
+	deps.controller = admission.New(admission.DefaultConfig(), nil)
+	guard := quarantine.NewGuard(quarantine.DefaultConfig(), deps, "w", nil)
 	watch := callerwatch.New()
 	ids := new(atomic.Int64)
 	newID := func() string { return fmt.Sprint("id", ids.Add(1)) }
@@ -227,15 +227,15 @@
 	for _, c := range change {
 		c(&options)
 	}
-	g := gateway.New(options, gateway.Parts{
-		Rules: p, Admission: p, Estimator: tracker, Demand: p, Watch: watch,
+	g := gateway.New(options, gateway.Dependencies{
+		Rules: deps, Admission: deps, Estimator: tracker, Demand: deps, CallerWatch: watch,
 		Answers: &answer.Runner{
-			Books: tracker, Engines: p, Holds: p, Suspects: crash.New(guard, p.probe), Retries: p,
-			Budget: stream.NewBudget(1 << 20), PriorLimit: 1 << 10, MaxAttempts: 3, NewID: newID,
+			Tracker: tracker, Engines: deps, InFlight: deps, CrashDetector: crash.New(guard, deps.probe), RetryBudget: deps,
+			MemoryBudget: stream.NewMemoryBudget(1 << 20), MaxBufferedBytes: 1 << 10, MaxAttempts: 3, NewID: newID,
 		},
-		Services:  &forward.Runner{Books: tracker, Services: p, Retries: p, MaxAttempts: 3, NewID: newID},
-		Protected: p.protected,
-		Directory: p.directory,
+		Services:  &forward.Runner{Tracker: tracker, Services: deps, RetryBudget: deps, MaxAttempts: 3, NewID: newID},
+		Protected: deps.protected,
+		Directory: deps.directory,
 		Signer:    stream.NewSigner([]byte("secret")),
 		Load:      func() float64 { return 0 },
 		NewID:     newID, Scope: tally.NoopScope, Log: slog.New(slog.DiscardHandler),
@@ -252,11 +252,11 @@
 		<-done
 		g.Wait()
 	})
-	return &rig{parts: p, gateway: g, address: ln.Addr().String()}
+	return &harness{fakeDeps: deps, gateway: g, address: ln.Addr().String()}
 }
 
-// post sends a request; header holds names and values in turn.
-func (r *rig) post(t *testing.T, path, body string, header ...string) *http.Response {
+// post sends a request; header holds alternating names and values.
+func (r *harness) post(t *testing.T, path, body string, header ...string) *http.Response {
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+r.address+path, strings.NewReader(body))
 	require.NoError(t, err)
 	for i := 0; i < len(header); i += 2 {
@@ -268,20 +268,20 @@
 	return response
 }
 
-func read(t *testing.T, r *http.Response) string {
+func readBody(t *testing.T, r *http.Response) string {
 	body, err := io.ReadAll(r.Body)
 	require.NoError(t, err)
 	return string(body)
 }
 
-// sseEvent is one event of a stream; a heartbeat has no field set.
+// sseEvent is one event of a stream; a heartbeat sets no field.
 type sseEvent struct{ id, name, data string }
 
 type sseReader struct{ lines *bufio.Scanner }
 
 func events(r *http.Response) *sseReader { return &sseReader{bufio.NewScanner(r.Body)} }
 
-// next returns the next event, and false at the stream's end.
+// next returns the next event, or false at the end of the stream.
 func (r *sseReader) next() (sseEvent, bool) {
 	var e sseEvent
 	for r.lines.Scan() {
@@ -300,8 +300,8 @@
 	return e, false
 }
 
-// tokens reads up to n token events, or to the end if n is below 0, and returns
-// their text, the last id, and the last event.
+// tokens reads up to n token events, or all if n is below 0, and returns their text,
+// the last id and the last event.
 func (r *sseReader) tokens(t *testing.T, n int) (all, id string, last sseEvent) {
 	for count := 0; count != n; {
 		e, more := r.next()
--- a/internal/entry/gateway/sse.go
+++ b/internal/entry/gateway/sse.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	// eventsAhead is how many tokens a stream reads ahead of its caller. When
-	// the caller doesn't read, they fill, the engine's connection isn't read
-	// any more, and so the engine waits in its turn.
-	eventsAhead = 8
-	// fillBytes is how much is gathered for one write to the caller.
-	fillBytes = 2048
+	// maxBufferedEvents bounds the tokens read ahead of the caller. If the caller
+	// doesn't read, the buffer fills, the engine's connection isn't read any more, and
+	// the engine has to wait too.
+	maxBufferedEvents = 8
+	// writeBatchBytes is how much is collected for one write to the caller.
+	writeBatchBytes = 2048
 )
 
 var (
@@ -31,8 +31,8 @@
 	doneEvent        = []byte("data: [DONE]\n\n")
 )
 
-// event is one step of a stream: a token, or its end. idPrefix is set with the
-// first token of each attempt.
+// event is a token of a stream or its end. idPrefix is set on the first token of
+// each attempt.
 type event struct {
 	token    upstream.Token
 	idPrefix string
@@ -40,35 +40,36 @@
 	failure  *outcome.Failure
 }
 
-// sse is the body of a streamed answer. One goroutine, the pump, reads the
-// engine; the connection's own goroutine calls Read, which writes events and,
-// while there are none, heartbeats.
+// sse is the body of a streamed response. One goroutine, the pump, reads from the
+// engine; the connection's goroutine calls Read, which returns events and, while there
+// are none, heartbeats.
 type sse struct {
-	gateway *Gateway
-	running *running
-	conn    net.Conn
-	chunks  *openai.Chunks
-	owner   stream.Owner
-	events  chan event
-	// closed ends with the body: nobody reads events any more.
+	gateway   *Gateway
+	modelCall *modelCall
+	conn      net.Conn
+	chunks    *openai.ChunkEncoder
+	digest    stream.RequestDigest
+	events    chan event
+	// closed is closed with the body, after which nobody reads events.
 	closed    chan struct{}
 	closeOnce sync.Once
 
 	heartbeat *time.Ticker
-	// extended is when the write deadline was moved last.
-	extended time.Time
-	quiet    bool
+	// deadlineSetAt is when the write deadline was last extended.
+	deadlineSetAt time.Time
+	// idle is set by each heartbeat tick and reset by each event.
+	idle     bool
 	idPrefix string
 	buf      []byte
-	sent     int
-	over     bool
+	offset   int
+	ended    bool
 }
 
-// stream sends the answer as events. It waits for the first one, so that a
-// request that fails before it gets an ordinary HTTP error, but no longer than
-// until a heartbeat is due.
-func (g *Gateway) stream(c *fiber.Ctx, k *call, r *running) *outcome.Failure {
-	s := g.newSSE(c.Context().Conn(), r, stream.NewOwner(k.organisation, k.path, c.BodyRaw()))
+// stream sends the answer as server-sent events. It waits for the first event, but
+// not longer than one heartbeat, so that a request that fails before its first token
+// gets an ordinary HTTP error.
+func (g *Gateway) stream(c *fiber.Ctx, k *call, r *modelCall) *outcome.Failure {
+	s := g.newSSE(c.Context().Conn(), r, stream.NewRequestDigest(k.organisation, k.path, c.BodyRaw()))
 	g.pumps.Go(s.pump)
 	if f := s.awaitFirst(); f != nil {
 		s.heartbeat.Stop()
@@ -78,47 +79,46 @@
 	c.Set(headerRequestID, k.id)
 	c.Set(fiber.HeaderContentType, "text/event-stream")
 	c.Set(fiber.HeaderCacheControl, "no-cache")
-	// The server takes this deadline back when the response is out; Read
-	// moves it on.
+	// The server resets this deadline when the response is sent; Read extends it.
 	_ = c.Context().SetWriteDeadline(time.Now().Add(g.opts.WriteTimeout))
 	c.Context().SetBodyStream(s, -1)
 	return nil
 }
 
-func (g *Gateway) newSSE(conn net.Conn, r *running, owner stream.Owner) *sse {
-	request := &r.work.Request
+func (g *Gateway) newSSE(conn net.Conn, r *modelCall, digest stream.RequestDigest) *sse {
+	request := &r.job.Request
 	return &sse{
 		gateway:   g,
-		running:   r,
+		modelCall: r,
 		conn:      conn,
-		chunks:    openai.NewChunks(request.Kind, r.work.Answer, request.Model, r.work.Created.Unix()),
-		owner:     owner,
-		events:    make(chan event, eventsAhead),
+		chunks:    openai.NewChunkEncoder(request.Kind, r.job.Answer, request.Model, r.job.Created.Unix()),
+		digest:    digest,
+		events:    make(chan event, maxBufferedEvents),
 		closed:    make(chan struct{}),
 		heartbeat: time.NewTicker(g.opts.Heartbeat),
 	}
 }
 
-// awaitFirst returns the failure of an answer that fails before its first
-// token.
+// awaitFirst waits for the first token or heartbeat, and returns the failure of an
+// answer that fails before it.
 func (s *sse) awaitFirst() *outcome.Failure {
 	select {
 	case e := <-s.events:
 		if e.failure != nil {
 			return e.failure
 		}
-		s.add(e)
+		s.appendEvent(e)
 	case <-s.heartbeat.C:
 		s.buf = append(s.buf, heartbeatComment...)
 	}
 	return nil
 }
 
-// pump hands the answer's tokens to Read until the answer or the call ends.
+// pump passes the answer's tokens to Read until the answer or the call ends.
 func (s *sse) pump() {
 	defer close(s.events)
 	f := s.forwardTokens()
-	s.gateway.finish(s.running, f)
+	s.gateway.finish(s.modelCall, f)
 	last := event{failure: f}
 	if f == nil {
 		last.usage = s.usage()
@@ -132,7 +132,7 @@
 func (s *sse) forwardTokens() *outcome.Failure {
 	attempt := 0
 	for {
-		t, err := s.gateway.next(s.running)
+		t, err := s.gateway.next(s.modelCall)
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
@@ -141,116 +141,116 @@
 			return f
 		}
 		e := event{token: t}
-		if n := s.running.answer.Attempt(); n != attempt {
+		if n := s.modelCall.answer.Attempt(); n != attempt {
 			attempt = n
-			e.idPrefix = s.gateway.parts.Signer.Prefix(s.running.answer.Origin(), s.owner)
+			e.idPrefix = s.gateway.deps.Signer.Prefix(s.modelCall.answer.Origin(), s.digest)
 		}
-		if f := s.offer(e); f != nil {
+		if f := s.send(e); f != nil {
 			return f
 		}
 	}
 }
 
-// offer waits until the caller has read enough for one more event. It ends with
-// the call too, so that a caller that doesn't read holds no engine beyond the
-// deadline.
-func (s *sse) offer(e event) *outcome.Failure {
+// send waits until there is room for one more event. It also ends with the call, so
+// that a caller that doesn't read occupies no engine beyond the deadline.
+func (s *sse) send(e event) *outcome.Failure {
 	select {
 	case s.events <- e:
 		return nil
-	case <-s.running.call.ctx.Done():
-		return s.running.answer.ContextFailure(s.running.call.ctx)
+	case <-s.modelCall.call.ctx.Done():
+		return s.modelCall.answer.ContextFailure(s.modelCall.call.ctx)
 	}
 }
 
 func (s *sse) usage() *openai.Usage {
-	prompt, cached := s.running.answer.PromptTokens()
-	u := openai.NewUsage(prompt, cached, s.running.answer.Tokens())
+	prompt, cached := s.modelCall.answer.PromptTokens()
+	u := openai.NewUsage(prompt, cached, s.modelCall.answer.Tokens())
 	return &u
 }
 
-// Read gives the next events to the server, which writes them out at once.
+// Read returns the next events to the server, which writes them at once.
 func (s *sse) Read(p []byte) (int, error) {
-	if s.sent == len(s.buf) {
-		if s.over {
+	if s.offset == len(s.buf) {
+		if s.ended {
 			return 0, io.EOF
 		}
-		s.buf, s.sent = s.buf[:0], 0
+		s.buf, s.offset = s.buf[:0], 0
 		s.fill()
 		s.extendWriteDeadline()
 	}
-	n := copy(p, s.buf[s.sent:])
-	s.sent += n
+	n := copy(p, s.buf[s.offset:])
+	s.offset += n
 	return n, nil
 }
 
-// extendWriteDeadline gives the caller WriteTimeout from now on, to within the
-// tenth that a move of the deadline may be late.
+// extendWriteDeadline gives the caller WriteTimeout from now on. It skips updates for
+// a tenth of that time, so the deadline may come up to a tenth early.
 func (s *sse) extendWriteDeadline() {
 	now := time.Now()
 	timeout := s.gateway.opts.WriteTimeout
-	if now.Sub(s.extended) < timeout/10 {
+	if now.Sub(s.deadlineSetAt) < timeout/10 {
 		return
 	}
-	s.extended = now
+	s.deadlineSetAt = now
 	_ = s.conn.SetWriteDeadline(now.Add(timeout))
 }
 
-// fill waits for an event or a heartbeat, and takes what else is there.
+// fill waits for an event or a heartbeat, and then adds further events that are
+// already available.
 func (s *sse) fill() {
-	for len(s.buf) == 0 && !s.over {
+	for len(s.buf) == 0 && !s.ended {
 		select {
 		case e, open := <-s.events:
-			s.take(e, open)
+			s.receive(e, open)
 		case <-s.heartbeat.C:
-			if s.quiet {
+			if s.idle {
 				s.buf = append(s.buf, heartbeatComment...)
 			}
-			s.quiet = true
+			s.idle = true
 		}
 	}
-	for len(s.buf) < fillBytes && !s.over {
+	for len(s.buf) < writeBatchBytes && !s.ended {
 		select {
 		case e, open := <-s.events:
-			s.take(e, open)
+			s.receive(e, open)
 		default:
 			return
 		}
 	}
 }
 
-func (s *sse) take(e event, open bool) {
-	s.quiet = false
+func (s *sse) receive(e event, open bool) {
+	s.idle = false
 	if !open {
-		// The pump always ends with a last event, unless it panicked.
+		// The pump always sends a last event, unless it panicked.
 		e = event{failure: &outcome.Failure{
 			Status: fiber.StatusInternalServerError, Code: outcome.CodeInternal,
-			Message: "the stream broke inside the instance", Ran: outcome.MayHaveRun,
+			Message: "the stream broke inside the instance", Execution: outcome.MayHaveRun,
 		}}
 	}
-	s.add(e)
+	s.appendEvent(e)
 }
 
-// add appends an event in the form of server-sent events.
-func (s *sse) add(e event) {
+// appendEvent appends an event in the server-sent events format.
+func (s *sse) appendEvent(e event) {
 	switch {
 	case e.failure != nil:
-		s.addFailure(e.failure)
-		s.over = true
+		s.appendFailure(e.failure)
+		s.ended = true
 	case e.usage != nil:
-		if s.running.work.Request.IncludeUsage {
+		if s.modelCall.job.Request.IncludeUsage {
 			s.buf = append(s.buf, "data: "...)
 			s.buf = s.chunks.AppendUsage(s.buf, *e.usage)
 			s.buf = append(s.buf, "\n\n"...)
 		}
 		s.buf = append(s.buf, doneEvent...)
-		s.over = true
+		s.ended = true
 	default:
-		s.addToken(e)
+		s.appendToken(e)
 	}
 }
 
-func (s *sse) addToken(e event) {
+func (s *sse) appendToken(e event) {
 	if e.idPrefix != "" {
 		s.idPrefix = e.idPrefix
 	}
@@ -261,9 +261,9 @@
 	s.buf = append(s.buf, "\n\n"...)
 }
 
-// addFailure appends the error event of a stream that can't be finished. No
-// [DONE] follows, so the answer can't be taken for a whole one.
-func (s *sse) addFailure(f *outcome.Failure) {
+// appendFailure appends the error event of a stream that can't be completed. No
+// [DONE] follows, so that the answer can't be taken for a complete one.
+func (s *sse) appendFailure(f *outcome.Failure) {
 	s.gateway.metrics.failed(f)
 	if f.RetryAfter > 0 {
 		s.buf = append(s.buf, "retry: "...)
@@ -279,13 +279,13 @@
 	s.buf = append(s.buf, "\n\n"...)
 }
 
-// Close is called by the server when the response is out or its connection has
-// failed; the engine's work is cancelled if it isn't done.
+// Close is called by the server when the response is sent or its connection has
+// failed. It cancels the engine's work unless it is complete.
 func (s *sse) Close() error {
 	s.closeOnce.Do(func() {
 		s.heartbeat.Stop()
 		close(s.closed)
-		s.running.call.end()
+		s.modelCall.call.end()
 		s.gateway.active.Add(-1)
 	})
 	return nil
--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -19,8 +19,8 @@
 	"tamarackchute/quarantine"
 )
 
-// built returns an entry that doesn't run.
-func built(t *testing.T, d *settings.Deployment, log infra.Log, instance string) *Entry {
+// newTestEntry returns an entry that isn't started.
+func newTestEntry(t *testing.T, d *settings.Deployment, log infra.Log, instance string) *Entry {
 	metrics := telemetry.NewMetrics("chute-entry", instance)
 	t.Cleanup(func() { _ = metrics.Close() })
 	e, err := New(Config{
@@ -31,12 +31,11 @@
 	return e
 }
 
-// reading returns an entry of an instance that does
-// nothing but follow the log.
-func reading(t *testing.T, log *journaltest.Log, instance string) *Entry {
+// newFollowingEntry returns an entry that only reads the log.
+func newFollowingEntry(t *testing.T, log *journaltest.Log, instance string) *Entry {
 	d, err := settings.Load("../../deploy/kalku-rinda/settings.json")
 	require.NoError(t, err)
-	e := built(t, d, log, instance)
+	e := newTestEntry(t, d, log, instance)
 	ctx, stop := context.WithCancel(context.Background())
 	var wg conc.WaitGroup
 	wg.Go(func() { _ = e.journal.Serve(ctx) })
@@ -45,30 +44,29 @@
 	return e
 }
 
-// A farmer's request is answered 422 from one moment to the next. The operator
-// looks into the audit trail and finds no word of it: two engines had died with
-// the request in flight, which quarantined it, and only releases were recorded.
-// Every instance's trail must tell it, once, although each instance reports each
-// crash; after a release a new quarantine is told again.
-func TestQuarantineStandsInEveryTrailOnce(t *testing.T) {
+// Two crashes with a request in flight quarantine it, and it is answered 422. Guards
+// against audit trails that record only releases: every instance's trail must record
+// the quarantine exactly once, although each instance reports each crash, and again
+// after a release.
+func TestQuarantineIsAuditedOnceOnEachInstance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := journaltest.NewLog()
 		d, err := settings.Load("../../deploy/kalku-rinda/settings.json")
 		require.NoError(t, err)
-		a, b := reading(t, log, d.Instances[0].Name), reading(t, log, d.Instances[1].Name)
+		a, b := newFollowingEntry(t, log, d.Instances[0].Name), newFollowingEntry(t, log, d.Instances[1].Name)
 		digest := quarantine.DigestOf("m", "/v1/completions", []byte("poison"))
 		crash := func(engine string) {
 			for _, e := range []*Entry{a, b} {
-				require.NoError(t, e.suspects.Crashed(t.Context(), engine, "1", []quarantine.Digest{digest}))
+				require.NoError(t, e.quarantine.Crashed(t.Context(), engine, "1", []quarantine.Digest{digest}))
 			}
 		}
 		crash("e1")
 		crash("e2")
-		require.NoError(t, a.suspects.Release(t.Context(), quarantine.Release{Digest: digest, Operator: "anna"}))
+		require.NoError(t, a.quarantine.Release(t.Context(), quarantine.Release{Digest: digest, Operator: "anna"}))
 		crash("e3")
 		crash("e4")
 		synctest.Wait()
-		late := reading(t, log, d.Instances[2].Name)
+		late := newFollowingEntry(t, log, d.Instances[2].Name)
 		record := func(engines string) audit.Record {
 			return audit.Record{
 				Who: a.self.Name + "/entry", What: audit.QuarantineEntered, Target: digest.String(),
--- a/internal/entry/stream/stream_test.go
+++ b/internal/entry/stream/stream_test.go
@@ -8,42 +8,42 @@
 	"pgregory.net/rapid"
 )
 
-// A caller edits the id of an event, or sends an id that it has seen in
-// another's log, so as to read an answer that isn't its own. Each such id must
-// be refused, while its own id opens at any instance that has the secret.
-func TestEventIDOpensOnlyForItsOwner(t *testing.T) {
+// Guards against reading another caller's answer with a forged or copied event id.
+// Such ids must be refused, while the caller's own id opens at every instance that
+// has the secret.
+func TestEventIDOpensOnlyForItsRequest(t *testing.T) {
 	origin := Origin{Answer: "cmpl-1", Created: 5, Upstream: "Vík-3", Attempt: "a-1", First: 4}
-	owner := NewOwner("farm-1", "/v1/completions", []byte("body"))
-	id := string(AppendID(nil, NewSigner([]byte("secret")).Prefix(origin, owner), 17))
+	digest := NewRequestDigest("farm-1", "/v1/completions", []byte("body"))
+	id := string(AppendID(nil, NewSigner([]byte("secret")).Prefix(origin, digest), 17))
 
 	other := NewSigner([]byte("secret"))
-	got, index, err := other.Open(id, owner)
+	got, index, err := other.Open(id, digest)
 	require.NoError(t, err)
 	require.Equal(t, origin, got)
 	require.Equal(t, 17, index)
 
 	for name, attempt := range map[string]func() error{
 		"other organisation": func() error {
-			_, _, err := other.Open(id, NewOwner("farm-2", "/v1/completions", []byte("body")))
+			_, _, err := other.Open(id, NewRequestDigest("farm-2", "/v1/completions", []byte("body")))
 			return err
 		},
 		"other body": func() error {
-			_, _, err := other.Open(id, NewOwner("farm-1", "/v1/completions", []byte("bodY")))
+			_, _, err := other.Open(id, NewRequestDigest("farm-1", "/v1/completions", []byte("bodY")))
 			return err
 		},
 		"parts moved between fields": func() error {
-			_, _, err := other.Open(id, NewOwner("farm-1/v1", "/completions", []byte("body")))
+			_, _, err := other.Open(id, NewRequestDigest("farm-1/v1", "/completions", []byte("body")))
 			return err
 		},
 		"other secret": func() error {
-			_, _, err := NewSigner([]byte("secret2")).Open(id, owner)
+			_, _, err := NewSigner([]byte("secret2")).Open(id, digest)
 			return err
 		},
 		"negative index": func() error {
-			_, _, err := other.Open(strings.Replace(id, ".17", ".-1", 1), owner)
+			_, _, err := other.Open(strings.Replace(id, ".17", ".-1", 1), digest)
 			return err
 		},
-		"empty": func() error { _, _, err := other.Open("", owner); return err },
+		"empty": func() error { _, _, err := other.Open("", digest); return err },
 	} {
 		require.ErrorIs(t, attempt(), ErrEventID, name)
 	}
@@ -54,21 +54,20 @@
 		if forged == id {
 			return
 		}
-		if got, _, err := other.Open(forged, owner); err == nil {
-			// The last character of base64 has bits that stand for nothing.
+		if got, _, err := other.Open(forged, digest); err == nil {
+			// The last base64 character has unused bits.
 			require.Equal(t, origin, got)
 		}
 	})
 }
 
-// A thousand long answers run at once and the entry is killed by the kernel
-// for its memory, because each kept its whole text. The text kept must stay
-// within the stream's limit and the process's budget, and come back in full
-// once the streams end.
-func TestPriorStaysWithinBudget(t *testing.T) {
+// Guards against running out of memory with many long answers: the buffered text must
+// stay within each stream's limit and the process's budget, and all of it must return
+// to the budget when the streams end.
+func TestOutputBuffersStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		budget := NewBudget(64)
-		streams := []*Prior{NewPrior(budget, 30), NewPrior(budget, 30), NewPrior(budget, 30)}
+		budget := NewMemoryBudget(64)
+		streams := []*OutputBuffer{NewOutputBuffer(budget, 30), NewOutputBuffer(budget, 30), NewOutputBuffer(budget, 30)}
 		full := make([]string, len(streams))
 		for range rapid.IntRange(0, 60).Draw(t, "steps") {
 			i := rapid.IntRange(0, len(streams)-1).Draw(t, "stream")
@@ -82,8 +81,8 @@
 			}
 		}
 		for _, s := range streams {
-			s.GiveUp()
-			s.GiveUp()
+			s.Discard()
+			s.Discard()
 		}
 		require.Zero(t, budget.Used())
 	})
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -310,10 +310,10 @@
 func (m *Member) drain() {
 	m.draining.Store(true)
 	stop := shutdown.State{
-		Keep: directoryTTLFactor * directoryTTL, Grace: m.settings.Load().Grace - directoryTTLFactor*directoryTTL - stopMargin,
+		DiscoveryTTL: directoryTTLFactor * directoryTTL, Grace: m.settings.Load().Grace - directoryTTLFactor*directoryTTL - stopMargin,
 		CloseIdle: m.callerConns.CloseIdle,
 	}
-	directoriesExpired := time.Now().Add(stop.Keep)
+	directoriesExpired := time.Now().Add(stop.DiscoveryTTL)
 	m.relay.BeginShutdown(directoriesExpired, directoriesExpired.Add(stop.Grace), func() bool { return len(m.peers.Serving()) > 0 })
 	stop.Drain(nil, m.callerConns.Active, m.log)
 	m.otherConns.CloseIdle()
