--- a/cmd/chute-load/experiment.go
+++ b/cmd/chute-load/experiment.go
@@ -24,7 +24,7 @@
 
 func newTrialFlags(f *flag.FlagSet) trialFlags {
 	return trialFlags{
-		policy:   f.String("policy", load.Ours, "one of "+strings.Join(load.Policies, ", ")),
+		policy:   f.String("policy", load.Gain, "one of "+strings.Join(load.Policies, ", ")),
 		mix:      f.String("mix", load.MixShift, "one of "+strings.Join(load.Mixes, ", ")),
 		seed:     f.Uint64("seed", 1, "seed of the mix"),
 		faults:   f.Bool("faults", false, "lose one engine in four and the log for a fifth of the run"),
--- a/cmd/chute-soak/main.go
+++ b/cmd/chute-soak/main.go
@@ -33,7 +33,7 @@
 func main() { os.Exit(run()) }
 
 func run() int {
-	o := soak.Options{Shape: soak.DefaultShape()}
+	o := soak.Options{Profile: soak.DefaultFaultProfile()}
 	flag.StringVar(&o.Program, "member", "bin/chute-member", "`path` of the daemon's program")
 	folder := flag.String("folder", filepath.Join(os.TempDir(), "chute-soak"), "`folder` for settings and logs")
 	first := flag.Uint64("seed", 0, "first seed; 0 takes it from the time of day")
@@ -41,8 +41,8 @@
 	jobs := flag.Int("jobs", 1, "seeds to run at a time")
 	flag.IntVar(&o.Daemons, "daemons", 5, "number of daemons")
 	flag.IntVar(&o.Callers, "callers", 30, "number of callers")
-	flag.DurationVar(&o.Shape.Length, "length", o.Shape.Length, "time in which troubles begin")
-	flag.DurationVar(&o.Shape.Every, "every", o.Shape.Every, "mean time between two troubles")
+	flag.DurationVar(&o.Profile.Length, "length", o.Profile.Length, "time in which troubles begin")
+	flag.DurationVar(&o.Profile.MeanInterval, "every", o.Profile.MeanInterval, "mean time between two troubles")
 	plan := flag.String("plan", "", "`file` of a kept plan, played instead of the seed's")
 	verbose := flag.Bool("v", false, "print the troubles too")
 	flag.Parse()
@@ -51,7 +51,7 @@
 		return exitUsage
 	}
 	if *plan != "" {
-		kept, err := soak.ReadKept(*plan)
+		kept, err := soak.ReadPlan(*plan)
 		if err != nil {
 			fmt.Fprintln(os.Stderr, "chute-soak:", err)
 			return exitUsage
@@ -88,7 +88,7 @@
 		fmt.Printf("seed %d: not run: %v\n", seed, err)
 		return result{err: err}
 	}
-	fmt.Printf("seed %d: %d troubles, %d broken promises, recovered after %v;", seed, len(report.Steps), len(report.Violations), report.Recovery.Round(time.Millisecond))
+	fmt.Printf("seed %d: %d troubles, %d broken promises, recovered after %v;", seed, len(report.Steps), len(report.Violations), report.RecoveryTime.Round(time.Millisecond))
 	for _, outcome := range slices.Sorted(maps.Keys(report.Outcomes)) {
 		fmt.Printf(" %s: %d;", outcome, report.Outcomes[outcome])
 	}
@@ -107,7 +107,7 @@
 	}
 	if len(report.Violations) == 0 {
 		_ = os.RemoveAll(o.Folder) // only a failure's logs are worth their room
-	} else if err := (soak.Kept{Steps: report.Steps}).Write(filepath.Join(o.Folder, "plan.json")); err != nil {
+	} else if err := (soak.SavedPlan{Steps: report.Steps}).Write(filepath.Join(o.Folder, "plan.json")); err != nil {
 		fmt.Println("  ", err)
 	}
 	return result{broken: len(report.Violations) > 0}
--- a/internal/load/experiment.go
+++ b/internal/load/experiment.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		return p, Mix{}, err
 	}
-	m, err := p.Mix(t.Mix, t.Seed, Engines(d), t.Speed)
+	m, err := p.Mix(t.Mix, t.Seed, EngineCount(d), t.Speed)
 	return p, m, err
 }
 
@@ -52,7 +52,7 @@
 	at := start
 	for _, p := range m.Phases {
 		demand := m.Demand(p)
-		split, _ := rolepolicy.BestSplit(Engines(d), rolepolicy.Rates(t.Speed),
+		split, _ := rolepolicy.BestSplit(EngineCount(d), rolepolicy.Rates(t.Speed),
 			rolepolicy.Rates{Prefill: demand.PromptPerSec, Decode: demand.OutputPerSec})
 		plan = append(plan, rolepolicy.Step{At: at, Split: split})
 		at = at.Add(shorter(p.Length, t.Scale))
@@ -62,13 +62,13 @@
 
 // Hindsight is the split that serves most of the whole mix if it is never
 // changed, by the capacity model.
-func (t Trial) Hindsight(d *settings.Deployment) (rolepolicy.Split, error) {
+func (t Trial) HindsightSplit(d *settings.Deployment) (rolepolicy.Split, error) {
 	_, m, err := t.MixFor(d)
 	if err != nil {
 		return rolepolicy.Split{}, err
 	}
 	best, most := rolepolicy.Split{}, -1.0
-	n := Engines(d)
+	n := EngineCount(d)
 	for p := 0; p <= n; p++ {
 		for dec := 0; dec+p <= n; dec++ {
 			split := rolepolicy.Split{Prefill: p, Decode: dec, Mixed: n - p - dec}
@@ -119,7 +119,7 @@
 
 // loadWithFaults loads the deployment, and strikes its stand-ins meanwhile if
 // the trial has faults.
-func (t Trial) loadWithFaults(ctx context.Context, o Options, model string, m Mix, arrivals []Arrival) (*Recorder, Counted, error) {
+func (t Trial) loadWithFaults(ctx context.Context, o Options, model string, m Mix, arrivals []Arrival) (*Recorder, Counters, error) {
 	faulty, stop := context.WithCancel(ctx)
 	var group conc.WaitGroup
 	defer group.Wait()
--- a/internal/load/experiment_test.go
+++ b/internal/load/experiment_test.go
@@ -40,7 +40,7 @@
 	for i, goodput := range []float64{10, 30, 20} {
 		folder := filepath.Join(dir, "run", string(rune('a'+i)))
 		require.NoError(t, os.MkdirAll(folder, 0o755))
-		trial := Trial{Deployment: "d", Policy: Ours, Mix: MixShift, Seed: uint64(i), Summary: Summary{Goodput: goodput}}
+		trial := Trial{Deployment: "d", Policy: Gain, Mix: MixShift, Seed: uint64(i), Summary: Summary{Goodput: goodput}}
 		require.NoError(t, trial.write(folder))
 	}
 	trials, err := ReadTrials(dir)
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -122,7 +122,7 @@
 	res, gaps := f.caller().model(context.Background(), testClass, a, time.Now())
 	require.Equal(t, Complete, res.Outcome, res.Detail)
 	assert.Equal(t, 1, res.Resumed)
-	assert.Equal(t, []string{f.server.Listener.Addr().String()}, res.Broken)
+	assert.Equal(t, []string{f.server.Listener.Addr().String()}, res.BrokenAt)
 	assert.Len(t, gaps, res.Tokens-1)
 }
 
@@ -176,8 +176,8 @@
 		return Result{Arrival: Arrival{Class: ClassShort, At: time.Duration(ms) * time.Millisecond}, Outcome: Complete, Late: late}
 	}
 	got := phases(m, []Result{at(0, false), at(1999, true), at(2000, false)})
-	assert.Equal(t, []PhaseFigures{
-		{Name: "a", Asked: 1, Goodput: 0.5, ShortInTime: 0.5}, {Name: "b", Asked: 1, Goodput: 1, ShortInTime: 1}}, got)
+	assert.Equal(t, []PhaseStats{
+		{Name: "a", RequestRate: 1, Goodput: 0.5, ShortInTime: 0.5}, {Name: "b", RequestRate: 1, Goodput: 1, ShortInTime: 1}}, got)
 }
 
 func TestArrivalsRepeatWithTheSeed(t *testing.T) {
@@ -207,13 +207,13 @@
 	m := Mix{Classes: []Class{{Name: ClassProtected, Kind: KindProtected}}}
 	rec := NewRecorder()
 	add := func(o Outcome, unsure bool, broken ...string) {
-		rec.Add(Result{Arrival: Arrival{Class: ClassProtected}, Outcome: o, unsure: unsure, Broken: broken}, nil)
+		rec.Add(Result{Arrival: Arrival{Class: ClassProtected}, Outcome: o, unsure: unsure, BrokenAt: broken}, nil)
 	}
 	add(Complete, false)
 	add(NotRun, false)
 	add(NotRun, true, "10.0.0.1:1")
 	add(Unknown, true, "10.0.0.2:1")
-	s := rec.Summarise(m, time.Second, []string{"10.0.0.1:1"}, Counted{Keys: 4})
+	s := rec.Summarise(m, time.Second, []string{"10.0.0.1:1"}, Counters{Keys: 4})
 	assert.Equal(t, int64(1), s.NotRunButRan)
 	assert.Equal(t, 1, s.CutByPlannedStop)
 	assert.Equal(t, []int{4, 1, 2, 1}, []int{s.Requests, s.Complete, s.NotRun, s.Unknown})
--- a/internal/load/mix.go
+++ b/internal/load/mix.go
@@ -22,13 +22,13 @@
 )
 
 // Range is a span of whole numbers, both ends included.
-type Range struct{ Least, Most int }
+type Range struct{ Min, Max int }
 
 func (r Range) draw(rng *rand.Rand) int {
-	return r.Least + rng.IntN(r.Most-r.Least+1)
+	return r.Min + rng.IntN(r.Max-r.Min+1)
 }
 
-func (r Range) mean() float64 { return float64(r.Least+r.Most) / 2 }
+func (r Range) mean() float64 { return float64(r.Min+r.Max) / 2 }
 
 // Class is a sort of request that callers send.
 type Class struct {
@@ -40,7 +40,7 @@
 	Prompt Range
 	Output Range
 	// Streamed is the share of the requests that are streamed.
-	Streamed float64
+	StreamedShare float64
 	// Deadline is how long the answer is worth something.
 	Deadline time.Duration
 }
@@ -169,7 +169,7 @@
 			Seed:     rng.Uint64(),
 			Prompt:   c.Prompt.draw(rng),
 			Output:   c.Output.draw(rng),
-			Streamed: rng.Float64() < c.Streamed,
+			Streamed: rng.Float64() < c.StreamedShare,
 			Caller:   rng.IntN(callers),
 		})
 	}
--- a/internal/load/model.go
+++ b/internal/load/model.go
@@ -129,7 +129,7 @@
 		m.res.Code = codeGaveUp
 		return
 	}
-	m.res.Broken = append(m.res.Broken, addr)
+	m.res.BrokenAt = append(m.res.BrokenAt, addr)
 }
 
 // chunk is a plain answer or a streamed part of one.
--- a/internal/load/prepare.go
+++ b/internal/load/prepare.go
@@ -167,7 +167,7 @@
 }
 
 // Engines returns how many model engines a deployment has.
-func Engines(d *settings.Deployment) int {
+func EngineCount(d *settings.Deployment) int {
 	n := 0
 	for _, u := range d.Upstreams {
 		if u.Kind == settings.KindEngine {
--- a/internal/load/preset.go
+++ b/internal/load/preset.go
@@ -52,11 +52,11 @@
 func classes(path string, short, long time.Duration) []Class {
 	return []Class{
 		{Name: ClassShort, Kind: KindCompletion, Prompt: Range{30, 150}, Output: Range{150, 350},
-			Streamed: 0.7, Deadline: short},
+			StreamedShare: 0.7, Deadline: short},
 		{Name: ClassChat, Kind: KindChat, Prompt: Range{100, 400}, Output: Range{150, 350},
-			Streamed: 0.9, Deadline: short},
+			StreamedShare: 0.9, Deadline: short},
 		{Name: ClassLong, Kind: KindCompletion, Prompt: Range{2000, 6000}, Output: Range{20, 80},
-			Streamed: 0.5, Deadline: long},
+			StreamedShare: 0.5, Deadline: long},
 		{Name: ClassProtected, Kind: KindProtected, Path: path, Deadline: 10 * time.Second, Prompt: Range{1, 1000}, Output: Range{1, 1}},
 		{Name: ClassLookup, Kind: KindLookup, Path: path, Deadline: 5 * time.Second, Prompt: Range{1, 1}, Output: Range{1, 1}},
 	}
--- a/internal/load/protected.go
+++ b/internal/load/protected.go
@@ -115,7 +115,7 @@
 	if err != nil {
 		s.res.Outcome, s.res.Detail = Unknown, err.Error()
 		if ctx.Err() == nil {
-			s.res.Broken = append(s.res.Broken, addr)
+			s.res.BrokenAt = append(s.res.BrokenAt, addr)
 		}
 		return true
 	}
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -29,7 +29,7 @@
 	Outcome Outcome
 	// Sent is how late the request went out; Latency and FirstToken count from
 	// the time at which it should have.
-	Sent       time.Duration
+	SendDelay  time.Duration
 	Latency    time.Duration
 	FirstToken time.Duration
 	Late       bool
@@ -39,10 +39,10 @@
 	Attempts int
 	Resumed  int
 	// Broken are the instances at which its connection broke in flight.
-	Broken []string
-	Status int
-	Code   string
-	Detail string
+	BrokenAt []string
+	Status   int
+	Code     string
+	Detail   string
 	// key is a protected call's Idempotency-Key; unsure is set if any attempt
 	// left open whether it ran.
 	unsure bool
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -17,7 +17,7 @@
 	Client  *Client
 	// Seeds are, per caller, the addresses that it was given once; callers
 	// take them in turn.
-	Seeds [][]string
+	SeedAddresses [][]string
 	// MaxInFlight bounds the requests in flight; beyond it requests go out
 	// late, which their latency shows.
 	MaxInFlight int
@@ -46,7 +46,7 @@
 func (r Run) callers() []*caller {
 	out := make([]*caller, r.Callers)
 	for i := range out {
-		dir := &directory{client: r.Client.HTTP, now: time.Now, seeds: r.Seeds[i%len(r.Seeds)]}
+		dir := &directory{client: r.Client.HTTP, now: time.Now, seeds: r.SeedAddresses[i%len(r.SeedAddresses)]}
 		out[i] = &caller{Client: r.Client, dir: dir}
 	}
 	return out
@@ -67,13 +67,13 @@
 	switch class.Kind {
 	case KindProtected, KindLookup:
 		res := c.service(ctx, class, a, due)
-		res.Sent = sent
+		res.SendDelay = sent
 		rec.Add(res, nil)
 	default:
-		ctx, cancel := context.WithDeadline(ctx, due.Add(time.Duration(r.Client.Patience*float64(class.Deadline))))
+		ctx, cancel := context.WithDeadline(ctx, due.Add(time.Duration(r.Client.TimeoutFactor*float64(class.Deadline))))
 		defer cancel()
 		res, gaps := c.model(ctx, class, a, due)
-		res.Sent = sent
+		res.SendDelay = sent
 		rec.Add(res, gaps)
 	}
 }
--- a/internal/load/sender.go
+++ b/internal/load/sender.go
@@ -30,7 +30,7 @@
 	// Model is the model that the callers ask for.
 	Model string
 	// Patience is how long a caller waits for an answer, in deadlines.
-	Patience float64
+	TimeoutFactor float64
 }
 
 // NewClient returns a client that, unlike the library's own, sends a request
@@ -43,9 +43,9 @@
 		DisableCompression:  true,
 	}
 	return &Client{
-		HTTP:     &http.Client{Transport: transport, CheckRedirect: noRedirect},
-		Model:    model,
-		Patience: 2,
+		HTTP:          &http.Client{Transport: transport, CheckRedirect: noRedirect},
+		Model:         model,
+		TimeoutFactor: 2,
 	}
 }
 
--- a/internal/load/standins.go
+++ b/internal/load/standins.go
@@ -13,7 +13,7 @@
 
 // Counted is what the stand-ins counted, which is how a run knows what the
 // system did to its upstreams, not what it says it did.
-type Counted struct {
+type Counters struct {
 	Tokens            int64 `json:"tokens"`
 	CutByOrder        int64 `json:"cut_by_order"`
 	CutByCrash        int64 `json:"cut_by_crash"`
@@ -24,7 +24,7 @@
 	RanTwice          int64 `json:"ran_twice"`
 }
 
-func (c *Counted) add(o Counted) {
+func (c *Counters) add(o Counters) {
 	c.Tokens += o.Tokens
 	c.CutByOrder += o.CutByOrder
 	c.CutByCrash += o.CutByCrash
@@ -37,8 +37,8 @@
 }
 
 // minus is what was counted since.
-func (c Counted) minus(before Counted) Counted {
-	return Counted{
+func (c Counters) minus(before Counters) Counters {
+	return Counters{
 		Tokens:            c.Tokens - before.Tokens,
 		CutByOrder:        c.CutByOrder - before.CutByOrder,
 		CutByCrash:        c.CutByCrash - before.CutByCrash,
@@ -60,14 +60,14 @@
 }
 
 // Counted sums the counters of all upstreams.
-func (s Standins) Counted(ctx context.Context) (Counted, error) {
-	var sum Counted
+func (s Standins) Counters(ctx context.Context) (Counters, error) {
+	var sum Counters
 	if s.Control != "" {
 		err := s.get(ctx, "http://"+s.Control+"/totals", &sum)
 		return sum, err
 	}
 	for _, u := range s.Upstreams {
-		var one Counted
+		var one Counters
 		if err := s.get(ctx, "http://"+u.Address+"/counters", &one); err != nil {
 			return sum, err
 		}
--- a/internal/load/summary.go
+++ b/internal/load/summary.go
@@ -33,13 +33,13 @@
 	RoleChanges int64 `json:"role_changes"`
 	// NotRunButRan counts keys that ran although every answer to them said
 	// that they had not.
-	NotRunButRan int64   `json:"not_run_but_ran"`
-	P50          float64 `json:"p50"`
-	P99          float64 `json:"p99"`
-	FirstP50     float64 `json:"first_token_p50"`
-	FirstP95     float64 `json:"first_token_p95"`
-	GapP50       float64 `json:"token_gap_p50"`
-	GapP95       float64 `json:"token_gap_p95"`
+	NotRunButRan  int64   `json:"not_run_but_ran"`
+	P50           float64 `json:"p50"`
+	P99           float64 `json:"p99"`
+	FirstTokenP50 float64 `json:"first_token_p50"`
+	FirstTokenP95 float64 `json:"first_token_p95"`
+	TokenGapP50   float64 `json:"token_gap_p50"`
+	TokenGapP95   float64 `json:"token_gap_p95"`
 	// Goodput is model answers whole and in time a second, GoodputTokens the
 	// prompt and output tokens of these.
 	Goodput       float64 `json:"goodput"`
@@ -48,32 +48,32 @@
 	ShortInTime float64 `json:"short_in_time"`
 	// Phases are the figures of each phase of the mix, by when requests were
 	// due; none if it has only one.
-	Phases []PhaseFigures `json:"phases,omitempty"`
+	Phases []PhaseStats `json:"phases,omitempty"`
 	// SentLateP99 is how late the load tool itself was.
 	SentLateP99 float64 `json:"sent_late_p99"`
 }
 
 // PhaseFigures are the figures of one phase of a mix.
-type PhaseFigures struct {
+type PhaseStats struct {
 	Name        string  `json:"name"`
-	Asked       float64 `json:"asked"` // model requests a second
+	RequestRate float64 `json:"asked"` // model requests a second
 	Goodput     float64 `json:"goodput"`
 	ShortInTime float64 `json:"short_in_time"`
 }
 
 // phases works out the figures by phase.
-func phases(m Mix, results []Result) []PhaseFigures {
-	var out []PhaseFigures
+func phases(m Mix, results []Result) []PhaseStats {
+	var out []PhaseStats
 	start := time.Duration(0)
 	for _, p := range m.Phases {
-		f := PhaseFigures{Name: p.Name}
+		f := PhaseStats{Name: p.Name}
 		var shorts float64
 		for _, res := range results {
 			class, _ := m.Class(res.Class)
 			if class.Path != "" || res.At < start || res.At >= start+p.Length {
 				continue
 			}
-			f.Asked++
+			f.RequestRate++
 			short := class.Name == ClassShort
 			if short {
 				shorts++
@@ -86,7 +86,7 @@
 				f.ShortInTime++
 			}
 		}
-		f.Asked /= p.Length.Seconds()
+		f.RequestRate /= p.Length.Seconds()
 		f.Goodput /= p.Length.Seconds()
 		f.ShortInTime /= max(1, shorts)
 		out = append(out, f)
@@ -97,7 +97,7 @@
 
 // Summarise works out the figures of a run. killed holds the callers'
 // addresses of instances that were killed on purpose.
-func (r *Recorder) Summarise(m Mix, length time.Duration, killed []string, counted Counted) Summary {
+func (r *Recorder) Summarise(m Mix, length time.Duration, killed []string, counted Counters) Summary {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := Summary{
@@ -109,7 +109,7 @@
 	var keysMayHaveRun int64
 	for _, res := range r.results {
 		s.count(res, killed)
-		record(sent, res.Sent)
+		record(sent, res.SendDelay)
 		class, _ := m.Class(res.Class)
 		if class.Kind == KindProtected && (res.Outcome != NotRun || res.unsure) {
 			keysMayHaveRun++
@@ -149,8 +149,8 @@
 
 func (s *Summary) quantiles(all, first, sent, gaps *hdrhistogram.Histogram) {
 	s.P50, s.P99 = quantile(all, 50), quantile(all, 99)
-	s.FirstP50, s.FirstP95 = quantile(first, 50), quantile(first, 95)
-	s.GapP50, s.GapP95 = quantile(gaps, 50), quantile(gaps, 95)
+	s.FirstTokenP50, s.FirstTokenP95 = quantile(first, 50), quantile(first, 95)
+	s.TokenGapP50, s.TokenGapP95 = quantile(gaps, 50), quantile(gaps, 95)
 	s.SentLateP99 = quantile(sent, 99)
 }
 
@@ -172,7 +172,7 @@
 		s.Resent++
 	}
 	s.Resumed += res.Resumed
-	for _, addr := range res.Broken {
+	for _, addr := range res.BrokenAt {
 		if !slices.Contains(killed, addr) {
 			s.CutByPlannedStop++
 		}
@@ -193,9 +193,9 @@
 func (r Result) row() []string {
 	return []string{millis(r.At), r.Class, strconv.Itoa(r.Caller), strconv.Itoa(r.Prompt),
 		strconv.Itoa(r.Output), strconv.FormatBool(r.Streamed), string(r.Outcome),
-		strconv.FormatBool(r.Late), millis(r.Latency), millis(r.FirstToken), millis(r.Sent),
+		strconv.FormatBool(r.Late), millis(r.Latency), millis(r.FirstToken), millis(r.SendDelay),
 		strconv.Itoa(r.Tokens), strconv.Itoa(r.Attempts), strconv.Itoa(r.Resumed),
-		strings.Join(r.Broken, " "), strconv.Itoa(r.Status), r.Code, r.Detail}
+		strings.Join(r.BrokenAt, " "), strconv.Itoa(r.Status), r.Code, r.Detail}
 }
 
 func millis(d time.Duration) string {
--- a/internal/load/table.go
+++ b/internal/load/table.go
@@ -141,7 +141,7 @@
 	fmt.Fprintln(w, "policy\tphase\tasked/s\tgoodput/s\tshort in time\t")
 	for _, r := range rs {
 		for _, p := range r.trials[0].Summary.Phases {
-			fmt.Fprintf(w, "%s\t%s\t%.1f\t%.1f\t%.3f\t\n", r.policy, p.Name, p.Asked, p.Goodput, p.ShortInTime)
+			fmt.Fprintf(w, "%s\t%s\t%.1f\t%.1f\t%.3f\t\n", r.policy, p.Name, p.RequestRate, p.Goodput, p.ShortInTime)
 		}
 	}
 	fmt.Fprintln(w)
@@ -158,10 +158,10 @@
 		of(func(s Summary) float64 { return float64(s.Late) }),
 		of(func(s Summary) float64 { return float64(s.Unknown) }),
 		of(func(s Summary) float64 { return float64(s.WrongAnswer) }),
-		of(func(s Summary) float64 { return s.FirstP50 }),
-		of(func(s Summary) float64 { return s.FirstP95 }),
-		of(func(s Summary) float64 { return s.GapP50 }),
-		of(func(s Summary) float64 { return s.GapP95 }),
+		of(func(s Summary) float64 { return s.FirstTokenP50 }),
+		of(func(s Summary) float64 { return s.FirstTokenP95 }),
+		of(func(s Summary) float64 { return s.TokenGapP50 }),
+		of(func(s Summary) float64 { return s.TokenGapP95 }),
 		of(func(s Summary) float64 { return s.ShortInTime }),
 		of(changes))
 }
--- a/internal/load/try.go
+++ b/internal/load/try.go
@@ -55,18 +55,18 @@
 
 // load sends the arrivals and returns the results and what the stand-ins
 // counted meanwhile.
-func (o Options) load(ctx context.Context, model string, m Mix, arrivals []Arrival) (*Recorder, Counted, error) {
+func (o Options) load(ctx context.Context, model string, m Mix, arrivals []Arrival) (*Recorder, Counters, error) {
 	client := NewClient(model)
 	defer client.CloseIdle()
 	standins := o.standins(client)
-	before, err := standins.Counted(ctx)
+	before, err := standins.Counters(ctx)
 	if err != nil {
-		return nil, Counted{}, err
+		return nil, Counters{}, err
 	}
 	rec := NewRecorder()
-	run := Run{Mix: m, Callers: o.callers(), Client: client, Seeds: o.seeds(), MaxInFlight: maxInFlight}
+	run := Run{Mix: m, Callers: o.callers(), Client: client, SeedAddresses: o.seeds(), MaxInFlight: maxInFlight}
 	run.Do(ctx, arrivals, rec)
-	after, err := standins.Counted(ctx)
+	after, err := standins.Counters(ctx)
 	return rec, after.minus(before), err
 }
 
--- a/internal/load/variants.go
+++ b/internal/load/variants.go
@@ -16,19 +16,19 @@
 	FixedRoundRobin       = "fixed-round-robin"
 	FixedLeastOutstanding = "fixed-least-outstanding"
 	// FixedCost keeps the settings' roles under our routing.
-	FixedCost = "fixed-our-routing"
+	FixedCostRouting = "fixed-our-routing"
 	// Threshold changes roles on reported load, under our routing.
 	Threshold = "threshold"
 	// Hindsight keeps the split that is best for the whole mix, KnownMix
 	// changes to each phase's best split as it begins; both with our routing.
-	Hindsight = "hindsight-split"
-	KnownMix  = "known-mix"
+	HindsightSplit = "hindsight-split"
+	KnownMix       = "known-mix"
 	// Ours is the gain policy under our routing.
-	Ours = "gain"
+	Gain = "gain"
 )
 
 // Policies names all policies of an experiment.
-var Policies = []string{FixedRoundRobin, FixedLeastOutstanding, FixedCost, Threshold, Hindsight, KnownMix, Ours}
+var Policies = []string{FixedRoundRobin, FixedLeastOutstanding, FixedCostRouting, Threshold, HindsightSplit, KnownMix, Gain}
 
 // The routing baselines as the settings name them.
 const (
@@ -46,18 +46,18 @@
 		v.Picker = pickerRoundRobin
 	case FixedLeastOutstanding:
 		v.Picker = pickerLeastOutstanding
-	case FixedCost:
+	case FixedCostRouting:
 	case Threshold:
 		v.Policy = rolepolicy.NameThreshold
-	case Hindsight:
-		v.Split, err = t.Hindsight(d)
+	case HindsightSplit:
+		v.Split, err = t.HindsightSplit(d)
 	case KnownMix:
 		v.Policy = rolepolicy.NameSchedule
 		v.Schedule, err = t.Plan(d, start)
 		if err == nil {
 			v.Split = v.Schedule[0].Split
 		}
-	case Ours:
+	case Gain:
 		v.Policy = rolepolicy.NameGain
 	default:
 		return v, eris.Errorf("unknown policy %q", t.Policy)
--- a/internal/soak/checks.go
+++ b/internal/soak/checks.go
@@ -18,7 +18,7 @@
 		return
 	}
 	if pool != q.service.name {
-		o.violate(RightPool, "%s for %s ran at %s of pool %s", v.ID, q.service.name, v.Server, pool)
+		o.violate(CorrectPool, "%s for %s ran at %s of pool %s", v.ID, q.service.name, v.Server, pool)
 	}
 }
 
@@ -29,7 +29,7 @@
 		return
 	}
 	if o.troubles.quiet(from, now, subjectMachine, subjectStore, daemonSubject(q.daemon), storeLinkSubject(q.daemon), serversSubject(q.service.name)) {
-		o.violate(LeavingIsSpared, "%s reached %s, %v after it was listed as leaving, by daemon %d", v.ID, v.Server, now.Sub(since), q.daemon)
+		o.violate(DrainedServerSpared, "%s reached %s, %v after it was listed as leaving, by daemon %d", v.ID, v.Server, now.Sub(since), q.daemon)
 	}
 }
 
@@ -42,7 +42,7 @@
 		return
 	}
 	if o.troubles.quiet(from, now, subjectMachine, subjectStore, daemonSubject(q.daemon), storeLinkSubject(q.daemon)) {
-		o.violate(LeavingIsSpared, "%s was meant for %s, %v after its entry was taken out, by daemon %d", v.ID, v.MeantFor, now.Sub(since), q.daemon)
+		o.violate(DrainedServerSpared, "%s was meant for %s, %v after its entry was taken out, by daemon %d", v.ID, v.MeantFor, now.Sub(since), q.daemon)
 	}
 }
 
@@ -60,7 +60,7 @@
 func (o *oracle) checkTime(id string, q *request, now time.Time) {
 	due := q.sent.Add(q.service.deadline + answerSlack)
 	if now.After(due) && o.troubles.quiet(q.sent, now, subjectMachine, daemonSubject(q.daemon)) {
-		o.violate(AnsweredInTime, "%s ended %v after it was sent to daemon %d", id, now.Sub(q.sent), q.daemon)
+		o.violate(AnsweredByDeadline, "%s ended %v after it was sent to daemon %d", id, now.Sub(q.sent), q.daemon)
 	}
 }
 
@@ -69,22 +69,22 @@
 		return // seen to be cut
 	}
 	if r.ID != id || !r.Signed || !strings.HasPrefix(r.Body, "answer of ") || !strings.HasSuffix(r.Body, " to "+id) {
-		o.violate(OwnAnswer, "%s got id %q, signed %t, body %q", id, r.ID, r.Signed, r.Body)
+		o.violate(CorrectResponse, "%s got id %q, signed %t, body %q", id, r.ID, r.Signed, r.Body)
 	}
 }
 
 func (o *oracle) checkStream(id string, r standin.Reply) {
 	for i, event := range r.Events {
 		if event != i+1 {
-			o.violate(WholeStream, "%s: event %d is number %d", id, i+1, event)
+			o.violate(CompleteStream, "%s: event %d is number %d", id, i+1, event)
 			return
 		}
 	}
 	if r.Err == nil && len(r.Events) != streamEvents {
-		o.violate(WholeStream, "%s ended as if whole after %d of %d events", id, len(r.Events), streamEvents)
+		o.violate(CompleteStream, "%s ended as if whole after %d of %d events", id, len(r.Events), streamEvents)
 	}
 	if r.ID != id {
-		o.violate(OwnAnswer, "%s got a stream under id %q", id, r.ID)
+		o.violate(CorrectResponse, "%s got a stream under id %q", id, r.ID)
 	}
 }
 
@@ -94,7 +94,7 @@
 	version := slices.Index(markPools, pool) + 1
 	last := o.shown[p]
 	if version < last.version && q.sent.After(last.at) {
-		o.violate(ConfigNeverBack, "daemon %d answered by version %d, by %d before", p.daemon, version, last.version)
+		o.violate(ConfigMonotonic, "daemon %d answered by version %d, by %d before", p.daemon, version, last.version)
 	}
 	if version > last.version {
 		o.shown[p] = shownVersion{version, now}
@@ -107,7 +107,7 @@
 		}
 	}
 	if version < inForce && o.troubles.quiet(from, now, subjectMachine, subjectStore, daemonSubject(p.daemon), storeLinkSubject(p.daemon)) {
-		o.violate(ConfigInForce, "daemon %d answered by version %d, %d was published over %v before", p.daemon, version, inForce, configWithin)
+		o.violate(ConfigApplied, "daemon %d answered by version %d, %d was published over %v before", p.daemon, version, inForce, configWithin)
 	}
 }
 
@@ -132,7 +132,7 @@
 		return // a stream that its servers broke can't be told to have ended well
 	}
 	if o.troubles.quiet(q.sent, at, subjectMachine) {
-		o.violate(StopCutsNothing, "%s to %s at daemon %d was cut: %v; sent %s, cut %s, process ended %s, passed on %t",
+		o.violate(NoCutRequests, "%s to %s at daemon %d was cut: %v; sent %s, cut %s, process ended %s, passed on %t",
 			id, q.service.name, q.daemon, r, clock(q.sent), clock(at), clock(end.at), passedOn)
 	}
 }
@@ -166,7 +166,7 @@
 	for name, n := range closed {
 		o.seen["closes counted, "+name] = n
 		if late[name] > fewLate && float64(late[name]) > lateShare*float64(n) {
-			o.violate(CloseIsPassed, "%d of %d closes of %s reached the servers late", late[name], n, name)
+			o.violate(CancellationPropagates, "%d of %d closes of %s reached the servers late", late[name], n, name)
 		}
 	}
 }
@@ -204,7 +204,7 @@
 	for _, end := range repeats {
 		n := countBetween(repeats, end.Add(-b.window), end)
 		if allowed := b.allowed(o.asked[name], end); n > allowed {
-			o.violate(BoundedRepeats, "%s got %d repeats in %v, %d are allowed", name, n, b.window, allowed)
+			o.violate(BoundedRetries, "%s got %d repeats in %v, %d are allowed", name, n, b.window, allowed)
 			return
 		}
 	}
@@ -227,11 +227,11 @@
 		for _, order := range e.orders {
 			o.seen["orders"]++
 			if other, ok := holders[order.FencingToken]; ok && other != order.Holder {
-				o.violate(OneHolder, "token %d was used by %s and %s", order.FencingToken, other, order.Holder)
+				o.violate(SingleLeaseHolder, "token %d was used by %s and %s", order.FencingToken, other, order.Holder)
 			}
 			holders[order.FencingToken] = order.Holder
 			if order.FencingToken < newest {
-				o.violate(OneHolder, "engine %s took token %d after %d", e.engine, order.FencingToken, newest)
+				o.violate(SingleLeaseHolder, "engine %s took token %d after %d", e.engine, order.FencingToken, newest)
 			}
 			newest = max(newest, order.FencingToken)
 		}
--- a/internal/soak/daemon.go
+++ b/internal/soak/daemon.go
@@ -97,7 +97,7 @@
 		d.endDown = d.troubles.begin(daemonSubject(d.number))
 	}
 	if !d.ending {
-		d.oracle.report(StaysUp, "daemon %d ended: %v; its log is %s", d.number, err, filepath.Base(d.logs))
+		d.oracle.report(NoUnexpectedExit, "daemon %d ended: %v; its log is %s", d.number, err, filepath.Base(d.logs))
 	}
 	close(exited)
 }
@@ -116,7 +116,7 @@
 		d.ending = true
 	}
 	if err := d.cmd.Process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
-		d.oracle.report(StaysUp, "daemon %d can't be signalled: %v", d.number, err)
+		d.oracle.report(NoUnexpectedExit, "daemon %d can't be signalled: %v", d.number, err)
 	}
 }
 
@@ -131,7 +131,7 @@
 	case <-exited:
 	case <-time.After(d.about.Grace):
 		if d.troubles.quiet(told, time.Now(), pauseSubject(d.number), subjectMachine) {
-			d.oracle.report(EndsInGrace, "daemon %d runs %v after it was told to stop", d.number, d.about.Grace)
+			d.oracle.report(StopsWithinGrace, "daemon %d runs %v after it was told to stop", d.number, d.about.Grace)
 		}
 		d.kill()
 	}
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -144,12 +144,12 @@
 	defer o.mu.Unlock()
 	q := o.requests[v.ID]
 	if q == nil {
-		o.violate(OwnAnswer, "server %s got a request %q that no caller sent", v.Server, v.ID)
+		o.violate(CorrectResponse, "server %s got a request %q that no caller sent", v.Server, v.ID)
 		return
 	}
 	now := time.Now()
 	if v.Forged {
-		o.violate(NoForgery, "%s at %s", v.ID, v.Server)
+		o.violate(NoForgedHeaders, "%s at %s", v.ID, v.Server)
 	}
 	if v.PrefillOnly {
 		q.prefills++
@@ -175,10 +175,10 @@
 	o.checkPool(v, q)
 	q.runs++
 	if q.service.once && q.runs > 1 {
-		o.violate(RunsOnce, "%s ran %d times, lastly at %s", v.ID, q.runs, v.Server)
+		o.violate(AtMostOnce, "%s ran %d times, lastly at %s", v.ID, q.runs, v.Server)
 	}
 	if q.service.once && q.refused {
-		o.violate(TrueRefusal, "%s runs at %s after it was refused", v.ID, v.Server)
+		o.violate(RefusedNotRun, "%s runs at %s after it was refused", v.ID, v.Server)
 	}
 }
 
@@ -213,7 +213,7 @@
 	case r.Status == http.StatusServiceUnavailable || r.Status == http.StatusTooManyRequests || r.Status == http.StatusRequestTimeout:
 		q.refused = true
 		if q.service.once && q.runs > 0 {
-			o.violate(TrueRefusal, "%s answered %d and has run", id, r.Status)
+			o.violate(RefusedNotRun, "%s answered %d and has run", id, r.Status)
 		}
 	case r.Status == http.StatusOK && q.service.stream:
 		o.checkStream(id, r)
--- a/internal/soak/oracle_test.go
+++ b/internal/soak/oracle_test.go
@@ -56,18 +56,18 @@
 		broken []Promise
 	}{
 		{"runs once", func(o *oracle) { ask(o, once, at("once-1")); o.answered("1-1", 1, good(o)) }, nil},
-		{"runs twice", func(o *oracle) { ask(o, once, at("once-1"), at("once-2")) }, []Promise{RunsOnce}},
+		{"runs twice", func(o *oracle) { ask(o, once, at("once-1"), at("once-2")) }, []Promise{AtMostOnce}},
 		{"may run twice", func(o *oracle) { ask(o, repeat, at("repeat-1"), at("repeat-1")) }, nil},
 		{"refused and has run", func(o *oracle) {
 			ask(o, once, at("once-1"))
 			o.answered("1-1", 1, standin.Reply{Status: http.StatusServiceUnavailable})
-		}, []Promise{TrueRefusal}},
+		}, []Promise{RefusedNotRun}},
 		{"refused and runs later", func(o *oracle) {
 			ask(o, once)
 			o.answered("1-1", 1, standin.Reply{Status: http.StatusServiceUnavailable})
 			o.Arrived(standin.Visit{Server: "once-1", ID: "1-1"})
 			o.Ran(standin.Visit{Server: "once-1", ID: "1-1"})
-		}, []Promise{TrueRefusal}},
+		}, []Promise{RefusedNotRun}},
 		{"failed and has run", func(o *oracle) {
 			ask(o, once, at("once-1"))
 			o.answered("1-1", 1, standin.Reply{Status: http.StatusBadGateway})
@@ -77,38 +77,38 @@
 			r := good(o)
 			r.ID = "2-2"
 			o.answered("1-1", 1, r)
-		}, []Promise{OwnAnswer}},
+		}, []Promise{CorrectResponse}},
 		{"another's body", func(o *oracle) {
 			ask(o, once)
 			r := good(o)
 			r.Body = "answer of once-1 to 2-2"
 			o.answered("1-1", 1, r)
-		}, []Promise{OwnAnswer}},
+		}, []Promise{CorrectResponse}},
 		{"unsigned", func(o *oracle) {
 			ask(o, once)
 			r := good(o)
 			r.Signed = false
 			o.answered("1-1", 1, r)
-		}, []Promise{OwnAnswer}},
-		{"unknown request", func(o *oracle) { o.Arrived(standin.Visit{Server: "once-1", ID: "9-9"}) }, []Promise{OwnAnswer}},
+		}, []Promise{CorrectResponse}},
+		{"unknown request", func(o *oracle) { o.Arrived(standin.Visit{Server: "once-1", ID: "9-9"}) }, []Promise{CorrectResponse}},
 		{"whole stream", func(o *oracle) { ask(o, stream); o.answered("1-1", 1, whole()) }, nil},
-		{"short stream", func(o *oracle) { ask(o, stream); o.answered("1-1", 1, events(1, 2)) }, []Promise{WholeStream}},
+		{"short stream", func(o *oracle) { ask(o, stream); o.answered("1-1", 1, events(1, 2)) }, []Promise{CompleteStream}},
 		{"cut stream", func(o *oracle) {
 			ask(o, stream)
 			r := events(1, 2)
 			r.Err = errors.New("cut")
 			o.answered("1-1", 1, r)
 		}, nil},
-		{"repeated event", func(o *oracle) { ask(o, stream); o.answered("1-1", 1, events(1, 1, 2)) }, []Promise{WholeStream}},
-		{"missing event", func(o *oracle) { ask(o, stream); o.answered("1-1", 1, events(1, 3)) }, []Promise{WholeStream}},
-		{"other pool", func(o *oracle) { ask(o, once, at("repeat-1")) }, []Promise{RightPool}},
-		{"forged header", func(o *oracle) { ask(o, once, standin.Visit{Server: "once-1", Forged: true}) }, []Promise{NoForgery}},
+		{"repeated event", func(o *oracle) { ask(o, stream); o.answered("1-1", 1, events(1, 1, 2)) }, []Promise{CompleteStream}},
+		{"missing event", func(o *oracle) { ask(o, stream); o.answered("1-1", 1, events(1, 3)) }, []Promise{CompleteStream}},
+		{"other pool", func(o *oracle) { ask(o, once, at("repeat-1")) }, []Promise{CorrectPool}},
+		{"forged header", func(o *oracle) { ask(o, once, standin.Visit{Server: "once-1", Forged: true}) }, []Promise{NoForgedHeaders}},
 		{"too many repeats", func(o *oracle) {
 			for range siteBudget.slack + 2 {
 				ask(o, repeat, at("repeat-1"), at("repeat-1"))
 			}
 			ask(o, repeat, at("repeat-1"), at("repeat-1"), at("repeat-1"), at("repeat-1"), at("repeat-1"), at("repeat-1"))
-		}, []Promise{BoundedRepeats}},
+		}, []Promise{BoundedRetries}},
 		{"repeats within the slack", func(o *oracle) {
 			for range siteBudget.slack {
 				ask(o, repeat, at("repeat-1"), at("repeat-1"))
@@ -117,12 +117,12 @@
 		{"closes passed on", func(o *oracle) { closes(o, o.Ended) }, nil},
 		{"closes not passed on", func(o *oracle) {
 			closes(o, func(standin.Visit) {})
-		}, []Promise{CloseIsPassed}},
+		}, []Promise{CancellationPropagates}},
 		{"leaving for long", func(o *oracle) {
 			o.serverLeaves("once-1")
 			o.leaving["once-1"] = time.Now().Add(-2 * leaveWithin)
 			ask(o, once, at("once-1"))
-		}, []Promise{LeavingIsSpared}},
+		}, []Promise{DrainedServerSpared}},
 		{"leaving, not known", func(o *oracle) {
 			o.serverLeaves("once-1")
 			o.leaving["once-1"] = time.Now().Add(-2 * leaveWithin)
@@ -132,7 +132,7 @@
 		{"gone for long", func(o *oracle) {
 			o.gone["once-0"] = time.Now().Add(-2 * goneWithin)
 			ask(o, once, standin.Visit{Server: "once-1", MeantFor: "once-0"})
-		}, []Promise{LeavingIsSpared}},
+		}, []Promise{DrainedServerSpared}},
 		{"just gone", func(o *oracle) {
 			o.serverGone("once-0")
 			ask(o, once, standin.Visit{Server: "once-1", MeantFor: "once-0"})
@@ -146,12 +146,12 @@
 		{"old configuration", func(o *oracle) {
 			o.published = []time.Time{time.Now().Add(-2 * configWithin), time.Now().Add(-2 * configWithin)}
 			markAnswer(o, 1, 1)
-		}, []Promise{ConfigInForce}},
+		}, []Promise{ConfigApplied}},
 		{"configuration before", func(o *oracle) {
 			o.published = []time.Time{time.Now(), time.Now()}
 			markAnswer(o, 1, 2)
 			markAnswer(o, 1, 1)
-		}, []Promise{ConfigNeverBack}},
+		}, []Promise{ConfigMonotonic}},
 		{"configuration of another process", func(o *oracle) {
 			o.published = []time.Time{time.Now(), time.Now()}
 			markAnswer(o, 1, 2)
@@ -160,11 +160,11 @@
 		{"cut by a planned stop", func(o *oracle) {
 			o.sent("1-1", once, 0)
 			cutByEnd(o, processEnd{at: time.Now().Add(time.Second)})
-		}, []Promise{StopCutsNothing}},
+		}, []Promise{NoCutRequests}},
 		{"cut by a daemon that lives", func(o *oracle) {
 			o.sent("1-1", once, 0)
 			cutByEnd(o, processEnd{})
-		}, []Promise{StopCutsNothing}},
+		}, []Promise{NoCutRequests}},
 		{"sent as the process ended", func(o *oracle) {
 			o.sent("1-1", once, 0)
 			cutByEnd(o, processEnd{at: time.Now()})
@@ -172,7 +172,7 @@
 		{"passed on as the process ended", func(o *oracle) {
 			ask(o, once, at("once-1"))
 			cutByEnd(o, processEnd{at: time.Now()})
-		}, []Promise{StopCutsNothing}},
+		}, []Promise{NoCutRequests}},
 		{"cut by a kill", func(o *oracle) {
 			ask(o, once)
 			cutByEnd(o, processEnd{at: time.Now().Add(time.Second), killed: true})
@@ -181,16 +181,16 @@
 			ask(o, once)
 			o.requests["1-1"].sent = time.Now().Add(-once.deadline - 2*answerSlack)
 			o.answered("1-1", 1, standin.Reply{Status: http.StatusGatewayTimeout})
-		}, []Promise{AnsweredInTime}},
+		}, []Promise{AnsweredByDeadline}},
 		{"one token, two holders", func(o *oracle) {
 			o.checkOrders([]engineOrders{
 				{"llm-1", []standin.Order{{Holder: "d0", FencingToken: 3}}},
 				{"llm-2", []standin.Order{{Holder: "d1", FencingToken: 3}}},
 			})
-		}, []Promise{OneHolder}},
+		}, []Promise{SingleLeaseHolder}},
 		{"an older token", func(o *oracle) {
 			o.checkOrders([]engineOrders{{"llm-1", []standin.Order{{Holder: "d0", FencingToken: 3}, {Holder: "d1", FencingToken: 2}}}})
-		}, []Promise{OneHolder}},
+		}, []Promise{SingleLeaseHolder}},
 		{"a newer holder", func(o *oracle) {
 			o.checkOrders([]engineOrders{{"llm-1", []standin.Order{{Holder: "d0", FencingToken: 3}, {Holder: "d1", FencingToken: 4}}}})
 		}, nil},
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -13,32 +13,32 @@
 )
 
 // Kind is a kind of trouble.
-type Kind string
+type FaultKind string
 
 // The kinds of trouble.
 const (
-	KillDaemon     Kind = "kill-daemon"
-	StopDaemon     Kind = "stop-daemon"
-	PauseDaemon    Kind = "pause-daemon"
-	ReloadDaemon   Kind = "reload-daemon"
-	StoreFails     Kind = "store-fails"
-	DropHistory    Kind = "drop-history"
-	StoreRestore   Kind = "store-restore"
-	StoreLink      Kind = "store-link"
-	ServerLink     Kind = "server-link"
-	ServerFaults   Kind = "server-faults"
-	ServerFails    Kind = "server-fails"
-	CrashServer    Kind = "crash-server"
-	ServerLeaves   Kind = "server-leaves"
-	RestartServer  Kind = "restart-server"
-	ForeignEntry   Kind = "foreign-entry"
-	PublishVersion Kind = "publish"
+	KillDaemon        FaultKind = "kill-daemon"
+	StopDaemon        FaultKind = "stop-daemon"
+	PauseDaemon       FaultKind = "pause-daemon"
+	ReloadDaemon      FaultKind = "reload-daemon"
+	FailStore         FaultKind = "store-fails"
+	DropHistory       FaultKind = "drop-history"
+	RestoreStore      FaultKind = "store-restore"
+	DisturbStoreLink  FaultKind = "store-link"
+	DisturbServerLink FaultKind = "server-link"
+	FailNextRequests  FaultKind = "server-faults"
+	FailAllRequests   FaultKind = "server-fails"
+	CrashServer       FaultKind = "crash-server"
+	DrainServer       FaultKind = "server-leaves"
+	RestartServer     FaultKind = "restart-server"
+	WriteForeignEntry FaultKind = "foreign-entry"
+	PublishVersion    FaultKind = "publish"
 )
 
 // Step is one trouble of a run.
 type Step struct {
 	At   time.Duration
-	Kind Kind
+	Kind FaultKind
 	// Target picks the daemon or server; it is taken modulo their number.
 	Target int
 	// Variant picks among the forms of a kind, modulo their number.
@@ -48,7 +48,7 @@
 
 // Kept is a plan that has shown a fault, kept to be played again. A seed alone
 // would stand for other steps as soon as a kind of trouble is added.
-type Kept struct {
+type SavedPlan struct {
 	// Cause is what was found.
 	Cause string
 	// Callers is how many it takes; 0 leaves it to the run.
@@ -57,8 +57,8 @@
 }
 
 // ReadKept reads a plan's file.
-func ReadKept(file string) (Kept, error) {
-	var k Kept
+func ReadPlan(file string) (SavedPlan, error) {
+	var k SavedPlan
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return k, eris.Wrap(err, "plan")
@@ -67,7 +67,7 @@
 }
 
 // Write writes the plan's file.
-func (k Kept) Write(file string) error {
+func (k SavedPlan) Write(file string) error {
 	text, err := json.MarshalIndent(k, "", " ")
 	if err != nil {
 		return eris.Wrap(err, "plan")
@@ -81,12 +81,12 @@
 }
 
 // Shape says how much trouble a run has.
-type Shape struct {
+type FaultProfile struct {
 	// Length is the time in which steps begin. The mean time between two is drawn
 	// between Every and slowest times that: with the former several overlap all
 	// the time, with the latter there are calm times between them, in which the
 	// promises that hold in time can be asked for. A step lasts up to Longest.
-	Length, Every, Longest time.Duration
+	Length, MeanInterval, MaxDuration time.Duration
 }
 
 // slowest is the greatest mean time between two steps, in multiples of the least.
@@ -99,18 +99,18 @@
 // weights say how often a kind comes, in parts of their sum. Kinds whose target
 // is one of many come more often than those that hit the whole site.
 var weights = []struct {
-	kind   Kind
+	kind   FaultKind
 	weight int
 }{
 	{KillDaemon, 3}, {StopDaemon, 4}, {PauseDaemon, 3}, {ReloadDaemon, 3},
-	{StoreFails, 2}, {DropHistory, 1}, {StoreRestore, 2}, {StoreLink, 3},
-	{ServerLink, 3}, {ServerFaults, 6}, {ServerFails, 5}, {CrashServer, 2}, {ServerLeaves, 3}, {RestartServer, 2}, {ForeignEntry, 2}, {PublishVersion, 2},
+	{FailStore, 2}, {DropHistory, 1}, {RestoreStore, 2}, {DisturbStoreLink, 3},
+	{DisturbServerLink, 3}, {FailNextRequests, 6}, {FailAllRequests, 5}, {CrashServer, 2}, {DrainServer, 3}, {RestartServer, 2}, {WriteForeignEntry, 2}, {PublishVersion, 2},
 }
 
 // NewPlan draws the steps of a run. The same seed and shape give the same steps.
-func NewPlan(seed uint64, shape Shape) []Step {
+func NewPlan(seed uint64, shape FaultProfile) []Step {
 	rng := rand.New(rand.NewPCG(seed, 0))
-	every := float64(shape.Every) * math.Pow(slowest, rng.Float64())
+	every := float64(shape.MeanInterval) * math.Pow(slowest, rng.Float64())
 	var steps []Step
 	versions := 1
 	for at := time.Duration(0); ; {
@@ -120,7 +120,7 @@
 		}
 		step := Step{
 			At: at.Round(time.Millisecond), Kind: drawKind(rng), Target: rng.IntN(1 << 16), Variant: rng.IntN(1 << 16),
-			For: drawLength(rng, shape.Longest),
+			For: drawLength(rng, shape.MaxDuration),
 		}
 		if step.Kind == PublishVersion {
 			if versions == maxVersions {
@@ -132,14 +132,14 @@
 	}
 }
 
-func drawKind(rng *rand.Rand) Kind {
+func drawKind(rng *rand.Rand) FaultKind {
 	sum := 0
 	for _, w := range weights {
 		sum += w.weight
 	}
 	n := rng.IntN(sum)
 	i := slices.IndexFunc(weights, func(w struct {
-		kind   Kind
+		kind   FaultKind
 		weight int
 	}) bool {
 		n -= w.weight
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -15,16 +15,16 @@
 // The modes of a proxy.
 const (
 	// Passes lets everything through.
-	Passes Mode = iota
+	ModePass Mode = iota
 	// Delays holds each piece for a while, both ways.
-	Delays
+	ModeDelay
 	// Silences lets nothing through, nor the end of a connection. What is held
 	// goes through afterwards, as lost packets are sent again.
-	Silences
+	ModeStall
 	// CutsReplies lets requests through and holds the replies.
-	CutsReplies
+	ModeStallReplies
 	// Resets breaks all connections, and new ones at once.
-	Resets
+	ModeReset
 )
 
 const (
@@ -77,7 +77,7 @@
 	close(p.changed)
 	p.changed = make(chan struct{})
 	p.mu.Unlock()
-	if m == Resets {
+	if m == ModeReset {
 		p.closeAll()
 	}
 }
@@ -88,7 +88,7 @@
 	p.closed = true
 	p.mu.Unlock()
 	_ = p.listener.Close()
-	p.SetMode(Resets)
+	p.SetMode(ModeReset)
 	p.wg.Wait()
 }
 
@@ -120,7 +120,7 @@
 func (p *Proxy) serve(caller net.Conn) {
 	defer func() { _ = caller.Close() }()
 	p.mu.Lock()
-	target, broken := p.target, p.mode == Resets || p.closed
+	target, broken := p.target, p.mode == ModeReset || p.closed
 	p.mu.Unlock()
 	if broken {
 		reset(caller)
@@ -146,7 +146,7 @@
 func (p *Proxy) add(conns ...net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed || p.mode == Resets {
+	if p.closed || p.mode == ModeReset {
 		return false
 	}
 	for _, c := range conns {
@@ -190,10 +190,10 @@
 		mode, changed := p.mode, p.changed
 		p.mu.Unlock()
 		switch {
-		case mode == Delays:
+		case mode == ModeDelay:
 			time.Sleep(pieceDelay)
 			return
-		case mode == Silences, mode == CutsReplies && replies:
+		case mode == ModeStall, mode == ModeStallReplies && replies:
 			<-changed
 		default:
 			return
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -56,7 +56,7 @@
 // and the daemons blamed for it.
 func TestProxyHoldsWhatItSilences(t *testing.T) {
 	const patience = 10 * time.Second
-	for _, mode := range []Mode{Silences, CutsReplies} {
+	for _, mode := range []Mode{ModeStall, ModeStallReplies} {
 		p, err := NewProxy("127.0.0.1", echo(t))
 		require.NoError(t, err)
 		defer p.Close()
@@ -66,7 +66,7 @@
 		require.True(t, comes(t, c, patience))
 		p.SetMode(mode)
 		require.False(t, sends(t, c), "mode %d", mode)
-		p.SetMode(Passes)
+		p.SetMode(ModePass)
 		require.True(t, comes(t, c, patience), "mode %d", mode)
 	}
 }
@@ -90,11 +90,11 @@
 	_, err = c.Write([]byte("x"))
 	require.NoError(t, err)
 	require.True(t, comes(t, c, 10*time.Second))
-	p.SetMode(Resets)
+	p.SetMode(ModeReset)
 	_, err = c.Read(make([]byte, 1))
 	require.Error(t, err)
 	requireReset(t, p)
-	p.SetMode(Passes)
+	p.SetMode(ModePass)
 	c = dial(t, p)
 	_, err = c.Write([]byte("x"))
 	require.NoError(t, err)
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -27,14 +27,14 @@
 	Seed    uint64
 	Daemons int
 	Callers int
-	Shape   Shape
+	Profile FaultProfile
 	// Steps are played instead of those of the seed, unless there are none.
 	Steps []Step
 }
 
 // DefaultShape has several troubles at a time for some seconds.
-func DefaultShape() Shape {
-	return Shape{Length: 15 * time.Second, Every: 250 * time.Millisecond, Longest: 3 * time.Second}
+func DefaultFaultProfile() FaultProfile {
+	return FaultProfile{Length: 15 * time.Second, MeanInterval: 250 * time.Millisecond, MaxDuration: 3 * time.Second}
 }
 
 // Report is the result of a run.
@@ -47,7 +47,7 @@
 	Outcomes map[string]int
 	// Recovery is the time from the last trouble's end to the first of some
 	// seconds in which all was served.
-	Recovery time.Duration
+	RecoveryTime time.Duration
 }
 
 const (
@@ -86,7 +86,7 @@
 	}
 	report := &Report{Seed: o.Seed, Steps: o.Steps}
 	if len(report.Steps) == 0 {
-		report.Steps = NewPlan(o.Seed, o.Shape)
+		report.Steps = NewPlan(o.Seed, o.Profile)
 	}
 	s.play(ctx, o, report)
 	if ctx.Err() != nil {
@@ -121,7 +121,7 @@
 		steps.Go(func() { s.perform(step) })
 	}
 	steps.Wait()
-	report.Recovery = s.recover()
+	report.RecoveryTime = s.recover()
 	cancel()
 	wg.Wait()
 	s.cuts.Wait()
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -25,7 +25,7 @@
 
 func runClean(t *testing.T, o Options) {
 	o.Folder = keptFolder(t)
-	o.Daemons, o.Shape = 5, DefaultShape()
+	o.Daemons, o.Profile = 5, DefaultFaultProfile()
 	if o.Callers == 0 {
 		o.Callers = 20
 	}
@@ -73,7 +73,7 @@
 	for _, file := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".json"), func(t *testing.T) {
 			t.Parallel()
-			kept, err := ReadKept(file)
+			kept, err := ReadPlan(file)
 			require.NoError(t, err)
 			require.NotEmpty(t, kept.Cause)
 			runClean(t, Options{Program: program, Callers: kept.Callers, Steps: kept.Steps})
@@ -83,22 +83,22 @@
 
 func TestKeptPlanIsReadAsWritten(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "plan.json")
-	kept := Kept{Cause: "c", Steps: NewPlan(3, DefaultShape())}
+	kept := SavedPlan{Cause: "c", Steps: NewPlan(3, DefaultFaultProfile())}
 	require.NoError(t, kept.Write(file))
-	got, err := ReadKept(file)
+	got, err := ReadPlan(file)
 	require.NoError(t, err)
 	require.Equal(t, kept, got)
-	_, err = ReadKept(filepath.Join(t.TempDir(), "none"))
+	_, err = ReadPlan(filepath.Join(t.TempDir(), "none"))
 	require.Error(t, err)
 }
 
 // A kept seed is worth nothing if it stands for other troubles the next time.
 func TestPlanFollowsFromItsSeed(t *testing.T) {
-	shape := DefaultShape()
+	shape := DefaultFaultProfile()
 	require.Equal(t, NewPlan(7, shape), NewPlan(7, shape))
 	require.NotEqual(t, NewPlan(7, shape), NewPlan(8, shape))
 
-	kinds := make(map[Kind]int)
+	kinds := make(map[FaultKind]int)
 	for seed := range uint64(50) {
 		versions := 1
 		for _, step := range NewPlan(seed, shape) {
--- a/internal/soak/steps.go
+++ b/internal/soak/steps.go
@@ -28,7 +28,7 @@
 
 var (
 	storeFaults  = []standin.StoreFault{standin.StoreBusy, standin.StoreSilent, standin.StoreReset, standin.StoreLosesReplies}
-	linkModes    = []Mode{Delays, Silences, CutsReplies, Resets}
+	linkModes    = []Mode{ModeDelay, ModeStall, ModeStallReplies, ModeReset}
 	serverFaults = []standin.Fault{
 		standin.Shed, standin.Errs, standin.Busy, standin.ResetBefore, standin.LosesAnswer, standin.CutsAnswer,
 		standin.Unsigned, standin.Foreign, standin.Repeats, standin.Hangs,
@@ -51,32 +51,32 @@
 		d.pause(step.For)
 	case ReloadDaemon:
 		d.signal(syscall.SIGHUP)
-	case StoreFails:
+	case FailStore:
 		s.failStore(storeFaults[step.Variant%len(storeFaults)], step.For)
 	case DropHistory:
 		s.store.DropHistory(standin.Topics[step.Variant%len(standin.Topics)])
-	case StoreRestore:
+	case RestoreStore:
 		s.restoreStore(step)
-	case StoreLink:
+	case DisturbStoreLink:
 		end := s.troubles.begin(storeLinkSubject(d.number))
 		disturb(s.links[d.number], link, step.For)
 		time.AfterFunc(settleTime, end)
-	case ServerLink:
+	case DisturbServerLink:
 		end := s.troubles.begin(serversSubject(p.pool))
 		_, way := p.current()
 		disturb(way, link, step.For)
 		time.AfterFunc(settleTime, end)
-	case ServerFaults:
+	case FailNextRequests:
 		s.failServer(p, step)
-	case ServerFails:
+	case FailAllRequests:
 		s.failAll(p, step)
 	case CrashServer:
 		replace(p, func() { s.crash(p, step) })
-	case ServerLeaves:
+	case DrainServer:
 		replace(p, func() { s.leave(p) })
 	case RestartServer:
 		replace(p, func() { s.startAgain(p, step) })
-	case ForeignEntry:
+	case WriteForeignEntry:
 		s.writeForeign(p, step)
 	case PublishVersion:
 		s.publish()
@@ -109,13 +109,13 @@
 func disturb(link *Proxy, mode Mode, length time.Duration) {
 	link.SetMode(mode)
 	time.Sleep(length)
-	link.SetMode(Passes)
+	link.SetMode(ModePass)
 }
 
 func (s *site) restart(d *daemon, length time.Duration) {
 	time.Sleep(max(length, restartAfter))
 	if err := d.start(); err != nil {
-		s.oracle.report(StaysUp, "daemon %d doesn't start: %v", d.number, err)
+		s.oracle.report(NoUnexpectedExit, "daemon %d doesn't start: %v", d.number, err)
 	}
 }
 
