--- a/cmd/chute-soak/main.go
+++ b/cmd/chute-soak/main.go
@@ -1,5 +1,5 @@
-// Command chute-soak disturbs a small site of real processes, seed after seed,
-// and checks what the system promises.
+// Command chute-soak injects faults into a small site of real processes, seed after seed, and
+// checks the system's promises.
 package main
 
 import (
@@ -21,14 +21,14 @@
 
 // The program's exit codes.
 const (
-	exitOK       = 0
-	exitBroken   = 1
-	exitUsage    = 2
-	exitNotTried = 3
+	exitOK        = 0
+	exitViolation = 1
+	exitUsage     = 2
+	exitNotRun    = 3
 )
 
-// maxShown bounds the broken promises that are printed of a seed.
-const maxShown = 30
+// maxPrinted bounds the broken promises that are printed per seed.
+const maxPrinted = 30
 
 func main() { os.Exit(run()) }
 
@@ -36,51 +36,51 @@
 	o := soak.Options{Profile: soak.DefaultFaultProfile()}
 	flag.StringVar(&o.Program, "member", "bin/chute-member", "`path` of the daemon's program")
 	folder := flag.String("folder", filepath.Join(os.TempDir(), "chute-soak"), "`folder` for settings and logs")
-	first := flag.Uint64("seed", 0, "first seed; 0 takes it from the time of day")
+	first := flag.Uint64("seed", 0, "first seed; 0 derives it from the current time")
 	seeds := flag.Int("seeds", 1, "number of seeds")
-	jobs := flag.Int("jobs", 1, "seeds to run at a time")
+	jobs := flag.Int("jobs", 1, "number of seeds to run concurrently")
 	flag.IntVar(&o.Daemons, "daemons", 5, "number of daemons")
 	flag.IntVar(&o.Callers, "callers", 30, "number of callers")
-	flag.DurationVar(&o.Profile.Length, "length", o.Profile.Length, "time in which troubles begin")
-	flag.DurationVar(&o.Profile.MeanInterval, "every", o.Profile.MeanInterval, "mean time between two troubles")
-	plan := flag.String("plan", "", "`file` of a kept plan, played instead of the seed's")
-	verbose := flag.Bool("v", false, "print the troubles too")
+	flag.DurationVar(&o.Profile.Length, "length", o.Profile.Length, "time in which faults begin")
+	flag.DurationVar(&o.Profile.MeanInterval, "every", o.Profile.MeanInterval, "smallest mean time between two faults")
+	plan := flag.String("plan", "", "`file` of a saved plan, run instead of the seed's")
+	verbose := flag.Bool("v", false, "print the faults too")
 	flag.Parse()
 	if flag.NArg() > 0 || *seeds < 1 || *jobs < 1 {
 		flag.Usage()
 		return exitUsage
 	}
 	if *plan != "" {
-		kept, err := soak.ReadPlan(*plan)
+		saved, err := soak.ReadPlan(*plan)
 		if err != nil {
 			fmt.Fprintln(os.Stderr, "chute-soak:", err)
 			return exitUsage
 		}
-		o.Steps = kept.Steps
-		if kept.Callers > 0 {
-			o.Callers = kept.Callers
+		o.Steps = saved.Steps
+		if saved.Callers > 0 {
+			o.Callers = saved.Callers
 		}
 	}
 	if *first == 0 {
 		*first = uint64(time.Now().UnixNano())
 	}
-	// Interrupted, the soak ends the processes that it has started.
+	// On a signal the soak ends the processes that it has started.
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	results := pool.NewWithResults[result]().WithMaxGoroutines(*jobs)
 	for i := range *seeds {
-		results.Go(func() result { return one(ctx, o, *folder, *first+uint64(i), *verbose) })
+		results.Go(func() result { return runSeed(ctx, o, *folder, *first+uint64(i), *verbose) })
 	}
-	return verdict(results.Wait())
+	return printSummary(results.Wait())
 }
 
-// result is what became of a seed.
+// result is the outcome of one seed.
 type result struct {
 	broken bool
 	err    error
 }
 
-func one(ctx context.Context, o soak.Options, folder string, seed uint64, verbose bool) result {
+func runSeed(ctx context.Context, o soak.Options, folder string, seed uint64, verbose bool) result {
 	o.Seed = seed
 	o.Folder = filepath.Join(folder, fmt.Sprint(seed))
 	report, err := soak.Run(ctx, o)
@@ -99,21 +99,21 @@
 		}
 	}
 	for i, v := range report.Violations {
-		if i == maxShown {
-			fmt.Printf("   … and %d more\n", len(report.Violations)-maxShown)
+		if i == maxPrinted {
+			fmt.Printf("   … and %d more\n", len(report.Violations)-maxPrinted)
 			break
 		}
 		fmt.Println("   BROKEN", v)
 	}
 	if len(report.Violations) == 0 {
-		_ = os.RemoveAll(o.Folder) // only a failure's logs are worth their room
+		_ = os.RemoveAll(o.Folder) // logs are kept only for failures
 	} else if err := (soak.SavedPlan{Steps: report.Steps}).Write(filepath.Join(o.Folder, "plan.json")); err != nil {
 		fmt.Println("  ", err)
 	}
 	return result{broken: len(report.Violations) > 0}
 }
 
-func verdict(all []result) int {
+func printSummary(all []result) int {
 	broken, failed := 0, 0
 	for _, r := range all {
 		if r.broken {
@@ -126,9 +126,9 @@
 	fmt.Printf("%d seeds, %d with a broken promise, %d not run\n", len(all), broken, failed)
 	switch {
 	case broken > 0:
-		return exitBroken
+		return exitViolation
 	case failed > 0:
-		return exitNotTried
+		return exitNotRun
 	default:
 		return exitOK
 	}
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -13,153 +13,154 @@
 )
 
 const (
-	// pauseBetween is the mean time between two requests of a caller, loyalPause that
-	// of a loyal one: some of its connections idle while their daemon leaves.
-	pauseBetween = 20 * time.Millisecond
-	loyalPause   = 2 * time.Second
-	// For each callersForLoyal callers there is a loyal one.
-	callersForLoyal = 2
-	// closeOneIn is how often a caller gives up a request that it has sent.
+	// meanThinkTime is the mean time between two requests of a caller, meanStickyThinkTime that
+	// of a sticky one: long enough that some of its connections are idle while their daemon
+	// shuts down.
+	meanThinkTime       = 20 * time.Millisecond
+	meanStickyThinkTime = 2 * time.Second
+	// There is one sticky caller for each callersPerSticky callers.
+	callersPerSticky = 2
+	// One in closeOneIn requests is closed by its caller before the response is complete.
 	closeOneIn = 6
-	// keepAtLeast bounds how often a caller asks where to connect.
-	keepAtLeast = 200 * time.Millisecond
-	// patienceSlack is how long a caller waits beyond its deadline.
-	patienceSlack = 3 * time.Second
+	// minResolveInterval bounds how often a caller asks a directory for addresses.
+	minResolveInterval = 200 * time.Millisecond
+	// callerTimeoutSlack is how long a caller waits beyond its request's deadline.
+	callerTimeoutSlack = 3 * time.Second
 )
 
-// caller sends one request after the other, on connections that it keeps.
+// caller sends one request after another over persistent connections.
 type caller struct {
 	name int
 	site *site
 	rng  *rand.Rand
-	// client asks the directory, and sends the requests of a caller that isn't loyal.
-	client  *standin.Caller
-	known   []string
-	askNext time.Time
-	sent    int
-	loyal   *loyalty
+	// client queries the directory, and sends the requests of a caller that isn't sticky.
+	client      *standin.Caller
+	addresses   []string
+	nextResolve time.Time
+	sent        int
+	sticky      *stickyConn
 }
 
-// loyalty is the connection that a loyal caller uses until it is closed.
-type loyalty struct {
+// stickyConn is the connection that a sticky caller uses until the daemon closes it.
+type stickyConn struct {
 	client  *standin.Caller
 	address string
-	// life is the daemon's process that the connection was made to.
-	life int
+	// launch is the number of the daemon process that the connection was made to.
+	launch int
 }
 
 func newCaller(s *site, seed uint64, name int) *caller {
 	return &caller{name: name, site: s, rng: rand.New(rand.NewPCG(seed, uint64(name)+1)), client: standin.NewCaller()}
 }
 
-func newLoyalCaller(s *site, seed uint64, name int) *caller {
+func newStickyCaller(s *site, seed uint64, name int) *caller {
 	c := newCaller(s, seed, name)
-	c.loyal = &loyalty{}
+	c.sticky = &stickyConn{}
 	return c
 }
 
-// run sends requests until ctx ends; one that is under way then ends first.
+// run sends requests until ctx ends, and then waits for the one in flight.
 func (c *caller) run(ctx context.Context) {
 	defer c.client.Close()
-	pause := pauseBetween
-	if c.loyal != nil {
-		pause = loyalPause
-		defer func() { c.loyal.close() }()
+	thinkTime := meanThinkTime
+	if c.sticky != nil {
+		thinkTime = meanStickyThinkTime
+		defer func() { c.sticky.close() }()
 	}
 	for ctx.Err() == nil {
-		c.next()
+		c.sendNext()
 		select {
 		case <-ctx.Done():
-		case <-time.After(time.Duration(c.rng.ExpFloat64() * float64(pause))):
+		case <-time.After(time.Duration(c.rng.ExpFloat64() * float64(thinkTime))):
 		}
 	}
 }
 
-// next sends a request, to a daemon that the directory names or on the connection that a
-// loyal caller has.
-func (c *caller) next() {
-	if c.loyal != nil && c.loyal.client != nil && c.loyal.client.Open() {
-		c.request(c.loyal.client, c.loyal.address, c.loyal.life)
+// sendNext sends a request over the sticky connection if it is open, otherwise to a daemon that
+// the directory names.
+func (c *caller) sendNext() {
+	if c.sticky != nil && c.sticky.client != nil && c.sticky.client.Open() {
+		c.request(c.sticky.client, c.sticky.address, c.sticky.launch)
 		return
 	}
-	c.locate()
-	if len(c.known) == 0 {
+	c.resolve()
+	if len(c.addresses) == 0 {
 		return
 	}
-	address := c.known[c.rng.IntN(len(c.known))]
+	address := c.addresses[c.rng.IntN(len(c.addresses))]
 	d, ok := c.site.daemonAt(address)
 	if !ok {
 		c.site.oracle.report(Recovers, "a directory names %s, which is no daemon's address", address)
 		return
 	}
-	client, life := c.client, d.lifeNow()
-	if c.loyal != nil {
-		c.loyal.close()
+	client, launch := c.client, d.currentLaunch()
+	if c.sticky != nil {
+		c.sticky.close()
 		client = standin.NewLoyalCaller()
-		*c.loyal = loyalty{client: client, address: address, life: life}
+		*c.sticky = stickyConn{client: client, address: address, launch: launch}
 	}
-	c.request(client, address, life)
+	c.request(client, address, launch)
 }
 
-func (l *loyalty) close() {
+func (l *stickyConn) close() {
 	if l.client != nil {
 		l.client.Close()
 	}
 }
 
-// locate asks any daemon where to connect, once the last answer has expired.
-// Without an answer the old one is used on.
-func (c *caller) locate() {
-	if time.Now().Before(c.askNext) {
+// resolve asks a random daemon for addresses once the last answer has expired. If it fails, the
+// caller keeps using the old addresses.
+func (c *caller) resolve() {
+	if time.Now().Before(c.nextResolve) {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), keepAtLeast)
+	ctx, cancel := context.WithTimeout(context.Background(), minResolveInterval)
 	defer cancel()
 	d := c.site.daemons[c.rng.IntN(len(c.site.daemons))]
-	addresses, keep, err := c.client.Resolve(ctx, d.about.Directory())
+	addresses, ttl, err := c.client.Resolve(ctx, d.config.Directory())
 	if err != nil || len(addresses) == 0 {
-		c.askNext = time.Now().Add(keepAtLeast)
+		c.nextResolve = time.Now().Add(minResolveInterval)
 		return
 	}
-	c.known = addresses
-	c.askNext = time.Now().Add(max(keep, keepAtLeast))
+	c.addresses = addresses
+	c.nextResolve = time.Now().Add(max(ttl, minResolveInterval))
 }
 
-// request sends one to a process of the daemon at an address.
-func (c *caller) request(client *standin.Caller, address string, life int) {
+// request sends one request to a given process of the daemon at an address.
+func (c *caller) request(client *standin.Caller, address string, launch int) {
 	d, _ := c.site.daemonAt(address)
-	s := c.draw()
+	s := c.pickService()
 	c.sent++
 	id := fmt.Sprintf("%d-%d", c.name, c.sent)
 	c.site.oracle.sent(id, s, d.number)
 
-	ctx, cancel := context.WithTimeout(context.Background(), s.deadline+patienceSlack)
+	ctx, cancel := context.WithTimeout(context.Background(), s.deadline+callerTimeoutSlack)
 	defer cancel()
-	event := func() {}
+	onEvent := func() {}
 	if c.rng.IntN(closeOneIn) == 0 {
-		event = c.giveUp(id, s, cancel)
+		onEvent = c.scheduleClose(id, s, cancel)
 	}
-	reply := client.Ask(ctx, address, s.name, id, s.deadline, s.stream, event)
-	c.site.oracle.answered(id, life, reply)
-	if reply.Err != nil && !neverConnected(reply.Err) {
-		c.site.checkCut(d, life, id, reply)
+	reply := client.Ask(ctx, address, s.name, id, s.deadline, s.stream, onEvent)
+	c.site.oracle.answered(id, launch, reply)
+	if reply.Err != nil && !nothingSent(reply.Err) {
+		c.site.checkLostConnection(d, launch, id, reply)
 	}
 }
 
-// draw picks a kind of request. Half are streams: they last long enough to meet
-// troubles midway.
-func (c *caller) draw() service {
+// pickService draws a service. Half of the requests are streams, which last long enough for
+// faults to hit them midway.
+func (c *caller) pickService() service {
 	if c.rng.IntN(2) == 0 {
 		return services[slices.IndexFunc(services, func(s service) bool { return s.stream })]
 	}
 	return services[c.rng.IntN(len(services))]
 }
 
-// giveUp closes a request some time after it was sent, or after its second
-// event. It returns what to call after an event.
-func (c *caller) giveUp(id string, s service, cancel func()) (event func()) {
+// scheduleClose closes a plain request after a random delay of up to 200 ms, a stream after its
+// second event. The caller must call onEvent after each event.
+func (c *caller) scheduleClose(id string, s service, cancel func()) (onEvent func()) {
 	closeNow := func() {
-		c.site.oracle.closed(id)
+		c.site.oracle.callerClosed(id)
 		cancel()
 	}
 	if !s.stream {
@@ -174,16 +175,17 @@
 	}
 }
 
-// neverConnected tells errors before anything of the request was sent.
-func neverConnected(err error) bool {
+// nothingSent reports whether the error occurred before any byte of the request was sent.
+func nothingSent(err error) bool {
 	return errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, standin.ErrNoConnection)
 }
 
-// checkCut checks a broken connection once it is known how the process ended, if it did.
-func (s *site) checkCut(d *daemon, life int, id string, reply standin.Reply) {
-	at := time.Now()
-	s.cuts.Go(func() {
+// checkLostConnection checks a broken connection once it is known whether and how the process
+// exited.
+func (s *site) checkLostConnection(d *daemon, launch int, id string, reply standin.Reply) {
+	lostAt := time.Now()
+	s.pendingChecks.Go(func() {
 		time.Sleep(exitSlack)
-		s.oracle.cut(id, reply, at, d.awaitEnd(life))
+		s.oracle.connectionLost(id, reply, lostAt, d.awaitExit(launch))
 	})
 }
--- a/internal/soak/checks.go
+++ b/internal/soak/checks.go
@@ -10,11 +10,11 @@
 	"tamarackchute/platform/standin"
 )
 
-// checkPool looks at requests that run: until an entry lapses, one that is meant for
-// a server that has crashed may reach its successor, which turns it away.
+// checkPool checks only requests that run: until an entry expires, a request meant for a crashed
+// server may reach its successor at the same address, which rejects it.
 func (o *oracle) checkPool(v standin.Visit, q *request) {
 	pool := o.pools[v.Server]
-	if q.service.name == serviceMark && strings.HasPrefix(pool, serviceMark) {
+	if q.service.name == versionService && strings.HasPrefix(pool, versionService) {
 		return
 	}
 	if pool != q.service.name {
@@ -22,26 +22,26 @@
 	}
 }
 
-func (o *oracle) checkLeaving(v standin.Visit, q *request, now time.Time) {
-	since, leaving := o.leaving[v.Server]
-	from := now.Add(-leaveWithin)
-	if !leaving || since.After(from) {
+func (o *oracle) checkDraining(v standin.Visit, q *request, now time.Time) {
+	since, draining := o.draining[v.Server]
+	from := now.Add(-maxDrainNotice)
+	if !draining || since.After(from) {
 		return
 	}
-	if o.troubles.quiet(from, now, subjectMachine, subjectStore, daemonSubject(q.daemon), storeLinkSubject(q.daemon), serversSubject(q.service.name)) {
+	if o.faults.undisturbed(from, now, subjectMachine, subjectStore, daemonSubject(q.daemon), storeLinkSubject(q.daemon), serversSubject(q.service.name)) {
 		o.violate(DrainedServerSpared, "%s reached %s, %v after it was listed as leaving, by daemon %d", v.ID, v.Server, now.Sub(since), q.daemon)
 	}
 }
 
-// checkGone looks for requests that are meant for a server whose entry was taken
-// out long ago.
-func (o *oracle) checkGone(v standin.Visit, q *request, now time.Time) {
-	since, gone := o.gone[v.MeantFor]
-	from := now.Add(-goneWithin)
-	if !gone || since.After(from) {
+// checkRemoved reports requests meant for a server whose entry was removed more than
+// maxRemovalNotice ago.
+func (o *oracle) checkRemoved(v standin.Visit, q *request, now time.Time) {
+	since, removed := o.removed[v.MeantFor]
+	from := now.Add(-maxRemovalNotice)
+	if !removed || since.After(from) {
 		return
 	}
-	if o.troubles.quiet(from, now, subjectMachine, subjectStore, daemonSubject(q.daemon), storeLinkSubject(q.daemon)) {
+	if o.faults.undisturbed(from, now, subjectMachine, subjectStore, daemonSubject(q.daemon), storeLinkSubject(q.daemon)) {
 		o.violate(DrainedServerSpared, "%s was meant for %s, %v after its entry was taken out, by daemon %d", v.ID, v.MeantFor, now.Sub(since), q.daemon)
 	}
 }
@@ -57,16 +57,16 @@
 	}
 }
 
-func (o *oracle) checkTime(id string, q *request, now time.Time) {
-	due := q.sent.Add(q.service.deadline + answerSlack)
-	if now.After(due) && o.troubles.quiet(q.sent, now, subjectMachine, daemonSubject(q.daemon)) {
-		o.violate(AnsweredByDeadline, "%s ended %v after it was sent to daemon %d", id, now.Sub(q.sent), q.daemon)
+func (o *oracle) checkDeadline(id string, q *request, now time.Time) {
+	due := q.sentAt.Add(q.service.deadline + responseSlack)
+	if now.After(due) && o.faults.undisturbed(q.sentAt, now, subjectMachine, daemonSubject(q.daemon)) {
+		o.violate(AnsweredByDeadline, "%s ended %v after it was sent to daemon %d", id, now.Sub(q.sentAt), q.daemon)
 	}
 }
 
-func (o *oracle) checkAnswer(id string, r standin.Reply) {
+func (o *oracle) checkResponse(id string, r standin.Reply) {
 	if r.Err != nil {
-		return // seen to be cut
+		return // the caller saw the connection break
 	}
 	if r.ID != id || !r.Signed || !strings.HasPrefix(r.Body, "answer of ") || !strings.HasSuffix(r.Body, " to "+id) {
 		o.violate(CorrectResponse, "%s got id %q, signed %t, body %q", id, r.ID, r.Signed, r.Body)
@@ -88,104 +88,104 @@
 	}
 }
 
-// checkVersion takes the version from the pool that answered.
+// checkVersion derives the configuration's version from the pool that answered.
 func (o *oracle) checkVersion(p process, q *request, now time.Time, body string) {
 	pool := o.pools[strings.Fields(body)[2]]
-	version := slices.Index(markPools, pool) + 1
-	last := o.shown[p]
-	if version < last.version && q.sent.After(last.at) {
-		o.violate(ConfigMonotonic, "daemon %d answered by version %d, by %d before", p.daemon, version, last.version)
+	version := slices.Index(versionPools, pool) + 1
+	previous := o.newestVersion[p]
+	if version < previous.version && q.sentAt.After(previous.at) {
+		o.violate(ConfigMonotonic, "daemon %d answered by version %d, by %d before", p.daemon, version, previous.version)
 	}
-	if version > last.version {
-		o.shown[p] = shownVersion{version, now}
+	if version > previous.version {
+		o.newestVersion[p] = observedVersion{version, now}
 	}
-	from := q.sent.Add(-configWithin)
+	from := q.sentAt.Add(-maxConfigDelay)
 	inForce := 0
 	for _, at := range o.published {
 		if at.Before(from) {
 			inForce++
 		}
 	}
-	if version < inForce && o.troubles.quiet(from, now, subjectMachine, subjectStore, daemonSubject(p.daemon), storeLinkSubject(p.daemon)) {
-		o.violate(ConfigApplied, "daemon %d answered by version %d, %d was published over %v before", p.daemon, version, inForce, configWithin)
+	if version < inForce && o.faults.undisturbed(from, now, subjectMachine, subjectStore, daemonSubject(p.daemon), storeLinkSubject(p.daemon)) {
+		o.violate(ConfigApplied, "daemon %d answered by version %d, %d was published over %v before", p.daemon, version, inForce, maxConfigDelay)
 	}
 }
 
-// cut checks a request whose connection broke at a time before the answer's end. end is
-// how the daemon's process ended, zero if it lives.
-func (o *oracle) cut(id string, r standin.Reply, at time.Time, end processEnd) {
+// connectionLost checks a request whose connection broke before the response was complete. exit
+// is how the daemon's process exited, zero if it is still running.
+func (o *oracle) connectionLost(id string, r standin.Reply, lostAt time.Time, exit processExit) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	q := o.requests[id]
-	if !q.closed.IsZero() || end.killed {
+	if !q.closedAt.IsZero() || exit.killed {
 		return
 	}
-	passedOn := q.arrivals+q.prefills > 0
-	if !passedOn && !end.at.IsZero() && q.sent.After(end.at.Add(-exitSlack)) {
-		o.seen["crossed a planned exit"]++
+	forwarded := q.arrivals+q.prefills > 0
+	if !forwarded && !exit.at.IsZero() && q.sentAt.After(exit.at.Add(-exitSlack)) {
+		o.counts["crossed a planned exit"]++
 		return
 	}
-	if !o.troubles.quiet(q.sent, at, pauseSubject(q.daemon)) {
+	if !o.faults.undisturbed(q.sentAt, lostAt, pauseSubject(q.daemon)) {
 		return
 	}
-	if r.Status != 0 && (q.service.stream || r.Status != http.StatusOK) && !o.troubles.quiet(q.sent, at, serversSubject(q.service.name)) {
-		return // a stream that its servers broke can't be told to have ended well
+	if r.Status != 0 && (q.service.stream || r.Status != http.StatusOK) && !o.faults.undisturbed(q.sentAt, lostAt, serversSubject(q.service.name)) {
+		return // a stream broken by its server can't be distinguished from one that the daemon cut
 	}
-	if o.troubles.quiet(q.sent, at, subjectMachine) {
+	if o.faults.undisturbed(q.sentAt, lostAt, subjectMachine) {
 		o.violate(NoCutRequests, "%s to %s at daemon %d was cut: %v; sent %s, cut %s, process ended %s, passed on %t",
-			id, q.service.name, q.daemon, r, clock(q.sent), clock(at), clock(end.at), passedOn)
+			id, q.service.name, q.daemon, r, formatTime(q.sentAt), formatTime(lostAt), formatTime(exit.at), forwarded)
 	}
 }
 
-// clock writes a time for reports.
-func clock(t time.Time) string {
+// formatTime formats a time for reports; a zero time is "never".
+func formatTime(t time.Time) string {
 	if t.IsZero() {
 		return "never"
 	}
 	return t.Format("15:04:05.000")
 }
 
-// checkCloses looks at the requests that a server was at work on when their
-// caller closed, for each service: streams end sooner than calls that write
-// nothing, as their next event finds the connection closed.
+// checkCloses checks the requests that a server was handling when their caller closed. It counts
+// each service separately: streams end sooner than calls that write nothing until they are done,
+// since the next event hits the closed connection.
 func (o *oracle) checkCloses() {
 	closed, late := make(map[string]int), make(map[string]int)
 	for _, q := range o.requests {
-		if !q.worked || q.service.once {
+		if !q.activeAtClose || q.service.atMostOnce {
 			continue
 		}
-		due := q.closed.Add(closeWithin)
-		if !o.troubles.quiet(q.closed, due, subjectMachine, daemonSubject(q.daemon), serversSubject(q.service.name)) {
+		due := q.closedAt.Add(maxCancelDelay)
+		if !o.faults.undisturbed(q.closedAt, due, subjectMachine, daemonSubject(q.daemon), serversSubject(q.service.name)) {
 			continue
 		}
 		closed[q.service.name]++
-		if q.working > 0 || q.lastEnd.After(due) {
+		if q.active > 0 || q.lastEndAt.After(due) {
 			late[q.service.name]++
 		}
 	}
 	for name, n := range closed {
-		o.seen["closes counted, "+name] = n
-		if late[name] > fewLate && float64(late[name]) > lateShare*float64(n) {
+		o.counts["closes counted, "+name] = n
+		if late[name] > maxLateCloses && float64(late[name]) > maxLateShare*float64(n) {
 			o.violate(CancellationPropagates, "%d of %d closes of %s reached the servers late", late[name], n, name)
 		}
 	}
 }
 
-// budget bounds repeats: in each window at most ratio x requests + slack.
-type budget struct {
+// retryBudget bounds retries: at most ratio * requests + slack in each window.
+type retryBudget struct {
 	ratio  float64
 	slack  int
 	window time.Duration
 }
 
-// allowed returns how many repeats may be in the window that ends at end.
-// Requests of the window itself, of the one before it and of the one half a
-// window before it count, whichever are most.
-func (b budget) allowed(asked []time.Time, end time.Time) int {
+// allowed returns how many retries may occur in the window that ends at end. It takes the
+// largest number of requests in the windows that end at end, half a window earlier and a whole
+// window earlier.
+func (b retryBudget) allowed(requests []time.Time, end time.Time) int {
 	most := 0
 	for _, back := range []time.Duration{0, b.window / 2, b.window} {
 		to := end.Add(-back)
-		most = max(most, countBetween(asked, to.Add(-b.window), to))
+		most = max(most, countBetween(requests, to.Add(-b.window), to))
 	}
 	return int(b.ratio*float64(most)) + b.slack
 }
@@ -200,24 +200,24 @@
 	return n
 }
 
-func (o *oracle) checkBudget(name string, repeats []time.Time, b budget) {
-	for _, end := range repeats {
-		n := countBetween(repeats, end.Add(-b.window), end)
-		if allowed := b.allowed(o.asked[name], end); n > allowed {
-			o.violate(BoundedRetries, "%s got %d repeats in %v, %d are allowed", name, n, b.window, allowed)
+func (o *oracle) checkRetryBudget(name string, retries []time.Time, budget retryBudget) {
+	for _, end := range retries {
+		count := countBetween(retries, end.Add(-budget.window), end)
+		if allowed := budget.allowed(o.requestTimes[name], end); count > allowed {
+			o.violate(BoundedRetries, "%s got %d repeats in %v, %d are allowed", name, count, budget.window, allowed)
 			return
 		}
 	}
 }
 
-// engineOrders is what one engine has accepted.
+// engineOrders lists the role orders that one engine has accepted.
 type engineOrders struct {
 	engine string
 	orders []standin.Order
 }
 
-// checkOrders checks that no token was used by two holders and that no engine
-// went back to an older one.
+// checkOrders checks that no fencing token was used by two holders and that no engine accepted
+// an older token after a newer one.
 func (o *oracle) checkOrders(all []engineOrders) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -225,7 +225,7 @@
 	for _, e := range all {
 		newest := 0
 		for _, order := range e.orders {
-			o.seen["orders"]++
+			o.counts["orders"]++
 			if other, ok := holders[order.FencingToken]; ok && other != order.Holder {
 				o.violate(SingleLeaseHolder, "token %d was used by %s and %s", order.FencingToken, other, order.Holder)
 			}
--- a/internal/soak/daemon.go
+++ b/internal/soak/daemon.go
@@ -16,128 +16,128 @@
 )
 
 const (
-	// startedWithin is the time after a start in which a daemon owes nothing in
-	// time: it learns the configuration and the servers first.
-	startedWithin = 4 * time.Second
-	// restartAfter is how long the platform takes to start an ended process.
-	restartAfter = 300 * time.Millisecond
+	// startupGrace is the time after a start in which a daemon's time limits aren't checked, as
+	// it loads the configuration and the server list first.
+	startupGrace = 4 * time.Second
+	// restartDelay is how long the platform takes to restart a process that exited.
+	restartDelay = 300 * time.Millisecond
 	logMode      = 0o644
 )
 
-// daemonSubject names a daemon that is down, starting or paused.
+// daemonSubject names a daemon's outages: it is down, starting or paused.
 func daemonSubject(daemon int) string { return fmt.Sprintf("daemon %d", daemon) }
 
-// pauseSubject names a daemon that is paused.
+// pauseSubject names a daemon's pauses.
 func pauseSubject(daemon int) string { return fmt.Sprintf("pause %d", daemon) }
 
-// daemon runs a daemon's program, one process after another.
+// daemon runs a daemon's program, one process after another. launch is the number of the latest
+// process, exits holds how each process exited.
 type daemon struct {
 	number   int
-	about    standin.Daemon
+	config   standin.Daemon
 	program  string
 	settings string
 	logs     string
 	oracle   *oracle
-	troubles *troubles
-
-	mu   sync.Mutex
-	cmd  *exec.Cmd
-	life int
-	// ending says that a signal to end was sent to this process, killed that it
-	// was one that lets it finish nothing.
-	ending, killed bool
-	// over says that no further process is to be started.
-	over   bool
-	ends   map[int]processEnd
-	exited chan struct{}
-	// endDown ends the trouble of being down and starting.
-	endDown func()
+	faults   *faultLog
+
+	mu     sync.Mutex
+	cmd    *exec.Cmd
+	launch int
+	// stopping is set once this process was sent a signal to stop, killed if that was SIGKILL.
+	stopping, killed bool
+	// noRestart is set once no further process may be started.
+	noRestart bool
+	exits     map[int]processExit
+	exited    chan struct{}
+	// endOutage ends the outage that begins with a process's exit.
+	endOutage func()
 }
 
-// processEnd is how a process ended.
-type processEnd struct {
+// processExit is when and how a process exited.
+type processExit struct {
 	at     time.Time
 	killed bool
 }
 
-// start runs a new process, unless one runs.
+// start starts a new process unless one is running.
 func (d *daemon) start() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if _, ended := d.ends[d.life]; d.over || d.life > 0 && !ended {
+	if _, ended := d.exits[d.launch]; d.noRestart || d.launch > 0 && !ended {
 		return nil
 	}
-	if d.endDown == nil {
-		d.endDown = d.troubles.begin(daemonSubject(d.number))
+	if d.endOutage == nil {
+		d.endOutage = d.faults.begin(daemonSubject(d.number))
 	}
 	log, err := os.OpenFile(d.logs, os.O_APPEND|os.O_CREATE|os.O_WRONLY, logMode)
 	if err != nil {
-		return eris.Wrap(err, "daemon's log")
+		return eris.Wrap(err, "open daemon log")
 	}
 	defer func() { _ = log.Close() }() // the process has its own descriptor
 	cmd := exec.Command(d.program, "-settings", d.settings)
 	cmd.Stdout, cmd.Stderr = log, log
 	if err := cmd.Start(); err != nil {
-		return eris.Wrap(err, "daemon")
+		return eris.Wrap(err, "start daemon")
 	}
-	d.cmd, d.ending, d.killed, d.exited = cmd, false, false, make(chan struct{})
-	d.life++
-	go d.await(cmd, d.life, d.exited)
-	time.AfterFunc(startedWithin, d.endDown)
-	d.endDown = nil
+	d.cmd, d.stopping, d.killed, d.exited = cmd, false, false, make(chan struct{})
+	d.launch++
+	go d.wait(cmd, d.launch, d.exited)
+	time.AfterFunc(startupGrace, d.endOutage)
+	d.endOutage = nil
 	return nil
 }
 
-func (d *daemon) await(cmd *exec.Cmd, life int, exited chan struct{}) {
+func (d *daemon) wait(cmd *exec.Cmd, launch int, exited chan struct{}) {
 	err := cmd.Wait()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.ends[life] = processEnd{at: time.Now(), killed: d.killed}
-	if d.endDown == nil {
-		d.endDown = d.troubles.begin(daemonSubject(d.number))
+	d.exits[launch] = processExit{at: time.Now(), killed: d.killed}
+	if d.endOutage == nil {
+		d.endOutage = d.faults.begin(daemonSubject(d.number))
 	}
-	if !d.ending {
+	if !d.stopping {
 		d.oracle.report(NoUnexpectedExit, "daemon %d ended: %v; its log is %s", d.number, err, filepath.Base(d.logs))
 	}
 	close(exited)
 }
 
-// signal sends a signal to the process, if it lives.
+// signal sends a signal to the process if it is running.
 func (d *daemon) signal(s syscall.Signal) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if _, ended := d.ends[d.life]; ended {
+	if _, ended := d.exits[d.launch]; ended {
 		return
 	}
 	switch s {
 	case syscall.SIGKILL:
-		d.ending, d.killed = true, true
+		d.stopping, d.killed = true, true
 	case syscall.SIGTERM:
-		d.ending = true
+		d.stopping = true
 	}
 	if err := d.cmd.Process.Signal(s); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		d.oracle.report(NoUnexpectedExit, "daemon %d can't be signalled: %v", d.number, err)
 	}
 }
 
-// stop asks the process to end, kills it after its grace and waits for the end.
+// stop sends SIGTERM, kills the process if its grace period passes, and waits for its exit.
 func (d *daemon) stop() {
 	d.signal(syscall.SIGTERM)
-	told := time.Now()
+	requestedAt := time.Now()
 	d.mu.Lock()
 	exited := d.exited
 	d.mu.Unlock()
 	select {
 	case <-exited:
-	case <-time.After(d.about.Grace):
-		if d.troubles.quiet(told, time.Now(), pauseSubject(d.number), subjectMachine) {
-			d.oracle.report(StopsWithinGrace, "daemon %d runs %v after it was told to stop", d.number, d.about.Grace)
+	case <-time.After(d.config.Grace):
+		if d.faults.undisturbed(requestedAt, time.Now(), pauseSubject(d.number), subjectMachine) {
+			d.oracle.report(StopsWithinGrace, "daemon %d runs %v after it was told to stop", d.number, d.config.Grace)
 		}
 		d.kill()
 	}
 }
 
-// kill ends the process at once and waits for the end.
+// kill kills the process and waits for its exit.
 func (d *daemon) kill() {
 	d.signal(syscall.SIGKILL)
 	d.mu.Lock()
@@ -146,48 +146,48 @@
 	<-exited
 }
 
-// end kills the process for good.
-func (d *daemon) end() {
+// shutDown kills the process and prevents further starts.
+func (d *daemon) shutDown() {
 	d.mu.Lock()
-	d.over = true
-	started := d.life > 0
+	d.noRestart = true
+	started := d.launch > 0
 	d.mu.Unlock()
 	if started {
 		d.kill()
 	}
 }
 
-// pause stops the process from running for a while.
-func (d *daemon) pause(length time.Duration) {
-	ends := []func(){d.troubles.begin(daemonSubject(d.number)), d.troubles.begin(pauseSubject(d.number))}
+// pause suspends the process with SIGSTOP for a while.
+func (d *daemon) pause(duration time.Duration) {
+	ends := []func(){d.faults.begin(daemonSubject(d.number)), d.faults.begin(pauseSubject(d.number))}
 	d.signal(syscall.SIGSTOP)
-	time.Sleep(length)
+	time.Sleep(duration)
 	d.signal(syscall.SIGCONT)
-	// What the pause held up is caught up with first.
-	time.AfterFunc(startedWithin, func() {
+	// The process first catches up on the work that the pause delayed.
+	time.AfterFunc(startupGrace, func() {
 		for _, end := range ends {
 			end()
 		}
 	})
 }
 
-// lifeNow returns the number of the process that runs or ran last.
-func (d *daemon) lifeNow() int {
+// currentLaunch returns the number of the process that is running or ran last.
+func (d *daemon) currentLaunch() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.life
+	return d.launch
 }
 
-// awaitEnd returns how a process ended, zero if it lives. It waits for the end of one that
-// has been told to end: its connections close before its end is known.
-func (d *daemon) awaitEnd(life int) processEnd {
+// awaitExit returns how a process exited, zero if it is running. It waits for the exit of a
+// stopping process, whose connections close before its exit is known.
+func (d *daemon) awaitExit(launch int) processExit {
 	d.mu.Lock()
-	end, ended := d.ends[life]
-	ending, exited := life == d.life && d.ending, d.exited
+	exit, ended := d.exits[launch]
+	stopping, exited := launch == d.launch && d.stopping, d.exited
 	d.mu.Unlock()
-	if ended || !ending {
-		return end
+	if ended || !stopping {
+		return exit
 	}
 	<-exited
-	return d.awaitEnd(life)
+	return d.awaitExit(launch)
 }
--- a/internal/soak/network.go
+++ b/internal/soak/network.go
@@ -12,17 +12,16 @@
 const standinHost = 253
 
 const (
-	// guardHost and guardPort make the address that a run listens at for as long
-	// as it uses a network. Two runs on the same addresses would serve each
-	// other's requests.
+	// A run listens at guardHost and guardPort of its network while it uses it. Two runs on the
+	// same addresses would serve each other's requests.
 	guardHost = 254
 	guardPort = 7659
 	// networkTries bounds the search for a free network.
 	networkTries = 200
 )
 
-// reserveNetwork returns the first three bytes of loopback addresses that no
-// other run uses until release is called.
+// reserveNetwork returns the first three bytes of loopback addresses that no other run uses
+// until release is called.
 func reserveNetwork() (network string, release func(), err error) {
 	for range networkTries {
 		network = fmt.Sprintf("127.%d.%d", 64+rand.IntN(128), 1+rand.IntN(250))
@@ -31,5 +30,5 @@
 			return network, func() { _ = guard.Close() }, nil
 		}
 	}
-	return "", nil, eris.New("no loopback network is free")
+	return "", nil, eris.New("no free loopback network")
 }
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -10,72 +10,73 @@
 	"tamarackchute/platform/standin"
 )
 
-// request is what callers and servers saw of one request.
+// request holds what the caller and the servers observed of one request.
 type request struct {
 	service service
 	daemon  int
-	sent    time.Time
-	// closed is when the caller gave up; zero if it didn't.
-	closed time.Time
-	// worked says that a server worked on it then.
-	worked  bool
-	refused bool
-	runs    int
-	// arrivals counts those of whole requests and those that only read a prompt.
+	sentAt  time.Time
+	// closedAt is when the caller closed the connection; zero if it didn't.
+	closedAt time.Time
+	// activeAtClose is set if a server was handling the request at that time.
+	activeAtClose bool
+	refused       bool
+	runs          int
+	// arrivals counts complete requests that reached a server, prefills those for prefill only.
 	arrivals, prefills int
-	// working counts servers that work on it; lastEnd is when the last of them
-	// ended.
-	working int
-	lastEnd time.Time
+	// active counts the servers that are handling the request, lastEndAt is when the last one
+	// finished.
+	active    int
+	lastEndAt time.Time
 }
 
-// oracle checks the promises by what callers and servers see. Its methods may be
-// called from any goroutine.
+// oracle checks the promises against what callers and servers observe. Its methods are safe for
+// concurrent use.
 type oracle struct {
-	troubles *troubles
+	faults *faultLog
 
 	mu         sync.Mutex
 	requests   map[string]*request
 	violations []Violation
-	// pools names the pool of each incarnation, leaving when it was listed so.
-	pools   map[string]string
-	leaving map[string]time.Time
-	// gone is when an incarnation's entry was taken out.
-	gone map[string]time.Time
-	// published holds when each version was; versions count from 1.
+	// pools maps each incarnation to its pool, draining to the time at which its entry was
+	// marked as draining.
+	pools    map[string]string
+	draining map[string]time.Time
+	// removed maps an incarnation to the time at which its entry was removed.
+	removed map[string]time.Time
+	// published holds the publication time of each version; versions count from 1.
 	published []time.Time
-	// shown is the newest version that a daemon's process has answered by.
-	shown   map[process]shownVersion
-	repeats map[string][]time.Time
-	asked   map[string][]time.Time
-	seen    map[string]int
-	// lastFailure is when a request that its caller wanted last failed.
+	// newestVersion is the newest version that a daemon's process has answered with.
+	newestVersion map[process]observedVersion
+	retries       map[string][]time.Time
+	requestTimes  map[string][]time.Time
+	counts        map[string]int
+	// lastFailure is when a request that its caller didn't close last failed.
 	lastFailure time.Time
 }
 
-// process is one life of a daemon.
-type process struct{ daemon, life int }
+// process identifies one process of a daemon: launch counts the daemon's starts.
+type process struct{ daemon, launch int }
 
-// shownVersion is a version and the end of the answer that has shown it.
-type shownVersion struct {
+// observedVersion is a version and the end of the response that revealed it.
+type observedVersion struct {
 	version int
 	at      time.Time
 }
 
-func newOracle(t *troubles) *oracle {
+func newOracle(faults *faultLog) *oracle {
 	return &oracle{
-		troubles: t, requests: make(map[string]*request), pools: make(map[string]string),
-		leaving: make(map[string]time.Time), gone: make(map[string]time.Time), shown: make(map[process]shownVersion),
-		repeats: make(map[string][]time.Time), asked: make(map[string][]time.Time), seen: make(map[string]int),
+		faults: faults, requests: make(map[string]*request), pools: make(map[string]string),
+		draining: make(map[string]time.Time), removed: make(map[string]time.Time), newestVersion: make(map[process]observedVersion),
+		retries: make(map[string][]time.Time), requestTimes: make(map[string][]time.Time), counts: make(map[string]int),
 	}
 }
 
-// violate notes a broken promise. o.mu is held.
+// violate records a broken promise. o.mu must be held.
 func (o *oracle) violate(p Promise, format string, args ...any) {
 	o.violations = append(o.violations, Violation{Promise: p, At: time.Now(), Detail: fmt.Sprintf(format, args...)})
 }
 
-// report notes a broken promise.
+// report records a broken promise.
 func (o *oracle) report(p Promise, format string, args ...any) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -89,23 +90,23 @@
 	return slices.Clone(o.violations)
 }
 
-// serverListed notes the pool of an incarnation.
+// serverListed records the pool of an incarnation.
 func (o *oracle) serverListed(id, pool string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.pools[id] = pool
 }
 
-func (o *oracle) serverLeaves(id string) {
+func (o *oracle) serverDraining(id string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.leaving[id] = time.Now()
+	o.draining[id] = time.Now()
 }
 
-func (o *oracle) serverGone(id string) {
+func (o *oracle) serverRemoved(id string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.gone[id] = time.Now()
+	o.removed[id] = time.Now()
 }
 
 func (o *oracle) versionPublished() {
@@ -114,28 +115,28 @@
 	o.published = append(o.published, time.Now())
 }
 
-// failedSince reports whether a request has failed since a time.
+// failedSince reports whether a request has failed since t.
 func (o *oracle) failedSince(t time.Time) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.lastFailure.After(t)
 }
 
-// sent notes that a caller sends a request to a daemon.
+// sent records that a caller sends a request to a daemon.
 func (o *oracle) sent(id string, s service, daemon int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := time.Now()
-	o.requests[id] = &request{service: s, daemon: daemon, sent: now}
-	o.asked[s.name] = append(o.asked[s.name], now)
+	o.requests[id] = &request{service: s, daemon: daemon, sentAt: now}
+	o.requestTimes[s.name] = append(o.requestTimes[s.name], now)
 }
 
-// closed notes that the caller of a request has given it up.
-func (o *oracle) closed(id string) {
+// callerClosed records that the caller of a request has closed its connection.
+func (o *oracle) callerClosed(id string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	q := o.requests[id]
-	q.closed, q.worked = time.Now(), q.working > 0
+	q.closedAt, q.activeAtClose = time.Now(), q.active > 0
 }
 
 // Arrived implements standin.Watcher.
@@ -157,11 +158,11 @@
 		q.arrivals++
 	}
 	if q.prefills > 1 && v.PrefillOnly || q.arrivals > 1 && !v.PrefillOnly {
-		o.repeats[q.service.name] = append(o.repeats[q.service.name], now)
+		o.retries[q.service.name] = append(o.retries[q.service.name], now)
 	}
-	o.checkLeaving(v, q, now)
-	o.checkGone(v, q, now)
-	q.working++
+	o.checkDraining(v, q, now)
+	o.checkRemoved(v, q, now)
+	q.active++
 }
 
 // Ran implements standin.Watcher.
@@ -174,10 +175,10 @@
 	}
 	o.checkPool(v, q)
 	q.runs++
-	if q.service.once && q.runs > 1 {
+	if q.service.atMostOnce && q.runs > 1 {
 		o.violate(AtMostOnce, "%s ran %d times, lastly at %s", v.ID, q.runs, v.Server)
 	}
-	if q.service.once && q.refused {
+	if q.service.atMostOnce && q.refused {
 		o.violate(RefusedNotRun, "%s runs at %s after it was refused", v.ID, v.Server)
 	}
 }
@@ -187,50 +188,50 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if q := o.requests[v.ID]; q != nil {
-		q.working--
-		q.lastEnd = time.Now()
+		q.active--
+		q.lastEndAt = time.Now()
 	}
 }
 
-// answered checks what a caller got. life is the daemon's process when the
-// request was sent.
-func (o *oracle) answered(id string, life int, r standin.Reply) {
+// answered checks a response as its caller received it. launch is the daemon's process at the
+// time of sending.
+func (o *oracle) answered(id string, launch int, r standin.Reply) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	q, now := o.requests[id], time.Now()
-	o.seen[q.service.name+" "+outcomeOf(r)]++
-	if !q.closed.IsZero() {
+	o.counts[q.service.name+" "+outcomeOf(r)]++
+	if !q.closedAt.IsZero() {
 		return
 	}
 	if r.Status != http.StatusOK || r.Err != nil {
 		o.lastFailure = now
 	}
-	o.checkTime(id, q, now)
+	o.checkDeadline(id, q, now)
 	if r.Err != nil && r.Status == 0 {
-		return // cuts are checked once it is known how the process ended
+		return // connectionLost checks these once the process's exit is known
 	}
 	switch {
 	case r.Status == http.StatusServiceUnavailable || r.Status == http.StatusTooManyRequests || r.Status == http.StatusRequestTimeout:
 		q.refused = true
-		if q.service.once && q.runs > 0 {
+		if q.service.atMostOnce && q.runs > 0 {
 			o.violate(RefusedNotRun, "%s answered %d and has run", id, r.Status)
 		}
 	case r.Status == http.StatusOK && q.service.stream:
 		o.checkStream(id, r)
 	case r.Status == http.StatusOK:
-		o.checkAnswer(id, r)
+		o.checkResponse(id, r)
 	}
-	if q.service.name == serviceMark && r.Status == http.StatusOK && r.Err == nil {
-		o.checkVersion(process{q.daemon, life}, q, now, r.Body)
+	if q.service.name == versionService && r.Status == http.StatusOK && r.Err == nil {
+		o.checkVersion(process{q.daemon, launch}, q, now, r.Body)
 	}
 }
 
-// finish checks what shows over the whole run only.
-func (o *oracle) finish(budget budget) {
+// finish runs the checks that need the whole run.
+func (o *oracle) finish(budget retryBudget) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.checkCloses()
-	for name, times := range o.repeats {
-		o.checkBudget(name, times, budget)
+	for name, times := range o.retries {
+		o.checkRetryBudget(name, times, budget)
 	}
 }
--- a/internal/soak/oracle_test.go
+++ b/internal/soak/oracle_test.go
@@ -12,14 +12,14 @@
 )
 
 var (
-	once   = services[0]
-	repeat = services[1]
-	stream = services[2]
-	mark   = services[3]
+	onceService   = services[0]
+	repeatService = services[1]
+	streamService = services[2]
+	markService   = services[3]
 )
 
-// ask lets a caller send a request and some servers get it.
-func ask(o *oracle, s service, visits ...standin.Visit) {
+// sendRequest records a caller's request, which the given servers receive and run.
+func sendRequest(o *oracle, s service, visits ...standin.Visit) {
 	o.sent("1-1", s, 0)
 	for _, v := range visits {
 		v.ID = "1-1"
@@ -31,7 +31,7 @@
 
 func at(server string) standin.Visit { return standin.Visit{Server: server} }
 
-func good(o *oracle) standin.Reply {
+func correctReply(o *oracle) standin.Reply {
 	return standin.Reply{Status: http.StatusOK, ID: "1-1", Signed: true, Body: "answer of once-1 to 1-1"}
 }
 
@@ -39,7 +39,7 @@
 	return standin.Reply{Status: http.StatusOK, ID: "1-1", Signed: true, Events: ids}
 }
 
-func whole() standin.Reply {
+func completeStream() standin.Reply {
 	r := events()
 	for i := range streamEvents {
 		r.Events = append(r.Events, i+1)
@@ -47,139 +47,139 @@
 	return r
 }
 
-// Each promise is broken once, and the check must say so; and the nearest case
-// that keeps the promise must pass, or each run would be red.
+// Each case breaks one promise, which the checks must report, or is the nearest one that keeps
+// it, which they must accept.
 func TestChecks(t *testing.T) {
 	cases := []struct {
 		name   string
 		play   func(o *oracle)
 		broken []Promise
 	}{
-		{"runs once", func(o *oracle) { ask(o, once, at("once-1")); o.answered("1-1", 1, good(o)) }, nil},
-		{"runs twice", func(o *oracle) { ask(o, once, at("once-1"), at("once-2")) }, []Promise{AtMostOnce}},
-		{"may run twice", func(o *oracle) { ask(o, repeat, at("repeat-1"), at("repeat-1")) }, nil},
+		{"runs once", func(o *oracle) { sendRequest(o, onceService, at("once-1")); o.answered("1-1", 1, correctReply(o)) }, nil},
+		{"runs twice", func(o *oracle) { sendRequest(o, onceService, at("once-1"), at("once-2")) }, []Promise{AtMostOnce}},
+		{"may run twice", func(o *oracle) { sendRequest(o, repeatService, at("repeat-1"), at("repeat-1")) }, nil},
 		{"refused and has run", func(o *oracle) {
-			ask(o, once, at("once-1"))
+			sendRequest(o, onceService, at("once-1"))
 			o.answered("1-1", 1, standin.Reply{Status: http.StatusServiceUnavailable})
 		}, []Promise{RefusedNotRun}},
 		{"refused and runs later", func(o *oracle) {
-			ask(o, once)
+			sendRequest(o, onceService)
 			o.answered("1-1", 1, standin.Reply{Status: http.StatusServiceUnavailable})
 			o.Arrived(standin.Visit{Server: "once-1", ID: "1-1"})
 			o.Ran(standin.Visit{Server: "once-1", ID: "1-1"})
 		}, []Promise{RefusedNotRun}},
 		{"failed and has run", func(o *oracle) {
-			ask(o, once, at("once-1"))
+			sendRequest(o, onceService, at("once-1"))
 			o.answered("1-1", 1, standin.Reply{Status: http.StatusBadGateway})
 		}, nil},
-		{"another's id", func(o *oracle) {
-			ask(o, once)
-			r := good(o)
+		{"another request's id", func(o *oracle) {
+			sendRequest(o, onceService)
+			r := correctReply(o)
 			r.ID = "2-2"
 			o.answered("1-1", 1, r)
 		}, []Promise{CorrectResponse}},
-		{"another's body", func(o *oracle) {
-			ask(o, once)
-			r := good(o)
+		{"another request's body", func(o *oracle) {
+			sendRequest(o, onceService)
+			r := correctReply(o)
 			r.Body = "answer of once-1 to 2-2"
 			o.answered("1-1", 1, r)
 		}, []Promise{CorrectResponse}},
 		{"unsigned", func(o *oracle) {
-			ask(o, once)
-			r := good(o)
+			sendRequest(o, onceService)
+			r := correctReply(o)
 			r.Signed = false
 			o.answered("1-1", 1, r)
 		}, []Promise{CorrectResponse}},
 		{"unknown request", func(o *oracle) { o.Arrived(standin.Visit{Server: "once-1", ID: "9-9"}) }, []Promise{CorrectResponse}},
-		{"whole stream", func(o *oracle) { ask(o, stream); o.answered("1-1", 1, whole()) }, nil},
-		{"short stream", func(o *oracle) { ask(o, stream); o.answered("1-1", 1, events(1, 2)) }, []Promise{CompleteStream}},
+		{"complete stream", func(o *oracle) { sendRequest(o, streamService); o.answered("1-1", 1, completeStream()) }, nil},
+		{"short stream", func(o *oracle) { sendRequest(o, streamService); o.answered("1-1", 1, events(1, 2)) }, []Promise{CompleteStream}},
 		{"cut stream", func(o *oracle) {
-			ask(o, stream)
+			sendRequest(o, streamService)
 			r := events(1, 2)
 			r.Err = errors.New("cut")
 			o.answered("1-1", 1, r)
 		}, nil},
-		{"repeated event", func(o *oracle) { ask(o, stream); o.answered("1-1", 1, events(1, 1, 2)) }, []Promise{CompleteStream}},
-		{"missing event", func(o *oracle) { ask(o, stream); o.answered("1-1", 1, events(1, 3)) }, []Promise{CompleteStream}},
-		{"other pool", func(o *oracle) { ask(o, once, at("repeat-1")) }, []Promise{CorrectPool}},
-		{"forged header", func(o *oracle) { ask(o, once, standin.Visit{Server: "once-1", Forged: true}) }, []Promise{NoForgedHeaders}},
-		{"too many repeats", func(o *oracle) {
+		{"repeated event", func(o *oracle) { sendRequest(o, streamService); o.answered("1-1", 1, events(1, 1, 2)) }, []Promise{CompleteStream}},
+		{"missing event", func(o *oracle) { sendRequest(o, streamService); o.answered("1-1", 1, events(1, 3)) }, []Promise{CompleteStream}},
+		{"other pool", func(o *oracle) { sendRequest(o, onceService, at("repeat-1")) }, []Promise{CorrectPool}},
+		{"forged header", func(o *oracle) { sendRequest(o, onceService, standin.Visit{Server: "once-1", Forged: true}) }, []Promise{NoForgedHeaders}},
+		{"retries over the budget", func(o *oracle) {
 			for range siteBudget.slack + 2 {
-				ask(o, repeat, at("repeat-1"), at("repeat-1"))
+				sendRequest(o, repeatService, at("repeat-1"), at("repeat-1"))
 			}
-			ask(o, repeat, at("repeat-1"), at("repeat-1"), at("repeat-1"), at("repeat-1"), at("repeat-1"), at("repeat-1"))
+			sendRequest(o, repeatService, at("repeat-1"), at("repeat-1"), at("repeat-1"), at("repeat-1"), at("repeat-1"), at("repeat-1"))
 		}, []Promise{BoundedRetries}},
-		{"repeats within the slack", func(o *oracle) {
+		{"retries within the slack", func(o *oracle) {
 			for range siteBudget.slack {
-				ask(o, repeat, at("repeat-1"), at("repeat-1"))
+				sendRequest(o, repeatService, at("repeat-1"), at("repeat-1"))
 			}
 		}, nil},
-		{"closes passed on", func(o *oracle) { closes(o, o.Ended) }, nil},
-		{"closes not passed on", func(o *oracle) {
-			closes(o, func(standin.Visit) {})
+		{"closes propagated", func(o *oracle) { closeRequests(o, o.Ended) }, nil},
+		{"closes not propagated", func(o *oracle) {
+			closeRequests(o, func(standin.Visit) {})
 		}, []Promise{CancellationPropagates}},
-		{"leaving for long", func(o *oracle) {
-			o.serverLeaves("once-1")
-			o.leaving["once-1"] = time.Now().Add(-2 * leaveWithin)
-			ask(o, once, at("once-1"))
+		{"draining for long", func(o *oracle) {
+			o.serverDraining("once-1")
+			o.draining["once-1"] = time.Now().Add(-2 * maxDrainNotice)
+			sendRequest(o, onceService, at("once-1"))
 		}, []Promise{DrainedServerSpared}},
-		{"leaving, not known", func(o *oracle) {
-			o.serverLeaves("once-1")
-			o.leaving["once-1"] = time.Now().Add(-2 * leaveWithin)
-			o.troubles.begin(storeLinkSubject(0))
-			ask(o, once, at("once-1"))
+		{"draining, but the store link is disturbed", func(o *oracle) {
+			o.serverDraining("once-1")
+			o.draining["once-1"] = time.Now().Add(-2 * maxDrainNotice)
+			o.faults.begin(storeLinkSubject(0))
+			sendRequest(o, onceService, at("once-1"))
 		}, nil},
-		{"gone for long", func(o *oracle) {
-			o.gone["once-0"] = time.Now().Add(-2 * goneWithin)
-			ask(o, once, standin.Visit{Server: "once-1", MeantFor: "once-0"})
+		{"removed long ago", func(o *oracle) {
+			o.removed["once-0"] = time.Now().Add(-2 * maxRemovalNotice)
+			sendRequest(o, onceService, standin.Visit{Server: "once-1", MeantFor: "once-0"})
 		}, []Promise{DrainedServerSpared}},
-		{"just gone", func(o *oracle) {
-			o.serverGone("once-0")
-			ask(o, once, standin.Visit{Server: "once-1", MeantFor: "once-0"})
+		{"just removed", func(o *oracle) {
+			o.serverRemoved("once-0")
+			sendRequest(o, onceService, standin.Visit{Server: "once-1", MeantFor: "once-0"})
 		}, nil},
-		{"turned away by another pool's server", func(o *oracle) {
-			o.sent("1-1", once, 0)
+		{"rejected by another pool's server", func(o *oracle) {
+			o.sent("1-1", onceService, 0)
 			o.Arrived(standin.Visit{Server: "repeat-1", MeantFor: "once-0", ID: "1-1"})
 			o.Ended(standin.Visit{Server: "repeat-1", MeantFor: "once-0", ID: "1-1"})
 		}, nil},
-		{"just left", func(o *oracle) { o.serverLeaves("once-1"); ask(o, once, at("once-1")) }, nil},
+		{"just draining", func(o *oracle) { o.serverDraining("once-1"); sendRequest(o, onceService, at("once-1")) }, nil},
 		{"old configuration", func(o *oracle) {
-			o.published = []time.Time{time.Now().Add(-2 * configWithin), time.Now().Add(-2 * configWithin)}
-			markAnswer(o, 1, 1)
+			o.published = []time.Time{time.Now().Add(-2 * maxConfigDelay), time.Now().Add(-2 * maxConfigDelay)}
+			answerWithVersion(o, 1, 1)
 		}, []Promise{ConfigApplied}},
-		{"configuration before", func(o *oracle) {
+		{"configuration went back", func(o *oracle) {
 			o.published = []time.Time{time.Now(), time.Now()}
-			markAnswer(o, 1, 2)
-			markAnswer(o, 1, 1)
+			answerWithVersion(o, 1, 2)
+			answerWithVersion(o, 1, 1)
 		}, []Promise{ConfigMonotonic}},
 		{"configuration of another process", func(o *oracle) {
 			o.published = []time.Time{time.Now(), time.Now()}
-			markAnswer(o, 1, 2)
-			markAnswer(o, 2, 1)
+			answerWithVersion(o, 1, 2)
+			answerWithVersion(o, 2, 1)
 		}, nil},
 		{"cut by a planned stop", func(o *oracle) {
-			o.sent("1-1", once, 0)
-			cutByEnd(o, processEnd{at: time.Now().Add(time.Second)})
+			o.sent("1-1", onceService, 0)
+			loseConnection(o, processExit{at: time.Now().Add(time.Second)})
 		}, []Promise{NoCutRequests}},
-		{"cut by a daemon that lives", func(o *oracle) {
-			o.sent("1-1", once, 0)
-			cutByEnd(o, processEnd{})
+		{"cut by a running daemon", func(o *oracle) {
+			o.sent("1-1", onceService, 0)
+			loseConnection(o, processExit{})
 		}, []Promise{NoCutRequests}},
-		{"sent as the process ended", func(o *oracle) {
-			o.sent("1-1", once, 0)
-			cutByEnd(o, processEnd{at: time.Now()})
+		{"sent as the process exited", func(o *oracle) {
+			o.sent("1-1", onceService, 0)
+			loseConnection(o, processExit{at: time.Now()})
 		}, nil},
-		{"passed on as the process ended", func(o *oracle) {
-			ask(o, once, at("once-1"))
-			cutByEnd(o, processEnd{at: time.Now()})
+		{"forwarded as the process exited", func(o *oracle) {
+			sendRequest(o, onceService, at("once-1"))
+			loseConnection(o, processExit{at: time.Now()})
 		}, []Promise{NoCutRequests}},
 		{"cut by a kill", func(o *oracle) {
-			ask(o, once)
-			cutByEnd(o, processEnd{at: time.Now().Add(time.Second), killed: true})
+			sendRequest(o, onceService)
+			loseConnection(o, processExit{at: time.Now().Add(time.Second), killed: true})
 		}, nil},
 		{"late answer", func(o *oracle) {
-			ask(o, once)
-			o.requests["1-1"].sent = time.Now().Add(-once.deadline - 2*answerSlack)
+			sendRequest(o, onceService)
+			o.requests["1-1"].sentAt = time.Now().Add(-onceService.deadline - 2*responseSlack)
 			o.answered("1-1", 1, standin.Reply{Status: http.StatusGatewayTimeout})
 		}, []Promise{AnsweredByDeadline}},
 		{"one token, two holders", func(o *oracle) {
@@ -197,13 +197,13 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			o := newOracle(newTroubles())
+			o := newOracle(newFaultLog())
 			for _, s := range services {
 				o.serverListed(s.name+"-1", s.name)
 				o.serverListed(s.name+"-2", s.name)
 			}
-			for i, pool := range markPools {
-				o.serverListed(markPools[i]+"-1", pool)
+			for i, pool := range versionPools {
+				o.serverListed(versionPools[i]+"-1", pool)
 			}
 			c.play(o)
 			o.finish(siteBudget)
@@ -216,16 +216,17 @@
 	}
 }
 
-func cutByEnd(o *oracle, end processEnd) {
-	o.cut("1-1", standin.Reply{Err: errors.New("reset")}, time.Now(), end)
+func loseConnection(o *oracle, exit processExit) {
+	o.connectionLost("1-1", standin.Reply{Err: errors.New("reset")}, time.Now(), exit)
 }
 
-// closes lets some callers close while a server works; after is what it does then.
-func closes(o *oracle, after func(v standin.Visit)) {
-	for range 2 * fewLate {
-		ask(o, repeat)
+// closeRequests closes some requests while a server handles them; after is what the server does
+// then.
+func closeRequests(o *oracle, after func(v standin.Visit)) {
+	for range 2 * maxLateCloses {
+		sendRequest(o, repeatService)
 		o.Arrived(standin.Visit{Server: "repeat-1", ID: "1-1"})
-		o.closed("1-1")
+		o.callerClosed("1-1")
 		after(standin.Visit{Server: "repeat-1", ID: "1-1"})
 		q := o.requests["1-1"]
 		delete(o.requests, "1-1")
@@ -233,24 +234,24 @@
 	}
 }
 
-// markAnswer lets daemon 0 answer by a version.
-func markAnswer(o *oracle, life, version int) {
-	ask(o, mark)
-	r := good(o)
-	r.Body = "answer of " + markPools[version-1] + "-1 to 1-1"
-	o.answered("1-1", life, r)
+// answerWithVersion lets daemon 0 answer with a version.
+func answerWithVersion(o *oracle, launch, version int) {
+	sendRequest(o, markService)
+	r := correctReply(o)
+	r.Body = "answer of " + versionPools[version-1] + "-1 to 1-1"
+	o.answered("1-1", launch, r)
 }
 
-// Guards against a killed daemon taken for a living one, as its exit is learnt after its
+// Guards against taking a killed daemon for a running one: its exit becomes known after its
 // connections have closed.
-func TestEndOfAStoppingProcessIsAwaited(t *testing.T) {
-	d := &daemon{life: 1, ending: true, ends: make(map[int]processEnd), exited: make(chan struct{})}
+func TestExitOfStoppingProcessIsAwaited(t *testing.T) {
+	d := &daemon{launch: 1, stopping: true, exits: make(map[int]processExit), exited: make(chan struct{})}
 	go func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		d.ends[1] = processEnd{at: time.Now(), killed: true}
+		d.exits[1] = processExit{at: time.Now(), killed: true}
 		close(d.exited)
 	}()
-	require.True(t, d.awaitEnd(1).killed)
-	require.Equal(t, processEnd{}, d.awaitEnd(2))
+	require.True(t, d.awaitExit(1).killed)
+	require.Equal(t, processExit{}, d.awaitExit(2))
 }
--- a/internal/soak/places.go
+++ b/internal/soak/places.go
@@ -11,48 +11,48 @@
 	"tamarackchute/platform/standin"
 )
 
-// place stands for one server of a pool after another.
-type place struct {
+// serverSlot holds one server of a pool and, over time, its replacements.
+type serverSlot struct {
 	pool string
 	role string
-	// change is held by the step that replaces the server.
-	change sync.Mutex
+	// replacing is held by the step that replaces the server.
+	replacing sync.Mutex
 
 	mu     sync.Mutex
 	server *standin.Server
-	// link is the way to the server; its address is the server's for daemons.
+	// link leads to the server; daemons know the server by the link's address.
 	link *Proxy
-	// listedRole is the role that the server's entry names.
+	// listedRole is the role in the server's entry.
 	listedRole string
 }
 
-// current returns the server that runs and the way to it.
-func (p *place) current() (*standin.Server, *Proxy) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.server, p.link
+// current returns the running server and its link.
+func (slot *serverSlot) current() (*standin.Server, *Proxy) {
+	slot.mu.Lock()
+	defer slot.mu.Unlock()
+	return slot.server, slot.link
 }
 
-// spareLinks is the number of addresses that no server has at first: those that
-// leave have their successors before their end.
+// spareLinks is the number of initially unused addresses: a draining server's replacement starts
+// before it stops.
 const spareLinks = 2
 
-// firstRoles are the roles of engines at their start. They suit the requests so
-// badly that the system has to change some.
-var firstRoles = []string{standin.RolePrefill, standin.RoleDecode, standin.RolePrefill, standin.RolePrefill}
+// initialRoles are the roles of engines at their start. They fit the requests so badly that the
+// system has to change some.
+var initialRoles = []string{standin.RolePrefill, standin.RoleDecode, standin.RolePrefill, standin.RolePrefill}
 
-// firstRole returns the role of an engine at its start. Those beyond firstRoles are there to
-// carry more callers, and come in equal parts.
-func firstRole(i int) string {
-	if i < len(firstRoles) {
-		return firstRoles[i]
+// initialRole returns the role of an engine at its start. Engines beyond initialRoles add
+// capacity for more callers and alternate between the roles.
+func initialRole(i int) string {
+	if i < len(initialRoles) {
+		return initialRoles[i]
 	}
 	return [...]string{standin.RoleDecode, standin.RolePrefill}[i%2]
 }
 
-// addLinks makes a link for each server and some to spare.
+// addLinks creates a link for each server and the spare ones.
 func (s *site) addLinks(callers int) error {
-	n := len(markPools) + spareLinks
+	n := len(versionPools) + spareLinks
 	for _, v := range services {
 		n += v.serversFor(callers)
 	}
@@ -61,15 +61,15 @@
 		if err != nil {
 			return err
 		}
-		s.free = append(s.free, link)
+		s.freeLinks = append(s.freeLinks, link)
 	}
 	return nil
 }
 
-func (s *site) addPlace(pool, role string) error {
-	p := &place{pool: pool, role: role}
-	s.places = append(s.places, p)
-	return s.startServer(p)
+func (s *site) addSlot(pool, role string) error {
+	slot := &serverSlot{pool: pool, role: role}
+	s.slots = append(s.slots, slot)
+	return s.startServer(slot)
 }
 
 func (s *site) listen() (net.Listener, error) {
@@ -77,14 +77,14 @@
 	return l, eris.Wrap(err, "stand-in")
 }
 
-// startServer starts the next server of a place, at an address that is free.
-func (s *site) startServer(p *place) error {
+// startServer starts a slot's next server at a free address.
+func (s *site) startServer(slot *serverSlot) error {
 	link, number := s.takeLink()
-	return s.startAs(p, fmt.Sprintf("%s-%d", p.pool, number), link)
+	return s.startWithID(slot, fmt.Sprintf("%s-%d", slot.pool, number), link)
 }
 
-// startAs starts a place's server under an ID, which it may have had before.
-func (s *site) startAs(p *place, id string, link *Proxy) error {
+// startWithID starts a slot's server under an ID, which it may have had before.
+func (s *site) startWithID(slot *serverSlot, id string, link *Proxy) error {
 	l, err := s.listen()
 	if err != nil {
 		return err
@@ -92,70 +92,70 @@
 	server := standin.NewServerOn(id, l)
 	server.Born = time.Now().UnixMilli()
 	server.Watcher = s.oracle
-	server.SlowEvery, server.SlowFor = slowEvery, slowFor
-	if p.role != "" {
-		server.Events, server.Pause = streamEvents, streamPause
-		server.SetStage(p.role)
+	server.SlowEvery, server.SlowFor = slowEvery, slowDuration
+	if slot.role != "" {
+		server.Events, server.Pause = streamEvents, eventGap
+		server.SetStage(slot.role)
 	}
 	link.SetTarget(server.Address())
-	s.oracle.serverListed(server.ID, p.pool)
-	p.mu.Lock()
-	p.server, p.link, p.listedRole = server, link, p.role
-	p.mu.Unlock()
-	s.store.List(server, p.pool, link.Address(), false)
+	s.oracle.serverListed(server.ID, slot.pool)
+	slot.mu.Lock()
+	slot.server, slot.link, slot.listedRole = server, link, slot.role
+	slot.mu.Unlock()
+	s.store.List(server, slot.pool, link.Address(), false)
 	return nil
 }
 
 func (s *site) takeLink() (*Proxy, int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	last := len(s.free) - 1
-	link := s.free[last]
-	s.free = s.free[:last]
-	s.started++
-	return link, s.started
+	last := len(s.freeLinks) - 1
+	link := s.freeLinks[last]
+	s.freeLinks = s.freeLinks[:last]
+	s.serversStarted++
+	return link, s.serversStarted
 }
 
-// retire notes that a server has ended and its address is free.
+// retire records that a server has stopped and releases its address.
 func (s *site) retire(server *standin.Server, link *Proxy) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.retired = append(s.retired, server)
-	s.free = append(s.free, link)
+	s.stoppedServers = append(s.stoppedServers, server)
+	s.freeLinks = append(s.freeLinks, link)
 }
 
 const (
-	// relistEvery is how often entries of engines are brought up to date with the
-	// roles that they have been given.
-	relistEvery = 200 * time.Millisecond
-	// beatEach is the number of these times after which every server writes its
-	// entry anew, as on the platform.
-	beatEach = 5
+	// relistInterval is how often the engines' entries are updated to the roles that they were
+	// ordered to take.
+	relistInterval = 200 * time.Millisecond
+	// Every ticksPerHeartbeat such intervals each server writes its entry again, as on the
+	// platform.
+	ticksPerHeartbeat = 5
 )
 
-// relist does so until done is closed.
+// relist updates the entries until done is closed.
 func (s *site) relist(done <-chan struct{}) {
-	for n := 0; ; n++ {
+	for tick := 0; ; tick++ {
 		select {
 		case <-done:
 			return
-		case <-time.After(relistEvery):
+		case <-time.After(relistInterval):
 		}
-		for _, p := range s.places {
-			p.relist(s.store, n%beatEach == 0)
+		for _, slot := range s.slots {
+			slot.relist(s.store, tick%ticksPerHeartbeat == 0)
 		}
 	}
 }
 
-func (p *place) relist(store *standin.Store, anyway bool) {
-	// A server that leaves keeps the entry that says so.
-	if !p.change.TryLock() {
+func (slot *serverSlot) relist(store *standin.Store, heartbeat bool) {
+	// The entry of a draining server must keep saying so.
+	if !slot.replacing.TryLock() {
 		return
 	}
-	defer p.change.Unlock()
-	server, link := p.current()
-	if role := server.Stage(); anyway || role != p.listedRole {
-		store.List(server, p.pool, link.Address(), false)
-		p.listedRole = role
+	defer slot.replacing.Unlock()
+	server, link := slot.current()
+	if role := server.Stage(); heartbeat || role != slot.listedRole {
+		store.List(server, slot.pool, link.Address(), false)
+		slot.listedRole = role
 	}
 }
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -12,10 +12,10 @@
 	"github.com/rotisserie/eris"
 )
 
-// Kind is a kind of trouble.
+// FaultKind is a kind of injected fault.
 type FaultKind string
 
-// The kinds of trouble.
+// The kinds of fault.
 const (
 	KillDaemon        FaultKind = "kill-daemon"
 	StopDaemon        FaultKind = "stop-daemon"
@@ -35,40 +35,40 @@
 	PublishVersion    FaultKind = "publish"
 )
 
-// Step is one trouble of a run.
+// Step is one fault of a run.
 type Step struct {
 	At   time.Duration
 	Kind FaultKind
-	// Target picks the daemon or server; it is taken modulo their number.
+	// Target selects the daemon or server, modulo their number.
 	Target int
-	// Variant picks among the forms of a kind, modulo their number.
+	// Variant selects a form of the fault, modulo the number of forms.
 	Variant int
 	For     time.Duration
 }
 
-// Kept is a plan that has shown a fault, kept to be played again. A seed alone
-// would stand for other steps as soon as a kind of trouble is added.
+// SavedPlan is a plan that has revealed a bug, saved for replay. A seed doesn't suffice: it
+// yields other steps as soon as a kind of fault is added.
 type SavedPlan struct {
-	// Cause is what was found.
+	// Cause describes the bug.
 	Cause string
-	// Callers is how many it takes; 0 leaves it to the run.
+	// Callers is the number of callers that the plan needs; 0 leaves it to the run.
 	Callers int `json:",omitempty"`
 	Steps   []Step
 }
 
-// ReadKept reads a plan's file.
+// ReadPlan reads a plan from a file.
 func ReadPlan(file string) (SavedPlan, error) {
-	var k SavedPlan
+	var p SavedPlan
 	text, err := os.ReadFile(file)
 	if err != nil {
-		return k, eris.Wrap(err, "plan")
+		return p, eris.Wrap(err, "plan")
 	}
-	return k, eris.Wrapf(json.Unmarshal(text, &k), "plan %s", file)
+	return p, eris.Wrapf(json.Unmarshal(text, &p), "plan %s", file)
 }
 
-// Write writes the plan's file.
-func (k SavedPlan) Write(file string) error {
-	text, err := json.MarshalIndent(k, "", " ")
+// Write writes the plan to a file.
+func (p SavedPlan) Write(file string) error {
+	text, err := json.MarshalIndent(p, "", " ")
 	if err != nil {
 		return eris.Wrap(err, "plan")
 	}
@@ -80,25 +80,24 @@
 	return fmt.Sprintf("%v %s target %d variant %d for %v", s.At, s.Kind, s.Target, s.Variant, s.For)
 }
 
-// Shape says how much trouble a run has.
+// FaultProfile sets how many faults a run has and how long they last.
 type FaultProfile struct {
-	// Length is the time in which steps begin. The mean time between two is drawn
-	// between Every and slowest times that: with the former several overlap all
-	// the time, with the latter there are calm times between them, in which the
-	// promises that hold in time can be asked for. A step lasts up to Longest.
+	// Steps begin within Length and last up to MaxDuration. The mean time between two is drawn
+	// from MeanInterval to maxIntervalFactor times that: at the low end several faults overlap
+	// at any time, at the high end there are undisturbed times, in which promises with a time
+	// limit can be checked.
 	Length, MeanInterval, MaxDuration time.Duration
 }
 
-// slowest is the greatest mean time between two steps, in multiples of the least.
-const slowest = 8
+// maxIntervalFactor is the largest mean time between two steps, in multiples of MeanInterval.
+const maxIntervalFactor = 8
 
-// maxVersions bounds the configurations of a run: each is known by a pool of
-// its own.
+// maxVersions bounds the configurations of a run; each is identified by a pool of its own.
 const maxVersions = 8
 
-// weights say how often a kind comes, in parts of their sum. Kinds whose target
-// is one of many come more often than those that hit the whole site.
-var weights = []struct {
+// kindWeights are the relative frequencies of the kinds. Faults that hit one of many targets are
+// more frequent than those that hit the whole site.
+var kindWeights = []struct {
 	kind   FaultKind
 	weight int
 }{
@@ -107,20 +106,20 @@
 	{DisturbServerLink, 3}, {FailNextRequests, 6}, {FailAllRequests, 5}, {CrashServer, 2}, {DrainServer, 3}, {RestartServer, 2}, {WriteForeignEntry, 2}, {PublishVersion, 2},
 }
 
-// NewPlan draws the steps of a run. The same seed and shape give the same steps.
-func NewPlan(seed uint64, shape FaultProfile) []Step {
+// NewPlan draws the steps of a run. The same seed and profile yield the same steps.
+func NewPlan(seed uint64, profile FaultProfile) []Step {
 	rng := rand.New(rand.NewPCG(seed, 0))
-	every := float64(shape.MeanInterval) * math.Pow(slowest, rng.Float64())
+	meanInterval := float64(profile.MeanInterval) * math.Pow(maxIntervalFactor, rng.Float64())
 	var steps []Step
 	versions := 1
 	for at := time.Duration(0); ; {
-		at += time.Duration(rng.ExpFloat64() * every)
-		if at >= shape.Length {
+		at += time.Duration(rng.ExpFloat64() * meanInterval)
+		if at >= profile.Length {
 			return steps
 		}
 		step := Step{
 			At: at.Round(time.Millisecond), Kind: drawKind(rng), Target: rng.IntN(1 << 16), Variant: rng.IntN(1 << 16),
-			For: drawLength(rng, shape.MaxDuration),
+			For: drawDuration(rng, profile.MaxDuration),
 		}
 		if step.Kind == PublishVersion {
 			if versions == maxVersions {
@@ -133,23 +132,24 @@
 }
 
 func drawKind(rng *rand.Rand) FaultKind {
-	sum := 0
-	for _, w := range weights {
-		sum += w.weight
+	total := 0
+	for _, w := range kindWeights {
+		total += w.weight
 	}
-	n := rng.IntN(sum)
-	i := slices.IndexFunc(weights, func(w struct {
+	n := rng.IntN(total)
+	i := slices.IndexFunc(kindWeights, func(w struct {
 		kind   FaultKind
 		weight int
 	}) bool {
 		n -= w.weight
 		return n < 0
 	})
-	return weights[i].kind
+	return kindWeights[i].kind
 }
 
-// drawLength draws short lengths as often as long ones, by magnitude.
-func drawLength(rng *rand.Rand, longest time.Duration) time.Duration {
+// drawDuration draws a duration of at least 50 ms, uniformly below limit, limit/2, limit/4 or
+// limit/8 with equal probability.
+func drawDuration(rng *rand.Rand, limit time.Duration) time.Duration {
 	shift := rng.IntN(4)
-	return time.Duration(rng.Int64N(int64(longest>>shift))) + 50*time.Millisecond
+	return time.Duration(rng.Int64N(int64(limit>>shift))) + 50*time.Millisecond
 }
--- a/internal/soak/promises.go
+++ b/internal/soak/promises.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Promise names what the system promises.
+// Promise is a property that the system promises, in words.
 type Promise string
 
-// The promises that are checked.
+// The promises that the soak checks.
 const (
 	AtMostOnce             Promise = "a request that must not be repeated runs at most once"
 	RefusedNotRun          Promise = "a request refused as not run hasn't run"
@@ -41,21 +41,21 @@
 	return fmt.Sprintf("%s %s: %s", v.At.Format("15:04:05.000"), v.Promise, v.Detail)
 }
 
-// Bounds of the promises that hold in time. They are the platform's for its
-// sites of today, where the soak's site isn't given them.
+// The time limits of the promises. Where the soak's site doesn't configure a limit, it is the
+// one that the platform sets for its existing sites.
 const (
-	configWithin = 3 * time.Second
-	leaveWithin  = 3 * time.Second
-	// goneWithin is that for a server whose entry was taken out: after an outage of
-	// the store it may still be used for two seconds more.
-	goneWithin  = 5 * time.Second
-	closeWithin = 500 * time.Millisecond
-	answerSlack = time.Second
-	// exitSlack is the time before a process's end in which a new request on a
-	// kept connection may still be lost.
+	maxConfigDelay = 3 * time.Second
+	maxDrainNotice = 3 * time.Second
+	// maxRemovalNotice is the limit for a server whose entry was removed: after an outage of the
+	// store it may be used for two more seconds.
+	maxRemovalNotice = 5 * time.Second
+	maxCancelDelay   = 500 * time.Millisecond
+	responseSlack    = time.Second
+	// exitSlack is the time before a process's exit in which a new request on a persistent
+	// connection may still be lost.
 	exitSlack = 200 * time.Millisecond
-	// fewLate is the number of closes that may be late in a run, whatever their
-	// share, and lateShare the share of them all.
-	fewLate   = 2
-	lateShare = 0.25
+	// A violation takes more than maxLateCloses late closes of a service in a run, and more than
+	// the share maxLateShare of them.
+	maxLateCloses = 2
+	maxLateShare  = 0.25
 )
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -9,33 +9,33 @@
 	"github.com/sourcegraph/conc"
 )
 
-// Mode is what a proxy does to the connections through it.
+// Mode is what a proxy does to its connections.
 type Mode uint8
 
 // The modes of a proxy.
 const (
-	// Passes lets everything through.
+	// ModePass forwards everything.
 	ModePass Mode = iota
-	// Delays holds each piece for a while, both ways.
+	// ModeDelay delays each chunk in both directions.
 	ModeDelay
-	// Silences lets nothing through, nor the end of a connection. What is held
-	// goes through afterwards, as lost packets are sent again.
+	// ModeStall holds back all data and the close of a connection. They are delivered
+	// afterwards, as TCP resends lost packets.
 	ModeStall
-	// CutsReplies lets requests through and holds the replies.
+	// ModeStallReplies forwards requests and holds back the replies.
 	ModeStallReplies
-	// Resets breaks all connections, and new ones at once.
+	// ModeReset resets all connections, and new ones at once.
 	ModeReset
 )
 
 const (
-	// pieceDelay is how long Delays holds a piece: longer than any link of a
-	// site, shorter than the system's own timeouts.
-	pieceDelay = 120 * time.Millisecond
-	pieceBytes = 32 << 10
-	dialWithin = time.Second
+	// chunkDelay is longer than the latency of any link of a site and shorter than the system's
+	// own timeouts.
+	chunkDelay  = 120 * time.Millisecond
+	chunkSize   = 32 << 10
+	dialTimeout = time.Second
 )
 
-// Proxy passes connections on to a target on loopback.
+// Proxy forwards TCP connections to a target on loopback.
 type Proxy struct {
 	listener net.Listener
 	wg       conc.WaitGroup
@@ -43,7 +43,7 @@
 	mu     sync.Mutex
 	target string
 	mode   Mode
-	// changed is closed and replaced with each new mode.
+	// changed is closed and replaced whenever the mode is set.
 	changed chan struct{}
 	conns   map[net.Conn]struct{}
 	closed  bool
@@ -53,24 +53,24 @@
 func NewProxy(ip, target string) (*Proxy, error) {
 	l, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
 	if err != nil {
-		return nil, eris.Wrap(err, "proxy")
+		return nil, eris.Wrap(err, "proxy listener")
 	}
 	p := &Proxy{listener: l, target: target, changed: make(chan struct{}), conns: make(map[net.Conn]struct{})}
 	p.wg.Go(p.accept)
 	return p, nil
 }
 
-// Address returns where the proxy listens.
+// Address returns the address that the proxy listens at.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// SetTarget sends new connections elsewhere.
+// SetTarget changes the target of new connections.
 func (p *Proxy) SetTarget(target string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.target = target
 }
 
-// SetMode changes what happens to the connections, at once.
+// SetMode changes the mode of all connections, including open ones.
 func (p *Proxy) SetMode(m Mode) {
 	p.mu.Lock()
 	p.mode = m
@@ -82,7 +82,7 @@
 	}
 }
 
-// Close ends the proxy and its connections.
+// Close closes the listener and resets all connections.
 func (p *Proxy) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -111,7 +111,7 @@
 	for {
 		c, err := p.listener.Accept()
 		if err != nil {
-			return // closed
+			return // the listener is closed
 		}
 		p.wg.Go(func() { p.serve(c) })
 	}
@@ -126,24 +126,24 @@
 		reset(caller)
 		return
 	}
-	server, err := net.DialTimeout("tcp", target, dialWithin)
+	server, err := net.DialTimeout("tcp", target, dialTimeout)
 	if err != nil {
 		reset(caller)
 		return
 	}
-	if !p.add(caller, server) {
+	if !p.track(caller, server) {
 		reset(caller)
 		reset(server)
 		return
 	}
-	defer p.drop(caller, server)
+	defer p.untrack(caller, server)
 	var wg conc.WaitGroup
-	wg.Go(func() { p.copy(server, caller, false) })
-	wg.Go(func() { p.copy(caller, server, true) })
+	wg.Go(func() { p.forward(server, caller, false) })
+	wg.Go(func() { p.forward(caller, server, true) })
 	wg.Wait()
 }
 
-func (p *Proxy) add(conns ...net.Conn) bool {
+func (p *Proxy) track(conns ...net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed || p.mode == ModeReset {
@@ -155,7 +155,7 @@
 	return true
 }
 
-func (p *Proxy) drop(conns ...net.Conn) {
+func (p *Proxy) untrack(conns ...net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range conns {
@@ -163,15 +163,14 @@
 	}
 }
 
-// copy passes one direction on. A connection that ends on one side is ended on
-// the other.
-func (p *Proxy) copy(dst, src net.Conn, replies bool) {
-	piece := make([]byte, pieceBytes)
+// forward copies one direction. When either side closes, it closes both.
+func (p *Proxy) forward(dst, src net.Conn, replies bool) {
+	chunk := make([]byte, chunkSize)
 	for {
-		n, err := src.Read(piece)
-		p.hold(replies)
+		n, err := src.Read(chunk)
+		p.awaitMode(replies)
 		if n > 0 {
-			if _, werr := dst.Write(piece[:n]); werr != nil {
+			if _, werr := dst.Write(chunk[:n]); werr != nil {
 				err = werr
 			}
 		}
@@ -183,15 +182,15 @@
 	}
 }
 
-// hold waits for as long as the mode keeps this direction.
-func (p *Proxy) hold(replies bool) {
+// awaitMode blocks while the mode holds back this direction.
+func (p *Proxy) awaitMode(replies bool) {
 	for {
 		p.mu.Lock()
 		mode, changed := p.mode, p.changed
 		p.mu.Unlock()
 		switch {
 		case mode == ModeDelay:
-			time.Sleep(pieceDelay)
+			time.Sleep(chunkDelay)
 			return
 		case mode == ModeStall, mode == ModeStallReplies && replies:
 			<-changed
--- a/internal/soak/proxy_test.go
+++ b/internal/soak/proxy_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// echo starts a server that sends back what it gets.
+// echo starts a server that sends back what it receives.
 func echo(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -37,25 +37,23 @@
 	return c
 }
 
-// sends reports whether a byte comes back within a time that is short for the
-// modes that hold it.
-func sends(t *testing.T, c net.Conn) bool {
+// echoes reports whether a byte is echoed within 100 ms, less than the modes under test hold it.
+func echoes(t *testing.T, c net.Conn) bool {
 	_, err := c.Write([]byte("x"))
 	require.NoError(t, err)
-	return comes(t, c, 100*time.Millisecond)
+	return receives(t, c, 100*time.Millisecond)
 }
 
-func comes(t *testing.T, c net.Conn, within time.Duration) bool {
-	require.NoError(t, c.SetReadDeadline(time.Now().Add(within)))
+func receives(t *testing.T, c net.Conn, timeout time.Duration) bool {
+	require.NoError(t, c.SetReadDeadline(time.Now().Add(timeout)))
 	_, err := c.Read(make([]byte, 1))
 	return err == nil
 }
 
-// A link that falls silent loses nothing that its ends send: TCP sends it again.
-// If the proxy dropped bytes instead, every answer after a silence would be torn
-// and the daemons blamed for it.
-func TestProxyHoldsWhatItSilences(t *testing.T) {
-	const patience = 10 * time.Second
+// A stalled link loses no bytes, since TCP resends them. If the proxy dropped them instead,
+// every response after a stall would be damaged and the daemons blamed for it.
+func TestStalledProxyLosesNoBytes(t *testing.T) {
+	const timeout = 10 * time.Second
 	for _, mode := range []Mode{ModeStall, ModeStallReplies} {
 		p, err := NewProxy("127.0.0.1", echo(t))
 		require.NoError(t, err)
@@ -63,16 +61,16 @@
 		c := dial(t, p)
 		_, err = c.Write([]byte("x"))
 		require.NoError(t, err)
-		require.True(t, comes(t, c, patience))
+		require.True(t, receives(t, c, timeout))
 		p.SetMode(mode)
-		require.False(t, sends(t, c), "mode %d", mode)
+		require.False(t, echoes(t, c), "mode %d", mode)
 		p.SetMode(ModePass)
-		require.True(t, comes(t, c, patience), "mode %d", mode)
+		require.True(t, receives(t, c, timeout), "mode %d", mode)
 	}
 }
 
-// requireReset opens a connection and wants it to be reset at once. The reset may
-// come before the dial has returned, which then tells it.
+// requireReset opens a connection and requires an immediate reset. The reset may arrive before
+// the dial returns, which then reports it.
 func requireReset(t *testing.T, p *Proxy) {
 	c, err := net.Dial("tcp", p.Address())
 	if err == nil {
@@ -89,7 +87,7 @@
 	c := dial(t, p)
 	_, err = c.Write([]byte("x"))
 	require.NoError(t, err)
-	require.True(t, comes(t, c, 10*time.Second))
+	require.True(t, receives(t, c, 10*time.Second))
 	p.SetMode(ModeReset)
 	_, err = c.Read(make([]byte, 1))
 	require.Error(t, err)
@@ -98,5 +96,5 @@
 	c = dial(t, p)
 	_, err = c.Write([]byte("x"))
 	require.NoError(t, err)
-	require.True(t, comes(t, c, 10*time.Second))
+	require.True(t, receives(t, c, 10*time.Second))
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -1,10 +1,9 @@
-// Package soak runs the real programs as processes of their own, between
-// stand-ins for the platform, and disturbs them from outside: signals, links that
-// delay, break, fall silent or lose one direction, a store and servers that
-// misbehave. It checks the promises by what callers and servers see.
+// Package soak runs the real programs as separate processes among stand-ins for the platform and
+// injects faults from outside: signals; links that delay, reset, stall or lose one direction; a
+// failing store and failing servers. It checks the promises by what callers and servers observe.
 //
-// A run follows from its seed, but for the times at which the machine does what
-// it is told: the same seed brings the same troubles, not the same interleaving.
+// The seed determines a run's faults but not the scheduling: the same seed gives the same faults
+// in another interleaving.
 package soak
 
 import (
@@ -18,9 +17,9 @@
 	"tamarackchute/platform/standin"
 )
 
-// Options say what to run.
+// Options configure a run.
 type Options struct {
-	// Program is the path of the daemon's program.
+	// Program is the path of the daemon's executable.
 	Program string
 	// Folder holds the settings and logs of the daemons.
 	Folder  string
@@ -28,11 +27,11 @@
 	Daemons int
 	Callers int
 	Profile FaultProfile
-	// Steps are played instead of those of the seed, unless there are none.
+	// Steps replace the seed's plan unless they are empty.
 	Steps []Step
 }
 
-// DefaultShape has several troubles at a time for some seconds.
+// DefaultFaultProfile returns a profile with several concurrent faults of up to some seconds.
 func DefaultFaultProfile() FaultProfile {
 	return FaultProfile{Length: 15 * time.Second, MeanInterval: 250 * time.Millisecond, MaxDuration: 3 * time.Second}
 }
@@ -42,30 +41,29 @@
 	Seed       uint64
 	Steps      []Step
 	Violations []Violation
-	// Outcomes counts requests by how they ended for their callers, and what the
-	// checks have looked at.
+	// Outcomes counts requests by their outcome for the caller, and the cases that the checks
+	// covered.
 	Outcomes map[string]int
-	// Recovery is the time from the last trouble's end to the first of some
-	// seconds in which all was served.
+	// RecoveryTime is the time from the end of the last fault to the start of the first
+	// stablePeriod in which no request failed and all daemons were ready.
 	RecoveryTime time.Duration
 }
 
 const (
-	// startWithin bounds the first start, which isn't disturbed and takes under a
-	// second on an idle machine; a busy one must not make a run fail by it.
-	startWithin = time.Minute
-	// recoverWithin bounds the recovery, which ends with a time of calm.
-	recoverWithin = 15 * time.Second
-	calm          = 2 * time.Second
-	pollEvery     = 50 * time.Millisecond
+	// startTimeout bounds the first start, which has no faults and takes under a second on an
+	// idle machine; a busy machine must not fail the run.
+	startTimeout = time.Minute
+	// recoveryTimeout bounds the recovery, which ends with a stablePeriod.
+	recoveryTimeout = 15 * time.Second
+	stablePeriod    = 2 * time.Second
+	pollInterval    = 50 * time.Millisecond
 )
 
-// Run plays the troubles of a seed. The error is one of the soak itself; broken
-// promises are in the report. The end of ctx ends the daemons at once, and the run
-// soon afterwards.
+// Run runs the plan of a seed. The error is a failure of the soak itself; broken promises are in
+// the report. When ctx ends, the daemons are killed and Run returns soon afterwards.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	if err := os.MkdirAll(o.Folder, folderMode); err != nil {
-		return nil, eris.Wrap(err, "soak's folder")
+		return nil, eris.Wrap(err, "soak folder")
 	}
 	network, release, err := reserveNetwork()
 	if err != nil {
@@ -79,55 +77,55 @@
 	if err != nil {
 		return nil, err
 	}
-	stop := context.AfterFunc(ctx, s.endDaemons)
+	stop := context.AfterFunc(ctx, s.killDaemons)
 	defer stop()
-	if !s.awaitReady(startWithin) {
-		return nil, eris.New("the daemons aren't ready in time; see their logs")
+	if !s.awaitReady(startTimeout) {
+		return nil, eris.New("daemons not ready before the start timeout; see their logs")
 	}
 	report := &Report{Seed: o.Seed, Steps: o.Steps}
 	if len(report.Steps) == 0 {
 		report.Steps = NewPlan(o.Seed, o.Profile)
 	}
-	s.play(ctx, o, report)
+	s.executePlan(ctx, o, report)
 	if ctx.Err() != nil {
 		return nil, eris.Wrap(ctx.Err(), "soak")
 	}
 	s.oracle.finish(siteBudget)
 	s.oracle.checkOrders(s.orders())
 	report.Violations = s.oracle.Violations()
-	report.Outcomes = s.oracle.seen
+	report.Outcomes = s.oracle.counts
 	return report, nil
 }
 
-// play runs callers and steps, waits for the recovery and ends the callers.
-func (s *site) play(ctx context.Context, o Options, report *Report) {
+// executePlan runs callers and steps, waits for the recovery and stops the callers.
+func (s *site) executePlan(ctx context.Context, o Options, report *Report) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var wg conc.WaitGroup
-	wg.Go(func() { s.troubles.watchMachine(ctx.Done()) })
+	wg.Go(func() { s.faults.watchMachineLoad(ctx.Done()) })
 	wg.Go(func() { s.relist(ctx.Done()) })
 	for i := range o.Callers {
 		wg.Go(func() { newCaller(s, o.Seed, i).run(ctx) })
 	}
-	for i := range o.Callers / callersForLoyal {
-		wg.Go(func() { newLoyalCaller(s, o.Seed, o.Callers+i).run(ctx) })
+	for i := range o.Callers / callersPerSticky {
+		wg.Go(func() { newStickyCaller(s, o.Seed, o.Callers+i).run(ctx) })
 	}
 	var steps conc.WaitGroup
-	began := time.Now()
+	start := time.Now()
 	for _, step := range report.Steps {
-		if !sleepUntil(ctx, began.Add(step.At)) {
+		if !sleepUntil(ctx, start.Add(step.At)) {
 			break
 		}
-		steps.Go(func() { s.perform(step) })
+		steps.Go(func() { s.inject(step) })
 	}
 	steps.Wait()
-	report.RecoveryTime = s.recover()
+	report.RecoveryTime = s.awaitRecovery()
 	cancel()
 	wg.Wait()
-	s.cuts.Wait()
+	s.pendingChecks.Wait()
 }
 
-// sleepUntil waits for a time. It returns false if ctx ends before.
+// sleepUntil waits until the given time. It returns false if ctx ends first.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	select {
 	case <-ctx.Done():
@@ -137,33 +135,33 @@
 	}
 }
 
-// recover waits until all daemons are ready and nothing fails for some time.
-func (s *site) recover() time.Duration {
-	began := time.Now()
-	calmSince := began
-	for time.Since(began) < recoverWithin {
-		time.Sleep(pollEvery)
-		if !s.awaitReady(0) || s.oracle.failedSince(calmSince) {
-			calmSince = time.Now()
+// awaitRecovery waits until all daemons are ready and no request fails for a stablePeriod.
+func (s *site) awaitRecovery() time.Duration {
+	start := time.Now()
+	stableSince := start
+	for time.Since(start) < recoveryTimeout {
+		time.Sleep(pollInterval)
+		if !s.awaitReady(0) || s.oracle.failedSince(stableSince) {
+			stableSince = time.Now()
 		}
-		if time.Since(calmSince) >= calm {
-			return calmSince.Sub(began)
+		if time.Since(stableSince) >= stablePeriod {
+			return stableSince.Sub(start)
 		}
 	}
-	if s.troubles.quiet(began, time.Now(), subjectMachine) {
-		s.oracle.report(Recovers, "requests fail or daemons aren't ready %v after the last trouble", recoverWithin)
+	if s.faults.undisturbed(start, time.Now(), subjectMachine) {
+		s.oracle.report(Recovers, "requests fail or daemons aren't ready %v after the last trouble", recoveryTimeout)
 	}
-	return recoverWithin
+	return recoveryTimeout
 }
 
-// awaitReady waits until all daemons are ready, and reports whether they are.
-func (s *site) awaitReady(within time.Duration) bool {
-	began := time.Now()
+// awaitReady waits for all daemons to be ready and reports whether they are before the timeout.
+func (s *site) awaitReady(timeout time.Duration) bool {
+	start := time.Now()
 	for !s.ready() {
-		if time.Since(began) >= within {
+		if time.Since(start) >= timeout {
 			return false
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 	return true
 }
@@ -174,7 +172,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	for _, d := range s.daemons {
-		if !client.IsReady(ctx, d.about.Ready()) {
+		if !client.IsReady(ctx, d.config.Ready()) {
 			return false
 		}
 	}
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -19,90 +19,89 @@
 const (
 	settingsMode = 0o600
 	folderMode   = 0o755
-	// streamEvents is the number of events of a stream, streamPause the time
-	// between two: long enough for a stop or a crash to come midway.
-	streamEvents = 20
-	streamPause  = 60 * time.Millisecond
-	serviceMark  = "mark"
-	// One of slowEvery calls to a plain server takes slowFor: long against
-	// closeWithin, so that it shows whether a caller's close reaches the server.
-	slowEvery = 8
-	slowFor   = 1500 * time.Millisecond
+	// A stream has streamEvents events, one every eventGap: long enough for a stop or a crash to
+	// hit it midway.
+	streamEvents   = 20
+	eventGap       = 60 * time.Millisecond
+	versionService = "mark"
+	// One in slowEvery calls to a plain server takes slowDuration: much longer than
+	// maxCancelDelay, so that it shows whether a caller's close reaches the server.
+	slowEvery    = 8
+	slowDuration = 1500 * time.Millisecond
 )
 
 // service is a kind of request.
 type service struct {
 	name string
-	// once says that it must not be repeated.
-	once, stream bool
-	kind         standin.Kind
-	servers      int
-	deadline     time.Duration
+	// atMostOnce is set if a request must not be repeated.
+	atMostOnce, stream bool
+	kind               standin.Kind
+	servers            int
+	deadline           time.Duration
 }
 
-// callersServed is the number of callers that a service's servers can serve, with some of them
-// away.
-const callersServed = 30
+// callersPerServerSet is the number of callers that a service's servers can serve while some of
+// them are unavailable.
+const callersPerServerSet = 30
 
-// serversFor returns the number of servers before a number of callers. A site that can't serve
-// what is asked of it refuses, which must not pass for a recovery that doesn't come.
+// serversFor returns the number of servers needed for the callers. An overloaded site refuses
+// requests, which must not be mistaken for a failed recovery.
 func (v service) serversFor(callers int) int {
-	return v.servers * max(1, (callers+callersServed-1)/callersServed)
+	return v.servers * max(1, (callers+callersPerServerSet-1)/callersPerServerSet)
 }
 
-// services are the kinds of request of a run. The answers of the last tell which
+// services are the kinds of request of a run. The responses of the last one reveal which
 // configuration is in force.
 var services = []service{
-	{name: "once", once: true, kind: standin.OnceOnly, servers: 2, deadline: 3 * time.Second},
+	{name: "once", atMostOnce: true, kind: standin.OnceOnly, servers: 2, deadline: 3 * time.Second},
 	{name: "repeat", kind: standin.Repeatable, servers: 2, deadline: 3 * time.Second},
 	{name: "llm", stream: true, kind: standin.Streams, servers: 4, deadline: 6 * time.Second},
-	{name: serviceMark, kind: standin.Repeatable, deadline: 3 * time.Second},
+	{name: versionService, kind: standin.Repeatable, deadline: 3 * time.Second},
 }
 
-// markPools are the pools that the rule of serviceMark leads to, by version.
-var markPools = func() []string {
+// versionPools are the pools that the rule of versionService names, by version.
+var versionPools = func() []string {
 	pools := make([]string, maxVersions)
 	for i := range pools {
-		pools[i] = fmt.Sprint(serviceMark, i+1)
+		pools[i] = fmt.Sprint(versionService, i+1)
 	}
 	return pools
 }()
 
-// serversSubject names the servers of a pool and the ways to them.
+// serversSubject names the servers of a pool and the links to them.
 func serversSubject(pool string) string { return "servers " + pool }
 
-// storeLinkSubject names a daemon's way to the store.
+// storeLinkSubject names a daemon's link to the store.
 func storeLinkSubject(daemon int) string { return fmt.Sprintf("store link %d", daemon) }
 
-// site is everything that a run needs: the store, the servers and the daemons.
+// site consists of the store, the servers and the daemons of a run.
 type site struct {
-	// ip is the address of the stand-ins. It is none that other programs listen
-	// at, so that none of them can be reached at a port that has come free.
+	// ip is the address of the stand-ins. No other program listens there, so that none is
+	// reachable at a port that was released.
 	ip        string
 	store     *standin.Store
 	storeHTTP *httptest.Server
 	daemons   []*daemon
 	links     []*Proxy
-	places    []*place
+	slots     []*serverSlot
 	oracle    *oracle
-	troubles  *troubles
-	// cuts are the checks of broken connections that aren't done.
-	cuts conc.WaitGroup
-
-	mu       sync.Mutex
-	versions int
-	started  int
-	retired  []*standin.Server
-	// free are links whose servers have ended: the next server, of any pool,
-	// has the address that came free last.
-	free []*Proxy
+	faults    *faultLog
+	// pendingChecks tracks the unfinished checks of broken connections.
+	pendingChecks conc.WaitGroup
+
+	mu             sync.Mutex
+	versions       int
+	serversStarted int
+	stoppedServers []*standin.Server
+	// freeLinks are links whose servers have stopped: the next server, of any pool, gets the
+	// address that was released last.
+	freeLinks []*Proxy
 }
 
-// newSite starts the store and the servers, and lists them. Nothing runs yet that
-// is tested.
+// newSite starts the store and the servers, lists them, and starts the daemons.
 func newSite(o Options, network string) (*site, error) {
-	t := newTroubles()
-	s := &site{ip: fmt.Sprintf("%s.%d", network, standinHost), store: standin.NewStore(), oracle: newOracle(t), troubles: t}
+	faults := newFaultLog()
+	s := &site{ip: fmt.Sprintf("%s.%d", network, standinHost), store: standin.NewStore(), oracle: newOracle(faults), faults: faults}
 	l, err := s.listen()
 	if err != nil {
 		return nil, err
@@ -116,15 +115,15 @@
 		for i := range v.serversFor(o.Callers) {
 			role := ""
 			if v.stream {
-				role = firstRole(i)
+				role = initialRole(i)
 			}
-			if err := s.addPlace(v.name, role); err != nil {
+			if err := s.addSlot(v.name, role); err != nil {
 				return nil, err
 			}
 		}
 	}
-	for _, pool := range markPools {
-		if err := s.addPlace(pool, ""); err != nil {
+	for _, pool := range versionPools {
+		if err := s.addSlot(pool, ""); err != nil {
 			return nil, err
 		}
 	}
@@ -132,7 +131,7 @@
 	return s, s.addDaemons(o, network)
 }
 
-// publish puts the next configuration in the store.
+// publish stores the next configuration.
 func (s *site) publish() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -143,12 +142,12 @@
 	var rules []standin.Service
 	for _, v := range services {
 		rule := standin.Service{Name: v.name, Kind: v.kind, Attempts: 3, Timeout: v.deadline}
-		if v.name == serviceMark {
-			rule.Serves = markPools[s.versions-1]
+		if v.name == versionService {
+			rule.Serves = versionPools[s.versions-1]
 		}
 		rules = append(rules, rule)
 	}
-	for _, pool := range markPools {
+	for _, pool := range versionPools {
 		rules = append(rules, standin.Service{Name: pool, Kind: standin.Repeatable, Attempts: 3, Timeout: time.Second})
 	}
 	s.store.PutConfig(s.versions, rules)
@@ -167,17 +166,17 @@
 		}
 		s.links = append(s.links, link)
 		d := &daemon{
-			number: i, program: o.Program, oracle: s.oracle, troubles: s.troubles, ends: make(map[int]processEnd),
+			number: i, program: o.Program, oracle: s.oracle, faults: s.faults, exits: make(map[int]processExit),
 			settings: filepath.Join(o.Folder, fmt.Sprintf("daemon-%d.toml", i)),
 			logs:     filepath.Join(o.Folder, fmt.Sprintf("daemon-%d.log", i)),
-			about: standin.Daemon{
+			config: standin.Daemon{
 				Name: fmt.Sprintf("d%d", i), IP: ip, Seeds: ips[:min(len(ips), 3)], Store: link.Address(),
 				Grace: grace, RetryRatio: siteBudget.ratio, RetrySlack: siteBudget.slack, RetryWindow: siteBudget.window,
 				LeaseTerm: time.Second,
 			},
 		}
-		if err := os.WriteFile(d.settings, []byte(d.about.SettingsFile()), settingsMode); err != nil {
-			return eris.Wrap(err, "settings")
+		if err := os.WriteFile(d.settings, []byte(d.config.SettingsFile()), settingsMode); err != nil {
+			return eris.Wrap(err, "write daemon settings")
 		}
 		s.daemons = append(s.daemons, d)
 	}
@@ -192,19 +191,18 @@
 // grace is the time that a daemon has to stop.
 const grace = 8 * time.Second
 
-// siteBudget bounds repeats. The slack is small, so that the troubles of a run
-// can use it up.
-var siteBudget = budget{ratio: 0.05, slack: 5, window: 10 * time.Second}
+// siteBudget bounds retries. The slack is small, so that a run's faults can exhaust it.
+var siteBudget = retryBudget{ratio: 0.05, slack: 5, window: 10 * time.Second}
 
-// close ends the daemons first, then what they use.
+// close stops the daemons first, then the stand-ins that they use.
 func (s *site) close() {
-	s.endDaemons()
-	for _, p := range s.places {
-		server, link := p.current()
+	s.killDaemons()
+	for _, slot := range s.slots {
+		server, link := slot.current()
 		link.Close()
 		server.Close()
 	}
-	for _, link := range append(s.links, s.free...) {
+	for _, link := range append(s.links, s.freeLinks...) {
 		link.Close()
 	}
 	s.store.Close()
@@ -212,10 +210,10 @@
 	s.storeHTTP.Close()
 }
 
-// endDaemons kills all daemons; none is started again.
-func (s *site) endDaemons() {
+// killDaemons kills all daemons for good.
+func (s *site) killDaemons() {
 	for _, d := range s.daemons {
-		d.end()
+		d.shutDown()
 	}
 }
 
@@ -226,21 +224,21 @@
 		return nil, false
 	}
 	for _, d := range s.daemons {
-		if d.about.IP == host {
+		if d.config.IP == host {
 			return d, true
 		}
 	}
 	return nil, false
 }
 
-// orders returns what the engines have accepted.
+// orders returns the role orders that the engines have accepted.
 func (s *site) orders() []engineOrders {
 	var all []engineOrders
-	for _, p := range s.places {
-		server, _ := p.current()
+	for _, slot := range s.slots {
+		server, _ := slot.current()
 		all = append(all, engineOrders{engine: server.ID, orders: server.Orders()})
 	}
-	for _, server := range s.retired {
+	for _, server := range s.stoppedServers {
 		all = append(all, engineOrders{engine: server.ID, orders: server.Orders()})
 	}
 	return all
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -12,9 +12,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// ciSeeds are played with each run of the tests, beside the kept plans: one with
-// many troubles at once, one with few.
-var ciSeeds = []uint64{13, 11}
+// testSeeds run with the tests, in addition to the saved plans: one has many concurrent faults,
+// one few.
+var testSeeds = []uint64{13, 11}
 
 func buildMember(t *testing.T) string {
 	program := filepath.Join(t.TempDir(), "chute-member")
@@ -23,8 +23,8 @@
 	return program
 }
 
-func runClean(t *testing.T, o Options) {
-	o.Folder = keptFolder(t)
+func requireNoViolations(t *testing.T, o Options) {
+	o.Folder = folderKeptOnFailure(t)
 	o.Daemons, o.Profile = 5, DefaultFaultProfile()
 	if o.Callers == 0 {
 		o.Callers = 20
@@ -35,8 +35,9 @@
 	require.Greater(t, report.Outcomes["once 200"], 0)
 }
 
-// keptFolder returns a folder for a run's settings and logs, which stays if the test fails.
-func keptFolder(t *testing.T) string {
+// folderKeptOnFailure returns a folder for a run's settings and logs, which is kept if the test
+// fails.
+func folderKeptOnFailure(t *testing.T) string {
 	folder, err := os.MkdirTemp("", "chute-soak-test-")
 	require.NoError(t, err)
 	t.Cleanup(func() {
@@ -49,21 +50,21 @@
 	return folder
 }
 
-// A driver must get the one true answer whatever happens to daemons, store,
-// servers and the links between them, several at a time and one after the other.
-// Real daemons are disturbed as each seed says; no promise may break.
+// Each caller must get the one correct answer whatever happens to daemons, store, servers and
+// the links between them. Real daemons run under each seed's faults, concurrent and consecutive;
+// no promise may break.
 func TestSeeds(t *testing.T) {
 	t.Parallel()
 	program := buildMember(t)
-	for _, seed := range ciSeeds {
+	for _, seed := range testSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			runClean(t, Options{Program: program, Seed: seed})
+			requireNoViolations(t, Options{Program: program, Seed: seed})
 		})
 	}
 }
 
-// Plans that have shown a fault once must not show it again.
+// Plans that revealed a bug once must not reveal it again.
 func TestKeptPlans(t *testing.T) {
 	t.Parallel()
 	files, err := filepath.Glob("testdata/plans/*.json")
@@ -73,36 +74,36 @@
 	for _, file := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".json"), func(t *testing.T) {
 			t.Parallel()
-			kept, err := ReadPlan(file)
+			saved, err := ReadPlan(file)
 			require.NoError(t, err)
-			require.NotEmpty(t, kept.Cause)
-			runClean(t, Options{Program: program, Callers: kept.Callers, Steps: kept.Steps})
+			require.NotEmpty(t, saved.Cause)
+			requireNoViolations(t, Options{Program: program, Callers: saved.Callers, Steps: saved.Steps})
 		})
 	}
 }
 
-func TestKeptPlanIsReadAsWritten(t *testing.T) {
+func TestSavedPlanRoundTrip(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "plan.json")
-	kept := SavedPlan{Cause: "c", Steps: NewPlan(3, DefaultFaultProfile())}
-	require.NoError(t, kept.Write(file))
+	saved := SavedPlan{Cause: "c", Steps: NewPlan(3, DefaultFaultProfile())}
+	require.NoError(t, saved.Write(file))
 	got, err := ReadPlan(file)
 	require.NoError(t, err)
-	require.Equal(t, kept, got)
+	require.Equal(t, saved, got)
 	_, err = ReadPlan(filepath.Join(t.TempDir(), "none"))
 	require.Error(t, err)
 }
 
-// A kept seed is worth nothing if it stands for other troubles the next time.
-func TestPlanFollowsFromItsSeed(t *testing.T) {
-	shape := DefaultFaultProfile()
-	require.Equal(t, NewPlan(7, shape), NewPlan(7, shape))
-	require.NotEqual(t, NewPlan(7, shape), NewPlan(8, shape))
+// The same seed must yield the same faults, or a seed that revealed a bug couldn't be replayed.
+func TestPlanIsDeterministicPerSeed(t *testing.T) {
+	profile := DefaultFaultProfile()
+	require.Equal(t, NewPlan(7, profile), NewPlan(7, profile))
+	require.NotEqual(t, NewPlan(7, profile), NewPlan(8, profile))
 
 	kinds := make(map[FaultKind]int)
 	for seed := range uint64(50) {
 		versions := 1
-		for _, step := range NewPlan(seed, shape) {
-			require.Less(t, step.At, shape.Length)
+		for _, step := range NewPlan(seed, profile) {
+			require.Less(t, step.At, profile.Length)
 			require.Positive(t, step.For)
 			kinds[step.Kind]++
 			if step.Kind == PublishVersion {
@@ -111,20 +112,20 @@
 		}
 		require.LessOrEqual(t, versions, maxVersions)
 	}
-	require.Len(t, kinds, len(weights), "each kind comes up")
+	require.Len(t, kinds, len(kindWeights), "each kind comes up")
 }
 
-func TestTroublesTellWhatWasQuiet(t *testing.T) {
-	tr := newTroubles()
+func TestFaultLogUndisturbed(t *testing.T) {
+	tr := newFaultLog()
 	before := time.Now()
 	end := tr.begin("store")
 	during := time.Now()
-	require.False(t, tr.quiet(before, during, "store"))
-	require.True(t, tr.quiet(before, during, "daemon 1"))
-	require.False(t, tr.quiet(before, during, "daemon 1", "store"))
+	require.False(t, tr.undisturbed(before, during, "store"))
+	require.True(t, tr.undisturbed(before, during, "daemon 1"))
+	require.False(t, tr.undisturbed(before, during, "daemon 1", "store"))
 	end()
 	time.Sleep(time.Millisecond)
 	after := time.Now()
-	require.True(t, tr.quiet(after, after.Add(time.Second), "store"))
-	require.False(t, tr.quiet(during, after, "store"))
+	require.True(t, tr.undisturbed(after, after.Add(time.Second), "store"))
+	require.False(t, tr.undisturbed(during, after, "store"))
 }
--- a/internal/soak/steps.go
+++ b/internal/soak/steps.go
@@ -10,20 +10,19 @@
 )
 
 const (
-	// listLag is how long the platform takes to drop the entry of a server that
-	// has crashed.
-	listLag = 1500 * time.Millisecond
-	// leaveTime is how long a server that leaves goes on after its notice.
-	leaveTime = 5 * time.Second
-	// settleTime is how long the ways to servers count as disturbed after a
-	// trouble: connections that broke and pauses before retries outlast it.
-	settleTime = 2 * time.Second
-	// awayLongest bounds the time for which a store that is restored is away, copyOldest the
-	// age of the copy in seconds, rewriteLatest the time in ms after which what the operator
-	// and the servers wrote since is written again.
-	awayLongest   = time.Second
-	copyOldest    = 5
-	rewriteLatest = 1000
+	// entryExpiry is how long the platform takes to remove the entry of a crashed server.
+	entryExpiry = 1500 * time.Millisecond
+	// drainTime is how long a draining server keeps serving.
+	drainTime = 5 * time.Second
+	// settleDelay is how long the links to servers count as disturbed after a fault, since
+	// broken connections and retry delays outlast it.
+	settleDelay = 2 * time.Second
+	// A store that is restored is down for up to maxStoreOutage; the backup is up to
+	// maxBackupAgeSeconds old; what the operator and the servers wrote since then is written
+	// again after less than maxRewriteDelayMs.
+	maxStoreOutage      = time.Second
+	maxBackupAgeSeconds = 5
+	maxRewriteDelayMs   = 1000
 )
 
 var (
@@ -35,18 +34,18 @@
 	}
 )
 
-// perform carries out a step and returns once its trouble is over.
-func (s *site) perform(step Step) {
+// inject carries out a step and returns once its fault is over.
+func (s *site) inject(step Step) {
 	d := s.daemons[step.Target%len(s.daemons)]
-	p := s.placeOf(step.Target)
-	link := linkModes[step.Variant%len(linkModes)]
+	slot := s.slotFor(step.Target)
+	mode := linkModes[step.Variant%len(linkModes)]
 	switch step.Kind {
 	case KillDaemon:
 		d.kill()
-		s.restart(d, step.For)
+		s.restartDaemon(d, step.For)
 	case StopDaemon:
 		d.stop()
-		s.restart(d, step.For)
+		s.restartDaemon(d, step.For)
 	case PauseDaemon:
 		d.pause(step.For)
 	case ReloadDaemon:
@@ -58,144 +57,143 @@
 	case RestoreStore:
 		s.restoreStore(step)
 	case DisturbStoreLink:
-		end := s.troubles.begin(storeLinkSubject(d.number))
-		disturb(s.links[d.number], link, step.For)
-		time.AfterFunc(settleTime, end)
+		end := s.faults.begin(storeLinkSubject(d.number))
+		disturbLink(s.links[d.number], mode, step.For)
+		time.AfterFunc(settleDelay, end)
 	case DisturbServerLink:
-		end := s.troubles.begin(serversSubject(p.pool))
-		_, way := p.current()
-		disturb(way, link, step.For)
-		time.AfterFunc(settleTime, end)
+		end := s.faults.begin(serversSubject(slot.pool))
+		_, serverLink := slot.current()
+		disturbLink(serverLink, mode, step.For)
+		time.AfterFunc(settleDelay, end)
 	case FailNextRequests:
-		s.failServer(p, step)
+		s.failNextRequests(slot, step)
 	case FailAllRequests:
-		s.failAll(p, step)
+		s.failAllRequests(slot, step)
 	case CrashServer:
-		replace(p, func() { s.crash(p, step) })
+		tryReplace(slot, func() { s.crashPair(slot, step) })
 	case DrainServer:
-		replace(p, func() { s.leave(p) })
+		tryReplace(slot, func() { s.drainServer(slot) })
 	case RestartServer:
-		replace(p, func() { s.startAgain(p, step) })
+		tryReplace(slot, func() { s.restartSameID(slot, step) })
 	case WriteForeignEntry:
-		s.writeForeign(p, step)
+		s.writeForeignEntry(slot, step)
 	case PublishVersion:
 		s.publish()
 	}
 }
 
-// placeOf returns the place that a number picks: first the service, then one of
-// its servers, as some services have many more servers than others.
-func (s *site) placeOf(target int) *place {
+// slotFor maps a number to a slot: first to a service, then to one of its servers, since some
+// services have many more servers than others.
+func (s *site) slotFor(target int) *serverSlot {
 	name := services[target%len(services)].name
-	var of []*place
-	for _, p := range s.places {
-		if strings.HasPrefix(p.pool, name) {
-			of = append(of, p)
+	var candidates []*serverSlot
+	for _, slot := range s.slots {
+		if strings.HasPrefix(slot.pool, name) {
+			candidates = append(candidates, slot)
 		}
 	}
-	return of[target/len(services)%len(of)]
+	return candidates[target/len(services)%len(candidates)]
 }
 
-// replace runs a step that replaces the server of a place, unless another one
-// does that already.
-func replace(p *place, step func()) {
-	if !p.change.TryLock() {
+// tryReplace runs a replacement of a slot's server unless another one is in progress.
+func tryReplace(slot *serverSlot, replacement func()) {
+	if !slot.replacing.TryLock() {
 		return
 	}
-	defer p.change.Unlock()
-	step()
+	defer slot.replacing.Unlock()
+	replacement()
 }
 
-func disturb(link *Proxy, mode Mode, length time.Duration) {
+func disturbLink(link *Proxy, mode Mode, duration time.Duration) {
 	link.SetMode(mode)
-	time.Sleep(length)
+	time.Sleep(duration)
 	link.SetMode(ModePass)
 }
 
-func (s *site) restart(d *daemon, length time.Duration) {
-	time.Sleep(max(length, restartAfter))
+func (s *site) restartDaemon(d *daemon, delay time.Duration) {
+	time.Sleep(max(delay, restartDelay))
 	if err := d.start(); err != nil {
 		s.oracle.report(NoUnexpectedExit, "daemon %d doesn't start: %v", d.number, err)
 	}
 }
 
-func (s *site) failStore(fault standin.StoreFault, length time.Duration) {
-	end := s.troubles.begin(subjectStore)
+func (s *site) failStore(fault standin.StoreFault, duration time.Duration) {
+	end := s.faults.begin(subjectStore)
 	s.store.Fail(fault)
-	time.Sleep(length)
+	time.Sleep(duration)
 	s.store.Fail(standin.StoreWell)
-	time.AfterFunc(settleTime, end)
+	time.AfterFunc(settleDelay, end)
 }
 
-// restoreStore takes the store away for a moment and brings it back from an older copy.
+// restoreStore takes the store down for a moment and restores it from an older backup.
 func (s *site) restoreStore(step Step) {
-	end := s.troubles.begin(subjectStore)
+	end := s.faults.begin(subjectStore)
 	s.store.Fail(standin.StoreReset)
-	time.Sleep(min(step.For, awayLongest))
-	age := time.Duration(1+step.Variant%copyOldest) * time.Second
-	rewriteAfter := time.Duration(step.Target%rewriteLatest) * time.Millisecond
+	time.Sleep(min(step.For, maxStoreOutage))
+	age := time.Duration(1+step.Variant%maxBackupAgeSeconds) * time.Second
+	rewriteAfter := time.Duration(step.Target%maxRewriteDelayMs) * time.Millisecond
 	s.store.Restore(age, rewriteAfter)
 	s.store.Fail(standin.StoreWell)
-	time.AfterFunc(rewriteAfter+settleTime, end)
+	time.AfterFunc(rewriteAfter+settleDelay, end)
 }
 
-// failServer fails the next few requests of a server, each in its own way.
-func (s *site) failServer(p *place, step Step) {
-	end := s.troubles.begin(serversSubject(p.pool))
-	server, _ := p.current()
+// failNextRequests fails the next few requests of a server, each with another fault.
+func (s *site) failNextRequests(slot *serverSlot, step Step) {
+	end := s.faults.begin(serversSubject(slot.pool))
+	server, _ := slot.current()
 	for i := range 1 + step.Target%4 {
 		server.Fail(serverFaults[(step.Variant+i)%len(serverFaults)])
 	}
 	time.Sleep(step.For)
-	time.AfterFunc(settleTime, end)
+	time.AfterFunc(settleDelay, end)
 }
 
-// failAll fails all requests of a server in the same way for a while.
-func (s *site) failAll(p *place, step Step) {
-	end := s.troubles.begin(serversSubject(p.pool))
-	server, _ := p.current()
+// failAllRequests fails all requests of a server with the same fault for a while.
+func (s *site) failAllRequests(slot *serverSlot, step Step) {
+	end := s.faults.begin(serversSubject(slot.pool))
+	server, _ := slot.current()
 	server.FailAll(serverFaults[step.Variant%len(serverFaults)])
 	time.Sleep(step.For)
 	server.FailAll(standin.Well)
-	time.AfterFunc(settleTime, end)
+	time.AfterFunc(settleDelay, end)
 }
 
-// crash ends two servers without notice. Soon afterwards each has a successor, at
-// the other one's address, while the old entries are still listed.
-func (s *site) crash(p *place, step Step) {
-	other := s.otherPlace(p, step.Variant)
+// crashPair stops two servers without notice. Soon afterwards each is replaced at the other
+// one's address, while the old entries are still listed.
+func (s *site) crashPair(slot *serverSlot, step Step) {
+	other := s.otherSlot(slot, step.Variant)
 	if other == nil {
 		return
 	}
-	defer other.change.Unlock()
-	for _, at := range []*place{p, other} {
-		end := s.troubles.begin(serversSubject(at.pool))
-		time.AfterFunc(listLag+settleTime, end)
-		s.end(at)
+	defer other.replacing.Unlock()
+	for _, crashed := range []*serverSlot{slot, other} {
+		end := s.faults.begin(serversSubject(crashed.pool))
+		time.AfterFunc(entryExpiry+settleDelay, end)
+		s.stopServer(crashed)
 	}
-	time.Sleep(min(step.For, listLag/2))
-	s.restartServer(p)
-	s.restartServer(other)
+	time.Sleep(min(step.For, entryExpiry/2))
+	s.startReplacement(slot)
+	s.startReplacement(other)
 }
 
-// startAgain ends a server without notice and starts it under the same ID, at the same
-// address, before its entry lapses.
-func (s *site) startAgain(p *place, step Step) {
-	end := s.troubles.begin(serversSubject(p.pool))
-	time.AfterFunc(listLag+settleTime, end)
-	old, link := p.current()
+// restartSameID stops a server without notice and starts it again under the same ID and at the
+// same address before its entry expires.
+func (s *site) restartSameID(slot *serverSlot, step Step) {
+	end := s.faults.begin(serversSubject(slot.pool))
+	time.AfterFunc(entryExpiry+settleDelay, end)
+	old, link := slot.current()
 	old.Close()
 	s.mu.Lock()
-	s.retired = append(s.retired, old)
+	s.stoppedServers = append(s.stoppedServers, old)
 	s.mu.Unlock()
-	time.Sleep(min(step.For, listLag/2))
-	if err := s.startAs(p, old.ID, link); err != nil {
+	time.Sleep(min(step.For, entryExpiry/2))
+	if err := s.startWithID(slot, old.ID, link); err != nil {
 		panic(err)
 	}
 }
 
-// foreignEntries are what another program writes where servers write their entries.
-// The address is that of a server of some pool.
+// foreignEntries are values that another program writes to the servers' topic. The address is
+// that of a server of some pool.
 var foreignEntries = []string{
 	`{"Service":"once","Address":%q}`,
 	`{"Service":"repeat","Address":%q,"Zone":"d","Version":"v1","Slots":"16","State":"ready","ColdRemainingMs":0,"Seq":1}`,
@@ -203,61 +201,61 @@
 	"\x00\xff%q",
 }
 
-// writeForeign writes an entry that names no server, under a key of its own or in place
-// of a server's, which writes its own anew with its next heartbeat.
-func (s *site) writeForeign(p *place, step Step) {
-	server, link := p.current()
+// writeForeignEntry writes a value that describes no server, either under a key of its own or
+// over a server's entry, which the server's next heartbeat restores.
+func (s *site) writeForeignEntry(slot *serverSlot, step Step) {
+	server, link := slot.current()
 	entry := fmt.Sprintf(foreignEntries[step.Variant%len(foreignEntries)], link.Address())
 	key := fmt.Sprintf("foreign-%d", step.Variant)
 	if step.Target%2 == 0 {
 		key = server.ID
-		end := s.troubles.begin(serversSubject(p.pool))
-		time.AfterFunc(beatEach*relistEvery+settleTime, end)
+		end := s.faults.begin(serversSubject(slot.pool))
+		time.AfterFunc(ticksPerHeartbeat*relistInterval+settleDelay, end)
 	}
 	s.store.Put("keyed.servers", key, []byte(entry))
 }
 
 func (s *site) unlist(id string) {
 	s.store.Unlist(id)
-	s.oracle.serverGone(id)
+	s.oracle.serverRemoved(id)
 }
 
-// otherPlace returns a place of another pool with its change held, nil if it is
-// being changed.
-func (s *site) otherPlace(p *place, variant int) *place {
-	other := s.placeOf(variant)
-	if other.pool == p.pool || !other.change.TryLock() {
+// otherSlot returns a slot of another pool with its replacing mutex locked, or nil if the slot
+// is of the same pool or is being replaced.
+func (s *site) otherSlot(slot *serverSlot, variant int) *serverSlot {
+	other := s.slotFor(variant)
+	if other.pool == slot.pool || !other.replacing.TryLock() {
 		return nil
 	}
 	return other
 }
 
-// end ends a place's server; its entry lapses some time later.
-func (s *site) end(p *place) {
-	old, link := p.current()
+// stopServer stops a slot's server; its entry expires later.
+func (s *site) stopServer(slot *serverSlot) {
+	old, link := slot.current()
 	old.Close()
 	s.retire(old, link)
-	time.AfterFunc(listLag, func() { s.unlist(old.ID) })
+	time.AfterFunc(entryExpiry, func() { s.unlist(old.ID) })
 }
 
-// restartServer starts a place's next server. Without one the run can't go on as
-// planned, which must not pass for a broken promise of the system.
-func (s *site) restartServer(p *place) {
-	if err := s.startServer(p); err != nil {
+// startReplacement starts a slot's next server. If that fails, the plan can't go on; the panic
+// keeps this from being mistaken for a broken promise of the system.
+func (s *site) startReplacement(slot *serverSlot) {
+	if err := s.startServer(slot); err != nil {
 		panic(err)
 	}
 }
 
-// leave lets a server announce its end, and replaces it.
-func (s *site) leave(p *place) {
-	old, link := p.current()
-	s.store.List(old, p.pool, link.Address(), true)
-	s.oracle.serverLeaves(old.ID)
-	time.Sleep(leaveTime)
-	end := s.troubles.begin(serversSubject(p.pool))
+// drainServer marks a server as draining, and replaces it after drainTime.
+func (s *site) drainServer(slot *serverSlot) {
+	old, link := slot.current()
+	s.store.List(old, slot.pool, link.Address(), true)
+	s.oracle.serverDraining(old.ID)
+	time.Sleep(drainTime)
+	end := s.faults.begin(serversSubject(slot.pool))
 	s.unlist(old.ID)
-	s.restartServer(p)
+	s.startReplacement(slot)
 	old.Close()
 	s.retire(old, link)
-	time.AfterFunc(settleTime, end)
+	time.AfterFunc(settleDelay, end)
 }
--- a/internal/soak/troubles.go
+++ b/internal/soak/troubles.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// troubles keeps when what was disturbed. Promises that hold "in time" are asked
-// for only where nothing that they rest on was disturbed.
-type troubles struct {
-	mu    sync.Mutex
-	spans map[string][]span
+// faultLog records what was disturbed and when. Promises with a time limit are checked only
+// where nothing that they depend on was disturbed.
+type faultLog struct {
+	mu        sync.Mutex
+	intervals map[string][]interval
 }
 
-// span is a time of trouble; one without an end goes on.
-type span struct{ from, to time.Time }
+// interval is the time of a fault; a zero end means that it goes on.
+type interval struct{ from, to time.Time }
 
-func newTroubles() *troubles { return &troubles{spans: make(map[string][]span)} }
+func newFaultLog() *faultLog { return &faultLog{intervals: make(map[string][]interval)} }
 
-// begin notes that subject is disturbed from now on, until end is called.
-func (t *troubles) begin(subject string) (end func()) {
+// begin records that subject is disturbed from now on, until end is called.
+func (t *faultLog) begin(subject string) (end func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	i := len(t.spans[subject])
-	t.spans[subject] = append(t.spans[subject], span{from: time.Now()})
+	i := len(t.intervals[subject])
+	t.intervals[subject] = append(t.intervals[subject], interval{from: time.Now()})
 	return func() {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		t.spans[subject][i].to = time.Now()
+		t.intervals[subject][i].to = time.Now()
 	}
 }
 
-// quiet reports whether no subject was disturbed between from and to.
-func (t *troubles) quiet(from, to time.Time, subjects ...string) bool {
+// undisturbed reports whether no subject was disturbed between from and to.
+func (t *faultLog) undisturbed(from, to time.Time, subjects ...string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, subject := range subjects {
-		for _, s := range t.spans[subject] {
+		for _, s := range t.intervals[subject] {
 			if !s.from.After(to) && (s.to.IsZero() || !s.to.Before(from)) {
 				return false
 			}
@@ -45,30 +45,29 @@
 }
 
 const (
-	// subjectStore is the store itself, subjectMachine the machine that the
-	// soak runs on.
+	// subjectStore is the store itself, subjectMachine the machine that runs the soak.
 	subjectStore   = "store"
 	subjectMachine = "machine"
-	// beat and lateBeat: a goroutine that sleeps for beat and wakes later than
-	// lateBeat shows that the machine is too busy for promises in time.
-	beat     = 20 * time.Millisecond
-	lateBeat = 150 * time.Millisecond
+	// If a goroutine that sleeps for wakeInterval wakes later than maxWakeDelay, the machine is
+	// too busy for checking time limits.
+	wakeInterval = 20 * time.Millisecond
+	maxWakeDelay = 150 * time.Millisecond
 )
 
-// watchMachine notes the times at which the machine was too busy, until done.
-func (t *troubles) watchMachine(done <-chan struct{}) {
+// watchMachineLoad records when the machine was too busy, until done is closed.
+func (t *faultLog) watchMachineLoad(done <-chan struct{}) {
 	for {
 		before := time.Now()
 		select {
 		case <-done:
 			return
-		case <-time.After(beat):
+		case <-time.After(wakeInterval):
 		}
-		if time.Since(before) < lateBeat {
+		if time.Since(before) < maxWakeDelay {
 			continue
 		}
 		t.mu.Lock()
-		t.spans[subjectMachine] = append(t.spans[subjectMachine], span{from: before, to: time.Now()})
+		t.intervals[subjectMachine] = append(t.intervals[subjectMachine], interval{from: before, to: time.Now()})
 		t.mu.Unlock()
 	}
 }
