--- a/cmd/chute-load/experiment.go
+++ b/cmd/chute-load/experiment.go
@@ -12,8 +12,7 @@
 	"tamarackchute/internal/settings"
 )
 
-// trialFlags are the flags that say which trial of an experiment is meant.
-// They are the same for prepare and run.
+// trialFlags are the flags that select a trial of an experiment, common to prepare and run.
 type trialFlags struct {
 	policy, mix                     *string
 	seed                            *uint64
@@ -27,12 +26,12 @@
 		policy:   f.String("policy", load.Gain, "one of "+strings.Join(load.Policies, ", ")),
 		mix:      f.String("mix", load.MixShift, "one of "+strings.Join(load.Mixes, ", ")),
 		seed:     f.Uint64("seed", 1, "seed of the mix"),
-		faults:   f.Bool("faults", false, "lose one engine in four and the log for a fifth of the run"),
-		scale:    f.Float64("scale", 10, "how much faster than in its own time the run goes"),
-		start:    f.Float64("start", 0, "when the load starts, in Unix `seconds`; 0 for now"),
-		prefill:  f.Float64("prefill-rate", 8000, "the stand-ins' flag of that name"),
-		stepFull: f.Float64("step-full", 0.03, "the stand-ins' flag of that name, in `seconds`"),
-		maxBatch: f.Int("max-batch", 32, "the stand-ins' flag of that name"),
+		faults:   f.Bool("faults", false, "crash one engine in four and the log for a fifth of the run"),
+		scale:    f.Float64("scale", 10, "factor by which the run is accelerated"),
+		start:    f.Float64("start", 0, "start of the load in Unix `seconds`; 0 is now"),
+		prefill:  f.Float64("prefill-rate", 8000, "value of the stand-ins' flag of the same name"),
+		stepFull: f.Float64("step-full", 0.03, "value of the stand-ins' flag of the same name, in `seconds`"),
+		maxBatch: f.Int("max-batch", 32, "value of the stand-ins' flag of the same name"),
 	}
 }
 
@@ -74,7 +73,7 @@
 	if err != nil {
 		return err
 	}
-	// What was written must be what the programs accept.
+	// The programs must accept the written settings.
 	if _, err := settings.Load(path); err != nil {
 		return err
 	}
@@ -82,10 +81,10 @@
 	return nil
 }
 
-// run runs one trial against a deployment that is up.
+// run runs one trial against a running deployment.
 func run(ctx context.Context, args []string) error {
 	f := flag.NewFlagSet("chute-load run", flag.ContinueOnError)
-	c := commonFlags(f)
+	c := newLoadFlags(f)
 	label := f.String("label", "", "name for the policy in the table; the policy's own if empty")
 	t := newTrialFlags(f)
 	if err := f.Parse(args); err != nil {
@@ -107,7 +106,7 @@
 	return printLine(done.Summary)
 }
 
-// table prints the figures of all trials in a folder and draws the plots.
+// table prints all trials in a folder and draws the plots.
 func table(_ context.Context, args []string) error {
 	f := flag.NewFlagSet("chute-load table", flag.ContinueOnError)
 	in := f.String("in", "", "`folder` with the trials")
--- a/cmd/chute-load/main.go
+++ b/cmd/chute-load/main.go
@@ -1,5 +1,5 @@
-// Command chute-load sends seeded loads to a deployment of stand-ins, checks
-// every answer, and runs the experiments that compare role policies.
+// Command chute-load sends reproducible loads to a deployment of stand-ins, checks every
+// response, and runs the experiments that compare role policies.
 package main
 
 import (
@@ -24,8 +24,7 @@
 	exitUsage  = 2
 )
 
-// commands maps each subcommand to its function, which gets the arguments
-// after its name.
+// commands maps each subcommand to its function, which gets the remaining arguments.
 var commands = map[string]func(context.Context, []string) error{
 	"try":     try,
 	"prepare": prepare,
@@ -50,25 +49,25 @@
 	}
 }
 
-// common holds the flags of the subcommands that load a deployment.
-type common struct {
+// loadFlags holds the flags of the subcommands that load a deployment.
+type loadFlags struct {
 	settings, out, control, killed *string
 	seed                           *uint64
 }
 
-// commonFlags declares the flags but for the seed, which a subcommand declares
-// itself if it has other flags that go with it.
-func commonFlags(f *flag.FlagSet) common {
-	return common{
+// newLoadFlags declares the flags except for the seed, which subcommands declare along with
+// related flags.
+func newLoadFlags(f *flag.FlagSet) loadFlags {
+	return loadFlags{
 		settings: f.String("settings", "", "settings `file` of the deployment"),
-		out:      f.String("out", "", "`folder` for the results; none are kept if empty"),
+		out:      f.String("out", "", "`folder` for the results; none are written if empty"),
 		control:  f.String("control", "", "`address` of the stand-ins' control page"),
-		killed:   f.String("killed", "", "`instances` killed on purpose, by commas"),
+		killed:   f.String("killed", "", "`instances` killed on purpose, separated by commas"),
 		seed:     new(uint64),
 	}
 }
 
-func (c common) options() (load.Options, error) {
+func (c loadFlags) options() (load.Options, error) {
 	d, err := settings.Load(*c.settings)
 	if err != nil {
 		return load.Options{}, err
@@ -85,9 +84,9 @@
 
 func try(ctx context.Context, args []string) error {
 	f := flag.NewFlagSet("chute-load try", flag.ContinueOnError)
-	c := commonFlags(f)
+	c := newLoadFlags(f)
 	c.seed = f.Uint64("seed", 1, "seed of the load")
-	seconds := f.Float64("seconds", 30, "how long requests are sent")
+	seconds := f.Float64("seconds", 30, "how long to send requests")
 	if err := f.Parse(args); err != nil {
 		return err
 	}
@@ -102,7 +101,7 @@
 	return printLine(s)
 }
 
-// printLine prints the figures as one line of JSON, the last of the output.
+// printLine prints the summary as one line of JSON, the last of the output.
 func printLine(s load.Summary) error {
 	line, err := json.Marshal(s)
 	if err != nil {
--- a/internal/load/directory.go
+++ b/internal/load/directory.go
@@ -10,80 +10,79 @@
 	"github.com/rotisserie/eris"
 )
 
-// directory is one caller's knowledge of where to connect: the addresses that
-// an instance named, kept for as long as it allowed.
+// directory caches the addresses that an instance told a caller to use, for as long as the
+// instance allowed.
 type directory struct {
 	client *http.Client
 	now    func() time.Time
-	// seeds are addresses that the caller was given once.
+	// seeds are addresses that the caller is configured with.
 	seeds []string
 
 	mu      sync.Mutex
-	known   []string
+	cached  []string
 	expires time.Time
 }
 
-// where is an instance's answer to the question where to connect.
-type where struct {
-	Addresses   []whereAddress `json:"addresses"`
-	KeepSeconds float64        `json:"keep_s"`
+// locationResponse is an instance's list of addresses to use.
+type locationResponse struct {
+	Addresses   []locationAddress `json:"addresses"`
+	KeepSeconds float64           `json:"keep_s"`
 }
 
-type whereAddress struct {
+type locationAddress struct {
 	Address string `json:"address"`
 }
 
-// pathWhere is where an instance tells callers which addresses to use.
-const pathWhere = "/v1/where"
+// locationPath is where an instance lists the addresses that callers are to use.
+const locationPath = "/v1/where"
 
-// lookupTimeout bounds one question where to connect.
+// lookupTimeout bounds one query.
 const lookupTimeout = 2 * time.Second
 
-// addresses returns the addresses to use, best first. It asks again once the
-// last answer has run out. While nobody answers, the old answer and the first
-// addresses serve on.
+// addresses returns the addresses to use, best first. It queries again once the last answer has
+// expired. While no instance answers, it returns the expired addresses and the seeds.
 func (d *directory) addresses(ctx context.Context) []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.now().Before(d.expires) {
-		return d.known
+		return d.cached
 	}
-	for _, addr := range append(append([]string(nil), d.known...), d.seeds...) {
-		answer, err := d.ask(ctx, addr)
+	for _, addr := range append(append([]string(nil), d.cached...), d.seeds...) {
+		answer, err := d.query(ctx, addr)
 		if err != nil {
 			continue
 		}
-		d.known = d.known[:0:0]
+		d.cached = d.cached[:0:0]
 		for _, a := range answer.Addresses {
-			d.known = append(d.known, a.Address)
+			d.cached = append(d.cached, a.Address)
 		}
 		d.expires = d.now().Add(time.Duration(answer.KeepSeconds * float64(time.Second)))
-		return d.known
+		return d.cached
 	}
-	return append(append([]string(nil), d.known...), d.seeds...)
+	return append(append([]string(nil), d.cached...), d.seeds...)
 }
 
-func (d *directory) ask(ctx context.Context, addr string) (where, error) {
+func (d *directory) query(ctx context.Context, addr string) (locationResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+pathWhere, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+locationPath, nil)
 	if err != nil {
-		return where{}, eris.Wrap(err, "where to connect")
+		return locationResponse{}, eris.Wrap(err, "address lookup")
 	}
 	resp, err := d.client.Do(req)
 	if err != nil {
-		return where{}, eris.Wrap(err, "where to connect")
+		return locationResponse{}, eris.Wrap(err, "address lookup")
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return where{}, eris.Errorf("where to connect: status %d", resp.StatusCode)
+		return locationResponse{}, eris.Errorf("address lookup: status %d", resp.StatusCode)
 	}
-	var w where
-	if err := json.NewDecoder(resp.Body).Decode(&w); err != nil {
-		return where{}, eris.Wrap(err, "where to connect")
+	var answer locationResponse
+	if err := json.NewDecoder(resp.Body).Decode(&answer); err != nil {
+		return locationResponse{}, eris.Wrap(err, "address lookup")
 	}
-	if len(w.Addresses) == 0 {
-		return where{}, eris.New("where to connect: no address in the answer")
+	if len(answer.Addresses) == 0 {
+		return locationResponse{}, eris.New("address lookup: no address in the response")
 	}
-	return w, nil
+	return answer, nil
 }
--- a/internal/load/doc.go
+++ b/internal/load/doc.go
@@ -1,8 +1,8 @@
-// Package load sends recorded, seeded mixes of requests to a deployment and
-// measures what the callers get. The load is open: each request goes out at its
-// own time, whatever became of those before it, and its latency counts from
-// that time, so that a stalled system can't hide its delay.
+// Package load sends recorded mixes of requests, drawn from a seed, to a deployment and measures
+// the outcome for the callers. The load is open-loop: each request is sent at its scheduled
+// time, regardless of the requests before it, and its latency counts from that time, so that a
+// stalled system can't hide its delay.
 //
-// Answers are checked whole against what the stand-ins are known to answer. The
-// package also holds the experiments that compare role policies and routing.
+// Every response is compared completely with the one that the stand-ins must give. The package
+// also holds the experiments that compare role policies and routing.
 package load
--- a/internal/load/experiment.go
+++ b/internal/load/experiment.go
@@ -22,16 +22,16 @@
 	Seed       uint64  `json:"seed"`
 	Faults     bool    `json:"faults"`
 	Scale      float64 `json:"scale"`
-	// Split is the roles at the start.
+	// Split holds the initial roles.
 	Split rolepolicy.Split `json:"split"`
-	// Speed is one engine's, at full efficiency and without the scale.
+	// Speed is that of one engine, at full efficiency and unscaled.
 	Speed   Speed   `json:"speed"`
 	Summary Summary `json:"summary"`
 	// folder is where the trial was read from.
 	folder string
 }
 
-// MixFor returns the trial's mix, unscaled.
+// MixFor returns the trial's preset and its unscaled mix.
 func (t Trial) MixFor(d *settings.Deployment) (Preset, Mix, error) {
 	p, err := PresetFor(d)
 	if err != nil {
@@ -41,8 +41,7 @@
 	return p, m, err
 }
 
-// Plan is the best split of each phase, from the start of the run on, as it
-// would be made by someone who knows the mix in advance.
+// Plan returns the best split of each phase, from start on, as if the mix were known in advance.
 func (t Trial) Plan(d *settings.Deployment, start time.Time) (rolepolicy.Plan, error) {
 	_, m, err := t.MixFor(d)
 	if err != nil {
@@ -55,13 +54,13 @@
 		split, _ := rolepolicy.BestSplit(EngineCount(d), rolepolicy.Rates(t.Speed),
 			rolepolicy.Rates{Prefill: demand.PromptPerSec, Decode: demand.OutputPerSec})
 		plan = append(plan, rolepolicy.Step{At: at, Split: split})
-		at = at.Add(shorter(p.Length, t.Scale))
+		at = at.Add(divide(p.Length, t.Scale))
 	}
 	return plan, nil
 }
 
-// Hindsight is the split that serves most of the whole mix if it is never
-// changed, by the capacity model.
+// HindsightSplit returns the constant split that serves most requests of the whole mix by the
+// capacity model.
 func (t Trial) HindsightSplit(d *settings.Deployment) (rolepolicy.Split, error) {
 	_, m, err := t.MixFor(d)
 	if err != nil {
@@ -69,19 +68,19 @@
 	}
 	best, most := rolepolicy.Split{}, -1.0
 	n := EngineCount(d)
-	for p := 0; p <= n; p++ {
-		for dec := 0; dec+p <= n; dec++ {
-			split := rolepolicy.Split{Prefill: p, Decode: dec, Mixed: n - p - dec}
-			if v := t.served(m, split); v > most {
-				best, most = split, v
+	for prefill := 0; prefill <= n; prefill++ {
+		for decode := 0; decode+prefill <= n; decode++ {
+			split := rolepolicy.Split{Prefill: prefill, Decode: decode, Mixed: n - prefill - decode}
+			if served := t.expectedServed(m, split); served > most {
+				best, most = split, served
 			}
 		}
 	}
 	return best, nil
 }
 
-// served is how many requests a split serves over the mix.
-func (t Trial) served(m Mix, s rolepolicy.Split) float64 {
+// expectedServed returns how many requests of the mix a split serves.
+func (t Trial) expectedServed(m Mix, s rolepolicy.Split) float64 {
 	total := 0.0
 	for _, p := range m.Phases {
 		d := m.Demand(p)
@@ -91,15 +90,15 @@
 	return total
 }
 
-// Do runs the trial against a deployment that is up, from start on, and writes
-// its results to the options' folder.
+// Do runs the trial from start on against a running deployment and writes the results to the
+// options' folder.
 func (t Trial) Do(ctx context.Context, o Options, start time.Time) (Trial, error) {
 	p, m, err := t.MixFor(o.Deployment)
 	if err != nil {
 		return t, err
 	}
 	m = m.Scaled(t.Scale)
-	arrivals := m.Arrivals(t.Seed, o.callers())
+	arrivals := m.Arrivals(t.Seed, o.callerCount())
 	if err := writeArrivals(filepath.Join(o.Out, "mix.csv"), arrivals); err != nil {
 		return t, err
 	}
@@ -110,27 +109,27 @@
 	if err != nil {
 		return t, err
 	}
-	t.Summary = rec.Summarise(m, m.Length(), o.killed(), counted)
+	t.Summary = rec.Summarise(m, m.Length(), o.killedAddresses(), counted)
 	if err := rec.WriteResults(filepath.Join(o.Out, "requests.csv")); err != nil {
 		return t, err
 	}
 	return t, t.write(o.Out)
 }
 
-// loadWithFaults loads the deployment, and strikes its stand-ins meanwhile if
-// the trial has faults.
+// loadWithFaults loads the deployment and, if the trial has faults, injects them into the
+// stand-ins at the same time.
 func (t Trial) loadWithFaults(ctx context.Context, o Options, model string, m Mix, arrivals []Arrival) (*Recorder, Counters, error) {
-	faulty, stop := context.WithCancel(ctx)
+	faultCtx, stop := context.WithCancel(ctx)
 	var group conc.WaitGroup
 	defer group.Wait()
 	defer stop()
 	if t.Faults {
-		group.Go(func() { faultScript(m.Length(), o).run(faulty) })
+		group.Go(func() { newFaultSchedule(m.Length(), o).run(faultCtx) })
 	}
 	return o.load(ctx, model, m, arrivals)
 }
 
-// trialFile holds a trial's figures in its folder.
+// trialFile holds a trial's parameters and summary in its folder.
 const trialFile = "trial.json"
 
 func (t Trial) write(folder string) error {
--- a/internal/load/experiment_test.go
+++ b/internal/load/experiment_test.go
@@ -13,8 +13,8 @@
 	"tamarackchute/internal/settings"
 )
 
-// What prepare writes must be what the programs accept, for every policy and
-// both deployments, at addresses of its own.
+// The programs must accept the settings that prepare writes, for every policy and both
+// deployments, with addresses of their own.
 func TestPreparedSettingsAreAccepted(t *testing.T) {
 	for _, name := range []string{"kalku-rinda", "regnbrunnur"} {
 		d, err := settings.Load("../../deploy/" + name + "/settings.json")
--- a/internal/load/faults.go
+++ b/internal/load/faults.go
@@ -8,43 +8,43 @@
 	"tamarackchute/internal/settings"
 )
 
-// fault is one thing that happens to a stand-in during a run.
+// fault is one fault of a stand-in during a run.
 type fault struct {
-	at   time.Duration
-	part string
-	set  string // in the stand-ins' form
+	at      time.Duration
+	standin string
+	body    string // JSON as the stand-ins expect it
 }
 
-// faults is what happens during a run, in order of time.
-type faults struct {
+// faultSchedule lists the faults of a run in chronological order.
+type faultSchedule struct {
 	options Options
-	list    []fault
+	faults  []fault
 }
 
-// The storm of a faulty run, as shares of its length: from begin to end, one
-// engine in four is gone and the log is down. Load reports are late all along;
-// that is a flag of the stand-ins.
+// A run with faults has an outage between outageStart and outageEnd, as shares of its length:
+// one engine in crashOneIn is down, and so is the log. The delay of load reports during the
+// whole run is a flag of the stand-ins.
 const (
-	stormBegin = 0.4
-	stormEnd   = 0.6
-	lostOneIn  = 4
+	outageStart = 0.4
+	outageEnd   = 0.6
+	crashOneIn  = 4
 )
 
-// faultScript returns the faults of a run of that length.
-func faultScript(length time.Duration, o Options) faults {
-	begin := time.Duration(stormBegin * float64(length))
-	end := time.Duration(stormEnd * float64(length))
-	f := faults{options: o}
-	f.list = append(f.list, fault{begin, "log", `{"outage":"error"}`})
-	lost := engineNames(o.Deployment)
-	for i := 0; i < len(lost)/lostOneIn; i++ {
-		f.list = append(f.list, fault{begin, lost[i*lostOneIn], `{"crash":{"down_ms":-1}}`})
+// newFaultSchedule returns the faults of a run of the given length.
+func newFaultSchedule(length time.Duration, o Options) faultSchedule {
+	begin := time.Duration(outageStart * float64(length))
+	end := time.Duration(outageEnd * float64(length))
+	schedule := faultSchedule{options: o}
+	schedule.faults = append(schedule.faults, fault{begin, "log", `{"outage":"error"}`})
+	engines := engineNames(o.Deployment)
+	for i := 0; i < len(engines)/crashOneIn; i++ {
+		schedule.faults = append(schedule.faults, fault{begin, engines[i*crashOneIn], `{"crash":{"down_ms":-1}}`})
 	}
-	f.list = append(f.list, fault{end, "log", `{"outage":""}`})
-	for i := 0; i < len(lost)/lostOneIn; i++ {
-		f.list = append(f.list, fault{end, lost[i*lostOneIn], `{"crash":{"down_ms":0}}`})
+	schedule.faults = append(schedule.faults, fault{end, "log", `{"outage":""}`})
+	for i := 0; i < len(engines)/crashOneIn; i++ {
+		schedule.faults = append(schedule.faults, fault{end, engines[i*crashOneIn], `{"crash":{"down_ms":0}}`})
 	}
-	return f
+	return schedule
 }
 
 func engineNames(d *settings.Deployment) []string {
@@ -58,17 +58,17 @@
 }
 
 // run sets the faults at their times.
-func (f faults) run(ctx context.Context) {
+func (f faultSchedule) run(ctx context.Context) {
 	client := NewClient("")
 	defer client.CloseIdle()
 	standins := f.options.standins(client)
 	start := time.Now()
-	for _, one := range f.list {
-		if !sleepUntil(ctx, start.Add(one.at)) {
+	for _, fault := range f.faults {
+		if !sleepUntil(ctx, start.Add(fault.at)) {
 			return
 		}
-		if err := standins.SetFaults(ctx, one.part, []byte(one.set)); err != nil {
-			slog.Error("fault not set", "part", one.part, "error", err)
+		if err := standins.SetFaults(ctx, fault.standin, []byte(fault.body)); err != nil {
+			slog.Error("fault not set", "part", fault.standin, "error", err)
 		}
 	}
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -21,28 +21,28 @@
 
 const testModel = "agronomy"
 
-// fakeEntry answers as an entry instance does, with one defect at a time.
+// fakeEntry behaves like an entry instance with one defect at a time.
 type fakeEntry struct {
 	server *httptest.Server
-	// cutAt breaks the first stream's connection before that token.
+	// cutAt is the token before which the first stream's connection breaks.
 	cutAt int
-	// spoil changes the tokens of a stream before they are sent.
-	spoil   func(tokens []string) []string
-	calls   atomic.Int32
-	resumed atomic.Int32
-	answer  func(w http.ResponseWriter, r *http.Request) // for services
+	// alter changes the tokens of a stream before they are sent.
+	alter         func(tokens []string) []string
+	calls         atomic.Int32
+	resumed       atomic.Int32
+	handleBooking func(w http.ResponseWriter, r *http.Request) // for services
 }
 
 func newFakeEntry(t *testing.T) *fakeEntry {
 	f := &fakeEntry{cutAt: -1}
 	mux := http.NewServeMux()
-	mux.HandleFunc(pathWhere, func(w http.ResponseWriter, _ *http.Request) {
+	mux.HandleFunc(locationPath, func(w http.ResponseWriter, _ *http.Request) {
 		addr := f.server.Listener.Addr().String()
 		fmt.Fprintf(w, `{"addresses":[{"address":%q},{"address":"127.0.0.1:1"},{"address":%q}],"keep_s":5}`,
 			addr, strings.Replace(addr, "127.0.0.1", "localhost", 1))
 	})
 	mux.HandleFunc("/v1/completions", f.completions)
-	mux.HandleFunc("/bookings", func(w http.ResponseWriter, r *http.Request) { f.answer(w, r) })
+	mux.HandleFunc("/bookings", func(w http.ResponseWriter, r *http.Request) { f.handleBooking(w, r) })
 	f.server = httptest.NewServer(mux)
 	t.Cleanup(f.server.Close)
 	return f
@@ -57,8 +57,8 @@
 	for i := range a.Tokens {
 		tokens = append(tokens, a.Token(i))
 	}
-	if f.spoil != nil {
-		tokens = f.spoil(tokens)
+	if f.alter != nil {
+		tokens = f.alter(tokens)
 	}
 	from := 0
 	if id := r.Header.Get(headerLastEventID); id != "" {
@@ -83,52 +83,51 @@
 func (f *fakeEntry) caller() *caller {
 	c := NewClient(testModel)
 	dir := &directory{client: c.HTTP, now: time.Now, seeds: []string{f.server.Listener.Addr().String()}}
-	return &caller{Client: c, dir: dir}
+	return &caller{Client: c, directory: dir}
 }
 
 var testClass = Class{Name: ClassShort, Kind: KindCompletion, Deadline: 5 * time.Second}
 
-// An answer that is short, doubled or another's must never count as complete,
-// whatever the stream's end says.
-func TestStreamsAreCheckedWhole(t *testing.T) {
+// A response that is incomplete, altered or has repeated tokens must never count as complete,
+// even if the stream ends regularly.
+func TestIncompleteOrAlteredStreamsAreWrong(t *testing.T) {
 	cases := []struct {
 		name  string
 		spoil func([]string) []string
 		want  Outcome
 	}{
-		{"right", nil, Complete},
+		{"complete", nil, Complete},
 		{"a token missing in the middle", func(s []string) []string { return append(s[:3:3], s[4:]...) }, Wrong},
-		{"a token doubled", func(s []string) []string { return append(s[:4:4], s[3:]...) }, Wrong},
-		{"short, but ended as if whole", func(s []string) []string { return s[:len(s)-1] }, Wrong},
-		{"one too many", func(s []string) []string { return append(s, s[0]) }, Wrong},
+		{"a token repeated", func(s []string) []string { return append(s[:4:4], s[3:]...) }, Wrong},
+		{"incomplete, but ended regularly", func(s []string) []string { return s[:len(s)-1] }, Wrong},
+		{"an extra token", func(s []string) []string { return append(s, s[0]) }, Wrong},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFakeEntry(t)
-			f.spoil = c.spoil
+			f.alter = c.spoil
 			a := Arrival{Seed: 5, Prompt: 20, Output: 30, Streamed: true}
-			res, _ := f.caller().model(context.Background(), testClass, a, time.Now())
+			res, _ := f.caller().sendModelRequest(context.Background(), testClass, a, time.Now())
 			assert.Equal(t, c.want, res.Outcome, res.Detail)
 		})
 	}
 }
 
-// The entry that streams an answer dies. The caller takes the stream up at
-// another address from its last event, and the answer is whole.
-func TestBrokenStreamIsTakenUpElsewhere(t *testing.T) {
+// The entry fails while it streams a response. The caller resumes the stream at another address
+// after its last event, and the response is complete.
+func TestBrokenStreamIsResumedElsewhere(t *testing.T) {
 	f := newFakeEntry(t)
 	f.cutAt = 7
 	a := Arrival{Seed: 5, Prompt: 20, Output: 30, Streamed: true}
-	res, gaps := f.caller().model(context.Background(), testClass, a, time.Now())
+	res, gaps := f.caller().sendModelRequest(context.Background(), testClass, a, time.Now())
 	require.Equal(t, Complete, res.Outcome, res.Detail)
 	assert.Equal(t, 1, res.Resumed)
 	assert.Equal(t, []string{f.server.Listener.Addr().String()}, res.BrokenAt)
 	assert.Len(t, gaps, res.Tokens-1)
 }
 
-// A booking's first answer is lost: the caller can't know whether it ran, and
-// sends it again under its key. If then told "not run", it still can't rule out
-// that the first one ran.
+// The first answer to a booking is lost, so the caller can't know whether it ran, and sends it
+// again under its key. Even if that is refused as not run, the first attempt may have run.
 func TestProtectedCallIsResentUnderItsKey(t *testing.T) {
 	echo := func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -145,7 +144,7 @@
 	}{
 		{"then answered", echo, Complete},
 		{"then refused", notRun, NotRun},
-		{"then another's answer", func(w http.ResponseWriter, _ *http.Request) {
+		{"then answered for another call", func(w http.ResponseWriter, _ *http.Request) {
 			fmt.Fprint(w, `{"service":"s","run":1,"echo":"1"}`)
 		}, Wrong},
 	}
@@ -153,7 +152,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			f := newFakeEntry(t)
 			var keys []string
-			f.answer = func(w http.ResponseWriter, r *http.Request) {
+			f.handleBooking = func(w http.ResponseWriter, r *http.Request) {
 				keys = append(keys, r.Header.Get(headerIdempotencyKey))
 				if len(keys) == 1 {
 					panic(http.ErrAbortHandler)
@@ -161,21 +160,21 @@
 				c.second(w, r)
 			}
 			class := Class{Kind: KindProtected, Path: "/bookings", Deadline: 5 * time.Second}
-			res := f.caller().service(context.Background(), class, Arrival{Seed: 9}, time.Now())
+			res := f.caller().sendServiceCall(context.Background(), class, Arrival{Seed: 9}, time.Now())
 			assert.Equal(t, c.want, res.Outcome, res.Detail)
-			assert.True(t, res.unsure)
+			assert.True(t, res.mayHaveRun)
 			assert.Equal(t, []string{"9", "9"}, keys)
 		})
 	}
 }
 
-func TestPhasesAreToldApart(t *testing.T) {
+func TestPhaseStats(t *testing.T) {
 	m := Mix{Classes: []Class{{Name: ClassShort}}, Phases: []Phase{
 		{Name: "a", Length: 2 * time.Second}, {Name: "b", Length: time.Second}}}
 	at := func(ms int, late bool) Result {
 		return Result{Arrival: Arrival{Class: ClassShort, At: time.Duration(ms) * time.Millisecond}, Outcome: Complete, Late: late}
 	}
-	got := phases(m, []Result{at(0, false), at(1999, true), at(2000, false)})
+	got := phaseStats(m, []Result{at(0, false), at(1999, true), at(2000, false)})
 	assert.Equal(t, []PhaseStats{
 		{Name: "a", RequestRate: 1, Goodput: 0.5, ShortInTime: 0.5}, {Name: "b", RequestRate: 1, Goodput: 1, ShortInTime: 1}}, got)
 }
@@ -188,8 +187,8 @@
 	assert.InDelta(t, 43*5, len(a), 60)
 }
 
-// A run is scaled so that a shift passes in less time. What it asks of engines
-// that are as much faster must stay the same.
+// A scaled run takes less time. Relative to engines that are faster by the same factor, its
+// demand must stay the same.
 func TestScaleKeepsTheDemandPerShift(t *testing.T) {
 	p := Preset{Model: testModel, Classes: classes("/bookings", time.Second, time.Second)}
 	m, err := p.Mix(MixShift, 3, 8, Speed{Prefill: 8000, Decode: 1000})
@@ -201,13 +200,13 @@
 	}
 }
 
-// Every key that ran although all its answers said "not run" must show, and a
-// connection that breaks at an instance nobody killed is a cut.
+// Each key that ran although all its answers said "not run" must be counted, and so must each
+// connection that broke at an instance that was not killed.
 func TestSummaryCountsBrokenPromises(t *testing.T) {
 	m := Mix{Classes: []Class{{Name: ClassProtected, Kind: KindProtected}}}
 	rec := NewRecorder()
-	add := func(o Outcome, unsure bool, broken ...string) {
-		rec.Add(Result{Arrival: Arrival{Class: ClassProtected}, Outcome: o, unsure: unsure, BrokenAt: broken}, nil)
+	add := func(o Outcome, mayHaveRun bool, brokenAt ...string) {
+		rec.Add(Result{Arrival: Arrival{Class: ClassProtected}, Outcome: o, mayHaveRun: mayHaveRun, BrokenAt: brokenAt}, nil)
 	}
 	add(Complete, false)
 	add(NotRun, false)
--- a/internal/load/mix.go
+++ b/internal/load/mix.go
@@ -21,7 +21,7 @@
 	KindLookup Kind = "lookup"
 )
 
-// Range is a span of whole numbers, both ends included.
+// Range is a range of integers, including both bounds.
 type Range struct{ Min, Max int }
 
 func (r Range) draw(rng *rand.Rand) int {
@@ -30,39 +30,39 @@
 
 func (r Range) mean() float64 { return float64(r.Min+r.Max) / 2 }
 
-// Class is a sort of request that callers send.
+// Class is a class of requests with common properties.
 type Class struct {
 	Name string
 	Kind Kind
-	// Path is for calls to plain services.
+	// Path is the path of calls to plain services; empty for model requests.
 	Path string
-	// Prompt and Output are tokens: of the prompt, and the bound on the answer.
+	// Prompt is the prompt's length in tokens, Output the limit on output tokens.
 	Prompt Range
 	Output Range
-	// Streamed is the share of the requests that are streamed.
+	// StreamedShare is the share of requests that are streamed.
 	StreamedShare float64
-	// Deadline is how long the answer is worth something.
+	// Deadline is the time after which the response has no value.
 	Deadline time.Duration
 }
 
-// answered is the mean share of its bound that a stand-in's answer reaches.
-const answered = 5.0 / 6
+// meanOutputShare is the mean length of a stand-in's output as a share of the limit.
+const meanOutputShare = 5.0 / 6
 
-// Phase is a mix that lasts for a while: requests a second by class.
+// Phase is a period with constant rates, in requests per second by class.
 type Phase struct {
 	Name   string
 	Length time.Duration
 	Rates  map[string]float64
 }
 
-// Mix is a load over time.
+// Mix is a load that changes from phase to phase.
 type Mix struct {
 	Name    string
 	Classes []Class
 	Phases  []Phase
 }
 
-// Class returns the class of a name, and whether there is one.
+// Class returns the class of the given name, and whether there is one.
 func (m Mix) Class(name string) (Class, bool) {
 	i := slices.IndexFunc(m.Classes, func(c Class) bool { return c.Name == name })
 	if i < 0 {
@@ -71,7 +71,7 @@
 	return m.Classes[i], true
 }
 
-// Length is the time that all phases take.
+// Length returns the total length of the phases.
 func (m Mix) Length() time.Duration {
 	var total time.Duration
 	for _, p := range m.Phases {
@@ -80,12 +80,12 @@
 	return total
 }
 
-// Demand is what a phase asks of the engines.
+// Demand is the work per second that a phase demands of the engines.
 type Demand struct {
 	PromptPerSec, OutputPerSec, RequestsPerSec float64
 }
 
-// Demand returns the mean demand of a phase on the engines.
+// Demand returns the mean demand of a phase.
 func (m Mix) Demand(p Phase) Demand {
 	var d Demand
 	for _, c := range m.Classes {
@@ -94,39 +94,39 @@
 		}
 		rate := p.Rates[c.Name]
 		d.PromptPerSec += rate * c.Prompt.mean()
-		d.OutputPerSec += rate * c.Output.mean() * answered
+		d.OutputPerSec += rate * c.Output.mean() * meanOutputShare
 		d.RequestsPerSec += rate
 	}
 	return d
 }
 
-// Scaled is the mix in a fraction of the time: phases and deadlines are shorter
-// and requests come faster by the same factor.
+// Scaled returns the mix compressed in time: phases and deadlines are shortened and rates raised
+// by the factor.
 func (m Mix) Scaled(factor float64) Mix {
 	out := Mix{Name: m.Name, Classes: slices.Clone(m.Classes)}
 	for i := range out.Classes {
-		out.Classes[i].Deadline = shorter(out.Classes[i].Deadline, factor)
+		out.Classes[i].Deadline = divide(out.Classes[i].Deadline, factor)
 	}
 	for _, p := range m.Phases {
 		rates := make(map[string]float64, len(p.Rates))
 		for class, rate := range p.Rates {
 			rates[class] = rate * factor
 		}
-		out.Phases = append(out.Phases, Phase{Name: p.Name, Length: shorter(p.Length, factor), Rates: rates})
+		out.Phases = append(out.Phases, Phase{Name: p.Name, Length: divide(p.Length, factor), Rates: rates})
 	}
 	return out
 }
 
-func shorter(d time.Duration, factor float64) time.Duration {
+func divide(d time.Duration, factor float64) time.Duration {
 	return time.Duration(float64(d) / factor)
 }
 
 // Arrival is one request of a recorded mix.
 type Arrival struct {
-	// At is when the request is to be sent, from the start of the run.
+	// At is the time of sending, relative to the start of the run.
 	At    time.Duration
 	Class string
-	// Seed fixes the request's text, its key and its organisation.
+	// Seed determines the request's text, its key and its organisation.
 	Seed     uint64
 	Prompt   int
 	Output   int
@@ -135,8 +135,8 @@
 	Caller int
 }
 
-// Arrivals draws the requests of a mix: per class a Poisson process with the
-// rate of the phase. The same seed gives the same requests.
+// Arrivals draws the requests of a mix: a Poisson process for each class, at the rate of the
+// phase. The same seed yields the same requests.
 func (m Mix) Arrivals(seed uint64, callers int) []Arrival {
 	var out []Arrival
 	for i, c := range m.Classes {
@@ -175,7 +175,7 @@
 	}
 }
 
-// writeArrivals records a mix, so that what was sent can be looked up.
+// writeArrivals writes a mix to a CSV file for later inspection.
 func writeArrivals(path string, arrivals []Arrival) error {
 	header := []string{"at_ms", "class", "seed", "prompt", "output", "streamed", "caller"}
 	return writeCSV(path, header, len(arrivals), func(i int) []string {
--- a/internal/load/model.go
+++ b/internal/load/model.go
@@ -11,61 +11,61 @@
 	"tamarackchute/internal/standin/oracle"
 )
 
-// caller sends requests one after another or at once, as a person's or a
-// machine's client does.
+// caller is one client of the deployment, with its own directory. Its requests may be
+// concurrent.
 type caller struct {
 	*Client
-	dir *directory
+	directory *directory
 }
 
-// modelCall is one model request on its way to its end.
+// modelCall is one model request in progress.
 type modelCall struct {
-	caller  *caller
-	path    string
-	body    []byte
-	headers http.Header
-	want    oracle.Answer
-	due     time.Time
-	res     Result
-	gaps    []time.Duration
-	// got counts the tokens received, lastID is the last one's event id.
-	got    int
-	lastID string
-	last   time.Time
+	caller   *caller
+	path     string
+	body     []byte
+	headers  http.Header
+	expected oracle.Answer
+	dueAt    time.Time
+	result   Result
+	gaps     []time.Duration
+	// received counts the tokens received, lastEventID is the event id of the last one.
+	received    int
+	lastEventID string
+	lastTokenAt time.Time
 }
 
 // maxAttempts bounds how often a caller sends one request.
 const maxAttempts = 4
 
-// model sends a model request and follows it to its end. A connection that
-// breaks is taken up elsewhere: a stream from its last event, a plain request
-// from the beginning.
-func (c *caller) model(ctx context.Context, class Class, a Arrival, due time.Time) (Result, []time.Duration) {
-	path, body, whole, err := modelRequest(c.Model, class.Kind, a)
+// sendModelRequest sends a model request and follows it to its end. After a broken connection it
+// goes on at another address: a stream resumes after its last event, a plain request starts
+// over.
+func (c *caller) sendModelRequest(ctx context.Context, class Class, a Arrival, dueAt time.Time) (Result, []time.Duration) {
+	path, body, fullPrompt, err := modelRequest(c.Model, class.Kind, a)
 	call := &modelCall{
-		caller: c, path: path, body: body, due: due,
+		caller: c, path: path, body: body, dueAt: dueAt,
 		headers: http.Header{
 			"Content-Type":     {"application/json"},
 			headerOrganisation: {organisation(a.Seed)},
 		},
-		want: oracle.For(c.Model, whole, a.Output),
-		res:  Result{Arrival: a, Outcome: NotRun},
+		expected: oracle.For(c.Model, fullPrompt, a.Output),
+		result:   Result{Arrival: a, Outcome: NotRun},
 	}
 	if err != nil {
-		call.res.Detail = err.Error()
-		return call.res, nil
+		call.result.Detail = err.Error()
+		return call.result, nil
 	}
 	call.run(ctx)
-	call.res.Latency = time.Since(due)
-	call.res.Late = call.res.Latency > class.Deadline
-	call.res.Tokens = call.got
-	return call.res, call.gaps
+	call.result.Latency = time.Since(dueAt)
+	call.result.Late = call.result.Latency > class.Deadline
+	call.result.Tokens = call.received
+	return call.result, call.gaps
 }
 
 func (m *modelCall) run(ctx context.Context) {
 	tried := map[string]bool{}
-	for m.res.Attempts < maxAttempts {
-		addr, ok := next(m.caller.dir.addresses(ctx), tried)
+	for m.result.Attempts < maxAttempts {
+		addr, ok := firstUntried(m.caller.directory.addresses(ctx), tried)
 		if !ok || ctx.Err() != nil {
 			return
 		}
@@ -76,8 +76,8 @@
 	}
 }
 
-// next returns the first address not tried yet.
-func next(addresses []string, tried map[string]bool) (string, bool) {
+// firstUntried returns the first address that hasn't been tried.
+func firstUntried(addresses []string, tried map[string]bool) (string, bool) {
 	for _, a := range addresses {
 		if !tried[a] {
 			return a, true
@@ -86,53 +86,53 @@
 	return "", false
 }
 
-// codeGaveUp is the code of a request whose caller waited no longer.
-const codeGaveUp = "caller_gave_up"
+// codeCallerGaveUp is the code of a request whose caller timed out.
+const codeCallerGaveUp = "caller_gave_up"
 
-// attempt sends the request to one address and reports whether that ended it.
+// attempt sends the request to one address and reports whether it is finished.
 func (m *modelCall) attempt(ctx context.Context, addr string) bool {
-	if m.lastID != "" {
-		m.headers.Set(headerLastEventID, m.lastID)
+	if m.lastEventID != "" {
+		m.headers.Set(headerLastEventID, m.lastEventID)
 	}
 	resp, err := m.caller.send(ctx, http.MethodPost, addr, m.path, m.headers, m.body)
 	if errors.Is(err, errNotConnected) {
 		return false
 	}
-	m.res.Attempts++
-	if m.lastID != "" {
-		m.res.Resumed++
+	m.result.Attempts++
+	if m.lastEventID != "" {
+		m.result.Resumed++
 	}
 	if err != nil {
-		m.broken(ctx, addr, err)
+		m.connectionBroken(ctx, addr, err)
 		return false
 	}
-	m.res.Status = resp.StatusCode
+	m.result.Status = resp.StatusCode
 	switch {
 	case resp.StatusCode != http.StatusOK:
 		body, _ := readAll(resp)
-		refusal(&m.res, resp, body)
-		if m.got > 0 {
-			m.res.Outcome = Unknown // what was received did run
+		recordError(&m.result, resp, body)
+		if m.received > 0 {
+			m.result.Outcome = Unknown // the received tokens prove that it ran
 		}
 		return true
-	case m.res.Streamed:
-		return m.stream(ctx, resp, addr)
+	case m.result.Streamed:
+		return m.readStream(ctx, resp, addr)
 	default:
-		return m.plain(ctx, resp, addr)
+		return m.readResponse(ctx, resp, addr)
 	}
 }
 
-func (m *modelCall) broken(ctx context.Context, addr string, err error) {
-	m.res.Outcome = Unknown
-	m.res.Detail = err.Error()
+func (m *modelCall) connectionBroken(ctx context.Context, addr string, err error) {
+	m.result.Outcome = Unknown
+	m.result.Detail = err.Error()
 	if ctx.Err() != nil {
-		m.res.Code = codeGaveUp
+		m.result.Code = codeCallerGaveUp
 		return
 	}
-	m.res.BrokenAt = append(m.res.BrokenAt, addr)
+	m.result.BrokenAt = append(m.result.BrokenAt, addr)
 }
 
-// chunk is a plain answer or a streamed part of one.
+// chunk is a plain response or one event of a stream.
 type chunk struct {
 	Choices []struct {
 		Text    string `json:"text"`
@@ -146,101 +146,101 @@
 	} `json:"choices"`
 }
 
-func (m *modelCall) plain(ctx context.Context, resp *http.Response, addr string) bool {
+func (m *modelCall) readResponse(ctx context.Context, resp *http.Response, addr string) bool {
 	body, err := readAll(resp)
 	if err != nil {
-		m.broken(ctx, addr, err)
+		m.connectionBroken(ctx, addr, err)
 		return false
 	}
-	m.res.FirstToken = time.Since(m.due)
+	m.result.FirstToken = time.Since(m.dueAt)
 	var c chunk
 	if json.Unmarshal(body, &c) != nil || len(c.Choices) != 1 {
-		m.wrong("no answer in the body")
+		m.markWrong("no answer in the body")
 		return true
 	}
 	choice := c.Choices[0]
 	text := choice.Text + choice.Message.Content
-	if text != m.want.Text(0, m.want.Tokens) || choice.FinishReason != m.want.Finish {
-		m.wrong(fmt.Sprintf("%d bytes, finish %q, want %d tokens", len(text), choice.FinishReason, m.want.Tokens))
+	if text != m.expected.Text(0, m.expected.Tokens) || choice.FinishReason != m.expected.Finish {
+		m.markWrong(fmt.Sprintf("%d bytes, finish %q, want %d tokens", len(text), choice.FinishReason, m.expected.Tokens))
 		return true
 	}
-	m.got = m.want.Tokens
-	m.res.Outcome = Complete
+	m.received = m.expected.Tokens
+	m.result.Outcome = Complete
 	return true
 }
 
-func (m *modelCall) wrong(detail string) {
-	m.res.Outcome = Wrong
-	m.res.Detail = detail
+func (m *modelCall) markWrong(detail string) {
+	m.result.Outcome = Wrong
+	m.result.Detail = detail
 }
 
-// doneMark is the last event's data in a stream of the OpenAI interface.
-const doneMark = "[DONE]"
+// doneData is the data of a stream's last event in the OpenAI API.
+const doneData = "[DONE]"
 
-func (m *modelCall) stream(ctx context.Context, resp *http.Response, addr string) bool {
+func (m *modelCall) readStream(ctx context.Context, resp *http.Response, addr string) bool {
 	defer func() { _ = resp.Body.Close() }()
 	events := newEventReader(resp.Body)
-	finished := ""
+	finishReason := ""
 	for {
 		e, err := events.next()
 		if err != nil {
-			m.broken(ctx, addr, err)
+			m.connectionBroken(ctx, addr, err)
 			return false
 		}
-		if string(e.data) == doneMark {
-			return m.end(finished)
+		if string(e.data) == doneData {
+			return m.finish(finishReason)
 		}
-		if f, failed := isFailure(e.data); failed {
-			m.res.Outcome, m.res.Code, m.res.Detail = Unknown, f.Error.Code, f.Error.Message
-			if m.got == 0 && f.Error.Outcome == outcomeNotRun {
-				m.res.Outcome = NotRun
+		if f, failed := parseError(e.data); failed {
+			m.result.Outcome, m.result.Code, m.result.Detail = Unknown, f.Error.Code, f.Error.Message
+			if m.received == 0 && f.Error.Outcome == outcomeNotRun {
+				m.result.Outcome = NotRun
 			}
 			return true
 		}
 		var c chunk
 		if json.Unmarshal(e.data, &c) != nil {
-			m.wrong("an event that is no JSON")
+			m.markWrong("an event that is no JSON")
 			return true
 		}
 		if len(c.Choices) == 0 {
-			continue // the usage
+			continue // a usage event
 		}
-		finished = c.Choices[0].FinishReason
-		if !m.token(e, c.Choices[0].Text+c.Choices[0].Delta.Content) {
+		finishReason = c.Choices[0].FinishReason
+		if !m.acceptToken(e, c.Choices[0].Text+c.Choices[0].Delta.Content) {
 			return true
 		}
 	}
 }
 
-// token takes in one token and reports whether it is the right one.
-func (m *modelCall) token(e event, text string) bool {
+// acceptToken records a token and reports whether it is the expected one.
+func (m *modelCall) acceptToken(e event, text string) bool {
 	if text == "" {
 		return true // a chunk that carries only a role or the finish reason
 	}
-	if m.got >= m.want.Tokens || text != m.want.Token(m.got) {
-		m.wrong(fmt.Sprintf("token %d of %d is %q", m.got, m.want.Tokens, text))
+	if m.received >= m.expected.Tokens || text != m.expected.Token(m.received) {
+		m.markWrong(fmt.Sprintf("token %d of %d is %q", m.received, m.expected.Tokens, text))
 		return false
 	}
 	now := time.Now()
-	if m.got == 0 {
-		m.res.FirstToken = now.Sub(m.due)
+	if m.received == 0 {
+		m.result.FirstToken = now.Sub(m.dueAt)
 	} else {
-		m.gaps = append(m.gaps, now.Sub(m.last))
+		m.gaps = append(m.gaps, now.Sub(m.lastTokenAt))
 	}
-	m.last = now
-	m.got++
+	m.lastTokenAt = now
+	m.received++
 	if e.id != "" {
-		m.lastID = e.id
+		m.lastEventID = e.id
 	}
 	return true
 }
 
-// end judges a stream that said that it is done.
-func (m *modelCall) end(finished string) bool {
-	if m.got != m.want.Tokens || finished != m.want.Finish {
-		m.wrong(fmt.Sprintf("ended after %d of %d tokens, finish %q", m.got, m.want.Tokens, finished))
+// finish checks a stream that has sent its last event.
+func (m *modelCall) finish(finishReason string) bool {
+	if m.received != m.expected.Tokens || finishReason != m.expected.Finish {
+		m.markWrong(fmt.Sprintf("ended after %d of %d tokens, finish %q", m.received, m.expected.Tokens, finishReason))
 		return true
 	}
-	m.res.Outcome = Complete
+	m.result.Outcome = Complete
 	return true
 }
--- a/internal/load/plots.go
+++ b/internal/load/plots.go
@@ -14,17 +14,17 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// The size of the plots, and the buckets of those over time.
+// The size of the plots, and the number of buckets of those over time.
 const (
 	plotWidth  = 22 * vg.Centimeter
 	plotHeight = 11 * vg.Centimeter
 	buckets    = 60
 )
 
-// WritePlots draws, for each group of trials, the goodput over time of each
-// policy's first trial, and the goodput of all as bars.
+// WritePlots draws two plots per group of trials: the goodput over time of each policy's first
+// trial, and the median goodput of each policy as bars.
 func WritePlots(folder string, trials []Trial) error {
-	for g, rs := range rows(trials) {
+	for g, rs := range groupRows(trials) {
 		name := strings.NewReplacer(", ", "-", " ", "-").Replace(g.String())
 		if err := plotSeries(filepath.Join(folder, name+"-over-time.png"), g, rs); err != nil {
 			return err
@@ -36,15 +36,15 @@
 	return nil
 }
 
-func plotSeries(path string, g group, rs []row) error {
+func plotSeries(path string, g group, rows []row) error {
 	p := plot.New()
 	p.Title.Text = "Goodput over time: " + g.String()
 	p.X.Label.Text = "share of the run"
-	p.Y.Label.Text = "answers whole and in time, 1/s"
+	p.Y.Label.Text = "complete responses within the deadline, 1/s"
 	p.Legend.Top = true
 	var lines []any
-	for _, r := range rs {
-		points, err := overTime(r.trials[0])
+	for _, r := range rows {
+		points, err := goodputOverTime(r.trials[0])
 		if err != nil {
 			return err
 		}
@@ -56,14 +56,14 @@
 	return eris.Wrap(p.Save(plotWidth, plotHeight, path), "plot")
 }
 
-func plotBars(path string, g group, rs []row) error {
+func plotBars(path string, g group, rows []row) error {
 	p := plot.New()
 	p.Title.Text = "Goodput, median of the seeds: " + g.String()
-	p.Y.Label.Text = "answers whole and in time, 1/s"
+	p.Y.Label.Text = "complete responses within the deadline, 1/s"
 	p.Y.Min = 0
-	values := make(plotter.Values, len(rs))
-	names := make([]string, len(rs))
-	for i, r := range rs {
+	values := make(plotter.Values, len(rows))
+	names := make([]string, len(rows))
+	for i, r := range rows {
 		values[i], names[i] = r.median(goodput), r.policy
 	}
 	bars, err := plotter.NewBarChart(values, vg.Centimeter)
@@ -84,8 +84,9 @@
 	columnClass   = "class"
 )
 
-// overTime counts a trial's model answers in time by when they were asked for.
-func overTime(t Trial) (plotter.XYs, error) {
+// goodputOverTime returns a trial's complete model responses within the deadline per second, by
+// the time at which the requests were due.
+func goodputOverTime(t Trial) (plotter.XYs, error) {
 	f, err := os.Open(filepath.Join(t.folder, "requests.csv"))
 	if err != nil {
 		return nil, eris.Wrap(err, "plot")
--- a/internal/load/prepare.go
+++ b/internal/load/prepare.go
@@ -17,41 +17,41 @@
 	"tamarackchute/rolepolicy"
 )
 
-// Variant says how a deployment's settings are changed for one experiment.
+// Variant lists the changes to a deployment's settings for one experiment.
 type Variant struct {
 	// Network replaces the first two numbers of all addresses, as in "127.31".
 	Network string
-	// Scale shortens the times that belong to a shift.
+	// Scale is the factor by which role change times and deadlines are shortened.
 	Scale float64
-	// Policy and Picker replace the role policy and the routing if set.
+	// Policy and Picker replace the role policy and the routing unless empty.
 	Policy string
 	Picker string
-	// ChangeWeight replaces the weight if above 0.
+	// ChangeWeight replaces the weight of role changes if above 0.
 	ChangeWeight float64
-	// Split sets the roles at the start if its total is above 0.
+	// Split sets the initial roles if its total is above 0.
 	Split rolepolicy.Split
-	// Schedule is followed by the policy "schedule".
+	// Schedule is the plan that the policy "schedule" follows.
 	Schedule rolepolicy.Plan
 }
 
-// leastPictureAge is the oldest demand that a scaled run still acts on, in
-// seconds: the entries' statuses are not sent any faster there.
-const leastPictureAge = 2
+// maxReportAgeFloor is the least max_picture_age_s of a scaled run, in seconds: the entries'
+// statuses aren't sent any faster there.
+const maxReportAgeFloor = 2
 
-// Prepare writes a deployment's settings and rules, changed as the variant
-// says, with a peer secret and an operator's token of their own, to a folder.
-// The token is in the file operator.token. It returns the settings' path.
+// Prepare writes a deployment's settings and rules with the variant's changes to a folder, and a
+// new peer secret and operator token, the latter in the file operator.token. It returns the path
+// of the settings.
 func Prepare(d *settings.Deployment, v Variant, out string) (string, error) {
 	if err := os.MkdirAll(out, 0o755); err != nil {
 		return "", eris.Wrap(err, "settings")
 	}
-	secret, token := randomHex(), randomHex()
+	secret, token := randomSecret(), randomSecret()
 	hash := sha256.Sum256([]byte(token))
 	changed := *d
 	changed.Security.PeerSecretFile = "peer.secret"
 	changed.Security.Operators = []settings.Operator{{Name: "experiment", TokenSHA256: hex.EncodeToString(hash[:])}}
 	changed.InitialRules = "rules.json"
-	// A missing list is written as null, which the settings don't take.
+	// Settings reject null, which is how a nil list would be encoded.
 	changed.Upstreams = slices.Clone(d.Upstreams)
 	for i := range changed.Upstreams {
 		if changed.Upstreams[i].Models == nil {
@@ -59,7 +59,7 @@
 		}
 	}
 	changed.Roles.Schedule = append([]settings.RoleStep{}, d.Roles.Schedule...)
-	v.roles(&changed)
+	v.setRoles(&changed)
 	if v.Picker != "" {
 		changed.Routing.Picker = v.Picker
 	}
@@ -67,12 +67,12 @@
 	if err != nil {
 		return "", eris.Wrap(err, "settings")
 	}
-	rules, err := v.rules(d.InitialRules)
+	rules, err := v.scaledRules(d.InitialRules)
 	if err != nil {
 		return "", err
 	}
 	files := map[string]string{
-		"settings.json": v.moved(string(text)), "rules.json": rules,
+		"settings.json": v.replaceNetwork(string(text)), "rules.json": rules,
 		"peer.secret": secret, "operator.token": token,
 	}
 	for name, content := range files {
@@ -83,14 +83,14 @@
 	return filepath.Join(out, "settings.json"), nil
 }
 
-func randomHex() string {
+func randomSecret() string {
 	b := make([]byte, 16)
-	_, _ = rand.Read(b) // never fails, by the library's contract
+	_, _ = rand.Read(b) // never fails, as crypto/rand documents
 	return hex.EncodeToString(b)
 }
 
-// moved puts all addresses into another network.
-func (v Variant) moved(text string) string {
+// replaceNetwork moves all addresses to the variant's network.
+func (v Variant) replaceNetwork(text string) string {
 	if v.Network == "" {
 		return text
 	}
@@ -100,11 +100,11 @@
 	return text
 }
 
-func (v Variant) roles(d *settings.Deployment) {
+func (v Variant) setRoles(d *settings.Deployment) {
 	r := &d.Roles
 	r.DwellSeconds /= v.Scale
 	r.ChangeSeconds /= v.Scale
-	r.MaxPictureAgeSeconds = max(leastPictureAge, r.MaxPictureAgeSeconds/v.Scale)
+	r.MaxPictureAgeSeconds = max(maxReportAgeFloor, r.MaxPictureAgeSeconds/v.Scale)
 	if v.Policy != "" {
 		r.Policy = v.Policy
 	}
@@ -118,55 +118,55 @@
 		})
 	}
 	if v.Split.Total() > 0 {
-		v.initial(d)
+		v.setInitialRoles(d)
 	}
 }
 
-// initial sets the engines' roles at the start as the split says.
-func (v Variant) initial(d *settings.Deployment) {
+// setInitialRoles sets the engines' initial roles to the split.
+func (v Variant) setInitialRoles(d *settings.Deployment) {
 	var engines []rolepolicy.Engine
-	var places []int
+	var indexes []int
 	for i, u := range d.Upstreams {
 		if u.Kind == settings.KindEngine {
 			engines = append(engines, rolepolicy.Engine{Name: u.Name, DataCentre: u.DataCentre})
-			places = append(places, i)
+			indexes = append(indexes, i)
 		}
 	}
 	for i, role := range v.Split.Assign(engines) {
-		d.Upstreams[places[i]].Role = string(role)
+		d.Upstreams[indexes[i]].Role = string(role)
 	}
 }
 
-// rules returns the initial rules with scaled deadlines.
-func (v Variant) rules(path string) (string, error) {
+// scaledRules returns the initial rules with scaled deadlines.
+func (v Variant) scaledRules(path string) (string, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return "", eris.Wrap(err, "rules")
 	}
-	plain, err := hujson.Standardize(text)
+	standard, err := hujson.Standardize(text)
 	if err != nil {
 		return "", eris.Wrap(err, "rules")
 	}
-	var doc struct {
+	var document struct {
 		Rules []struct {
 			Name string         `json:"name"`
 			When string         `json:"when"`
 			Then map[string]any `json:"then"`
 		} `json:"rules"`
 	}
-	if err := json.Unmarshal(plain, &doc); err != nil {
+	if err := json.Unmarshal(standard, &document); err != nil {
 		return "", eris.Wrap(err, "rules")
 	}
-	for _, r := range doc.Rules {
+	for _, r := range document.Rules {
 		if ms, ok := r.Then["deadline_ms"].(float64); ok {
 			r.Then["deadline_ms"] = int(ms / v.Scale)
 		}
 	}
-	scaled, err := json.MarshalIndent(doc, "", "  ")
+	scaled, err := json.MarshalIndent(document, "", "  ")
 	return string(scaled), eris.Wrap(err, "rules")
 }
 
-// Engines returns how many model engines a deployment has.
+// EngineCount returns the number of model engines of a deployment.
 func EngineCount(d *settings.Deployment) int {
 	n := 0
 	for _, u := range d.Upstreams {
--- a/internal/load/preset.go
+++ b/internal/load/preset.go
@@ -11,9 +11,9 @@
 
 // The names of the classes that all presets have.
 const (
-	// ClassShort is the field and fault queries, which must come in time.
+	// ClassShort is short queries on fields and faults, which must be answered quickly.
 	ClassShort = "short"
-	// ClassLong is the summaries and specification bundles.
+	// ClassLong is summaries and bundles of specifications.
 	ClassLong = "long"
 	// ClassChat is a conversation.
 	ClassChat      = "chat"
@@ -21,14 +21,14 @@
 	ClassLookup    = "lookup"
 )
 
-// Preset is what the callers of one deployment send.
+// Preset describes the requests that a deployment's callers send.
 type Preset struct {
 	Model   string
 	Classes []Class
 }
 
-// PresetFor returns the preset of a deployment: the one of its name, or for
-// another name one with the first model and the usual paths.
+// PresetFor returns the preset of a deployment by its name. Any other name gets the first
+// engine's model and the default paths.
 func PresetFor(d *settings.Deployment) (Preset, error) {
 	model := ""
 	for _, u := range d.Upstreams {
@@ -38,7 +38,7 @@
 		}
 	}
 	if model == "" {
-		return Preset{}, eris.New("the deployment has no engine with a model")
+		return Preset{}, eris.New("the deployment has no engine that serves a model")
 	}
 	if d.Name == "regnbrunnur" {
 		return Preset{Model: model, Classes: classes("/check-ins", 15*time.Second, 90*time.Second)}, nil
@@ -46,9 +46,9 @@
 	return Preset{Model: model, Classes: classes("/bookings", 20*time.Second, 60*time.Second)}, nil
 }
 
-// classes is the sorts of request. A short query asks little and gets half a
-// page; a long one reads much and answers with a mark and its grounds. The
-// deadlines are those of the deployments' own rules.
+// classes returns the classes of request. A short query has a short prompt and half a page of
+// output; a long one has a long prompt and gets a grade with reasons. The deadlines are those of
+// the deployments' own rules.
 func classes(path string, short, long time.Duration) []Class {
 	return []Class{
 		{Name: ClassShort, Kind: KindCompletion, Prompt: Range{30, 150}, Output: Range{150, 350},
@@ -67,29 +67,28 @@
 	MixShift  = "shift"
 	MixSteady = "steady"
 	MixSpring = "spring"
-	// MixOverload asks for what the fleet can take, for twice that, and for
-	// the first again.
+	// MixOverload demands what the fleet can serve, then twice that, then the former again.
 	MixOverload = "overload"
 	MixTry      = "try"
 )
 
-// Mixes names the mixes that Mix knows.
+// Mixes lists the names that Preset.Mix accepts.
 var Mixes = []string{MixShift, MixSteady, MixSpring, MixOverload}
 
-// Speed is what one engine does at full efficiency, in tokens a second.
+// Speed is the rate of one engine at full efficiency, in tokens per second.
 type Speed struct{ Prefill, Decode float64 }
 
-// Mix returns a named mix, sized for a fleet of engines of a speed.
+// Mix returns the mix of the given name, sized for a fleet of engines of the given speed.
 func (p Preset) Mix(name string, seed uint64, engines int, speed Speed) (Mix, error) {
 	m := Mix{Name: name, Classes: p.Classes}
 	rng := rand.New(rand.NewPCG(seed, 77))
 	switch name {
 	case MixShift:
-		m.Phases = p.shift(rng, engines, speed)
+		m.Phases = p.shiftPhases(rng, engines, speed)
 	case MixSteady:
 		m.Phases = []Phase{p.phase("steady", 20*time.Minute, engines, speed, 0.15, 0.2)}
 	case MixSpring:
-		m.Phases = p.spring(rng, engines, speed)
+		m.Phases = p.springPhases(rng, engines, speed)
 	case MixOverload:
 		m.Phases = []Phase{
 			p.phase("full", 5*time.Minute, engines, speed, 0.25, 0.3),
@@ -102,11 +101,11 @@
 	return m, nil
 }
 
-// phase is a phase whose demand is a share of the fleet's whole time: so much
-// for long requests, so much for short ones and chats.
+// phase returns a phase whose demand is a share of the fleet's total capacity: long for long
+// requests, short for short queries and chats together.
 func (p Preset) phase(name string, length time.Duration, engines int, speed Speed, long, short float64) Phase {
 	m := Mix{Classes: p.Classes}
-	// share is the fleet's time that one request a second of a class takes.
+	// share is the share of the fleet's capacity that one request per second of a class takes.
 	share := func(class string) float64 {
 		d := m.Demand(Phase{Rates: map[string]float64{class: 1}})
 		return (d.PromptPerSec/speed.Prefill + d.OutputPerSec/speed.Decode) / float64(engines)
@@ -120,10 +119,9 @@
 	}}
 }
 
-// shift alternates long bundles and bursts of short queries for 20 minutes,
-// each for 1 to 4 minutes and of its own height, now and then with a balanced
-// stretch between them.
-func (p Preset) shift(rng *rand.Rand, engines int, speed Speed) []Phase {
+// shiftPhases alternates between long bundles and bursts of short queries for 20 minutes. Each
+// phase takes 1 to 4 minutes and has a random height; some balanced phases are interspersed.
+func (p Preset) shiftPhases(rng *rand.Rand, engines int, speed Speed) []Phase {
 	const total = 20 * time.Minute
 	var out []Phase
 	bundles := true
@@ -146,9 +144,9 @@
 	return out
 }
 
-// spring is a spring morning: a slow rise of short queries, a rush, and the
-// summaries after it.
-func (p Preset) spring(rng *rand.Rand, engines int, speed Speed) []Phase {
+// springPhases models a spring morning: a slow rise of short queries, a rush, and then the
+// summaries.
+func (p Preset) springPhases(rng *rand.Rand, engines int, speed Speed) []Phase {
 	var out []Phase
 	add := func(name string, seconds int, long, short float64) {
 		jitter := 0.9 + 0.2*rng.Float64()
@@ -164,8 +162,7 @@
 	return out
 }
 
-// TryMix is a short mixed load for a first look at a deployment: few requests
-// of every sort.
+// TryMix returns a light load with requests of every class, for a first test of a deployment.
 func (p Preset) TryMix(length time.Duration) Mix {
 	return Mix{Name: MixTry, Classes: p.Classes, Phases: []Phase{{
 		Name: "mixed", Length: length,
--- a/internal/load/protected.go
+++ b/internal/load/protected.go
@@ -12,16 +12,16 @@
 	"tamarackchute/internal/standin/oracle"
 )
 
-// serviceCall is one call to a plain service on its way to its end.
+// serviceCall is one call to a plain service in progress.
 type serviceCall struct {
-	caller  *caller
-	class   Class
-	method  string
-	path    string
-	body    []byte
-	headers http.Header
-	res     Result
-	first   *serviceAnswer
+	caller      *caller
+	class       Class
+	method      string
+	path        string
+	body        []byte
+	headers     http.Header
+	result      Result
+	firstAnswer *serviceAnswer
 }
 
 // serviceAnswer is a stand-in service's answer.
@@ -31,23 +31,22 @@
 	Run     int    `json:"run"`
 }
 
-// resendPause is how long a caller waits before it sends a call again whose
-// end it doesn't know; it doubles.
-const resendPause = 150 * time.Millisecond
+// initialBackoff is the delay before a call with an unknown outcome is sent again; it doubles
+// with each attempt.
+const initialBackoff = 150 * time.Millisecond
 
-// repeated says which calls are sent again even after their answer: one in so
-// many.
-const repeated = 8
+// One in replayOneIn answered protected calls is sent again to check the replayed answer.
+const replayOneIn = 8
 
-// service sends a call to a plain service. A protected call whose end is
-// unknown is sent again under its key, at another address if there is one; so
-// is every eighth that was answered, which must get the same answer.
-func (c *caller) service(ctx context.Context, class Class, a Arrival, due time.Time) Result {
+// sendServiceCall sends a call to a plain service. A call with an unknown outcome is sent again,
+// a protected one under its key, to another address if there is one. So is one in replayOneIn of
+// the answered protected calls, which must get the same answer.
+func (c *caller) sendServiceCall(ctx context.Context, class Class, a Arrival, due time.Time) Result {
 	key := strconv.FormatUint(a.Seed, 36)
 	call := &serviceCall{
 		caller: c, class: class, method: http.MethodPost, path: class.Path,
 		headers: http.Header{headerOrganisation: {organisation(a.Seed)}},
-		res:     Result{Arrival: a, Outcome: NotRun},
+		result:  Result{Arrival: a, Outcome: NotRun},
 	}
 	if class.Kind == KindProtected {
 		call.body = fmt.Appendf(nil, `{"reference":%q,"slot":%d}`, key, a.Prompt)
@@ -58,44 +57,44 @@
 		call.path += "/" + key
 	}
 	call.run(ctx)
-	call.res.Latency = time.Since(due)
-	call.res.Late = call.res.Latency > class.Deadline
-	call.res.FirstToken = call.res.Latency
-	if call.res.Outcome == Complete && class.Kind == KindProtected && a.Seed%repeated == 0 {
-		call.repeat(ctx)
+	call.result.Latency = time.Since(due)
+	call.result.Late = call.result.Latency > class.Deadline
+	call.result.FirstToken = call.result.Latency
+	if call.result.Outcome == Complete && class.Kind == KindProtected && a.Seed%replayOneIn == 0 {
+		call.checkReplay(ctx)
 	}
-	return call.res
+	return call.result
 }
 
 func (s *serviceCall) run(ctx context.Context) {
-	pause := resendPause
-	for s.res.Attempts < maxAttempts && ctx.Err() == nil {
-		sent := s.round(ctx)
-		if s.res.Outcome != Unknown {
+	backoff := initialBackoff
+	for s.result.Attempts < maxAttempts && ctx.Err() == nil {
+		sent := s.sendOnce(ctx)
+		if s.result.Outcome != Unknown {
 			return
 		}
-		s.res.unsure = s.res.unsure || sent
+		s.result.mayHaveRun = s.result.mayHaveRun || sent
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(pause):
+		case <-time.After(backoff):
 		}
-		pause *= 2
+		backoff *= 2
 	}
 }
 
-// round sends the call once, to the first address that takes the connection,
-// and reports whether it was sent.
-func (s *serviceCall) round(ctx context.Context) bool {
-	addresses := s.caller.dir.addresses(ctx)
-	// A resend goes to another instance than the attempt before it.
+// sendOnce sends the call to the first address that accepts the connection, and reports whether
+// it was sent.
+func (s *serviceCall) sendOnce(ctx context.Context) bool {
+	addresses := s.caller.directory.addresses(ctx)
+	// A resend goes to another instance than the previous attempt.
 	for i := range addresses {
-		addr := addresses[(i+s.res.Attempts)%len(addresses)]
+		addr := addresses[(i+s.result.Attempts)%len(addresses)]
 		if s.attempt(ctx, addr) {
 			return true
 		}
 	}
-	s.res.Attempts++
+	s.result.Attempts++
 	return false
 }
 
@@ -107,48 +106,48 @@
 	if errors.Is(err, errNotConnected) {
 		return false
 	}
-	s.res.Attempts++
+	s.result.Attempts++
 	var body []byte
 	if err == nil {
 		body, err = readAll(resp)
 	}
 	if err != nil {
-		s.res.Outcome, s.res.Detail = Unknown, err.Error()
+		s.result.Outcome, s.result.Detail = Unknown, err.Error()
 		if ctx.Err() == nil {
-			s.res.BrokenAt = append(s.res.BrokenAt, addr)
+			s.result.BrokenAt = append(s.result.BrokenAt, addr)
 		}
 		return true
 	}
 	if resp.StatusCode != http.StatusOK {
-		refusal(&s.res, resp, body)
+		recordError(&s.result, resp, body)
 		return true
 	}
-	s.res.Status = resp.StatusCode
-	s.judge(body)
+	s.result.Status = resp.StatusCode
+	s.checkAnswer(body)
 	return true
 }
 
-func (s *serviceCall) judge(body []byte) {
+func (s *serviceCall) checkAnswer(body []byte) {
 	var got serviceAnswer
 	want := oracle.Echo(s.method, s.path, s.body)
 	switch {
 	case json.Unmarshal(body, &got) != nil || got.Echo != want:
-		s.res.Outcome, s.res.Detail = Wrong, fmt.Sprintf("answer %.80q, want echo %s", body, want)
-	case s.first != nil && got != *s.first:
-		s.res.Outcome, s.res.Detail = Wrong, "a resend got another answer"
+		s.result.Outcome, s.result.Detail = Wrong, fmt.Sprintf("answer %.80q, want echo %s", body, want)
+	case s.firstAnswer != nil && got != *s.firstAnswer:
+		s.result.Outcome, s.result.Detail = Wrong, "a resend got another answer"
 	default:
-		s.res.Outcome = Complete
-		s.first = &got
+		s.result.Outcome = Complete
+		s.firstAnswer = &got
 	}
 }
 
-// repeat sends an answered call again. Only an answer that differs from the
-// first counts; being told nothing new is the system's right.
-func (s *serviceCall) repeat(ctx context.Context) {
-	before := s.res
-	s.round(ctx)
-	if s.res.Outcome != Wrong {
-		before.Attempts = s.res.Attempts
-		s.res = before
+// checkReplay sends an answered call again. Only an answer that differs from the first is an
+// error; the system may refuse to answer again.
+func (s *serviceCall) checkReplay(ctx context.Context) {
+	before := s.result
+	s.sendOnce(ctx)
+	if s.result.Outcome != Wrong {
+		before.Attempts = s.result.Attempts
+		s.result = before
 	}
 }
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -7,72 +7,72 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Outcome is what a caller got.
+// Outcome is the outcome of a request for its caller.
 type Outcome string
 
 // The outcomes of a request.
 const (
-	// Complete is a whole, right answer; it may be late.
+	// Complete is a complete and correct response, which may be late.
 	Complete Outcome = "complete"
-	// NotRun is a refusal that says that the request did not run, or a
-	// request that no instance took.
+	// NotRun is a refusal that states that the request did not run, or a request that no
+	// instance accepted.
 	NotRun Outcome = "not_run"
-	// Unknown is an answer, or none, that leaves open whether it ran.
+	// Unknown means that the request may have run.
 	Unknown Outcome = "unknown"
-	// Wrong is an answer given as good that is another, short or doubled.
+	// Wrong is a response with a success status that is incomplete, altered or meant for another
+	// request.
 	Wrong Outcome = "wrong_answer"
 )
 
-// Result is one request's end.
+// Result is the result of one request.
 type Result struct {
 	Arrival
 	Outcome Outcome
-	// Sent is how late the request went out; Latency and FirstToken count from
-	// the time at which it should have.
+	// SendDelay is how late the request was sent; Latency and FirstToken count from the
+	// scheduled time.
 	SendDelay  time.Duration
 	Latency    time.Duration
 	FirstToken time.Duration
 	Late       bool
 	Tokens     int
-	// Attempts is how often the caller sent it, Resumed how often it took a
-	// broken stream up again.
+	// Attempts is how often the caller sent the request, Resumed how often it resumed a broken
+	// stream.
 	Attempts int
 	Resumed  int
-	// Broken are the instances at which its connection broke in flight.
+	// BrokenAt lists the instances at which its connection broke in flight.
 	BrokenAt []string
 	Status   int
 	Code     string
 	Detail   string
-	// key is a protected call's Idempotency-Key; unsure is set if any attempt
-	// left open whether it ran.
-	unsure bool
+	// mayHaveRun is set if the outcome of any attempt was unknown.
+	mayHaveRun bool
 }
 
-// inTime is whether the answer was whole and came before the deadline.
-func (r Result) inTime() bool { return r.Outcome == Complete && !r.Late }
+// withinDeadline reports whether the response was complete and before the deadline.
+func (r Result) withinDeadline() bool { return r.Outcome == Complete && !r.Late }
 
-// Recorder gathers results from many goroutines.
+// Recorder collects results. Its methods are safe for concurrent use.
 type Recorder struct {
 	mu      sync.Mutex
 	results []Result
 	gaps    *hdrhistogram.Histogram
 }
 
-// The range of the histograms, in microseconds, with three digits.
+// The range of the histograms in microseconds, and their significant digits.
 const (
-	histogramLeast  = 1
-	histogramMost   = 10 * 60 * 1e6
+	histogramMin    = 1
+	histogramMax    = 10 * 60 * 1e6
 	histogramDigits = 3
 )
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(histogramLeast, histogramMost, histogramDigits)
+	return hdrhistogram.New(histogramMin, histogramMax, histogramDigits)
 }
 
 // NewRecorder returns an empty recorder.
 func NewRecorder() *Recorder { return &Recorder{gaps: newHistogram()} }
 
-// Add records a result with the gaps between its tokens.
+// Add records a result and the gaps between its tokens.
 func (r *Recorder) Add(res Result, gaps []time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -83,17 +83,17 @@
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d.Microseconds(), histogramLeast), int64(histogramMost)))
+	_ = h.RecordValue(min(max(d.Microseconds(), histogramMin), int64(histogramMax)))
 }
 
-// Results returns all results so far, in no order.
+// Results returns all results so far, in no particular order.
 func (r *Recorder) Results() []Result {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.results
 }
 
-// quantile returns a histogram's value in milliseconds.
+// quantile returns a percentile of a histogram in milliseconds.
 func quantile(h *hdrhistogram.Histogram, percent float64) float64 {
 	return float64(h.ValueAtQuantile(percent)) / 1000
 }
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -12,20 +12,19 @@
 type Run struct {
 	Mix  Mix
 	Seed uint64
-	// Callers is how many callers share the load.
+	// Callers is the number of callers that the requests are spread over.
 	Callers int
 	Client  *Client
-	// Seeds are, per caller, the addresses that it was given once; callers
-	// take them in turn.
+	// SeedAddresses are lists of addresses to start with; callers take the lists in turn.
 	SeedAddresses [][]string
-	// MaxInFlight bounds the requests in flight; beyond it requests go out
-	// late, which their latency shows.
+	// MaxInFlight bounds the requests in flight. Beyond it requests are sent late, which counts
+	// in their latency.
 	MaxInFlight int
 }
 
-// Do sends the arrivals and waits for their ends.
+// Do sends the arrivals at their times and waits for all of them to finish.
 func (r Run) Do(ctx context.Context, arrivals []Arrival, rec *Recorder) {
-	callers := r.callers()
+	callers := r.newCallers()
 	slots := make(chan struct{}, r.MaxInFlight)
 	start := time.Now()
 	var group conc.WaitGroup
@@ -38,16 +37,16 @@
 		slots <- struct{}{}
 		group.Go(func() {
 			defer func() { <-slots }()
-			r.one(ctx, callers[a.Caller%len(callers)], a, due, rec)
+			r.send(ctx, callers[a.Caller%len(callers)], a, due, rec)
 		})
 	}
 }
 
-func (r Run) callers() []*caller {
+func (r Run) newCallers() []*caller {
 	out := make([]*caller, r.Callers)
 	for i := range out {
 		dir := &directory{client: r.Client.HTTP, now: time.Now, seeds: r.SeedAddresses[i%len(r.SeedAddresses)]}
-		out[i] = &caller{Client: r.Client, dir: dir}
+		out[i] = &caller{Client: r.Client, directory: dir}
 	}
 	return out
 }
@@ -61,24 +60,24 @@
 	}
 }
 
-func (r Run) one(ctx context.Context, c *caller, a Arrival, due time.Time, rec *Recorder) {
+func (r Run) send(ctx context.Context, c *caller, a Arrival, due time.Time, rec *Recorder) {
 	class, _ := r.Mix.Class(a.Class)
 	sent := time.Since(due)
 	switch class.Kind {
 	case KindProtected, KindLookup:
-		res := c.service(ctx, class, a, due)
+		res := c.sendServiceCall(ctx, class, a, due)
 		res.SendDelay = sent
 		rec.Add(res, nil)
 	default:
 		ctx, cancel := context.WithDeadline(ctx, due.Add(time.Duration(r.Client.TimeoutFactor*float64(class.Deadline))))
 		defer cancel()
-		res, gaps := c.model(ctx, class, a, due)
+		res, gaps := c.sendModelRequest(ctx, class, a, due)
 		res.SendDelay = sent
 		rec.Add(res, gaps)
 	}
 }
 
-// CloseIdle closes the connections that no request uses.
+// CloseIdle closes idle connections.
 func (c *Client) CloseIdle() {
 	if t, ok := c.HTTP.Transport.(*http.Transport); ok {
 		t.CloseIdleConnections()
--- a/internal/load/sender.go
+++ b/internal/load/sender.go
@@ -13,7 +13,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// Headers of the callers' interface.
+// Headers of the callers' API.
 const (
 	headerOutcome        = "Chute-Outcome"
 	headerIdempotencyKey = "Idempotency-Key"
@@ -21,20 +21,20 @@
 	headerOrganisation   = "OpenAI-Organization"
 )
 
-// outcomeNotRun is the system's word for a request that certainly did not run.
+// outcomeNotRun is the header's value for a request that certainly did not run.
 const outcomeNotRun = "not-run"
 
-// Client is what all callers share: connections, and what the run looks like.
+// Client holds what all callers share.
 type Client struct {
 	HTTP *http.Client
-	// Model is the model that the callers ask for.
+	// Model is the model that the callers request.
 	Model string
-	// Patience is how long a caller waits for an answer, in deadlines.
+	// TimeoutFactor is the callers' timeout as a multiple of the deadline.
 	TimeoutFactor float64
 }
 
-// NewClient returns a client that, unlike the library's own, sends a request
-// never twice by itself, and follows no redirect.
+// NewClient returns a client that, unlike net/http's default, never retries a request by itself
+// and follows no redirects.
 func NewClient(model string) *Client {
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: 2 * time.Second}).DialContext,
@@ -51,18 +51,16 @@
 
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// errNotConnected says that no connection could be made, so that nothing of
-// the request was sent.
+// errNotConnected means that no connection was made, so that nothing of the request was sent.
 var errNotConnected = errors.New("no connection")
 
-// send sends one request to one address. The error matches errNotConnected if
-// nothing was sent.
+// send sends one request to one address. The error matches errNotConnected if nothing was sent.
 func (c *Client) send(ctx context.Context, method, addr, path string, headers http.Header, body []byte) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, eris.Wrap(err, "request can't be made")
 	}
-	// Without GetBody the library can't send a keyed request again by itself.
+	// Without GetBody net/http can't retry a request with an idempotency key by itself.
 	req.GetBody = nil
 	for name, values := range headers {
 		req.Header[name] = values
@@ -75,8 +73,8 @@
 	return resp, err
 }
 
-// failure is the body of a refusal or an error event.
-type failure struct {
+// errorResponse is the body of an error response or the data of an error event.
+type errorResponse struct {
 	Error struct {
 		Code    string `json:"code"`
 		Message string `json:"message"`
@@ -84,19 +82,19 @@
 	} `json:"error"`
 }
 
-// isFailure reports whether the data hold an error, and returns it.
-func isFailure(data []byte) (failure, bool) {
-	var f failure
+// parseError decodes an error and reports whether data holds one.
+func parseError(data []byte) (errorResponse, bool) {
+	var f errorResponse
 	if err := json.Unmarshal(data, &f); err != nil || f.Error.Code == "" {
-		return failure{}, false
+		return errorResponse{}, false
 	}
 	return f, true
 }
 
-// refusal sets a result from an answer that is no success.
-func refusal(res *Result, resp *http.Response, body []byte) {
+// recordError sets a result from an error response.
+func recordError(res *Result, resp *http.Response, body []byte) {
 	res.Status = resp.StatusCode
-	f, _ := isFailure(body)
+	f, _ := parseError(body)
 	res.Code, res.Detail = f.Error.Code, f.Error.Message
 	res.Outcome = Unknown
 	if resp.Header.Get(headerOutcome) == outcomeNotRun {
@@ -104,10 +102,10 @@
 	}
 }
 
-// maxAnswer bounds what is read of a plain answer.
-const maxAnswer = 16 << 20
+// maxResponseBytes bounds the bytes read of a plain response.
+const maxResponseBytes = 16 << 20
 
 func readAll(resp *http.Response) ([]byte, error) {
 	defer func() { _ = resp.Body.Close() }()
-	return io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	return io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 }
--- a/internal/load/sse.go
+++ b/internal/load/sse.go
@@ -14,14 +14,13 @@
 	data []byte
 }
 
-// eventReader reads server-sent events. Comments, such as heartbeats, are
-// passed over.
+// eventReader reads server-sent events. It skips comments, such as heartbeats.
 type eventReader struct{ in *bufio.Reader }
 
 func newEventReader(r io.Reader) *eventReader { return &eventReader{in: bufio.NewReader(r)} }
 
-// next returns the next whole event, or io.EOF at the end of the stream. An
-// event that the end cuts in two is dropped, as the standard demands.
+// next returns the next complete event, or io.EOF at the end of the stream. An event that the
+// end cuts off is dropped, as the standard requires.
 func (r *eventReader) next() (event, error) {
 	var e event
 	for {
--- a/internal/load/standins.go
+++ b/internal/load/standins.go
@@ -11,8 +11,8 @@
 	"tamarackchute/internal/settings"
 )
 
-// Counted is what the stand-ins counted, which is how a run knows what the
-// system did to its upstreams, not what it says it did.
+// Counters are the stand-ins' counters. They tell what the system did to its upstreams
+// independently of what it reports.
 type Counters struct {
 	Tokens            int64 `json:"tokens"`
 	CutByOrder        int64 `json:"cut_by_order"`
@@ -36,8 +36,8 @@
 	c.RanTwice = max(c.RanTwice, o.RanTwice)
 }
 
-// minus is what was counted since.
-func (c Counters) minus(before Counters) Counters {
+// since returns the difference from earlier counters.
+func (c Counters) since(before Counters) Counters {
 	return Counters{
 		Tokens:            c.Tokens - before.Tokens,
 		CutByOrder:        c.CutByOrder - before.CutByOrder,
@@ -53,13 +53,13 @@
 // Standins reads the stand-ins' counters and sets their faults.
 type Standins struct {
 	Client *http.Client
-	// Control is the address of the page for all parts, which answers for a
-	// crashed part too; if it is empty, each upstream is asked at its own.
+	// Control is the address of the control page for all stand-ins, which also answers for
+	// crashed ones. If it is empty, each upstream is queried at its own address.
 	Control   string
 	Upstreams []settings.Upstream
 }
 
-// Counted sums the counters of all upstreams.
+// Counters returns the sum of all upstreams' counters.
 func (s Standins) Counters(ctx context.Context) (Counters, error) {
 	var sum Counters
 	if s.Control != "" {
@@ -87,13 +87,13 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return eris.Errorf("counters: status %d of %s", resp.StatusCode, url)
+		return eris.Errorf("counters: status %d from %s", resp.StatusCode, url)
 	}
 	return eris.Wrap(json.NewDecoder(resp.Body).Decode(into), "counters")
 }
 
-// SetFaults sets faults of one part, named in the stand-ins' own form. It
-// needs the control page.
+// SetFaults sets the faults of one stand-in in the JSON form that stand-ins accept. It needs the
+// control page.
 func (s Standins) SetFaults(ctx context.Context, part string, faults []byte) error {
 	url := "http://" + s.Control + "/parts/" + part + "/faults"
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(faults))
--- a/internal/load/summary.go
+++ b/internal/load/summary.go
@@ -13,26 +13,25 @@
 	"github.com/rotisserie/eris"
 )
 
-// Summary is the figures of one run. Times are in milliseconds.
+// Summary holds the results of one run. Times are in milliseconds.
 type Summary struct {
 	Requests int `json:"requests"`
 	Complete int `json:"complete"`
 	NotRun   int `json:"not_run"`
 	Unknown  int `json:"unknown"`
-	// WrongAnswer counts answers that were another's, short or doubled.
+	// WrongAnswer counts responses with the outcome Wrong.
 	WrongAnswer int `json:"wrong_answer"`
-	// CutByPlannedStop counts connections that broke in flight at an instance
-	// that nobody killed.
+	// CutByPlannedStop counts connections that broke in flight at instances that were not
+	// killed.
 	CutByPlannedStop int `json:"cut_by_planned_stop"`
 	Late             int `json:"late"`
 	Resumed          int `json:"resumed"`
 	Resent           int `json:"resent"`
-	// What the stand-ins counted.
+	// RanTwice, CutByOrder and RoleChanges are stand-in counters.
 	RanTwice    int64 `json:"ran_twice"`
 	CutByOrder  int64 `json:"cut_by_order"`
 	RoleChanges int64 `json:"role_changes"`
-	// NotRunButRan counts keys that ran although every answer to them said
-	// that they had not.
+	// NotRunButRan counts keys that ran although every answer said that they had not.
 	NotRunButRan  int64   `json:"not_run_but_ran"`
 	P50           float64 `json:"p50"`
 	P99           float64 `json:"p99"`
@@ -40,93 +39,93 @@
 	FirstTokenP95 float64 `json:"first_token_p95"`
 	TokenGapP50   float64 `json:"token_gap_p50"`
 	TokenGapP95   float64 `json:"token_gap_p95"`
-	// Goodput is model answers whole and in time a second, GoodputTokens the
-	// prompt and output tokens of these.
+	// Goodput is complete model responses within the deadline per second, GoodputTokens their
+	// prompt and output tokens per second.
 	Goodput       float64 `json:"goodput"`
 	GoodputTokens float64 `json:"goodput_tokens"`
-	// ShortInTime is the share of short requests answered whole and in time.
+	// ShortInTime is the share of short requests with a complete response within the deadline.
 	ShortInTime float64 `json:"short_in_time"`
-	// Phases are the figures of each phase of the mix, by when requests were
-	// due; none if it has only one.
+	// Phases summarises each phase of the mix by the times at which requests were due; empty for
+	// a single phase.
 	Phases []PhaseStats `json:"phases,omitempty"`
-	// SentLateP99 is how late the load tool itself was.
+	// SentLateP99 is the delay of the load generator itself.
 	SentLateP99 float64 `json:"sent_late_p99"`
 }
 
-// PhaseFigures are the figures of one phase of a mix.
+// PhaseStats holds the results of one phase of a mix.
 type PhaseStats struct {
 	Name        string  `json:"name"`
-	RequestRate float64 `json:"asked"` // model requests a second
+	RequestRate float64 `json:"asked"` // model requests per second
 	Goodput     float64 `json:"goodput"`
 	ShortInTime float64 `json:"short_in_time"`
 }
 
-// phases works out the figures by phase.
-func phases(m Mix, results []Result) []PhaseStats {
+// phaseStats computes the results by phase.
+func phaseStats(m Mix, results []Result) []PhaseStats {
 	var out []PhaseStats
 	start := time.Duration(0)
 	for _, p := range m.Phases {
-		f := PhaseStats{Name: p.Name}
-		var shorts float64
+		stats := PhaseStats{Name: p.Name}
+		var shortRequests float64
 		for _, res := range results {
 			class, _ := m.Class(res.Class)
 			if class.Path != "" || res.At < start || res.At >= start+p.Length {
 				continue
 			}
-			f.RequestRate++
+			stats.RequestRate++
 			short := class.Name == ClassShort
 			if short {
-				shorts++
+				shortRequests++
 			}
-			if !res.inTime() {
+			if !res.withinDeadline() {
 				continue
 			}
-			f.Goodput++
+			stats.Goodput++
 			if short {
-				f.ShortInTime++
+				stats.ShortInTime++
 			}
 		}
-		f.RequestRate /= p.Length.Seconds()
-		f.Goodput /= p.Length.Seconds()
-		f.ShortInTime /= max(1, shorts)
-		out = append(out, f)
+		stats.RequestRate /= p.Length.Seconds()
+		stats.Goodput /= p.Length.Seconds()
+		stats.ShortInTime /= max(1, shortRequests)
+		out = append(out, stats)
 		start += p.Length
 	}
 	return out
 }
 
-// Summarise works out the figures of a run. killed holds the callers'
-// addresses of instances that were killed on purpose.
-func (r *Recorder) Summarise(m Mix, length time.Duration, killed []string, counted Counters) Summary {
+// Summarise computes the results of a run. killed holds the callers' addresses of the instances
+// that were killed on purpose.
+func (r *Recorder) Summarise(m Mix, length time.Duration, killed []string, counters Counters) Summary {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := Summary{
-		Requests: len(r.results), RanTwice: counted.RanTwice,
-		CutByOrder: counted.CutByOrder, RoleChanges: counted.RoleChanges,
+		Requests: len(r.results), RanTwice: counters.RanTwice,
+		CutByOrder: counters.CutByOrder, RoleChanges: counters.RoleChanges,
 	}
-	all, first, sent := newHistogram(), newHistogram(), newHistogram()
-	var shorts, shortInTime int
+	latency, firstToken, sendDelay := newHistogram(), newHistogram(), newHistogram()
+	var shortRequests, shortInTime int
 	var keysMayHaveRun int64
 	for _, res := range r.results {
-		s.count(res, killed)
-		record(sent, res.SendDelay)
+		s.addOutcome(res, killed)
+		record(sendDelay, res.SendDelay)
 		class, _ := m.Class(res.Class)
-		if class.Kind == KindProtected && (res.Outcome != NotRun || res.unsure) {
+		if class.Kind == KindProtected && (res.Outcome != NotRun || res.mayHaveRun) {
 			keysMayHaveRun++
 		}
 		if res.Outcome == Complete {
-			record(all, res.Latency)
+			record(latency, res.Latency)
 		}
 		if class.Kind == KindProtected || class.Kind == KindLookup {
 			continue
 		}
 		if res.Tokens > 0 {
-			record(first, res.FirstToken)
+			record(firstToken, res.FirstToken)
 		}
 		if class.Name == ClassShort {
-			shorts++
+			shortRequests++
 		}
-		if res.inTime() {
+		if res.withinDeadline() {
 			s.Goodput++
 			s.GoodputTokens += float64(res.Prompt + res.Tokens)
 			if class.Name == ClassShort {
@@ -136,25 +135,25 @@
 	}
 	s.Goodput /= length.Seconds()
 	s.GoodputTokens /= length.Seconds()
-	s.NotRunButRan = max(0, counted.Keys-keysMayHaveRun)
-	if shorts > 0 {
-		s.ShortInTime = float64(shortInTime) / float64(shorts)
+	s.NotRunButRan = max(0, counters.Keys-keysMayHaveRun)
+	if shortRequests > 0 {
+		s.ShortInTime = float64(shortInTime) / float64(shortRequests)
 	}
 	if len(m.Phases) > 1 {
-		s.Phases = phases(m, r.results)
+		s.Phases = phaseStats(m, r.results)
 	}
-	s.quantiles(all, first, sent, r.gaps)
+	s.quantiles(latency, firstToken, sendDelay, r.gaps)
 	return s
 }
 
-func (s *Summary) quantiles(all, first, sent, gaps *hdrhistogram.Histogram) {
-	s.P50, s.P99 = quantile(all, 50), quantile(all, 99)
-	s.FirstTokenP50, s.FirstTokenP95 = quantile(first, 50), quantile(first, 95)
+func (s *Summary) quantiles(latency, firstToken, sendDelay, gaps *hdrhistogram.Histogram) {
+	s.P50, s.P99 = quantile(latency, 50), quantile(latency, 99)
+	s.FirstTokenP50, s.FirstTokenP95 = quantile(firstToken, 50), quantile(firstToken, 95)
 	s.TokenGapP50, s.TokenGapP95 = quantile(gaps, 50), quantile(gaps, 95)
-	s.SentLateP99 = quantile(sent, 99)
+	s.SentLateP99 = quantile(sendDelay, 99)
 }
 
-func (s *Summary) count(res Result, killed []string) {
+func (s *Summary) addOutcome(res Result, killed []string) {
 	switch res.Outcome {
 	case Complete:
 		s.Complete++
@@ -179,7 +178,7 @@
 	}
 }
 
-// WriteResults writes all results to a CSV file, in order of time.
+// WriteResults writes all results to a CSV file in chronological order.
 func (r *Recorder) WriteResults(path string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/load/table.go
+++ b/internal/load/table.go
@@ -15,7 +15,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// ReadTrials reads the figures of all trials in a folder and those below it.
+// ReadTrials reads all trials in a folder and its subfolders.
 func ReadTrials(folder string) ([]Trial, error) {
 	var out []Trial
 	err := filepath.WalkDir(folder, func(path string, d fs.DirEntry, err error) error {
@@ -37,7 +37,7 @@
 	return out, eris.Wrap(err, "trials")
 }
 
-// group is what trials are compared within.
+// group identifies trials that are compared with each other.
 type group struct {
 	deployment, mix string
 	faults          bool
@@ -53,14 +53,14 @@
 	return g.deployment + ", " + g.mix + ", " + faults
 }
 
-// row is one policy's trials in a group.
+// row holds one policy's trials in a group.
 type row struct {
 	policy string
 	trials []Trial
 }
 
-// rows sorts trials into groups and, within these, by policy.
-func rows(trials []Trial) map[group][]row {
+// groupRows sorts trials into groups and, within these, by policy.
+func groupRows(trials []Trial) map[group][]row {
 	out := map[group][]row{}
 	for _, t := range trials {
 		g := t.group()
@@ -77,7 +77,7 @@
 	return out
 }
 
-// median returns the middle of a figure over the row's trials.
+// median returns the median of a value over the row's trials.
 func (r row) median(of func(Summary) float64) float64 {
 	values := make([]float64, len(r.trials))
 	for i, t := range r.trials {
@@ -91,8 +91,8 @@
 	return (values[(n-1)/2] + values[n/2]) / 2
 }
 
-// spread returns the least and the greatest of a figure.
-func (r row) spread(of func(Summary) float64) (least, most float64) {
+// valueRange returns the minimum and maximum of a value over the row's trials.
+func (r row) valueRange(of func(Summary) float64) (least, most float64) {
 	least, most = of(r.trials[0].Summary), of(r.trials[0].Summary)
 	for _, t := range r.trials {
 		v := of(t.Summary)
@@ -104,18 +104,17 @@
 func goodput(s Summary) float64 { return s.Goodput }
 func changes(s Summary) float64 { return float64(s.RoleChanges) }
 
-// inTime is the share of all requests that were answered whole and in time.
-func inTime(s Summary) float64 {
+// withinDeadlineShare is the share of all requests with a complete response within the deadline.
+func withinDeadlineShare(s Summary) float64 {
 	if s.Requests == 0 {
 		return 0
 	}
 	return float64(s.Complete-s.Late) / float64(s.Requests)
 }
 
-// PrintTable writes the figures of all trials: medians over the seeds, with
-// the spread of the goodput.
+// PrintTable prints a table of all trials: medians over the seeds, and the range of the goodput.
 func PrintTable(w io.Writer, trials []Trial) error {
-	byGroup := rows(trials)
+	byGroup := groupRows(trials)
 	groups := make([]group, 0, len(byGroup))
 	for g := range byGroup {
 		groups = append(groups, g)
@@ -136,10 +135,10 @@
 	return eris.Wrap(tab.Flush(), "table")
 }
 
-// printPhases writes the figures of each phase of each policy's first trial.
-func printPhases(w io.Writer, rs []row) {
+// printPhases prints each phase of each policy's first trial.
+func printPhases(w io.Writer, rows []row) {
 	fmt.Fprintln(w, "policy\tphase\tasked/s\tgoodput/s\tshort in time\t")
-	for _, r := range rs {
+	for _, r := range rows {
 		for _, p := range r.trials[0].Summary.Phases {
 			fmt.Fprintf(w, "%s\t%s\t%.1f\t%.1f\t%.3f\t\n", r.policy, p.Name, p.RequestRate, p.Goodput, p.ShortInTime)
 		}
@@ -148,12 +147,12 @@
 }
 
 func printRow(w io.Writer, r row) {
-	least, most := r.spread(goodput)
+	least, most := r.valueRange(goodput)
 	of := func(f func(Summary) float64) float64 { return r.median(f) }
 	fmt.Fprintf(w, "%s\t%d\t%.1f\t%.1f\t%.1f\t%.0f\t%.3f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.1f\t%.1f\t%.3f\t%.0f\t\n",
 		r.policy, len(r.trials), of(goodput), least, most,
 		of(func(s Summary) float64 { return s.GoodputTokens }),
-		of(inTime),
+		of(withinDeadlineShare),
 		of(func(s Summary) float64 { return float64(s.NotRun) }),
 		of(func(s Summary) float64 { return float64(s.Late) }),
 		of(func(s Summary) float64 { return float64(s.Unknown) }),
--- a/internal/load/text.go
+++ b/internal/load/text.go
@@ -9,36 +9,36 @@
 	"tamarackchute/internal/entry/openai"
 )
 
-// library is a long text of which prompts are cut; a word is one token.
-var library = newLibrary()
+// corpus is a long text from which prompts are taken; one word is one token.
+var corpus = newCorpus()
 
-type textLibrary struct {
+type textCorpus struct {
 	text   string
-	starts []int // where each word begins
+	starts []int // offset of each word
 }
 
-const libraryWords = 40000
+const corpusWords = 40000
 
-func newLibrary() textLibrary {
+func newCorpus() textCorpus {
 	var b strings.Builder
-	starts := make([]int, 0, libraryWords+1)
-	for i := range libraryWords {
+	starts := make([]int, 0, corpusWords+1)
+	for i := range corpusWords {
 		starts = append(starts, b.Len())
 		b.WriteString("w" + strconv.Itoa(i%9973) + " ")
 	}
-	return textLibrary{text: b.String(), starts: append(starts, b.Len())}
+	return textCorpus{text: b.String(), starts: append(starts, b.Len())}
 }
 
-// cut returns a text of n words that the seed fixes.
-func (l textLibrary) cut(seed uint64, n int) string {
-	n = min(n, libraryWords/2)
-	from := int(seed % uint64(libraryWords/2))
+// excerpt returns a text of n words that the seed determines.
+func (l textCorpus) excerpt(seed uint64, n int) string {
+	n = min(n, corpusWords/2)
+	from := int(seed % uint64(corpusWords/2))
 	return strings.TrimSuffix(l.text[l.starts[from]:l.starts[from+n]], " ")
 }
 
-// prompt returns a prompt of n words that no other seed gives.
+// prompt returns a prompt of n words that is unique to the seed.
 func prompt(seed uint64, n int) string {
-	return "q" + strconv.FormatUint(seed, 36) + " " + library.cut(seed, max(0, n-1))
+	return "q" + strconv.FormatUint(seed, 36) + " " + corpus.excerpt(seed, max(0, n-1))
 }
 
 // modelBody is the body of a completion or chat request.
@@ -55,9 +55,9 @@
 	Content string `json:"content"`
 }
 
-// modelRequest returns path and body of a model request, and the whole prompt
-// that the engine gets.
-func modelRequest(model string, kind Kind, a Arrival) (path string, body []byte, whole string, err error) {
+// modelRequest returns the path and body of a model request, and the full prompt that the engine
+// receives.
+func modelRequest(model string, kind Kind, a Arrival) (path string, body []byte, fullPrompt string, err error) {
 	b := modelBody{Model: model, MaxTokens: a.Output, Stream: a.Streamed}
 	path, form := "/v1/completions", openai.Completion
 	text := prompt(a.Seed, a.Prompt)
@@ -75,7 +75,7 @@
 	return path, body, parsed.Prompt, err
 }
 
-// organisations is how many organisations the callers belong to.
-const organisations = 40
+// organisationCount is the number of organisations that the callers belong to.
+const organisationCount = 40
 
-func organisation(seed uint64) string { return fmt.Sprintf("org-%02d", seed%organisations) }
+func organisation(seed uint64) string { return fmt.Sprintf("org-%02d", seed%organisationCount) }
--- a/internal/load/variants.go
+++ b/internal/load/variants.go
@@ -11,33 +11,32 @@
 
 // The policies that an experiment compares.
 const (
-	// FixedRoundRobin keeps the settings' roles and routes by turns;
-	// FixedLeastOutstanding routes to the fewest requests in flight.
+	// FixedRoundRobin and FixedLeastOutstanding keep the settings' roles. The former routes in
+	// turns, the latter to the upstream with the fewest requests in flight.
 	FixedRoundRobin       = "fixed-round-robin"
 	FixedLeastOutstanding = "fixed-least-outstanding"
-	// FixedCost keeps the settings' roles under our routing.
+	// FixedCostRouting keeps the settings' roles with cost-based routing.
 	FixedCostRouting = "fixed-our-routing"
-	// Threshold changes roles on reported load, under our routing.
+	// Threshold changes roles by the reported load, with cost-based routing.
 	Threshold = "threshold"
-	// Hindsight keeps the split that is best for the whole mix, KnownMix
-	// changes to each phase's best split as it begins; both with our routing.
+	// HindsightSplit keeps the best split for the whole mix, KnownMix changes to each phase's
+	// best split as it begins; both with cost-based routing.
 	HindsightSplit = "hindsight-split"
 	KnownMix       = "known-mix"
-	// Ours is the gain policy under our routing.
+	// Gain is the gain policy with cost-based routing.
 	Gain = "gain"
 )
 
-// Policies names all policies of an experiment.
+// Policies lists all policies of an experiment.
 var Policies = []string{FixedRoundRobin, FixedLeastOutstanding, FixedCostRouting, Threshold, HindsightSplit, KnownMix, Gain}
 
-// The routing baselines as the settings name them.
+// The baselines for routing as the settings name them.
 const (
 	pickerRoundRobin       = "round_robin"
 	pickerLeastOutstanding = "least_outstanding"
 )
 
-// Variant returns what the trial changes in a deployment's settings. The load
-// starts at start.
+// Variant returns the trial's changes to a deployment's settings. start is when the load starts.
 func (t Trial) Variant(d *settings.Deployment, start time.Time) (Variant, error) {
 	v := Variant{Scale: t.Scale, Policy: rolepolicy.NameFixed}
 	var err error
