--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -102,9 +102,9 @@
 	c.request(client, address, launch)
 }
 
-func (l *stickyConn) close() {
-	if l.client != nil {
-		l.client.Close()
+func (c *stickyConn) close() {
+	if c.client != nil {
+		c.client.Close()
 	}
 }
 
--- a/internal/soak/checks.go
+++ b/internal/soak/checks.go
@@ -22,6 +22,8 @@
 	}
 }
 
+// checkDraining reports requests that reach a server more than maxDrainNotice after its entry
+// was marked as draining.
 func (o *oracle) checkDraining(v standin.Visit, q *request, now time.Time) {
 	since, draining := o.draining[v.Server]
 	from := now.Add(-maxDrainNotice)
@@ -46,6 +48,7 @@
 	}
 }
 
+// outcomeOf names the outcome of a request in a report's counts.
 func outcomeOf(r standin.Reply) string {
 	switch {
 	case r.Err != nil && r.Status == 0:
@@ -57,6 +60,7 @@
 	}
 }
 
+// checkDeadline reports responses that end more than responseSlack after their deadline.
 func (o *oracle) checkDeadline(id string, q *request, now time.Time) {
 	due := q.sentAt.Add(q.service.deadline + responseSlack)
 	if now.After(due) && o.faults.undisturbed(q.sentAt, now, subjectMachine, daemonSubject(q.daemon)) {
@@ -183,8 +187,8 @@
 // window earlier.
 func (b retryBudget) allowed(requests []time.Time, end time.Time) int {
 	most := 0
-	for _, back := range []time.Duration{0, b.window / 2, b.window} {
-		to := end.Add(-back)
+	for _, shift := range []time.Duration{0, b.window / 2, b.window} {
+		to := end.Add(-shift)
 		most = max(most, countBetween(requests, to.Add(-b.window), to))
 	}
 	return int(b.ratio*float64(most)) + b.slack
--- a/internal/soak/daemon.go
+++ b/internal/soak/daemon.go
@@ -88,6 +88,7 @@
 	return nil
 }
 
+// wait records a process's exit and reports it as a violation if the process wasn't told to stop.
 func (d *daemon) wait(cmd *exec.Cmd, launch int, exited chan struct{}) {
 	err := cmd.Wait()
 	d.mu.Lock()
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -18,25 +18,25 @@
 func newFaultLog() *faultLog { return &faultLog{intervals: make(map[string][]interval)} }
 
 // begin records that subject is disturbed from now on, until end is called.
-func (t *faultLog) begin(subject string) (end func()) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	i := len(t.intervals[subject])
-	t.intervals[subject] = append(t.intervals[subject], interval{from: time.Now()})
+func (l *faultLog) begin(subject string) (end func()) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	i := len(l.intervals[subject])
+	l.intervals[subject] = append(l.intervals[subject], interval{from: time.Now()})
 	return func() {
-		t.mu.Lock()
-		defer t.mu.Unlock()
-		t.intervals[subject][i].to = time.Now()
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		l.intervals[subject][i].to = time.Now()
 	}
 }
 
 // undisturbed reports whether no subject was disturbed between from and to.
-func (t *faultLog) undisturbed(from, to time.Time, subjects ...string) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (l *faultLog) undisturbed(from, to time.Time, subjects ...string) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	for _, subject := range subjects {
-		for _, s := range t.intervals[subject] {
-			if !s.from.After(to) && (s.to.IsZero() || !s.to.Before(from)) {
+		for _, fault := range l.intervals[subject] {
+			if !fault.from.After(to) && (fault.to.IsZero() || !fault.to.Before(from)) {
 				return false
 			}
 		}
@@ -55,7 +55,7 @@
 )
 
 // watchMachineLoad records when the machine was too busy, until done is closed.
-func (t *faultLog) watchMachineLoad(done <-chan struct{}) {
+func (l *faultLog) watchMachineLoad(done <-chan struct{}) {
 	for {
 		before := time.Now()
 		select {
@@ -66,8 +66,8 @@
 		if time.Since(before) < maxWakeDelay {
 			continue
 		}
-		t.mu.Lock()
-		t.intervals[subjectMachine] = append(t.intervals[subjectMachine], interval{from: before, to: time.Now()})
-		t.mu.Unlock()
+		l.mu.Lock()
+		l.intervals[subjectMachine] = append(l.intervals[subjectMachine], interval{from: before, to: time.Now()})
+		l.mu.Unlock()
 	}
 }
--- a/internal/soak/slots.go
+++ b/internal/soak/slots.go
@@ -37,7 +37,7 @@
 // before it stops.
 const spareLinks = 2
 
-// initialRoles are the roles of engines at their start. They fit the requests so badly that the
+// initialRoles are the roles of engines at their start. They suit the requests badly, so that the
 // system has to change some.
 var initialRoles = []string{standin.RolePrefill, standin.RoleDecode, standin.RolePrefill, standin.RolePrefill}
 
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -116,16 +116,16 @@
 }
 
 func TestFaultLogUndisturbed(t *testing.T) {
-	tr := newFaultLog()
+	log := newFaultLog()
 	before := time.Now()
-	end := tr.begin("store")
+	end := log.begin("store")
 	during := time.Now()
-	require.False(t, tr.undisturbed(before, during, "store"))
-	require.True(t, tr.undisturbed(before, during, "daemon 1"))
-	require.False(t, tr.undisturbed(before, during, "daemon 1", "store"))
+	require.False(t, log.undisturbed(before, during, "store"))
+	require.True(t, log.undisturbed(before, during, "daemon 1"))
+	require.False(t, log.undisturbed(before, during, "daemon 1", "store"))
 	end()
 	time.Sleep(time.Millisecond)
 	after := time.Now()
-	require.True(t, tr.undisturbed(after, after.Add(time.Second), "store"))
-	require.False(t, tr.undisturbed(during, after, "store"))
+	require.True(t, log.undisturbed(after, after.Add(time.Second), "store"))
+	require.False(t, log.undisturbed(during, after, "store"))
 }
