--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -93,7 +93,7 @@
 func TestIncompleteOrAlteredStreamsAreWrong(t *testing.T) {
 	cases := []struct {
 		name  string
-		spoil func([]string) []string
+		alter func([]string) []string
 		want  Outcome
 	}{
 		{"complete", nil, Complete},
@@ -105,7 +105,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFakeEntry(t)
-			f.alter = c.spoil
+			f.alter = c.alter
 			a := Arrival{Seed: 5, Prompt: 20, Output: 30, Streamed: true}
 			res, _ := f.caller().sendModelRequest(context.Background(), testClass, a, time.Now())
 			assert.Equal(t, c.want, res.Outcome, res.Detail)
--- a/internal/load/plots.go
+++ b/internal/load/plots.go
@@ -24,12 +24,12 @@
 // WritePlots draws two plots per group of trials: the goodput over time of each policy's first
 // trial, and the median goodput of each policy as bars.
 func WritePlots(folder string, trials []Trial) error {
-	for g, rs := range groupRows(trials) {
+	for g, rows := range groupRows(trials) {
 		name := strings.NewReplacer(", ", "-", " ", "-").Replace(g.String())
-		if err := plotSeries(filepath.Join(folder, name+"-over-time.png"), g, rs); err != nil {
+		if err := plotSeries(filepath.Join(folder, name+"-over-time.png"), g, rows); err != nil {
 			return err
 		}
-		if err := plotBars(filepath.Join(folder, name+"-goodput.png"), g, rs); err != nil {
+		if err := plotBars(filepath.Join(folder, name+"-goodput.png"), g, rows); err != nil {
 			return err
 		}
 	}
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -62,17 +62,17 @@
 
 func (r Run) send(ctx context.Context, c *caller, a Arrival, due time.Time, rec *Recorder) {
 	class, _ := r.Mix.Class(a.Class)
-	sent := time.Since(due)
+	sendDelay := time.Since(due)
 	switch class.Kind {
 	case KindProtected, KindLookup:
 		res := c.sendServiceCall(ctx, class, a, due)
-		res.SendDelay = sent
+		res.SendDelay = sendDelay
 		rec.Add(res, nil)
 	default:
 		ctx, cancel := context.WithDeadline(ctx, due.Add(time.Duration(r.Client.TimeoutFactor*float64(class.Deadline))))
 		defer cancel()
 		res, gaps := c.sendModelRequest(ctx, class, a, due)
-		res.SendDelay = sent
+		res.SendDelay = sendDelay
 		rec.Add(res, gaps)
 	}
 }
--- a/internal/load/text.go
+++ b/internal/load/text.go
@@ -30,10 +30,10 @@
 }
 
 // excerpt returns a text of n words that the seed determines.
-func (l textCorpus) excerpt(seed uint64, n int) string {
+func (c textCorpus) excerpt(seed uint64, n int) string {
 	n = min(n, corpusWords/2)
 	from := int(seed % uint64(corpusWords/2))
-	return strings.TrimSuffix(l.text[l.starts[from]:l.starts[from+n]], " ")
+	return strings.TrimSuffix(c.text[c.starts[from]:c.starts[from+n]], " ")
 }
 
 // prompt returns a prompt of n words that is unique to the seed.
