--- a/internal/controller/chooser.go
+++ b/internal/controller/chooser.go
@@ -26,9 +26,9 @@
 	return min(slowestPace, max(fastestPace, seconds(r.ChangeSeconds/decisionsPerChange)))
 }
 
-// Chooser asks the role policy what to change and hands its decisions to the
+// PolicyRunner asks the role policy what to change and hands its decisions to the
 // executors. It is a suture service.
-type Chooser struct {
+type PolicyRunner struct {
 	dataCentre string
 	engines    []settings.Upstream
 	newPolicy  func() (rolepolicy.Policy, error)
@@ -37,17 +37,17 @@
 	leading    func() bool
 	view       *orders.View
 	presence   *Presence
-	statuses   *Statuses
-	loads      *Loads
+	statuses   *StatusTracker
+	loads      *LoadPoller
 	log        *slog.Logger
 }
 
 // String names the service for the supervisor's log.
-func (c *Chooser) String() string { return "role policy" }
+func (c *PolicyRunner) String() string { return "role policy" }
 
 // Serve decides until the context ends. A policy's history begins anew with
 // each time of leading: what it knew from an earlier one is out of date.
-func (c *Chooser) Serve(ctx context.Context) error {
+func (c *PolicyRunner) Serve(ctx context.Context) error {
 	var policy rolepolicy.Policy
 	for ctx.Err() == nil {
 		sleep(ctx, c.every)
@@ -67,7 +67,7 @@
 	return ctx.Err()
 }
 
-func (c *Chooser) decide(p rolepolicy.Policy, now time.Time) {
+func (c *PolicyRunner) decide(p rolepolicy.Policy, now time.Time) {
 	for _, d := range p.Decide(c.picture(now), now) {
 		x, ok := c.executors[d.Engine]
 		if !ok {
@@ -75,18 +75,18 @@
 			continue
 		}
 		c.log.Info("role change wanted", "engine", d.Engine, "from", d.From, "to", d.To, "reason", d.Reason)
-		x.Ask(orders.Want{
+		x.Request(orders.Want{
 			ID: uuid.NewString(), Kind: upstream.OrderRole,
 			Target: orders.Settings{Role: d.To}, Reason: d.Reason,
 		})
 	}
 }
 
-func (c *Chooser) picture(now time.Time) rolepolicy.State {
+func (c *PolicyRunner) picture(now time.Time) rolepolicy.State {
 	s := rolepolicy.State{DataCentre: c.dataCentre, Demand: c.statuses.Demand()}
 	snapshot := c.view.Snapshot()
 	for _, e := range c.engines {
-		if c.presence.Leaving(e.Name) {
+		if c.presence.TerminatingOrGone(e.Name) {
 			continue
 		}
 		s.Engines = append(s.Engines, c.engine(e, snapshot.Engine(e.Name), now))
@@ -96,7 +96,7 @@
 
 // engine describes one engine: its role from the journal, or else from its own
 // report, or else from the settings.
-func (c *Chooser) engine(e settings.Upstream, known orders.Engine, now time.Time) rolepolicy.Engine {
+func (c *PolicyRunner) engine(e settings.Upstream, known orders.Engine, now time.Time) rolepolicy.Engine {
 	out := rolepolicy.Engine{
 		Name: e.Name, DataCentre: e.DataCentre, Models: e.Models,
 		Role: upstream.Role(e.Role), ReportAge: time.Duration(1<<63 - 1),
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -78,13 +78,13 @@
 	leases     *lease.View
 	changes    *orders.View
 	presence   *Presence
-	statuses   *Statuses
-	loads      *Loads
+	statuses   *StatusTracker
+	loads      *LoadPoller
 	keepers    map[string]*lease.Keeper
 	executors  map[string]*Executor
 	peers      *wire.Server
-	trail      *auditTrail
-	leadership *Leadership
+	trail      *auditRecorder
+	leadership *LeadershipWatcher
 }
 
 // New returns a controller; Run runs it.
@@ -95,7 +95,7 @@
 	}
 	c := &Controller{
 		cfg: cfg, self: self, incarnation: uuid.NewString(), log: cfg.Logger,
-		leases: lease.NewView(), statuses: NewStatuses(),
+		leases: lease.NewView(), statuses: NewStatusTracker(),
 		keepers: map[string]*lease.Keeper{}, executors: map[string]*Executor{},
 	}
 	c.changes = orders.NewView(c.leases)
@@ -111,9 +111,9 @@
 		ClientTLS: cfg.ClientTLS, ServerTLS: cfg.ServerTLS,
 	}
 	c.peers = wire.NewServer(wireCfg, self.ControllerPeers, c.statuses, cfg.Logger)
-	c.trail = newTrail(c.journal, cfg.Instance, cfg.Metrics.Scope, cfg.Logger)
+	c.trail = newAuditRecorder(c.journal, cfg.Instance, cfg.Metrics.Scope, cfg.Logger)
 	c.build()
-	c.leadership = &Leadership{
+	c.leadership = &LeadershipWatcher{
 		instance: cfg.Instance, incarnation: c.incarnation,
 		scopes: c.scopeNames(), view: c.leases, trail: c.trail,
 	}
@@ -148,7 +148,7 @@
 			c.executors[u.Name] = c.newExecutor(u)
 		}
 	}
-	c.loads = NewLoads(reporters, c.leading, pace(c.cfg.Deployment.Roles))
+	c.loads = NewLoadPoller(reporters, c.leading, pace(c.cfg.Deployment.Roles))
 }
 
 func (c *Controller) newExecutor(u settings.Upstream) *Executor {
@@ -304,8 +304,8 @@
 	return engines
 }
 
-func (c *Controller) loader() *Loader {
-	return &Loader{
+func (c *Controller) loader() *ModelLoader {
+	return &ModelLoader{
 		engines: c.allEngines(), executors: c.executors, loads: c.loads, view: c.changes,
 		presence: c.presence, weights: c.cfg.Weights, log: c.log,
 		limit: c.cfg.Deployment.Platform.WeightBytesPerSecond,
@@ -313,8 +313,8 @@
 	}
 }
 
-func (c *Controller) chooser() *Chooser {
-	return &Chooser{
+func (c *Controller) chooser() *PolicyRunner {
+	return &PolicyRunner{
 		dataCentre: c.self.DataCentre, engines: c.allEngines(), newPolicy: c.newPolicy, every: pace(c.cfg.Deployment.Roles),
 		executors: c.executors, leading: c.leading, view: c.changes,
 		presence: c.presence, statuses: c.statuses, loads: c.loads, log: c.log,
--- a/internal/controller/executor.go
+++ b/internal/controller/executor.go
@@ -38,9 +38,9 @@
 	writer   string
 	view     *orders.View
 	presence *Presence
-	statuses *Statuses
+	statuses *StatusTracker
 	limits   orders.Limits
-	trail    Trail
+	trail    EventRecorder
 	log      *slog.Logger
 
 	contact orders.Contact
@@ -101,7 +101,7 @@
 		Now: now, Authority: a, Checked: x.checked, Limits: x.limits,
 		Engine: x.view.Snapshot().Engine(x.engine),
 	}
-	leaving := x.presence.Leaving(x.engine)
+	leaving := x.presence.TerminatingOrGone(x.engine)
 	if leaving {
 		s.Cancel = "the engine is leaving"
 	}
@@ -196,7 +196,7 @@
 	x.mu.Unlock()
 	x.log.Info("change", "id", c.ID, "phase", c.Phase.String(), "kind", c.Kind,
 		"role", c.Target.Role, "fence", c.Fence, "reason", reason)
-	x.trail.Change(c, was, reason)
+	x.trail.RecordChange(c, was, reason)
 }
 
 // send sends an order. The look at the clock is the last thing before the
@@ -213,12 +213,12 @@
 	x.contact.SendDone(action.Change, err, begun, time.Now(), x.limits.Retry)
 	x.log.Info("order sent", "order", action.Order.ID, "fence", action.Order.FencingToken,
 		"attempt", action.Change.Attempt, "error", err)
-	x.trail.Order(err)
+	x.trail.RecordOrder(err)
 	return err == nil
 }
 
-// Ask hands over a decision of the role policy. A later one replaces it.
-func (x *Executor) Ask(w orders.Want) {
+// Request hands over a decision of the role policy. A later one replaces it.
+func (x *Executor) Request(w orders.Want) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.want = &w
--- a/internal/controller/interleave/entry.go
+++ b/internal/controller/interleave/entry.go
@@ -192,7 +192,7 @@
 	p.statuses[s.entry] = s
 }
 
-// drained is the rule of controller.Statuses.
+// drained is the rule of controller.StatusTracker.
 func (p *process) drained(engine string, drain journal.Position) (bool, string) {
 	for _, n := range p.w.entries {
 		s, ok := p.statuses[n.name]
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -7,24 +7,24 @@
 	"tamarackchute/lease"
 )
 
-// Leadership follows the lease view and reports each term that this process
+// LeadershipWatcher follows the lease view and reports each term that this process
 // begins or releases. It is a suture service.
-type Leadership struct {
+type LeadershipWatcher struct {
 	instance    string
 	incarnation string
 	scopes      []string
 	view        *lease.View
-	trail       Trail
+	trail       EventRecorder
 
 	mu   sync.Mutex
 	told map[string]lease.ScopeState
 }
 
 // String names the service for the supervisor's log.
-func (l *Leadership) String() string { return "leadership" }
+func (l *LeadershipWatcher) String() string { return "leadership" }
 
 // Serve follows until the context ends.
-func (l *Leadership) Serve(ctx context.Context) error {
+func (l *LeadershipWatcher) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		changed := l.view.Changed()
 		l.look()
@@ -37,7 +37,7 @@
 }
 
 // look reports what has changed since the last look.
-func (l *Leadership) look() {
+func (l *LeadershipWatcher) look() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.told == nil {
@@ -46,14 +46,14 @@
 	for _, name := range l.scopes {
 		s := l.view.Scope(name)
 		if l.news(l.told[name], s) {
-			l.trail.Leads(s)
+			l.trail.RecordTerm(s)
 		}
 		l.told[name] = s
 	}
 }
 
 // news reports whether this process has begun a term, or has released one.
-func (l *Leadership) news(before, after lease.ScopeState) bool {
+func (l *LeadershipWatcher) news(before, after lease.ScopeState) bool {
 	if after.Holder != l.instance || after.Incarnation != l.incarnation {
 		return false
 	}
--- a/internal/controller/loader.go
+++ b/internal/controller/loader.go
@@ -27,12 +27,12 @@
 	loadRest = 5 * time.Minute
 )
 
-// Loader has engines load models that they should serve and don't, as a
+// ModelLoader has engines load models that they should serve and don't, as a
 // replaced engine may come without. It is a suture service.
-type Loader struct {
+type ModelLoader struct {
 	engines   []settings.Upstream
 	executors map[string]*Executor
-	loads     *Loads
+	loads     *LoadPoller
 	view      *orders.View
 	presence  *Presence
 	weights   infra.WeightStore
@@ -44,10 +44,10 @@
 }
 
 // String names the service for the supervisor's log.
-func (l *Loader) String() string { return "loading of models" }
+func (l *ModelLoader) String() string { return "loading of models" }
 
 // Serve looks until the context ends.
-func (l *Loader) Serve(ctx context.Context) error {
+func (l *ModelLoader) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		sleep(ctx, loadEvery)
 		for _, u := range l.engines {
@@ -57,9 +57,9 @@
 	return ctx.Err()
 }
 
-func (l *Loader) look(ctx context.Context, u settings.Upstream) {
+func (l *ModelLoader) look(ctx context.Context, u settings.Upstream) {
 	x, own := l.executors[u.Name]
-	if !own || l.presence.Leaving(u.Name) || busyLately(l.view.Snapshot().Engine(u.Name)) {
+	if !own || l.presence.TerminatingOrGone(u.Name) || busyLately(l.view.Snapshot().Engine(u.Name)) {
 		return
 	}
 	if _, leads := x.keeper.Authority(); !leads {
@@ -74,7 +74,7 @@
 		l.log.Warn("model can't be loaded", "engine", u.Name, "model", model, "error", err)
 		return
 	}
-	x.Ask(w)
+	x.Request(w)
 }
 
 // busyLately reports whether the engine is being changed or has loaded a model
@@ -87,7 +87,7 @@
 }
 
 // missing names a model that the engine should serve and reports not to have.
-func (l *Loader) missing(u settings.Upstream) (string, bool) {
+func (l *ModelLoader) missing(u settings.Upstream) (string, bool) {
 	r, ok := l.loads.of(u.Name)
 	if !ok || r.age(time.Now()) > l.fresh || !r.report.InService {
 		return "", false
@@ -101,7 +101,7 @@
 }
 
 // want asks for the newest version of a model.
-func (l *Loader) want(ctx context.Context, model string) (orders.Want, error) {
+func (l *ModelLoader) want(ctx context.Context, model string) (orders.Want, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	versions, err := l.weights.Versions(ctx, model)
--- a/internal/controller/loads.go
+++ b/internal/controller/loads.go
@@ -18,9 +18,9 @@
 	Load(ctx context.Context) (upstream.LoadReport, error)
 }
 
-// Loads keeps the last load report of each engine while this process leads.
+// LoadPoller keeps the last load report of each engine while this process leads.
 // It is a suture service.
-type Loads struct {
+type LoadPoller struct {
 	engines map[string]LoadReporter
 	leading func() bool
 	every   time.Duration
@@ -39,18 +39,18 @@
 	return now.Sub(l.at) + time.Duration(l.report.AgeMillis)*time.Millisecond
 }
 
-// NewLoads returns a poller of the engines; it reads only while leading says so,
+// NewLoadPoller returns a poller of the engines; it reads only while leading says so,
 // and then each engine so often.
-func NewLoads(engines map[string]LoadReporter, leading func() bool, every time.Duration) *Loads {
-	return &Loads{engines: engines, leading: leading, every: every, last: map[string]load{}}
+func NewLoadPoller(engines map[string]LoadReporter, leading func() bool, every time.Duration) *LoadPoller {
+	return &LoadPoller{engines: engines, leading: leading, every: every, last: map[string]load{}}
 }
 
 // String names the service for the supervisor's log.
-func (l *Loads) String() string { return "load reports" }
+func (l *LoadPoller) String() string { return "load reports" }
 
 // Serve polls until the context ends. An engine that doesn't answer holds up
 // its own next report alone.
-func (l *Loads) Serve(ctx context.Context) error {
+func (l *LoadPoller) Serve(ctx context.Context) error {
 	var wg conc.WaitGroup
 	for name, e := range l.engines {
 		wg.Go(func() { l.follow(ctx, name, e) })
@@ -59,7 +59,7 @@
 	return ctx.Err()
 }
 
-func (l *Loads) follow(ctx context.Context, name string, e LoadReporter) {
+func (l *LoadPoller) follow(ctx context.Context, name string, e LoadReporter) {
 	for ctx.Err() == nil {
 		if l.leading() {
 			l.poll(ctx, name, e)
@@ -68,7 +68,7 @@
 	}
 }
 
-func (l *Loads) poll(ctx context.Context, name string, e LoadReporter) {
+func (l *LoadPoller) poll(ctx context.Context, name string, e LoadReporter) {
 	pollCtx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	report, err := e.Load(pollCtx)
@@ -80,7 +80,7 @@
 	l.last[name] = load{report: report, at: time.Now()}
 }
 
-func (l *Loads) of(engine string) (load, bool) {
+func (l *LoadPoller) of(engine string) (load, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r, ok := l.last[engine]
--- a/internal/controller/page.go
+++ b/internal/controller/page.go
@@ -24,9 +24,9 @@
 	contentText      = "text/plain; version=0.0.4; charset=utf-8"
 )
 
-// Page serves the operators' address of a controller over HTTP: the status behind
+// OperatorServer serves the operators' address of a controller over HTTP: the status behind
 // an operator's token, health and metrics without. It is a suture service.
-type Page struct {
+type OperatorServer struct {
 	addr    string
 	tls     *tls.Config
 	metrics *telemetry.Page
@@ -52,13 +52,13 @@
 
 // ScopeStatus tells who leads a scope.
 type ScopeStatus struct {
-	Scope  string    `json:"scope"`
-	Holder string    `json:"holder"`
-	Fence  uint64    `json:"fence"`
-	Since  time.Time `json:"since"`
-	Ground string    `json:"ground"`
-	// Led is whether this process may give orders in the scope now.
-	Led bool `json:"led"`
+	Scope        string    `json:"scope"`
+	Holder       string    `json:"holder"`
+	FencingToken uint64    `json:"fence"`
+	Since        time.Time `json:"since"`
+	Basis        string    `json:"ground"`
+	// Leading is whether this process may give orders in the scope now.
+	Leading bool `json:"led"`
 }
 
 // EngineStatus tells what is known of an engine.
@@ -70,21 +70,21 @@
 	Change *orders.Change `json:"change,omitempty"`
 	Phase  string         `json:"phase,omitempty"`
 	Open   bool           `json:"open"`
-	// Doing is what the leader does or waits for.
-	Doing string `json:"doing,omitempty"`
+	// Activity is what the leader does or waits for.
+	Activity string `json:"doing,omitempty"`
 	// Busy, Running and the rest are as last read back by this process.
-	Busy          bool   `json:"busy"`
-	Running       int    `json:"running"`
-	FencingNumber uint64 `json:"fencing_number"`
-	LastOrder     string `json:"last_order,omitempty"`
-	Incarnation   string `json:"incarnation,omitempty"`
+	Busy         bool   `json:"busy"`
+	Running      int    `json:"running"`
+	FencingToken uint64 `json:"fencing_number"`
+	LastOrder    string `json:"last_order,omitempty"`
+	Incarnation  string `json:"incarnation,omitempty"`
 }
 
 // String names the service for the supervisor's log.
-func (p *Page) String() string { return "operators' page " + p.addr }
+func (p *OperatorServer) String() string { return "operators' page " + p.addr }
 
 // Serve answers until the context ends.
-func (p *Page) Serve(ctx context.Context) error {
+func (p *OperatorServer) Serve(ctx context.Context) error {
 	l, err := net.Listen("tcp", p.addr)
 	if err != nil {
 		return eris.Wrapf(err, "operators' address %s can't be taken", p.addr)
@@ -98,7 +98,7 @@
 	return ctx.Err()
 }
 
-func (p *Page) app() *fiber.App {
+func (p *OperatorServer) app() *fiber.App {
 	app := fiber.New(fiber.Config{
 		DisableStartupMessage: true,
 		BodyLimit:             pageMaxBody,
@@ -113,14 +113,14 @@
 	return app
 }
 
-func (p *Page) readyz(c *fiber.Ctx) error {
+func (p *OperatorServer) readyz(c *fiber.Ctx) error {
 	if !p.ready() {
 		return c.Status(fiber.StatusServiceUnavailable).SendString("the log has not been read\n")
 	}
 	return c.SendString("ok\n")
 }
 
-func (p *Page) metricsText(c *fiber.Ctx) error {
+func (p *OperatorServer) metricsText(c *fiber.Ctx) error {
 	var buf bytes.Buffer
 	if _, err := p.metrics.WriteTo(&buf); err != nil {
 		return err
--- a/internal/controller/parts_test.go
+++ b/internal/controller/parts_test.go
@@ -66,9 +66,9 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			s := NewStatuses()
+			s := NewStatusTracker()
 			for _, st := range c.statuses {
-				s.Take(st, at(0))
+				s.Update(st, at(0))
 			}
 			got, _ := s.Drained("e", drain, []string{"n1", "n2"}, at(c.now), time.Second, 5*time.Second)
 			assert.Equal(t, c.want, got)
--- a/internal/controller/presence.go
+++ b/internal/controller/presence.go
@@ -118,9 +118,9 @@
 	return row, ok
 }
 
-// Leaving reports whether the instance is being taken away, or has gone from a
+// TerminatingOrGone reports whether the instance is being taken away, or has gone from a
 // list that was read.
-func (p *Presence) Leaving(instance string) bool {
+func (p *Presence) TerminatingOrGone(instance string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.current == nil {
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -10,8 +10,8 @@
 	"tamarackchute/lease"
 )
 
-func (c *Controller) page() *Page {
-	return &Page{
+func (c *Controller) page() *OperatorServer {
+	return &OperatorServer{
 		addr: c.self.ControllerOperators, tls: c.cfg.ServerTLS,
 		metrics: c.cfg.Metrics.Page, status: c.Status, ready: c.ready,
 		authorise: operator.RequireToken(c.cfg.Deployment.Security.Operators, c.log),
@@ -52,12 +52,12 @@
 }
 
 func (c *Controller) scopeStatus(s lease.ScopeState) ScopeStatus {
-	out := ScopeStatus{Scope: s.Scope, Fence: s.FencingToken, Since: s.Since, Ground: s.Basis.String()}
+	out := ScopeStatus{Scope: s.Scope, FencingToken: s.FencingToken, Since: s.Since, Basis: s.Basis.String()}
 	if s.Held {
 		out.Holder = s.Holder
 	}
 	if k, ok := c.keepers[s.Scope]; ok {
-		_, out.Led = k.Authority()
+		_, out.Leading = k.Authority()
 	}
 	return out
 }
@@ -67,8 +67,8 @@
 	doing, state, _ := x.seen()
 	out := EngineStatus{
 		Engine: u.Name, Scope: ScopeOf(u), Believed: known.Believed, Change: known.Change,
-		Open: known.Open() != nil, Doing: doing, Busy: state.Busy, Running: state.Running,
-		FencingNumber: state.FencingToken, LastOrder: state.LastOrder, Incarnation: state.Incarnation,
+		Open: known.Open() != nil, Activity: doing, Busy: state.Busy, Running: state.Running,
+		FencingToken: state.FencingToken, LastOrder: state.LastOrder, Incarnation: state.Incarnation,
 	}
 	if known.Change != nil {
 		out.Phase = known.Change.Phase.String()
--- a/internal/controller/statuses.go
+++ b/internal/controller/statuses.go
@@ -11,9 +11,9 @@
 	"tamarackchute/rolepolicy"
 )
 
-// Statuses keeps the last status of each entry instance. It implements
+// StatusTracker keeps the last status of each entry instance. It implements
 // wire.Handler.
-type Statuses struct {
+type StatusTracker struct {
 	mu   sync.Mutex
 	last map[string]received
 }
@@ -23,22 +23,22 @@
 	at     time.Time
 }
 
-// NewStatuses returns an empty book of statuses.
-func NewStatuses() *Statuses { return &Statuses{last: map[string]received{}} }
+// NewStatusTracker returns an empty book of statuses.
+func NewStatusTracker() *StatusTracker { return &StatusTracker{last: map[string]received{}} }
 
 // Handle implements wire.Handler: it takes statuses and answers each.
-func (s *Statuses) Handle(_ string, m wire.Message, reply func(wire.Message)) {
+func (s *StatusTracker) Handle(_ string, m wire.Message, reply func(wire.Message)) {
 	st, ok := m.(wire.EntryStatus)
 	if !ok {
 		return
 	}
-	s.Take(st, time.Now())
+	s.Update(st, time.Now())
 	reply(wire.StatusAck{At: st.At})
 }
 
-// Take notes a status received at a time. An older one that comes late over
+// Update notes a status received at a time. An older one that comes late over
 // another connection changes nothing.
-func (s *Statuses) Take(st wire.EntryStatus, now time.Time) {
+func (s *StatusTracker) Update(st wire.EntryStatus, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old, ok := s.last[st.Instance]
@@ -59,7 +59,7 @@
 // nothing in flight on the engine: those listed, each by a status not older than
 // ack, and those heard of within a time that the lagging list doesn't name yet.
 // If not, it names one that hasn't.
-func (s *Statuses) Drained(
+func (s *StatusTracker) Drained(
 	engine string, drain journal.Position, listed []string, now time.Time, ack, heard time.Duration,
 ) (bool, string) {
 	s.mu.Lock()
@@ -93,7 +93,7 @@
 }
 
 // Demand returns what the entries saw, dated by this process's own clock.
-func (s *Statuses) Demand() []rolepolicy.Demand {
+func (s *StatusTracker) Demand() []rolepolicy.Demand {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var all []rolepolicy.Demand
@@ -110,7 +110,7 @@
 }
 
 // Ages returns how old the last status of each instance is.
-func (s *Statuses) Ages(now time.Time) map[string]time.Duration {
+func (s *StatusTracker) Ages(now time.Time) map[string]time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ages := make(map[string]time.Duration, len(s.last))
--- a/internal/controller/trail.go
+++ b/internal/controller/trail.go
@@ -16,16 +16,16 @@
 	"tamarackchute/upstream"
 )
 
-// Trail takes note of what the controller does, for the audit trail and the
+// EventRecorder takes note of what the controller does, for the audit trail and the
 // metrics. Its methods don't block.
-type Trail interface {
-	// Change reports an accepted step of a change, with what the engine was
+type EventRecorder interface {
+	// RecordChange reports an accepted step of a change, with what the engine was
 	// before it.
-	Change(c orders.Change, was orders.Settings, reason string)
-	// Order reports that an order was sent, and the error of the reply.
-	Order(err error)
-	// Leads reports a term that this process has begun or ended.
-	Leads(s lease.ScopeState)
+	RecordChange(c orders.Change, was orders.Settings, reason string)
+	// RecordOrder reports that an order was sent, and the error of the reply.
+	RecordOrder(err error)
+	// RecordTerm reports a term that this process has begun or ended.
+	RecordTerm(s lease.ScopeState)
 }
 
 // Bounds of the writing of audit records.
@@ -39,8 +39,8 @@
 	drainPoll = 10 * time.Millisecond
 )
 
-// auditTrail writes audit records and counts. It is a suture service.
-type auditTrail struct {
+// auditRecorder writes audit records and counts. It is a suture service.
+type auditRecorder struct {
 	journal journal.Writer
 	who     string
 	scope   tally.Scope
@@ -50,18 +50,18 @@
 	open atomic.Int64
 }
 
-func newTrail(w journal.Writer, instance string, scope tally.Scope, log *slog.Logger) *auditTrail {
-	return &auditTrail{
+func newAuditRecorder(w journal.Writer, instance string, scope tally.Scope, log *slog.Logger) *auditRecorder {
+	return &auditRecorder{
 		journal: w, who: instance + "/controller", scope: scope, log: log,
 		waiting: make(chan audit.Record, trailBacklog),
 	}
 }
 
 // String names the service for the supervisor's log.
-func (t *auditTrail) String() string { return "audit trail" }
+func (t *auditRecorder) String() string { return "audit trail" }
 
 // Serve writes records until the context ends.
-func (t *auditTrail) Serve(ctx context.Context) error {
+func (t *auditRecorder) Serve(ctx context.Context) error {
 	for {
 		select {
 		case r := <-t.waiting:
@@ -74,13 +74,13 @@
 }
 
 // drain waits until all records have been written, or for the context's end.
-func (t *auditTrail) drain(ctx context.Context) {
+func (t *auditRecorder) drain(ctx context.Context) {
 	for ctx.Err() == nil && t.open.Load() > 0 {
 		sleep(ctx, drainPoll)
 	}
 }
 
-func (t *auditTrail) write(r audit.Record) {
+func (t *auditRecorder) write(r audit.Record) {
 	ctx, cancel := context.WithTimeout(context.Background(), trailTimeout)
 	defer cancel()
 	if err := audit.Append(ctx, t.journal, r); err != nil {
@@ -88,7 +88,7 @@
 	}
 }
 
-func (t *auditTrail) add(r audit.Record) {
+func (t *auditRecorder) add(r audit.Record) {
 	r.Who = t.who
 	t.open.Add(1)
 	select {
@@ -99,9 +99,9 @@
 	}
 }
 
-// Change implements Trail. Only the ends of a change go to the audit trail:
+// RecordChange implements EventRecorder. Only the ends of a change go to the audit trail:
 // its other steps stand in the journal.
-func (t *auditTrail) Change(c orders.Change, was orders.Settings, reason string) {
+func (t *auditRecorder) RecordChange(c orders.Change, was orders.Settings, reason string) {
 	t.scope.Tagged(map[string]string{"phase": c.Phase.String()}).Counter("changes").Inc(1)
 	if c.Phase.Open() && c.Phase != orders.PhaseDraining {
 		return
@@ -148,8 +148,8 @@
 	}
 }
 
-// Order implements Trail.
-func (t *auditTrail) Order(err error) {
+// RecordOrder implements EventRecorder.
+func (t *auditRecorder) RecordOrder(err error) {
 	reply := "ok"
 	if err != nil {
 		reply = "error"
@@ -157,8 +157,8 @@
 	t.scope.Tagged(map[string]string{"reply": reply}).Counter("orders").Inc(1)
 }
 
-// Leads implements Trail.
-func (t *auditTrail) Leads(s lease.ScopeState) {
+// RecordTerm implements EventRecorder.
+func (t *auditRecorder) RecordTerm(s lease.ScopeState) {
 	r := audit.Record{What: audit.LeadershipEnded, Target: s.Scope, Reason: "released", From: s.Holder}
 	if s.Held {
 		t.scope.Tagged(map[string]string{"ground": s.Basis.String()}).Counter("terms").Inc(1)
--- a/internal/ctl/status.go
+++ b/internal/ctl/status.go
@@ -118,7 +118,7 @@
 
 func stateOf(st *api.Status) string {
 	switch {
-	case st.Leaving:
+	case st.ShuttingDown:
 		return "leaving"
 	case st.Ready:
 		return "ready"
@@ -151,7 +151,7 @@
 func (s *session) printLeaders(st *api.Status) error {
 	t := s.table("SCOPE", "LEADER", "FENCING NUMBER", "SINCE")
 	for _, l := range st.Leaders {
-		t.row(l.Scope, l.Holder, strconv.FormatUint(l.Fence, 10), clock(l.Since))
+		t.row(l.Scope, l.Holder, strconv.FormatUint(l.FencingToken, 10), clock(l.Since))
 	}
 	return t.end()
 }
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -37,8 +37,8 @@
 	operator.Register(app, operator.Deps{
 		Operators:  e.cfg.Deployment.Security.Operators,
 		Publisher:  rules.NewPublisher(e.journal, e.rules, known),
-		Book:       e.rules,
-		Known:      known,
+		Replica:    e.rules,
+		KnownNames: known,
 		Trail:      e.trail,
 		Journal:    e.journal,
 		Quarantine: e.suspects,
@@ -53,15 +53,15 @@
 func (e *Entry) status() api.Status {
 	claims := e.claims.Stats()
 	s := api.Status{
-		Instance:   e.self.Name,
-		DataCentre: e.self.DataCentre,
-		Ready:      e.ready() == nil,
-		Leaving:    e.gateway.Leaving(),
-		LogUp:      e.journal.Health().LogUp,
-		Requests:   e.gateway.Active(),
-		Claims:     api.ClaimStatus{Complete: claims.Complete, Keys: claims.Keys},
-		Rules:      e.rules.Status(),
-		Upstreams:  e.upstreamStatus(),
+		Instance:     e.self.Name,
+		DataCentre:   e.self.DataCentre,
+		Ready:        e.ready() == nil,
+		ShuttingDown: e.gateway.Leaving(),
+		LogUp:        e.journal.Health().LogUp,
+		Requests:     e.gateway.Active(),
+		Claims:       api.ClaimStatus{Complete: claims.Complete, Keys: claims.Keys},
+		Rules:        e.rules.Status(),
+		Upstreams:    e.upstreamStatus(),
 	}
 	for _, m := range e.node.View().Members {
 		s.Instances = append(s.Instances, api.InstanceStatus{
@@ -71,7 +71,7 @@
 	for name, scope := range e.leases.Snapshot().Scopes {
 		if scope.Held {
 			s.Leaders = append(s.Leaders, api.LeaderStatus{
-				Scope: name, Holder: scope.Holder, Fence: uint64(scope.FencingToken), Since: scope.Since,
+				Scope: name, Holder: scope.Holder, FencingToken: uint64(scope.FencingToken), Since: scope.Since,
 			})
 		}
 	}
--- a/internal/operator/api/api.go
+++ b/internal/operator/api/api.go
@@ -94,11 +94,11 @@
 
 // Status is the reply to GET PathStatus: what one instance knows.
 type Status struct {
-	Instance   string `json:"instance"`
-	DataCentre string `json:"data_centre"`
-	Ready      bool   `json:"ready"`
-	Leaving    bool   `json:"leaving"`
-	LogUp      bool   `json:"log_up"`
+	Instance     string `json:"instance"`
+	DataCentre   string `json:"data_centre"`
+	Ready        bool   `json:"ready"`
+	ShuttingDown bool   `json:"leaving"`
+	LogUp        bool   `json:"log_up"`
 	// Requests is the number in flight.
 	Requests  int              `json:"requests"`
 	Claims    ClaimStatus      `json:"claims"`
@@ -141,8 +141,8 @@
 
 // LeaderStatus tells who leads a scope.
 type LeaderStatus struct {
-	Scope  string    `json:"scope"`
-	Holder string    `json:"holder"`
-	Fence  uint64    `json:"fence"`
-	Since  time.Time `json:"since"`
+	Scope        string    `json:"scope"`
+	Holder       string    `json:"holder"`
+	FencingToken uint64    `json:"fence"`
+	Since        time.Time `json:"since"`
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -31,23 +31,23 @@
 	Release(ctx context.Context, r quarantine.Release) error
 }
 
-// Claims is the history of protected calls; claim.Guard is one.
-type Claims interface {
+// ClaimHistory is the history of protected calls; claim.Guard is one.
+type ClaimHistory interface {
 	AcceptGap(ctx context.Context) error
 	Stats() claim.Stats
 }
 
 // Deps is what the interface works with. All fields but the last two are needed.
 type Deps struct {
-	Operators []settings.Operator
-	Publisher *rules.Publisher
-	Book      *rules.Replica
-	Known     rules.KnownNames
-	Trail     *audit.Trail
+	Operators  []settings.Operator
+	Publisher  *rules.Publisher
+	Replica    *rules.Replica
+	KnownNames rules.KnownNames
+	Trail      *audit.Trail
 	// Journal takes audit records.
 	Journal    journal.Writer
 	Quarantine Releaser
-	Claims     Claims
+	Claims     ClaimHistory
 	// Status returns what the instance knows.
 	Status func() api.Status
 	Logger *slog.Logger
--- a/internal/operator/operatortest/instance.go
+++ b/internal/operator/operatortest/instance.go
@@ -26,8 +26,8 @@
 // Token is the token of the operator anna.
 const Token = "spring-lime-4711"
 
-// Known lists the names that rules may use.
-var Known = rules.KnownNames{
+// KnownNames lists the names that rules may use.
+var KnownNames = rules.KnownNames{
 	Pools:       []string{"agronomy", "booking"},
 	Models:      []string{"soil"},
 	DataCentres: []string{"cesis-a"},
@@ -37,7 +37,7 @@
 type Instance struct {
 	App     *fiber.App
 	Journal *journal.Journal
-	Book    *rules.Replica
+	Replica *rules.Replica
 	Trail   *audit.Trail
 	Guard   *quarantine.Guard
 	Claims  *claim.Guard
@@ -51,9 +51,9 @@
 	i := &Instance{App: fiber.New(fiber.Config{DisableStartupMessage: true})}
 	i.Journal = journal.New(log, journal.Config{Writer: name + "/entry/1", Logger: logger})
 	i.Trail = audit.NewTrail(0, logger)
-	i.Book = rules.NewReplica(rules.ReplicaOptions{Logger: logger, Observe: i.Trail.ObserveRules})
+	i.Replica = rules.NewReplica(rules.ReplicaOptions{Logger: logger, Observe: i.Trail.ObserveRules})
 	i.Guard = quarantine.NewGuard(quarantine.DefaultConfig(), i.Journal, name, nil)
-	i.Journal.Register(journal.KindRules, i.Book)
+	i.Journal.Register(journal.KindRules, i.Replica)
 	i.Journal.Register(journal.KindAudit, i.Trail)
 	i.Journal.Register(journal.KindQuarantine, i.Guard)
 	claims, err := claim.NewGuard(i.Journal, claim.Config{Writer: name + "/entry/1"})
@@ -64,9 +64,9 @@
 	i.Journal.Register(journal.KindClaim, i.Claims)
 	operator.Register(i.App, operator.Deps{
 		Operators:  []settings.Operator{{Name: "anna", TokenSHA256: hashOf(Token)}},
-		Publisher:  rules.NewPublisher(i.Journal, i.Book, Known),
-		Book:       i.Book,
-		Known:      Known,
+		Publisher:  rules.NewPublisher(i.Journal, i.Replica, KnownNames),
+		Replica:    i.Replica,
+		KnownNames: KnownNames,
 		Trail:      i.Trail,
 		Journal:    i.Journal,
 		Quarantine: i.Guard,
@@ -96,12 +96,12 @@
 	return api.Status{
 		Instance: name, DataCentre: "cesis-a", Ready: true, LogUp: i.Journal.Health().LogUp, Requests: 3,
 		Claims:    api.ClaimStatus{Complete: i.Claims.Stats().Complete, Keys: i.Claims.Stats().Keys},
-		Rules:     i.Book.Status(),
+		Rules:     i.Replica.Status(),
 		Instances: []api.InstanceStatus{{Name: "c1", DataCentre: "cesis-a", State: "live"}},
 		Upstreams: []api.UpstreamStatus{
 			{Name: "e1", Kind: "engine", DataCentre: "cesis-a", Pool: "agronomy", Role: "decode", Usable: true, InFlight: 2},
 			{Name: "e2", Kind: "engine", DataCentre: "cesis-a", Pool: "agronomy", Role: "mixed", Change: "draining for prefill"},
 		},
-		Leaders: []api.LeaderStatus{{Scope: "cesis-a/checked", Holder: "c1/controller", Fence: 12, Since: time.Unix(0, 0).UTC()}},
+		Leaders: []api.LeaderStatus{{Scope: "cesis-a/checked", Holder: "c1/controller", FencingToken: 12, Since: time.Unix(0, 0).UTC()}},
 	}
 }
--- a/internal/operator/rules.go
+++ b/internal/operator/rules.go
@@ -17,7 +17,7 @@
 )
 
 func (h *handler) getRules(c *fiber.Ctx) error {
-	inForce := h.Book.Current()
+	inForce := h.Replica.Current()
 	if inForce == nil {
 		return fail(c, fiber.StatusServiceUnavailable, "the rules in force are not known here yet")
 	}
@@ -70,7 +70,7 @@
 	if err := c.BodyParser(&r); err != nil {
 		return fail(c, fiber.StatusBadRequest, "the body has no document: "+err.Error())
 	}
-	_, err := rules.Parse([]byte(r.Document), h.Known)
+	_, err := rules.Parse([]byte(r.Document), h.KnownNames)
 	var invalid *rules.InvalidError
 	if errors.As(err, &invalid) {
 		return c.Status(fiber.StatusUnprocessableEntity).JSON(api.Problems{Problems: invalid.Problems})
@@ -79,6 +79,6 @@
 }
 
 func (h *handler) getHistory(c *fiber.Ctx) error {
-	list := h.Book.History()
+	list := h.Replica.History()
 	return c.JSON(api.History{Publications: list[:min(count(c), len(list))]})
 }
--- a/internal/prove/prove.go
+++ b/internal/prove/prove.go
@@ -105,10 +105,10 @@
 type MutantResult struct {
 	Name   string
 	Caught bool
-	// After is the number of interleavings that it took.
-	After int
-	// By names the violated invariants of the interleaving that caught it.
-	By []string
+	// Interleavings is the number of interleavings that it took.
+	Interleavings int
+	// ViolatedInvariants names the violated invariants of the interleaving that caught it.
+	ViolatedInvariants []string
 }
 
 // Summary is the result of one scenario.
@@ -177,14 +177,14 @@
 		r := NewReport()
 		r.Seed = o.Seed + uint64(i)
 		s.Run(r.Seed, name, r)
-		m.After = i + 1
+		m.Interleavings = i + 1
 		if r.Violated() == 0 {
 			continue
 		}
 		m.Caught = true
 		for _, inv := range slices.Sorted(maps.Keys(r.Invariants)) {
 			if r.Invariants[inv].Violated > 0 {
-				m.By = append(m.By, inv)
+				m.ViolatedInvariants = append(m.ViolatedInvariants, inv)
 			}
 		}
 		return m
@@ -212,7 +212,7 @@
 			verdict = "caught"
 			caught++
 		}
-		fmt.Fprintf(w, "  mutant %-40s %s after %d, by %v\n", m.Name, verdict, m.After, m.By)
+		fmt.Fprintf(w, "  mutant %-40s %s after %d, by %v\n", m.Name, verdict, m.Interleavings, m.ViolatedInvariants)
 	}
 	fmt.Fprintf(w, "  mutants caught %d of %d\n", caught, len(s.Mutants))
 }
--- a/internal/status/node.go
+++ b/internal/status/node.go
@@ -17,14 +17,14 @@
 	"tamarackchute/rules"
 )
 
-// Book is what a Node needs of the rules; rules.Replica is one.
-type Book interface {
+// RuleReplica is what a Node needs of the rules; rules.Replica is one.
+type RuleReplica interface {
 	PeerState(applied journal.Position) rules.PeerState
 	ApplyPeerState(rules.PeerState) bool
 }
 
-// Drains is what a Node needs of the engines' drains.
-type Drains interface {
+// DrainTracker is what a Node needs of the engines' drains.
+type DrainTracker interface {
 	// Draining names the engines that get no new work.
 	Draining() []string
 	// Avoid takes engines that a peer gives no new work. Until the log has been
@@ -32,9 +32,9 @@
 	Avoid(engines []string)
 }
 
-// Source tells the state of the entry; the node fills in who and when. The
+// StatusSource tells the state of the entry; the node fills in who and when. The
 // position must be read before the counts of requests.
-type Source func() wire.EntryStatus
+type StatusSource func() wire.EntryStatus
 
 // Options is what a Node works with.
 type Options struct {
@@ -45,12 +45,12 @@
 	ServerTLS *tls.Config
 	ClientTLS *tls.Config
 	Leases    *lease.View
-	Rules     Book
-	Drains    Drains
+	Rules     RuleReplica
+	Drains    DrainTracker
 	Applied   func() journal.Position
 	// CaughtUp is closed once the log has been read to its end.
 	CaughtUp <-chan struct{}
-	Source   Source
+	Source   StatusSource
 	Logger   *slog.Logger
 }
 
