--- a/internal/controller/checkpointer.go
+++ b/internal/controller/checkpointer.go
@@ -11,24 +11,24 @@
 	"tamarackchute/orders"
 )
 
-// Times of the checkpoints.
+// Timing of checkpoints.
 const (
-	// checkpointPoll is the time between two looks at the engines' records.
-	checkpointPoll = 5 * time.Second
-	// checkpointFraction is the part of the retention after which a record is
-	// repeated.
-	checkpointFraction = 4
+	// checkpointPollInterval is the time between two checks of the engines' records.
+	checkpointPollInterval = 5 * time.Second
+	// checkpointsPerRetention is how many times per log retention a record is repeated.
+	checkpointsPerRetention = 4
 )
 
-// Checkpointer repeats what the journal tells of the data centre's engines
-// before the log's retention takes it. Without that, an engine whose scope has
-// no leader for longer would look free to an entry that starts then, in the
-// middle of its change. Every controller does it, a leader or not; who is
-// first spares the others the work. It is a suture service.
+// Checkpointer repeats the journal's state of the data centre's engines before the log's
+// retention removes it. Without checkpoints, an entry that starts while a scope has had no
+// leader for longer than the retention would take an engine in the middle of a change as
+// free. Every controller writes them, whether it leads or not; the first one to do so saves
+// the others the work. It is a suture service.
 type Checkpointer struct {
 	engines   []string
 	retention time.Duration
-	// delay sets the controllers of a data centre apart.
+	// delay differs between the controllers of a data centre, so that they don't all write
+	// the same checkpoint.
 	delay   time.Duration
 	journal journal.Writer
 	writer  string
@@ -39,23 +39,23 @@
 // String names the service for the supervisor's log.
 func (c *Checkpointer) String() string { return "checkpoints of changes" }
 
-// Serve works until the context ends.
+// Serve writes checkpoints until the context ends.
 func (c *Checkpointer) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
-		sleep(ctx, min(checkpointPoll, c.retention/checkpointFraction))
+		sleep(ctx, min(checkpointPollInterval, c.retention/checkpointsPerRetention))
 		for _, name := range c.engines {
-			c.keep(ctx, name)
+			c.checkpoint(ctx, name)
 		}
 	}
 	return ctx.Err()
 }
 
-func (c *Checkpointer) keep(ctx context.Context, name string) {
+func (c *Checkpointer) checkpoint(ctx context.Context, name string) {
 	e := c.view.Snapshot().Engine(name)
-	if !e.Known || time.Since(e.LastReadAt) < c.retention/checkpointFraction+c.delay {
+	if !e.Known || time.Since(e.LastReadAt) < c.retention/checkpointsPerRetention+c.delay {
 		return
 	}
-	writeCtx, cancel := context.WithTimeout(ctx, checkpointPoll)
+	writeCtx, cancel := context.WithTimeout(ctx, checkpointPollInterval)
 	defer cancel()
 	_, err := c.journal.Append(writeCtx, journal.Entry{
 		Kind: journal.KindOrder, ID: uuid.NewString(), Writer: c.writer, Body: orders.CheckpointOf(e).Encode(),
--- a/internal/controller/chooser.go
+++ b/internal/controller/chooser.go
@@ -13,44 +13,44 @@
 	"tamarackchute/upstream"
 )
 
-// A decision of the role policy comes decisionsPerChange times in the time that
-// a change takes, within bounds; the engines' reports come as often.
+// The role policy runs decisionsPerChange times in the duration of a change, within bounds.
+// The engines' load is polled at the same interval.
 const (
-	decisionsPerChange = 4
-	fastestPace        = 100 * time.Millisecond
-	slowestPace        = time.Second
+	decisionsPerChange  = 4
+	minDecisionInterval = 100 * time.Millisecond
+	maxDecisionInterval = time.Second
 )
 
-// pace is the time between two decisions.
-func pace(r settings.Roles) time.Duration {
-	return min(slowestPace, max(fastestPace, seconds(r.ChangeSeconds/decisionsPerChange)))
+// decisionInterval returns the time between two decisions.
+func decisionInterval(r settings.Roles) time.Duration {
+	return min(maxDecisionInterval, max(minDecisionInterval, seconds(r.ChangeSeconds/decisionsPerChange)))
 }
 
-// PolicyRunner asks the role policy what to change and hands its decisions to the
-// executors. It is a suture service.
+// PolicyRunner runs the role policy and hands its decisions to the executors. It is a
+// suture service.
 type PolicyRunner struct {
-	dataCentre string
-	engines    []settings.Upstream
-	newPolicy  func() (rolepolicy.Policy, error)
-	every      time.Duration
-	executors  map[string]*Executor
-	leading    func() bool
-	view       *orders.View
-	presence   *Presence
-	statuses   *StatusTracker
-	loads      *LoadPoller
-	log        *slog.Logger
+	dataCentre    string
+	engines       []settings.Upstream
+	newPolicy     func() (rolepolicy.Policy, error)
+	interval      time.Duration
+	executors     map[string]*Executor
+	leading       func() bool
+	view          *orders.View
+	instances     *Presence
+	entryStatuses *StatusTracker
+	loadReports   *LoadPoller
+	log           *slog.Logger
 }
 
 // String names the service for the supervisor's log.
 func (c *PolicyRunner) String() string { return "role policy" }
 
-// Serve decides until the context ends. A policy's history begins anew with
-// each time of leading: what it knew from an earlier one is out of date.
+// Serve runs the policy until the context ends. Each time this process begins to lead, it
+// creates a new policy, because the history of an earlier one is out of date.
 func (c *PolicyRunner) Serve(ctx context.Context) error {
 	var policy rolepolicy.Policy
 	for ctx.Err() == nil {
-		sleep(ctx, c.every)
+		sleep(ctx, c.interval)
 		if !c.leading() {
 			policy = nil
 			continue
@@ -68,10 +68,10 @@
 }
 
 func (c *PolicyRunner) decide(p rolepolicy.Policy, now time.Time) {
-	for _, d := range p.Decide(c.picture(now), now) {
+	for _, d := range p.Decide(c.policyState(now), now) {
 		x, ok := c.executors[d.Engine]
 		if !ok {
-			c.log.Warn("decision about an engine of another data centre", "engine", d.Engine)
+			c.log.Warn("role decision ignored: the engine is in another data centre", "engine", d.Engine)
 			continue
 		}
 		c.log.Info("role change wanted", "engine", d.Engine, "from", d.From, "to", d.To, "reason", d.Reason)
@@ -82,26 +82,26 @@
 	}
 }
 
-func (c *PolicyRunner) picture(now time.Time) rolepolicy.State {
-	s := rolepolicy.State{DataCentre: c.dataCentre, Demand: c.statuses.Demand()}
+func (c *PolicyRunner) policyState(now time.Time) rolepolicy.State {
+	s := rolepolicy.State{DataCentre: c.dataCentre, Demand: c.entryStatuses.Demand()}
 	snapshot := c.view.Snapshot()
 	for _, e := range c.engines {
-		if c.presence.TerminatingOrGone(e.Name) {
+		if c.instances.TerminatingOrGone(e.Name) {
 			continue
 		}
-		s.Engines = append(s.Engines, c.engine(e, snapshot.Engine(e.Name), now))
+		s.Engines = append(s.Engines, c.engineState(e, snapshot.Engine(e.Name), now))
 	}
 	return s
 }
 
-// engine describes one engine: its role from the journal, or else from its own
-// report, or else from the settings.
-func (c *PolicyRunner) engine(e settings.Upstream, known orders.Engine, now time.Time) rolepolicy.Engine {
+// engineState describes one engine. Its role is taken from the journal if known, else from
+// the engine's report, else from the settings.
+func (c *PolicyRunner) engineState(e settings.Upstream, known orders.Engine, now time.Time) rolepolicy.Engine {
 	out := rolepolicy.Engine{
 		Name: e.Name, DataCentre: e.DataCentre, Models: e.Models,
 		Role: upstream.Role(e.Role), ReportAge: time.Duration(1<<63 - 1),
 	}
-	if l, ok := c.loads.of(e.Name); ok {
+	if l, ok := c.loadReports.latest(e.Name); ok {
 		out.Role = l.report.Role
 		out.InService = l.report.InService
 		out.ReportAge = l.age(now)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -24,35 +24,35 @@
 	"tamarackchute/upstream"
 )
 
-// Times of the whole controller.
+// Timing of the controller.
 const (
-	// rebind is the time between two tries to take the peers' address.
-	rebind = 250 * time.Millisecond
-	// stopTimeout bounds the release of the leases at the end.
+	// bindRetryInterval is the time between two attempts to bind the peer address.
+	bindRetryInterval = 250 * time.Millisecond
+	// stopTimeout bounds the release of the leases at shutdown.
 	stopTimeout = 5 * time.Second
-	// claimStagger sets apart the claims of a data centre's instances.
+	// claimStagger is the delay between the lease claims of a data centre's instances.
 	claimStagger = 50 * time.Millisecond
-	// drainChanges is how many times the length of a change a drain may take.
-	drainChanges = 30
-	// An engine's state is read readsPerChange times in the length of a
-	// change, within bounds.
-	readsPerChange = 8
-	fastestRead    = 50 * time.Millisecond
-	slowestRead    = 500 * time.Millisecond
-	// orderChanges is how many times the length of a change an order may take.
-	orderChanges = 10
+	// drainTimeoutFactor times the duration of a change bounds a drain.
+	drainTimeoutFactor = 30
+	// An engine's state is read readsPerChange times in the duration of a change, at
+	// intervals from minReadInterval to maxReadInterval.
+	readsPerChange  = 8
+	minReadInterval = 50 * time.Millisecond
+	maxReadInterval = 500 * time.Millisecond
+	// orderTimeoutFactor times the duration of a change bounds an order.
+	orderTimeoutFactor = 10
 )
 
-// Engine is both sides of an engine that a controller needs.
+// Engine combines the control and load-report interfaces of an engine.
 type Engine interface {
 	upstream.Controlled
 	LoadReporter
 }
 
-// Config is what a controller works with.
+// Config holds the dependencies and settings of a controller.
 type Config struct {
 	Deployment *settings.Deployment
-	// Instance is the name of the instance that it runs on.
+	// Instance is the name of the instance on which the controller runs.
 	Instance string
 	Log      infra.Log
 	List     infra.InstanceList
@@ -67,27 +67,27 @@
 	Logger    *slog.Logger
 }
 
-// Controller is one running chute-controller.
+// Controller is a running chute-controller.
 type Controller struct {
 	cfg         Config
 	self        settings.Instance
 	incarnation string
 	log         *slog.Logger
 
-	journal    *journal.Journal
-	leases     *lease.View
-	changes    *orders.View
-	presence   *Presence
-	statuses   *StatusTracker
-	loads      *LoadPoller
-	keepers    map[string]*lease.Keeper
-	executors  map[string]*Executor
-	peers      *wire.Server
-	trail      *auditRecorder
-	leadership *LeadershipWatcher
+	journal       *journal.Journal
+	leases        *lease.View
+	changes       *orders.View
+	instances     *Presence
+	entryStatuses *StatusTracker
+	loadReports   *LoadPoller
+	keepers       map[string]*lease.Keeper
+	executors     map[string]*Executor
+	peerServer    *wire.Server
+	recorder      *auditRecorder
+	leadership    *LeadershipWatcher
 }
 
-// New returns a controller; Run runs it.
+// New returns a controller; Run starts it.
 func New(cfg Config) (*Controller, error) {
 	self, ok := cfg.Deployment.Instance(cfg.Instance)
 	if !ok {
@@ -95,43 +95,44 @@
 	}
 	c := &Controller{
 		cfg: cfg, self: self, incarnation: uuid.NewString(), log: cfg.Logger,
-		leases: lease.NewView(), statuses: NewStatusTracker(),
+		leases: lease.NewView(), entryStatuses: NewStatusTracker(),
 		keepers: map[string]*lease.Keeper{}, executors: map[string]*Executor{},
 	}
 	c.changes = orders.NewView(c.leases)
 	c.journal = journal.New(cfg.Log, journal.Config{
-		Writer: c.writer(), Retention: seconds(cfg.Deployment.Platform.RetentionSeconds),
+		Writer: c.writerName(), Retention: seconds(cfg.Deployment.Platform.RetentionSeconds),
 		Linger: commitLinger, Logger: cfg.Logger,
 	})
 	c.journal.Register(journal.KindLease, c.leases)
 	c.journal.Register(journal.KindOrder, c.changes)
-	c.presence = NewPresence(cfg.List, seconds(cfg.Deployment.Lease.TermSeconds), cfg.Logger)
+	c.instances = NewPresence(cfg.List, seconds(cfg.Deployment.Lease.TermSeconds), cfg.Logger)
 	wireCfg := wire.Config{
 		Name: cfg.Instance + "/controller", Secret: cfg.Secret,
 		ClientTLS: cfg.ClientTLS, ServerTLS: cfg.ServerTLS,
 	}
-	c.peers = wire.NewServer(wireCfg, self.ControllerPeers, c.statuses, cfg.Logger)
-	c.trail = newAuditRecorder(c.journal, cfg.Instance, cfg.Metrics.Scope, cfg.Logger)
-	c.build()
+	c.peerServer = wire.NewServer(wireCfg, self.ControllerPeers, c.entryStatuses, cfg.Logger)
+	c.recorder = newAuditRecorder(c.journal, cfg.Instance, cfg.Metrics.Scope, cfg.Logger)
+	c.initEngines()
 	c.leadership = &LeadershipWatcher{
 		instance: cfg.Instance, incarnation: c.incarnation,
-		scopes: c.scopeNames(), view: c.leases, trail: c.trail,
+		scopes: c.scopeNames(), view: c.leases, recorder: c.recorder,
 	}
 	return c, nil
 }
 
-// commitLinger lets the renewals of one process's scopes share an append.
+// commitLinger is the batching delay that lets the renewals of several scopes share one
+// append.
 const commitLinger = 2 * time.Millisecond
 
-func (c *Controller) writer() string {
+func (c *Controller) writerName() string {
 	return fmt.Sprintf("%s/controller/%s", c.cfg.Instance, c.incarnation)
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// ScopeOf names the scope of an engine. Engines that don't check fencing
-// numbers have a scope of their own, which never passes on by time alone, so
-// that the others pass on within seconds.
+// ScopeOf returns the name of an engine's scope. Engines that don't check fencing tokens
+// have a separate scope: its lease is never taken over on expiry alone, and in a scope of
+// its own it doesn't delay the takeover of the other engines, which takes seconds.
 func ScopeOf(u settings.Upstream) string {
 	if u.Fencing == settings.FencingChecked {
 		return u.DataCentre + "/fenced"
@@ -139,8 +140,8 @@
 	return u.DataCentre + "/unfenced"
 }
 
-// build makes the parts that depend on the engines.
-func (c *Controller) build() {
+// initEngines creates the executors and the load poller.
+func (c *Controller) initEngines() {
 	reporters := map[string]LoadReporter{}
 	for _, u := range c.allEngines() {
 		reporters[u.Name] = c.cfg.Engines[u.Name]
@@ -148,30 +149,30 @@
 			c.executors[u.Name] = c.newExecutor(u)
 		}
 	}
-	c.loads = NewLoadPoller(reporters, c.leading, pace(c.cfg.Deployment.Roles))
+	c.loadReports = NewLoadPoller(reporters, c.leading, decisionInterval(c.cfg.Deployment.Roles))
 }
 
 func (c *Controller) newExecutor(u settings.Upstream) *Executor {
 	return &Executor{
-		engine: u.Name, checked: u.Fencing == settings.FencingChecked,
+		engine: u.Name, checksFencing: u.Fencing == settings.FencingChecked,
 		control: c.cfg.Engines[u.Name], keeper: c.keeper(u),
-		journal: c.journal, writer: c.writer(), view: c.changes,
-		presence: c.presence, statuses: c.statuses, limits: c.limits(),
-		trail: c.trail, log: c.log.With("engine", u.Name),
+		journal: c.journal, writer: c.writerName(), view: c.changes,
+		instances: c.instances, entryStatuses: c.entryStatuses, limits: c.limits(),
+		recorder: c.recorder, log: c.log.With("engine", u.Name),
 	}
 }
 
 func (c *Controller) limits() orders.Limits {
 	change := seconds(c.cfg.Deployment.Roles.ChangeSeconds)
-	read := min(slowestRead, max(fastestRead, change/readsPerChange))
+	read := min(maxReadInterval, max(minReadInterval, change/readsPerChange))
 	return orders.Limits{
-		Drain: drainChanges * change, Order: orderChanges * change,
+		Drain: drainTimeoutFactor * change, Order: orderTimeoutFactor * change,
 		Settle: seconds(c.cfg.Deployment.Lease.SettleSeconds),
 		Read:   read, Fresh: 2 * read, Retry: read,
 	}
 }
 
-// keeper returns the keeper of an engine's scope.
+// keeper returns the lease keeper of an engine's scope and creates it on first use.
 func (c *Controller) keeper(u settings.Upstream) *lease.Keeper {
 	scope := ScopeOf(u)
 	if k, ok := c.keepers[scope]; ok {
@@ -183,17 +184,18 @@
 			Scope: scope, Instance: c.cfg.Instance, Incarnation: c.incarnation,
 			Term: seconds(l.TermSeconds), Renew: seconds(l.RenewSeconds),
 			Drift: l.DriftFraction, Unfenced: u.Fencing != settings.FencingChecked,
-			Settle: seconds(l.SettleSeconds), ClaimDelay: c.stagger(),
+			Settle: seconds(l.SettleSeconds), ClaimDelay: c.claimDelay(),
 			Retention: seconds(c.cfg.Deployment.Platform.RetentionSeconds),
 		},
-		Writer: c.writer(), AddressBound: true,
-	}, c.journal, c.leases, c.presence, c.log)
+		Writer: c.writerName(), AddressBound: true,
+	}, c.journal, c.leases, c.instances, c.log)
 	c.keepers[scope] = k
 	return k
 }
 
-// stagger is this instance's place among those of its data centre, in time.
-func (c *Controller) stagger() time.Duration {
+// claimDelay returns this instance's claim delay: claimStagger times its rank among the
+// data centre's instances by name.
+func (c *Controller) claimDelay() time.Duration {
 	var before time.Duration
 	for _, in := range c.cfg.Deployment.Instances {
 		if in.DataCentre == c.self.DataCentre && in.Name < c.self.Name {
@@ -213,15 +215,15 @@
 	return false
 }
 
-// Run works until the context ends. Then it finishes the steps in hand,
-// releases its leases and returns nil. Its error means that the controller
-// could not go on.
+// Run runs the controller until the context ends. It then finishes the steps in progress,
+// releases its leases and returns nil. An error means that the controller could not
+// continue.
 //
-// Before anything else it takes the peers' address, which the kernel gives to
-// one living process only: a former controller of the instance is dead from
-// then on. The address is kept until the very end.
+// Run first binds the peer address, which the kernel grants to one living process at a
+// time: once bound, any earlier controller of the instance is dead. The address stays bound
+// until Run returns.
 func (c *Controller) Run(ctx context.Context) error {
-	if !c.bind(ctx) {
+	if !c.bindPeers(ctx) {
 		return nil
 	}
 	base, stopBase := context.WithCancel(context.Background())
@@ -234,62 +236,63 @@
 	select {
 	case <-ctx.Done():
 	case err := <-baseDone:
-		return eris.Wrap(err, "the peers' address was lost")
+		return eris.Wrap(err, "peer listener failed")
 	}
 	<-workDone
-	c.release()
+	c.releaseLeases()
 	stopBase()
 	<-baseDone
 	return nil
 }
 
-func (c *Controller) bind(ctx context.Context) bool {
+func (c *Controller) bindPeers(ctx context.Context) bool {
 	for ctx.Err() == nil {
-		err := c.peers.Bind()
+		err := c.peerServer.Bind()
 		if err == nil {
 			return true
 		}
-		c.log.Warn("waiting for the peers' address", "error", err)
-		sleep(ctx, rebind)
+		c.log.Warn("peer address not available, retrying", "error", err)
+		sleep(ctx, bindRetryInterval)
 	}
 	return false
 }
 
-// baseTree holds what has to outlive the work: the journal, the keepers that
-// renew while the steps in hand end, and the peers' address. Losing that
-// address ends the process, as another could lead in its place.
+// baseTree supervises the services that must outlive the work tree: the journal, the
+// keepers that renew leases while the steps in progress end, and the peer listener. Losing
+// the peer address ends the process, because another controller could then bind it and
+// lead.
 func (c *Controller) baseTree() *suture.Supervisor {
-	s := suture.New("controller", suture.Spec{EventHook: c.hook})
-	s.Add(fatal{c.peers})
+	s := suture.New("controller", suture.Spec{EventHook: c.logEvent})
+	s.Add(terminateOnExit{c.peerServer})
 	s.Add(c.journal)
-	s.Add(c.presence)
-	s.Add(c.trail)
+	s.Add(c.instances)
+	s.Add(c.recorder)
 	for _, k := range c.keepers {
 		s.Add(k)
 	}
-	s.Add(c.page())
+	s.Add(c.operatorServer())
 	s.Add(c.checkpointer())
 	s.Add(c.leadership)
 	return s
 }
 
-// workTree holds what gives orders.
+// workTree supervises the services that give orders.
 func (c *Controller) workTree() *suture.Supervisor {
-	s := suture.New("work", suture.Spec{EventHook: c.hook, Timeout: stopTimeout})
+	s := suture.New("work", suture.Spec{EventHook: c.logEvent, Timeout: stopTimeout})
 	for _, x := range c.executors {
 		s.Add(x)
 	}
-	s.Add(c.loads)
-	s.Add(c.loader())
-	s.Add(c.chooser())
+	s.Add(c.loadReports)
+	s.Add(c.modelLoader())
+	s.Add(c.policyRunner())
 	return s
 }
 
 func (c *Controller) checkpointer() *Checkpointer {
 	return &Checkpointer{
-		engines: slices.Sorted(maps.Keys(c.executors)), delay: 100 * c.stagger(),
+		engines: slices.Sorted(maps.Keys(c.executors)), delay: 100 * c.claimDelay(),
 		retention: seconds(c.cfg.Deployment.Platform.RetentionSeconds),
-		journal:   c.journal, writer: c.writer(), view: c.changes, log: c.log,
+		journal:   c.journal, writer: c.writerName(), view: c.changes, log: c.log,
 	}
 }
 
@@ -304,20 +307,20 @@
 	return engines
 }
 
-func (c *Controller) loader() *ModelLoader {
+func (c *Controller) modelLoader() *ModelLoader {
 	return &ModelLoader{
-		engines: c.allEngines(), executors: c.executors, loads: c.loads, view: c.changes,
-		presence: c.presence, weights: c.cfg.Weights, log: c.log,
-		limit: c.cfg.Deployment.Platform.WeightBytesPerSecond,
-		fresh: seconds(c.cfg.Deployment.Roles.MaxPictureAgeSeconds),
+		engines: c.allEngines(), executors: c.executors, loadReports: c.loadReports, view: c.changes,
+		instances: c.instances, weights: c.cfg.Weights, log: c.log,
+		bytesPerSec:  c.cfg.Deployment.Platform.WeightBytesPerSecond,
+		maxReportAge: seconds(c.cfg.Deployment.Roles.MaxPictureAgeSeconds),
 	}
 }
 
-func (c *Controller) chooser() *PolicyRunner {
+func (c *Controller) policyRunner() *PolicyRunner {
 	return &PolicyRunner{
-		dataCentre: c.self.DataCentre, engines: c.allEngines(), newPolicy: c.newPolicy, every: pace(c.cfg.Deployment.Roles),
+		dataCentre: c.self.DataCentre, engines: c.allEngines(), newPolicy: c.newPolicy, interval: decisionInterval(c.cfg.Deployment.Roles),
 		executors: c.executors, leading: c.leading, view: c.changes,
-		presence: c.presence, statuses: c.statuses, loads: c.loads, log: c.log,
+		instances: c.instances, entryStatuses: c.entryStatuses, loadReports: c.loadReports, log: c.log,
 	}
 }
 
@@ -336,7 +339,7 @@
 	})
 }
 
-func (c *Controller) release() {
+func (c *Controller) releaseLeases() {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	for _, k := range c.keepers {
@@ -344,18 +347,18 @@
 			c.log.Warn("lease not released", "scope", k.Scope(), "error", err)
 		}
 	}
-	c.leadership.look()
-	c.trail.drain(ctx)
+	c.leadership.report()
+	c.recorder.drain(ctx)
 }
 
-func (c *Controller) hook(e suture.Event) { c.log.Debug("supervisor", "event", e.String()) }
+func (c *Controller) logEvent(e suture.Event) { c.log.Debug("supervisor", "event", e.String()) }
 
-// fatal makes the end of a service, other than by the context, the end of its
-// supervisor's whole tree.
-type fatal struct{ service suture.Service }
+// terminateOnExit terminates the supervisor's whole tree when the service ends for a reason
+// other than its context.
+type terminateOnExit struct{ service suture.Service }
 
 // Serve implements suture.Service.
-func (f fatal) Serve(ctx context.Context) error {
+func (f terminateOnExit) Serve(ctx context.Context) error {
 	err := f.service.Serve(ctx)
 	if ctx.Err() != nil {
 		return ctx.Err()
--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -1,8 +1,8 @@
-// Package controller is the only part of the system that sends orders to
-// engines. One runs on every entry instance; per data centre and scope one of
-// them leads at a time, by the lease.
+// Package controller implements the only component that sends orders to engines. One
+// controller runs on every entry instance; in each data centre and scope, the one that
+// holds the lease leads.
 //
-// A leader asks the role policy what to change, carries each change through
-// the steps of package orders, and reads the engine's state back. All that
-// must outlive it stands in the journal.
+// The leader asks the role policy which changes to make, carries each change through the
+// steps of package orders, and reads the engine's state back. All state that must survive
+// the leader is stored in the journal.
 package controller
--- a/internal/controller/executor.go
+++ b/internal/controller/executor.go
@@ -15,61 +15,62 @@
 	"tamarackchute/upstream"
 )
 
-// Times of an executor.
+// Timing of an executor.
 const (
-	// stepPause is waited when there is nothing to do about an engine.
-	stepPause = 100 * time.Millisecond
-	// callTimeout bounds one call of an engine's control side.
+	// idleInterval is the wait when no step is due.
+	idleInterval = 100 * time.Millisecond
+	// callTimeout bounds one control call to an engine.
 	callTimeout = 2 * time.Second
-	// heardFresh is how long an entry that isn't listed yet is waited for.
-	heardFresh = 5 * time.Second
-	// wantFresh is how long a decision of the policy is good for.
-	wantFresh = 3 * time.Second
+	// unlistedEntryTimeout is how long a status of an entry that isn't listed yet still
+	// holds up a drain.
+	unlistedEntryTimeout = 5 * time.Second
+	// maxWantAge is how long a decision of the policy remains valid.
+	maxWantAge = 3 * time.Second
 )
 
-// Executor carries the changes of one engine through their steps while this
-// process leads its scope. It is a suture service.
+// Executor carries the changes of one engine through their steps while this process leads
+// the engine's scope. It is a suture service.
 type Executor struct {
-	engine   string
-	checked  bool
-	control  upstream.Controlled
-	keeper   *lease.Keeper
-	journal  journal.Writer
-	writer   string
-	view     *orders.View
-	presence *Presence
-	statuses *StatusTracker
-	limits   orders.Limits
-	trail    EventRecorder
-	log      *slog.Logger
+	engine        string
+	checksFencing bool
+	control       upstream.Controlled
+	keeper        *lease.Keeper
+	journal       journal.Writer
+	writer        string
+	view          *orders.View
+	instances     *Presence
+	entryStatuses *StatusTracker
+	limits        orders.Limits
+	recorder      EventRecorder
+	log           *slog.Logger
 
 	contact orders.Contact
 
-	mu      sync.Mutex
-	want    *orders.Want
-	wantAt  time.Time
-	doing   string
-	state   upstream.EngineState
-	stateAt time.Time
+	mu       sync.Mutex
+	want     *orders.Want
+	wantAt   time.Time
+	activity string
+	state    upstream.EngineState
+	stateAt  time.Time
 }
 
 // String names the service for the supervisor's log.
 func (x *Executor) String() string { return "orders to " + x.engine }
 
-// Serve works until the context ends, and always finishes the step in hand.
+// Serve works until the context ends, and always finishes the step in progress.
 func (x *Executor) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		changed := x.view.Changed()
 		if x.step() {
 			continue
 		}
-		x.pause(ctx, changed)
+		x.waitForChange(ctx, changed)
 	}
 	return ctx.Err()
 }
 
-func (x *Executor) pause(ctx context.Context, changed <-chan struct{}) {
-	t := time.NewTimer(stepPause)
+func (x *Executor) waitForChange(ctx context.Context, changed <-chan struct{}) {
+	t := time.NewTimer(idleInterval)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
@@ -78,52 +79,52 @@
 	}
 }
 
-// step takes one step and reports whether there may be another one at once.
+// step performs one step and reports whether another one may follow at once.
 func (x *Executor) step() bool {
 	a, done, ok := x.keeper.Use()
 	if !ok {
-		x.note(orders.Action{Reason: "not leading"})
+		x.setActivity(orders.Action{Reason: "not leading"})
 		return false
 	}
 	defer done()
 	action := orders.Next(x.situation(a), &x.contact)
-	x.note(action)
-	// The step in hand is finished even if the program is being stopped; the
-	// authority's end bounds it.
+	x.setActivity(action)
+	// The step in progress is finished even if the program is being stopped; the end of the
+	// authority bounds it.
 	ctx, cancel := context.WithDeadline(context.Background(), a.Until)
 	defer cancel()
-	return x.carryOut(ctx, a, action)
+	return x.execute(ctx, a, action)
 }
 
 func (x *Executor) situation(a lease.Authority) orders.Situation {
 	now := time.Now()
 	s := orders.Situation{
-		Now: now, Authority: a, Checked: x.checked, Limits: x.limits,
+		Now: now, Authority: a, Checked: x.checksFencing, Limits: x.limits,
 		Engine: x.view.Snapshot().Engine(x.engine),
 	}
-	leaving := x.presence.TerminatingOrGone(x.engine)
-	if leaving {
+	unavailable := x.instances.TerminatingOrGone(x.engine)
+	if unavailable {
 		s.Cancel = "the engine is leaving"
 	}
 	if open := s.Engine.Open(); open != nil {
 		s.Drained, s.Waiting = x.drained(open.Drain, now)
 		return s
 	}
-	if !leaving {
-		s.Want = x.wanted(now)
+	if !unavailable {
+		s.Want = x.currentWant(now)
 	}
 	return s
 }
 
 func (x *Executor) drained(drain journal.Position, now time.Time) (bool, string) {
-	listed, known := x.presence.Entries()
+	listed, known := x.instances.Entries()
 	if !known {
 		return false, "the instance list has not been read"
 	}
-	return x.statuses.Drained(x.engine, drain, listed, now, wire.StatusFresh, heardFresh)
+	return x.entryStatuses.Drained(x.engine, drain, listed, now, wire.StatusFresh, unlistedEntryTimeout)
 }
 
-func (x *Executor) carryOut(ctx context.Context, a lease.Authority, action orders.Action) bool {
+func (x *Executor) execute(ctx context.Context, a lease.Authority, action orders.Action) bool {
 	switch action.Kind {
 	case orders.ActionRaise:
 		return x.raise(ctx, a, action)
@@ -150,7 +151,7 @@
 	err := x.control.Order(callCtx, action.Order)
 	x.contact.RaiseDone(err, time.Now(), x.limits.Retry)
 	if err != nil {
-		x.log.Warn("fencing number not raised", "fence", a.FencingToken, "error", err)
+		x.log.Warn("fencing token not raised", "fence", a.FencingToken, "error", err)
 	}
 	return err == nil
 }
@@ -178,17 +179,18 @@
 	accepted := err == nil && engine.Last == p
 	x.contact.AppendDone(accepted, time.Now(), x.limits.Retry)
 	if !accepted {
-		x.log.Warn("step not recorded", "step", action.Reason, "error", err)
+		x.log.Warn("step not accepted by the journal", "step", action.Reason, "error", err)
 		return false
 	}
 	if action.Record.Change != nil {
-		x.settled(*engine.Change, was, action.Reason)
+		x.recordAccepted(*engine.Change, was, action.Reason)
 	}
 	return true
 }
 
-// settled reports an accepted step of a change.
-func (x *Executor) settled(c orders.Change, was orders.Settings, reason string) {
+// recordAccepted records an accepted step of a change and clears the request that led to
+// it.
+func (x *Executor) recordAccepted(c orders.Change, was orders.Settings, reason string) {
 	x.mu.Lock()
 	if x.want != nil && x.want.ID == c.ID {
 		x.want = nil
@@ -196,12 +198,12 @@
 	x.mu.Unlock()
 	x.log.Info("change", "id", c.ID, "phase", c.Phase.String(), "kind", c.Kind,
 		"role", c.Target.Role, "fence", c.Fence, "reason", reason)
-	x.trail.RecordChange(c, was, reason)
+	x.recorder.RecordChange(c, was, reason)
 }
 
-// send sends an order. The look at the clock is the last thing before the
-// write; a pause in between is what fencing numbers, and the passing of
-// unchecked engines by proof alone, guard against.
+// send sends an order. The authority's validity is checked last before the write. A pause
+// in between is guarded against by fencing tokens, and for engines that don't check them by
+// never taking over their scope on expiry alone.
 func (x *Executor) send(ctx context.Context, a lease.Authority, action orders.Action) bool {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -213,11 +215,11 @@
 	x.contact.SendDone(action.Change, err, begun, time.Now(), x.limits.Retry)
 	x.log.Info("order sent", "order", action.Order.ID, "fence", action.Order.FencingToken,
 		"attempt", action.Change.Attempt, "error", err)
-	x.trail.RecordOrder(err)
+	x.recorder.RecordOrder(err)
 	return err == nil
 }
 
-// Request hands over a decision of the role policy. A later one replaces it.
+// Request submits a decision of the role policy. A later request replaces it.
 func (x *Executor) Request(w orders.Want) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -225,25 +227,25 @@
 	x.wantAt = time.Now()
 }
 
-func (x *Executor) wanted(now time.Time) *orders.Want {
+func (x *Executor) currentWant(now time.Time) *orders.Want {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.want != nil && now.Sub(x.wantAt) > wantFresh {
+	if x.want != nil && now.Sub(x.wantAt) > maxWantAge {
 		x.want = nil
 	}
 	return x.want
 }
 
-func (x *Executor) note(a orders.Action) {
+func (x *Executor) setActivity(a orders.Action) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.doing = a.Reason
+	x.activity = a.Reason
 }
 
-// seen returns what the executor is waiting for or doing, and the engine's
-// state as last read.
-func (x *Executor) seen() (doing string, s upstream.EngineState, at time.Time) {
+// lastSeen returns the executor's current activity, and the engine's state as last read
+// with the time of the read.
+func (x *Executor) lastSeen() (activity string, s upstream.EngineState, at time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.doing, x.state, x.stateAt
+	return x.activity, x.state, x.stateAt
 }
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -7,27 +7,27 @@
 	"tamarackchute/lease"
 )
 
-// LeadershipWatcher follows the lease view and reports each term that this process
-// begins or releases. It is a suture service.
+// LeadershipWatcher follows the lease view and records each term that this process begins
+// or releases. It is a suture service.
 type LeadershipWatcher struct {
 	instance    string
 	incarnation string
 	scopes      []string
 	view        *lease.View
-	trail       EventRecorder
+	recorder    EventRecorder
 
-	mu   sync.Mutex
-	told map[string]lease.ScopeState
+	mu           sync.Mutex
+	lastReported map[string]lease.ScopeState
 }
 
 // String names the service for the supervisor's log.
 func (l *LeadershipWatcher) String() string { return "leadership" }
 
-// Serve follows until the context ends.
+// Serve follows the view until the context ends.
 func (l *LeadershipWatcher) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		changed := l.view.Changed()
-		l.look()
+		l.report()
 		select {
 		case <-ctx.Done():
 		case <-changed:
@@ -36,24 +36,24 @@
 	return ctx.Err()
 }
 
-// look reports what has changed since the last look.
-func (l *LeadershipWatcher) look() {
+// report records what has changed since the last call.
+func (l *LeadershipWatcher) report() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.told == nil {
-		l.told = map[string]lease.ScopeState{}
+	if l.lastReported == nil {
+		l.lastReported = map[string]lease.ScopeState{}
 	}
 	for _, name := range l.scopes {
 		s := l.view.Scope(name)
-		if l.news(l.told[name], s) {
-			l.trail.RecordTerm(s)
+		if l.termChanged(l.lastReported[name], s) {
+			l.recorder.RecordTerm(s)
 		}
-		l.told[name] = s
+		l.lastReported[name] = s
 	}
 }
 
-// news reports whether this process has begun a term, or has released one.
-func (l *LeadershipWatcher) news(before, after lease.ScopeState) bool {
+// termChanged reports whether this process has begun or released a term.
+func (l *LeadershipWatcher) termChanged(before, after lease.ScopeState) bool {
 	if after.Holder != l.instance || after.Incarnation != l.incarnation {
 		return false
 	}
--- a/internal/controller/loader.go
+++ b/internal/controller/loader.go
@@ -15,81 +15,81 @@
 	"tamarackchute/upstream"
 )
 
-// Numbers of the loading of models.
+// Timing and concurrency of model loads.
 const (
-	// loadEvery is the time between two looks for missing models.
-	loadEvery = 2 * time.Second
-	// loadsAtOnce is how many loads, over all data centres, share the weight
-	// store's rate at a time.
-	loadsAtOnce = 2
-	// loadRest is the least time between two loads of an engine. One with
-	// fewer places than models would otherwise load them in turn for ever.
-	loadRest = 5 * time.Minute
+	// loadCheckInterval is the time between two checks for missing models.
+	loadCheckInterval = 2 * time.Second
+	// maxConcurrentLoads is how many loads, over all data centres, share the weight store's
+	// transfer rate.
+	maxConcurrentLoads = 2
+	// minLoadInterval is the minimum time between two loads on an engine. Without it, an
+	// engine with fewer model slots than models would load them in turn for ever.
+	minLoadInterval = 5 * time.Minute
 )
 
-// ModelLoader has engines load models that they should serve and don't, as a
-// replaced engine may come without. It is a suture service.
+// ModelLoader makes engines load models that they should serve but don't have, for example
+// after an engine was replaced. It is a suture service.
 type ModelLoader struct {
-	engines   []settings.Upstream
-	executors map[string]*Executor
-	loads     *LoadPoller
-	view      *orders.View
-	presence  *Presence
-	weights   infra.WeightStore
-	// limit is the weight store's rate in bytes a second, fresh the age up to
-	// which an engine's report counts.
-	limit float64
-	fresh time.Duration
-	log   *slog.Logger
+	engines     []settings.Upstream
+	executors   map[string]*Executor
+	loadReports *LoadPoller
+	view        *orders.View
+	instances   *Presence
+	weights     infra.WeightStore
+	// bytesPerSec is the weight store's transfer rate; maxReportAge is the age up to which
+	// an engine's load report is used.
+	bytesPerSec  float64
+	maxReportAge time.Duration
+	log          *slog.Logger
 }
 
 // String names the service for the supervisor's log.
 func (l *ModelLoader) String() string { return "loading of models" }
 
-// Serve looks until the context ends.
+// Serve checks for missing models until the context ends.
 func (l *ModelLoader) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
-		sleep(ctx, loadEvery)
+		sleep(ctx, loadCheckInterval)
 		for _, u := range l.engines {
-			l.look(ctx, u)
+			l.loadMissing(ctx, u)
 		}
 	}
 	return ctx.Err()
 }
 
-func (l *ModelLoader) look(ctx context.Context, u settings.Upstream) {
-	x, own := l.executors[u.Name]
-	if !own || l.presence.TerminatingOrGone(u.Name) || busyLately(l.view.Snapshot().Engine(u.Name)) {
+func (l *ModelLoader) loadMissing(ctx context.Context, u settings.Upstream) {
+	x, local := l.executors[u.Name]
+	if !local || l.instances.TerminatingOrGone(u.Name) || changedRecently(l.view.Snapshot().Engine(u.Name)) {
 		return
 	}
 	if _, leads := x.keeper.Authority(); !leads {
 		return
 	}
-	model, missing := l.missing(u)
+	model, missing := l.missingModel(u)
 	if !missing {
 		return
 	}
-	w, err := l.want(ctx, model)
+	w, err := l.wantModel(ctx, model)
 	if err != nil {
-		l.log.Warn("model can't be loaded", "engine", u.Name, "model", model, "error", err)
+		l.log.Warn("model version lookup failed", "engine", u.Name, "model", model, "error", err)
 		return
 	}
 	x.Request(w)
 }
 
-// busyLately reports whether the engine is being changed or has loaded a model
-// not long ago.
-func busyLately(e orders.Engine) bool {
+// changedRecently reports whether a change of the engine is open or its last model load
+// ended less than minLoadInterval ago.
+func changedRecently(e orders.Engine) bool {
 	if e.Open() != nil {
 		return true
 	}
-	return e.Change != nil && e.Change.Kind == upstream.OrderModel && time.Since(e.Change.PhaseAt) < loadRest
+	return e.Change != nil && e.Change.Kind == upstream.OrderModel && time.Since(e.Change.PhaseAt) < minLoadInterval
 }
 
-// missing names a model that the engine should serve and reports not to have.
-func (l *ModelLoader) missing(u settings.Upstream) (string, bool) {
-	r, ok := l.loads.of(u.Name)
-	if !ok || r.age(time.Now()) > l.fresh || !r.report.InService {
+// missingModel returns a model that the engine should serve and doesn't report as loaded.
+func (l *ModelLoader) missingModel(u settings.Upstream) (string, bool) {
+	r, ok := l.loadReports.latest(u.Name)
+	if !ok || r.age(time.Now()) > l.maxReportAge || !r.report.InService {
 		return "", false
 	}
 	for _, m := range u.Models {
@@ -100,8 +100,8 @@
 	return "", false
 }
 
-// want asks for the newest version of a model.
-func (l *ModelLoader) want(ctx context.Context, model string) (orders.Want, error) {
+// wantModel returns a request to load the newest version of a model.
+func (l *ModelLoader) wantModel(ctx context.Context, model string) (orders.Want, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	versions, err := l.weights.Versions(ctx, model)
@@ -116,6 +116,6 @@
 		ID: uuid.NewString(), Kind: upstream.OrderModel,
 		Target:  orders.Settings{Model: model, Version: newest.Version},
 		Reason:  "the engine should serve the model and doesn't have it",
-		Reserve: &orders.Reservation{Bytes: newest.Bytes, BytesPerSec: l.limit / loadsAtOnce, LimitPerSec: l.limit},
+		Reserve: &orders.Reservation{Bytes: newest.Bytes, BytesPerSec: l.bytesPerSec / maxConcurrentLoads, LimitPerSec: l.bytesPerSec},
 	}, nil
 }
--- a/internal/controller/loads.go
+++ b/internal/controller/loads.go
@@ -13,58 +13,58 @@
 // loadTimeout bounds the wait for an engine's load report.
 const loadTimeout = 2 * time.Second
 
-// LoadReporter is the part of an engine that tells its load.
+// LoadReporter returns an engine's current load report.
 type LoadReporter interface {
 	Load(ctx context.Context) (upstream.LoadReport, error)
 }
 
-// LoadPoller keeps the last load report of each engine while this process leads.
-// It is a suture service.
+// LoadPoller polls every engine for its load report while this process leads, and keeps the
+// last one. It is a suture service.
 type LoadPoller struct {
-	engines map[string]LoadReporter
-	leading func() bool
-	every   time.Duration
+	engines  map[string]LoadReporter
+	leading  func() bool
+	interval time.Duration
 
 	mu   sync.Mutex
-	last map[string]load
+	last map[string]receivedLoad
 }
 
-type load struct {
+type receivedLoad struct {
 	report upstream.LoadReport
 	at     time.Time
 }
 
-// age is how old the figures of a report are, the engine's own lag included.
-func (l load) age(now time.Time) time.Duration {
+// age returns the age of a report's measurements, including the engine's own delay.
+func (l receivedLoad) age(now time.Time) time.Duration {
 	return now.Sub(l.at) + time.Duration(l.report.AgeMillis)*time.Millisecond
 }
 
-// NewLoadPoller returns a poller of the engines; it reads only while leading says so,
-// and then each engine so often.
-func NewLoadPoller(engines map[string]LoadReporter, leading func() bool, every time.Duration) *LoadPoller {
-	return &LoadPoller{engines: engines, leading: leading, every: every, last: map[string]load{}}
+// NewLoadPoller returns a poller that requests a report from each engine once per interval
+// while leading returns true.
+func NewLoadPoller(engines map[string]LoadReporter, leading func() bool, interval time.Duration) *LoadPoller {
+	return &LoadPoller{engines: engines, leading: leading, interval: interval, last: map[string]receivedLoad{}}
 }
 
 // String names the service for the supervisor's log.
 func (l *LoadPoller) String() string { return "load reports" }
 
-// Serve polls until the context ends. An engine that doesn't answer holds up
-// its own next report alone.
+// Serve polls until the context ends. Engines are polled independently, so an engine that
+// doesn't answer delays only its own reports.
 func (l *LoadPoller) Serve(ctx context.Context) error {
 	var wg conc.WaitGroup
 	for name, e := range l.engines {
-		wg.Go(func() { l.follow(ctx, name, e) })
+		wg.Go(func() { l.pollEngine(ctx, name, e) })
 	}
 	wg.Wait()
 	return ctx.Err()
 }
 
-func (l *LoadPoller) follow(ctx context.Context, name string, e LoadReporter) {
+func (l *LoadPoller) pollEngine(ctx context.Context, name string, e LoadReporter) {
 	for ctx.Err() == nil {
 		if l.leading() {
 			l.poll(ctx, name, e)
 		}
-		sleep(ctx, l.every)
+		sleep(ctx, l.interval)
 	}
 }
 
@@ -77,10 +77,10 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.last[name] = load{report: report, at: time.Now()}
+	l.last[name] = receivedLoad{report: report, at: time.Now()}
 }
 
-func (l *LoadPoller) of(engine string) (load, bool) {
+func (l *LoadPoller) latest(engine string) (receivedLoad, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r, ok := l.last[engine]
--- a/internal/controller/page.go
+++ b/internal/controller/page.go
@@ -15,42 +15,42 @@
 	"tamarackchute/orders"
 )
 
-// Bounds of the operators' page.
+// Bounds of the operators' HTTP server.
 const (
 	pageMaxBody = 4 << 10
 	pageTimeout = 10 * time.Second
-	// pageCloseTimeout bounds the end of the last requests when the controller stops.
+	// pageCloseTimeout bounds the wait for requests in flight when the controller stops.
 	pageCloseTimeout = time.Second
 	contentText      = "text/plain; version=0.0.4; charset=utf-8"
 )
 
-// OperatorServer serves the operators' address of a controller over HTTP: the status behind
-// an operator's token, health and metrics without. It is a suture service.
+// OperatorServer serves the operators' address of a controller over HTTP: the status
+// requires an operator's token, health and metrics don't. It is a suture service.
 type OperatorServer struct {
 	addr    string
 	tls     *tls.Config
 	metrics *telemetry.Page
 	status  func() Status
 	ready   func() bool
-	// authorise lets operators through to the status.
+	// authorise rejects requests without a valid operator's token.
 	authorise fiber.Handler
 }
 
-// Status is what a controller shows of itself.
+// Status is the state that a controller reports on its status page.
 type Status struct {
 	Instance    string `json:"instance"`
 	DataCentre  string `json:"data_centre"`
 	Incarnation string `json:"incarnation"`
 	LogUp       bool   `json:"log_up"`
-	// Scopes lists all scopes of the deployment, whoever leads them.
+	// Scopes lists all scopes of the deployment, whichever instance leads them.
 	Scopes []ScopeStatus `json:"scopes"`
 	// Engines lists the engines of this data centre.
 	Engines []EngineStatus `json:"engines"`
-	// StatusAgeMillis tells how old each entry's last status is.
+	// StatusAgeMillis maps each entry instance to the age of its last status.
 	StatusAgeMillis map[string]int64 `json:"status_age_ms"`
 }
 
-// ScopeStatus tells who leads a scope.
+// ScopeStatus describes the leadership of a scope.
 type ScopeStatus struct {
 	Scope        string    `json:"scope"`
 	Holder       string    `json:"holder"`
@@ -61,18 +61,19 @@
 	Leading bool `json:"led"`
 }
 
-// EngineStatus tells what is known of an engine.
+// EngineStatus describes an engine and its current or last change.
 type EngineStatus struct {
 	Engine   string          `json:"engine"`
 	Scope    string          `json:"scope"`
 	Believed orders.Settings `json:"believed"`
-	// Change is the last change, open or ended.
+	// Change is the last change, whether open or ended.
 	Change *orders.Change `json:"change,omitempty"`
 	Phase  string         `json:"phase,omitempty"`
 	Open   bool           `json:"open"`
-	// Activity is what the leader does or waits for.
+	// Activity is the leader's current step or what it waits for.
 	Activity string `json:"doing,omitempty"`
-	// Busy, Running and the rest are as last read back by this process.
+	// Busy and the following fields are from this process's last read of the engine's
+	// state.
 	Busy         bool   `json:"busy"`
 	Running      int    `json:"running"`
 	FencingToken uint64 `json:"fencing_number"`
@@ -83,11 +84,11 @@
 // String names the service for the supervisor's log.
 func (p *OperatorServer) String() string { return "operators' page " + p.addr }
 
-// Serve answers until the context ends.
+// Serve handles requests until the context ends.
 func (p *OperatorServer) Serve(ctx context.Context) error {
 	l, err := net.Listen("tcp", p.addr)
 	if err != nil {
-		return eris.Wrapf(err, "operators' address %s can't be taken", p.addr)
+		return eris.Wrapf(err, "listen on operators' address %s", p.addr)
 	}
 	if p.tls != nil {
 		l = tls.NewListener(l, p.tls)
--- a/internal/controller/page_test.go
+++ b/internal/controller/page_test.go
@@ -19,10 +19,9 @@
 
 const pageToken = "spring-lime-4711"
 
-// Whoever reached a controller's address could read which engine is about to
-// change and who leads, while the entry's status of the same needed a token.
+// The status shows who leads and which engine is about to change, so it needs a token.
 // Probes and scrapers have none, so health and metrics stay open.
-func TestStatusNeedsAnOperatorsToken(t *testing.T) {
+func TestStatusRequiresOperatorToken(t *testing.T) {
 	hash := sha256.Sum256([]byte(pageToken))
 	var lines bytes.Buffer
 	c := &Controller{cfg: Config{
@@ -31,7 +30,7 @@
 		}},
 		Metrics: &telemetry.Metrics{Page: telemetry.NewPage()},
 	}, log: slog.New(slog.NewTextHandler(&lines, nil))}
-	p := c.page()
+	p := c.operatorServer()
 	p.status = func() Status { return Status{Instance: "i1"} }
 	p.ready = func() bool { return true }
 	app := p.app()
--- a/internal/controller/presence.go
+++ b/internal/controller/presence.go
@@ -11,31 +11,31 @@
 	"tamarackchute/infra"
 )
 
-// listPoll is the time between two reads of the platform's list.
-const listPoll = 500 * time.Millisecond
+// listPollInterval is the time between two reads of the platform's instance list.
+const listPollInterval = 500 * time.Millisecond
 
-// Presence follows the platform's list of instances. It is a suture service
-// and implements lease.Presence.
+// Presence polls the platform's instance list. It is a suture service and implements
+// lease.Presence.
 type Presence struct {
 	list infra.InstanceList
 	log  *slog.Logger
-	// lag is how long an answer may be behind the truth.
-	lag time.Duration
+	// maxLag is how long the list may lag behind the actual state.
+	maxLag time.Duration
 
 	mu sync.Mutex
-	// current is the last answer, lastAsked when it was asked for.
+	// current is the last response, lastAsked the time of its request.
 	current   map[string]infra.Instance
 	lastAsked time.Time
-	// absentSince tells, for instances that the last answer doesn't name,
-	// when the first answer of the present run without them was asked for.
+	// absentSince maps each instance missing from the last response to the request time of
+	// the first of the consecutive responses without it.
 	absentSince map[string]time.Time
 	firstAsked  time.Time
 }
 
-// NewPresence returns a follower of the list. An instance counts as gone only
-// after it has been missing from all answers for the lag.
+// NewPresence returns a follower of the list. An instance counts as gone only after it has
+// been missing from all responses for maxLag.
 func NewPresence(list infra.InstanceList, lag time.Duration, log *slog.Logger) *Presence {
-	return &Presence{list: list, lag: lag, log: log, absentSince: map[string]time.Time{}}
+	return &Presence{list: list, maxLag: lag, log: log, absentSince: map[string]time.Time{}}
 }
 
 // String names the service for the supervisor's log.
@@ -45,25 +45,25 @@
 func (p *Presence) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		p.poll(ctx)
-		sleep(ctx, listPoll)
+		sleep(ctx, listPollInterval)
 	}
 	return ctx.Err()
 }
 
 func (p *Presence) poll(ctx context.Context) {
 	asked := time.Now()
-	pollCtx, cancel := context.WithTimeout(ctx, 4*listPoll)
+	pollCtx, cancel := context.WithTimeout(ctx, 4*listPollInterval)
 	defer cancel()
 	rows, err := p.list.Instances(pollCtx)
 	if err != nil {
 		p.log.Debug("instance list not read", "error", err)
 		return
 	}
-	p.take(rows, asked)
+	p.update(rows, asked)
 }
 
-// take notes an answer that was asked for at a time.
-func (p *Presence) take(rows []infra.Instance, asked time.Time) {
+// update records a response to a request made at the given time.
+func (p *Presence) update(rows []infra.Instance, asked time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	before := p.current
@@ -83,9 +83,9 @@
 	p.lastAsked = asked
 }
 
-// Gone implements lease.Presence. Only answers asked for after the given time
-// count, and they must span the lag: an instance that has just been started
-// and isn't listed yet must not be taken for one that was taken away.
+// Gone implements lease.Presence. Only responses to requests made after the given time
+// count, and they must span maxLag: a newly started instance that isn't listed yet must not
+// be taken for a removed one.
 func (p *Presence) Gone(instance string, after time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -102,24 +102,24 @@
 	if since.Before(after) {
 		since = after
 	}
-	return p.lastAsked.Sub(since) >= p.lag
+	return p.lastAsked.Sub(since) >= p.maxLag
 }
 
 // Listed implements lease.Presence.
 func (p *Presence) Listed(instance string) bool {
-	_, ok := p.row(instance)
+	_, ok := p.instance(instance)
 	return ok
 }
 
-func (p *Presence) row(instance string) (infra.Instance, bool) {
+func (p *Presence) instance(instance string) (infra.Instance, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	row, ok := p.current[instance]
 	return row, ok
 }
 
-// TerminatingOrGone reports whether the instance is being taken away, or has gone from a
-// list that was read.
+// TerminatingOrGone reports whether the instance is being taken away or is missing from the
+// last response. It is false before the first response.
 func (p *Presence) TerminatingOrGone(instance string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -130,8 +130,8 @@
 	return !ok || row.Terminating
 }
 
-// Entries returns the names of the listed entry instances, and false if the
-// list has not been read yet.
+// Entries returns the names of the listed entry instances, and false if the list has not
+// been read yet.
 func (p *Presence) Entries() ([]string, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -147,7 +147,7 @@
 	return names, true
 }
 
-// sleep waits for a duration or the context's end.
+// sleep waits for the duration or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -10,7 +10,7 @@
 	"tamarackchute/lease"
 )
 
-func (c *Controller) page() *OperatorServer {
+func (c *Controller) operatorServer() *OperatorServer {
 	return &OperatorServer{
 		addr: c.self.ControllerOperators, tls: c.cfg.ServerTLS,
 		metrics: c.cfg.Metrics.Page, status: c.Status, ready: c.ready,
@@ -18,7 +18,7 @@
 	}
 }
 
-// ready reports whether the whole log has been read once.
+// ready reports whether the log has been read to its end once.
 func (c *Controller) ready() bool {
 	select {
 	case <-c.journal.CaughtUp():
@@ -30,7 +30,7 @@
 
 func (c *Controller) scopeNames() []string { return slices.Sorted(maps.Keys(c.keepers)) }
 
-// Status returns what the operators' page shows.
+// Status returns the state that the operators' status page shows.
 func (c *Controller) Status() Status {
 	s := Status{
 		Instance: c.cfg.Instance, DataCentre: c.self.DataCentre, Incarnation: c.incarnation,
@@ -45,7 +45,7 @@
 			s.Engines = append(s.Engines, c.engineStatus(u, x))
 		}
 	}
-	for name, age := range c.statuses.Ages(time.Now()) {
+	for name, age := range c.entryStatuses.Ages(time.Now()) {
 		s.StatusAgeMillis[name] = age.Milliseconds()
 	}
 	return s
@@ -64,10 +64,10 @@
 
 func (c *Controller) engineStatus(u settings.Upstream, x *Executor) EngineStatus {
 	known := c.changes.Snapshot().Engine(u.Name)
-	doing, state, _ := x.seen()
+	activity, state, _ := x.lastSeen()
 	out := EngineStatus{
 		Engine: u.Name, Scope: ScopeOf(u), Believed: known.Believed, Change: known.Change,
-		Open: known.Open() != nil, Activity: doing, Busy: state.Busy, Running: state.Running,
+		Open: known.Open() != nil, Activity: activity, Busy: state.Busy, Running: state.Running,
 		FencingToken: state.FencingToken, LastOrder: state.LastOrder, Incarnation: state.Incarnation,
 	}
 	if known.Change != nil {
--- a/internal/controller/statuses.go
+++ b/internal/controller/statuses.go
@@ -11,22 +11,21 @@
 	"tamarackchute/rolepolicy"
 )
 
-// StatusTracker keeps the last status of each entry instance. It implements
-// wire.Handler.
+// StatusTracker keeps the last status of each entry instance. It implements wire.Handler.
 type StatusTracker struct {
 	mu   sync.Mutex
-	last map[string]received
+	last map[string]receivedStatus
 }
 
-type received struct {
+type receivedStatus struct {
 	status wire.EntryStatus
 	at     time.Time
 }
 
-// NewStatusTracker returns an empty book of statuses.
-func NewStatusTracker() *StatusTracker { return &StatusTracker{last: map[string]received{}} }
+// NewStatusTracker returns an empty tracker.
+func NewStatusTracker() *StatusTracker { return &StatusTracker{last: map[string]receivedStatus{}} }
 
-// Handle implements wire.Handler: it takes statuses and answers each.
+// Handle implements wire.Handler: it records entry statuses and acknowledges each.
 func (s *StatusTracker) Handle(_ string, m wire.Message, reply func(wire.Message)) {
 	st, ok := m.(wire.EntryStatus)
 	if !ok {
@@ -36,8 +35,8 @@
 	reply(wire.StatusAck{At: st.At})
 }
 
-// Update notes a status received at a time. An older one that comes late over
-// another connection changes nothing.
+// Update records a status received at the given time. An older status that arrives late
+// over another connection is ignored.
 func (s *StatusTracker) Update(st wire.EntryStatus, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,7 +44,7 @@
 	if ok && older(st, old.status) {
 		return
 	}
-	s.last[st.Instance] = received{status: st, at: now}
+	s.last[st.Instance] = receivedStatus{status: st, at: now}
 }
 
 func older(a, b wire.EntryStatus) bool {
@@ -55,23 +54,23 @@
 	return a.Seq <= b.Seq
 }
 
-// Drained reports whether every entry instance has obeyed a drain and has
-// nothing in flight on the engine: those listed, each by a status not older than
-// ack, and those heard of within a time that the lagging list doesn't name yet.
-// If not, it names one that hasn't.
+// Drained reports whether every entry instance has applied a drain and has no requests in
+// flight on the engine. It checks each listed instance, whose status must not be older than
+// maxStatusAge, and every instance whose status was received within unlistedTimeout, as the
+// list may not name it yet. If false, it says which instance holds up the drain.
 func (s *StatusTracker) Drained(
-	engine string, drain journal.Position, listed []string, now time.Time, ack, heard time.Duration,
+	engine string, drain journal.Position, listed []string, now time.Time, maxStatusAge, unlistedTimeout time.Duration,
 ) (bool, string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, name := range listed {
 		r, ok := s.last[name]
-		if !ok || now.Sub(r.at) > ack {
+		if !ok || now.Sub(r.at) > maxStatusAge {
 			return false, fmt.Sprintf("no recent status of %s", name)
 		}
 	}
 	for name, r := range s.last {
-		if now.Sub(r.at) > heard {
+		if now.Sub(r.at) > unlistedTimeout {
 			continue
 		}
 		if r.status.Applied.Less(drain) {
@@ -92,7 +91,8 @@
 	return st.InFlight[i].Requests
 }
 
-// Demand returns what the entries saw, dated by this process's own clock.
+// Demand returns the demand that the entries measured, timestamped by this process's own
+// clock.
 func (s *StatusTracker) Demand() []rolepolicy.Demand {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,7 +109,7 @@
 	return all
 }
 
-// Ages returns how old the last status of each instance is.
+// Ages returns the age of each instance's last status.
 func (s *StatusTracker) Ages(now time.Time) map[string]time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controller/trail.go
+++ b/internal/controller/trail.go
@@ -16,44 +16,45 @@
 	"tamarackchute/upstream"
 )
 
-// EventRecorder takes note of what the controller does, for the audit trail and the
-// metrics. Its methods don't block.
+// EventRecorder records the controller's actions in the audit trail and the metrics. Its
+// methods don't block.
 type EventRecorder interface {
-	// RecordChange reports an accepted step of a change, with what the engine was
-	// before it.
+	// RecordChange records an accepted step of a change; was holds the engine's settings
+	// before the step.
 	RecordChange(c orders.Change, was orders.Settings, reason string)
-	// RecordOrder reports that an order was sent, and the error of the reply.
+	// RecordOrder records that an order was sent, and the error of its reply.
 	RecordOrder(err error)
-	// RecordTerm reports a term that this process has begun or ended.
+	// RecordTerm records a term that this process has begun or ended.
 	RecordTerm(s lease.ScopeState)
 }
 
-// Bounds of the writing of audit records.
+// Bounds on writing audit records.
 const (
-	// trailBacklog is the most records that wait. Beyond it the newest are
-	// left out: the journal's own order and lease records still tell all.
-	trailBacklog = 256
-	// trailTimeout bounds the writing of one record.
-	trailTimeout = 5 * time.Second
-	// drainPoll is the time between two looks whether all is written.
-	drainPoll = 10 * time.Millisecond
+	// maxPendingRecords is the queue length. Records beyond it are dropped, which loses no
+	// state: the journal's order and lease records hold the same facts.
+	maxPendingRecords = 256
+	// recordTimeout bounds the writing of one record.
+	recordTimeout = 5 * time.Second
+	// drainPollInterval is the time between two checks whether all records are written.
+	drainPollInterval = 10 * time.Millisecond
 )
 
-// auditRecorder writes audit records and counts. It is a suture service.
+// auditRecorder implements EventRecorder. It queues audit records and writes them to the
+// journal. It is a suture service.
 type auditRecorder struct {
 	journal journal.Writer
-	who     string
+	actor   string
 	scope   tally.Scope
 	log     *slog.Logger
-	waiting chan audit.Record
-	// open counts the records that are not written yet.
-	open atomic.Int64
+	pending chan audit.Record
+	// unwritten counts the records that are queued or being written.
+	unwritten atomic.Int64
 }
 
 func newAuditRecorder(w journal.Writer, instance string, scope tally.Scope, log *slog.Logger) *auditRecorder {
 	return &auditRecorder{
-		journal: w, who: instance + "/controller", scope: scope, log: log,
-		waiting: make(chan audit.Record, trailBacklog),
+		journal: w, actor: instance + "/controller", scope: scope, log: log,
+		pending: make(chan audit.Record, maxPendingRecords),
 	}
 }
 
@@ -64,24 +65,24 @@
 func (t *auditRecorder) Serve(ctx context.Context) error {
 	for {
 		select {
-		case r := <-t.waiting:
+		case r := <-t.pending:
 			t.write(r)
-			t.open.Add(-1)
+			t.unwritten.Add(-1)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// drain waits until all records have been written, or for the context's end.
+// drain waits until all records have been written or the context ends.
 func (t *auditRecorder) drain(ctx context.Context) {
-	for ctx.Err() == nil && t.open.Load() > 0 {
-		sleep(ctx, drainPoll)
+	for ctx.Err() == nil && t.unwritten.Load() > 0 {
+		sleep(ctx, drainPollInterval)
 	}
 }
 
 func (t *auditRecorder) write(r audit.Record) {
-	ctx, cancel := context.WithTimeout(context.Background(), trailTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), recordTimeout)
 	defer cancel()
 	if err := audit.Append(ctx, t.journal, r); err != nil {
 		t.log.Warn("audit record not confirmed", "what", r.What, "target", r.Target, "error", err)
@@ -89,25 +90,25 @@
 }
 
 func (t *auditRecorder) add(r audit.Record) {
-	r.Who = t.who
-	t.open.Add(1)
+	r.Who = t.actor
+	t.unwritten.Add(1)
 	select {
-	case t.waiting <- r:
+	case t.pending <- r:
 	default:
-		t.open.Add(-1)
-		t.log.Warn("audit record left out", "what", r.What, "target", r.Target)
+		t.unwritten.Add(-1)
+		t.log.Warn("audit queue full; record dropped", "what", r.What, "target", r.Target)
 	}
 }
 
-// RecordChange implements EventRecorder. Only the ends of a change go to the audit trail:
-// its other steps stand in the journal.
+// RecordChange implements EventRecorder. Only a change's begin and end go to the audit
+// trail; its other steps are in the journal.
 func (t *auditRecorder) RecordChange(c orders.Change, was orders.Settings, reason string) {
 	t.scope.Tagged(map[string]string{"phase": c.Phase.String()}).Counter("changes").Inc(1)
 	if c.Phase.Open() && c.Phase != orders.PhaseDraining {
 		return
 	}
 	r := audit.Record{
-		What: actionOf(c), Target: c.Engine, From: describe(c.Kind, was), To: describe(c.Kind, c.Target),
+		What: auditAction(c), Target: c.Engine, From: describeSettings(c.Kind, was), To: describeSettings(c.Kind, c.Target),
 		Reason: fmt.Sprintf("%s: %s", c.Phase, c.Reason),
 	}
 	if c.Outcome != "" {
@@ -116,13 +117,13 @@
 	t.add(r)
 }
 
-// The actions of a change that has not been confirmed.
+// Audit actions for a change that isn't confirmed.
 const (
 	changeBegun  audit.Action = "change begun"
 	changeUndone audit.Action = "change undone"
 )
 
-func actionOf(c orders.Change) audit.Action {
+func auditAction(c orders.Change) audit.Action {
 	switch {
 	case c.Phase == orders.PhaseDraining:
 		return changeBegun
@@ -135,9 +136,9 @@
 	}
 }
 
-// describe tells the part of an engine's settings that an order of a kind
+// describeSettings returns the part of an engine's settings that an order of kind k
 // changes.
-func describe(k upstream.OrderKind, s orders.Settings) string {
+func describeSettings(k upstream.OrderKind, s orders.Settings) string {
 	switch k {
 	case upstream.OrderRole:
 		return string(s.Role)
