--- a/internal/controller/interleave/engine.go
+++ b/internal/controller/interleave/engine.go
@@ -8,139 +8,139 @@
 	"tamarackchute/upstream"
 )
 
-// engine is a model engine. It repeats an order that it gets twice, which is
-// harder on the sender than one that tells repeats by their ID.
+// engine simulates a model engine. It executes an order again that it receives twice, which
+// is a harder case for the sender than an engine that recognises repeats by their ID.
 type engine struct {
-	w           *world
-	name        string
-	checks      bool
-	incarnation string
-	role        upstream.Role
-	busy        bool
-	lastOrder   string
-	fence       uint64
-	running     int
-	epoch       int
-	pausedUntil time.Duration
-	down        bool
-	// highest is the highest fencing number of an order that it has taken,
-	// whether it checks or not.
-	highest uint64
-	// pretended is what it says to a holder that didn't raise the number.
-	pretended uint64
+	w             *world
+	name          string
+	checksFencing bool
+	incarnation   string
+	role          upstream.Role
+	busy          bool
+	lastOrder     string
+	fencingToken  uint64
+	running       int
+	changeSeq     int
+	pausedUntil   time.Duration
+	down          bool
+	// highestToken is the highest fencing token of an accepted order, whether or not the
+	// engine checks tokens.
+	highestToken uint64
+	// reportedToken is the token reported to a holder that didn't raise it (mutant only).
+	reportedToken uint64
 }
 
-// live pauses and crashes the engine now and then.
-func (e *engine) live() {
+// scheduleFaults schedules random pauses and crashes of the engine.
+func (e *engine) scheduleFaults() {
 	w := e.w
-	w.after(w.upTo(10*time.Second), func() {
+	w.schedule(w.randDuration(10*time.Second), func() {
 		switch {
 		case w.fault(0.3):
-			e.pausedUntil = max(e.pausedUntil, w.now+w.upTo(9*time.Second))
+			e.pausedUntil = max(e.pausedUntil, w.now+w.randDuration(9*time.Second))
 		case w.fault(0.3):
 			e.crash()
 		}
-		e.live()
+		e.scheduleFaults()
 	})
 }
 
-// crash loses the change under way and all requests, and keeps the fencing
-// number, as an engine that checks them must.
+// crash loses the change under way and all requests, but keeps the fencing token, as an
+// engine that checks it must.
 func (e *engine) crash() {
-	e.epoch++
+	e.changeSeq++
 	e.incarnation = e.w.id("engine")
 	e.busy = false
 	e.lastOrder = ""
 	e.running = 0
 	e.down = true
-	epoch := e.epoch
-	e.w.after(e.w.upTo(2*time.Second), func() {
-		if e.epoch == epoch {
+	seq := e.changeSeq
+	e.w.schedule(e.w.randDuration(2*time.Second), func() {
+		if e.changeSeq == seq {
 			e.down = false
 		}
 	})
 }
 
-// receive hands something to the engine over a connection made now. It is
-// dropped if the engine dies before it has been worked on.
+// receive delivers a message over a new connection. The message is dropped if the engine
+// crashes before it is processed.
 func (e *engine) receive(run func(), refused func()) {
 	if e.down {
-		e.w.after(time.Millisecond, refused)
+		e.w.schedule(time.Millisecond, refused)
 		return
 	}
 	incarnation := e.incarnation
 	var work func()
 	work = func() {
 		if e.w.now < e.pausedUntil {
-			e.w.after(e.pausedUntil-e.w.now+e.w.upTo(20*time.Millisecond), work)
+			e.w.schedule(e.pausedUntil-e.w.now+e.w.randDuration(20*time.Millisecond), work)
 			return
 		}
 		if e.incarnation == incarnation {
 			run()
 		}
 	}
-	e.w.after(e.w.upTo(20*time.Millisecond), work)
+	e.w.schedule(e.w.randDuration(20*time.Millisecond), work)
 }
 
-// take takes an order in, or refuses it.
-func (e *engine) take(o upstream.Order) error {
+// handleOrder accepts or rejects an order.
+func (e *engine) handleOrder(o upstream.Order) error {
 	if o.Kind == upstream.OrderFence {
-		return e.raise(o)
+		return e.handleRaise(o)
 	}
-	if e.refuses(o) {
+	if e.isFenced(o) {
 		return upstream.ErrFenced
 	}
-	e.checkConflict(o)
+	e.checkNoConflict(o)
 	if e.busy {
 		return upstream.ErrBusy
 	}
-	e.checkTaken(o)
-	e.fence = max(e.fence, o.FencingToken)
-	e.highest = max(e.highest, o.FencingToken)
+	e.checkAccepted(o)
+	e.fencingToken = max(e.fencingToken, o.FencingToken)
+	e.highestToken = max(e.highestToken, o.FencingToken)
 	e.lastOrder = o.ID
 	e.busy = true
-	e.epoch++
+	e.changeSeq++
 	e.w.report.Event("order taken")
-	e.change(o)
+	e.performChange(o)
 	return nil
 }
 
-func (e *engine) raise(o upstream.Order) error {
-	if e.w.mutant == mutantNoRaise {
-		e.pretended = max(e.pretended, o.FencingToken)
+func (e *engine) handleRaise(o upstream.Order) error {
+	if e.w.mutant == mutantTokenNotRaised {
+		e.reportedToken = max(e.reportedToken, o.FencingToken)
 		return nil
 	}
-	if e.refuses(o) {
+	if e.isFenced(o) {
 		return upstream.ErrFenced
 	}
-	e.fence = max(e.fence, o.FencingToken)
-	e.highest = max(e.highest, o.FencingToken)
+	e.fencingToken = max(e.fencingToken, o.FencingToken)
+	e.highestToken = max(e.highestToken, o.FencingToken)
 	return nil
 }
 
-func (e *engine) refuses(o upstream.Order) bool {
-	if e.w.mutant == mutantNoFencing || !e.checks || o.FencingToken >= e.fence {
+func (e *engine) isFenced(o upstream.Order) bool {
+	if e.w.mutant == mutantNoFencing || !e.checksFencing || o.FencingToken >= e.fencingToken {
 		return false
 	}
 	e.w.report.Event("order refused by its fencing number")
 	return true
 }
 
-// change carries an order out, or crashes in the middle of it.
-func (e *engine) change(o upstream.Order) {
-	epoch := e.epoch
-	took := e.w.upTo(3 * time.Second)
+// performChange carries an order out, or crashes while doing so.
+func (e *engine) performChange(o upstream.Order) {
+	seq := e.changeSeq
+	duration := e.w.randDuration(3 * time.Second)
 	if e.w.fault(0.15) {
-		e.w.after(took/2, func() {
-			if e.epoch == epoch {
+		e.w.schedule(duration/2, func() {
+			if e.changeSeq == seq {
 				e.w.report.Event("engine crashed in a change")
 				e.crash()
 			}
 		})
 		return
 	}
-	e.w.after(took, func() {
-		if e.epoch == epoch {
+	e.w.schedule(duration, func() {
+		if e.changeSeq == seq {
 			e.busy = false
 			e.role = o.Role
 		}
@@ -152,37 +152,37 @@
 		Role: e.role, Busy: e.busy, Running: e.running,
 		LastOrder: e.lastOrder, Incarnation: e.incarnation,
 	}
-	if e.checks {
-		s.FencingToken = max(e.fence, e.pretended)
+	if e.checksFencing {
+		s.FencingToken = max(e.fencingToken, e.reportedToken)
 	}
 	return s
 }
 
-// The invariants as an engine sees them.
+// Invariants at an engine.
 const (
-	invariantFence    = "no order of an older holder after the successor's first"
-	invariantConflict = "no order while another one is carried out"
-	invariantOpen     = "an order takes effect only as the journal's last intent"
-	invariantCut      = "no request is cut off by an order"
+	invariantFencing    = "no order of an older holder after the successor's first"
+	invariantNoConflict = "no order while another one is carried out"
+	invariantIntended   = "an order takes effect only as the journal's last intent"
+	invariantNoCutOff   = "no request is cut off by an order"
 )
 
-func (e *engine) checkConflict(o upstream.Order) {
-	e.w.report.Check(invariantConflict, !e.busy || o.ID == e.lastOrder, func() string {
+func (e *engine) checkNoConflict(o upstream.Order) {
+	e.w.report.Check(invariantNoConflict, !e.busy || o.ID == e.lastOrder, func() string {
 		return fmt.Sprintf("%s got %s while it carries out %s at %v", e.name, o.ID, e.lastOrder, e.w.now)
 	})
 }
 
-func (e *engine) checkTaken(o upstream.Order) {
+func (e *engine) checkAccepted(o upstream.Order) {
 	w := e.w
-	w.report.Check(invariantFence, o.FencingToken >= e.highest, func() string {
-		return fmt.Sprintf("%s took %s with number %d after %d at %v", e.name, o.ID, o.FencingToken, e.highest, w.now)
+	w.report.Check(invariantFencing, o.FencingToken >= e.highestToken, func() string {
+		return fmt.Sprintf("%s took %s with number %d after %d at %v", e.name, o.ID, o.FencingToken, e.highestToken, w.now)
 	})
-	open := w.truth.changes.Engine(e.name).Open()
+	open := w.reference.changes.Engine(e.name).Open()
 	ordered := open != nil && open.ID == o.ID && open.Phase == orders.PhaseOrdered && open.Fence == o.FencingToken
-	w.report.Check(invariantOpen, ordered, func() string {
+	w.report.Check(invariantIntended, ordered, func() string {
 		return fmt.Sprintf("%s took %s with number %d at %v, open is %+v", e.name, o.ID, o.FencingToken, w.now, open)
 	})
-	w.report.Check(invariantCut, e.running == 0, func() string {
+	w.report.Check(invariantNoCutOff, e.running == 0, func() string {
 		return fmt.Sprintf("%s took %s with %d requests at %v", e.name, o.ID, e.running, w.now)
 	})
 }
--- a/internal/controller/interleave/entry.go
+++ b/internal/controller/interleave/entry.go
@@ -6,20 +6,20 @@
 	"tamarackchute/journal"
 )
 
-// entry is an entry instance: it reads the journal, sends requests to engines
-// that take work, and tells the controllers its position and counts.
+// entry simulates an entry instance: it reads the journal, sends requests to engines that
+// take work, and reports its position and request counts to the controllers.
 type entry struct {
 	w           *world
 	name        string
 	incarnation int
-	fold        fold
-	read        int
+	state       logState
+	recordsRead int
 	inFlight    map[string]int
 	pausedUntil time.Duration
 	caughtUp    bool
 }
 
-// status is what an entry tells.
+// status is an entry's report to the controllers.
 type status struct {
 	entry       string
 	incarnation int
@@ -28,20 +28,19 @@
 	inFlight    map[string]int
 }
 
-// start begins a new incarnation, which reads the whole journal before it
-// serves.
+// start begins a new incarnation, which reads the whole journal before it serves.
 func (n *entry) start() {
 	n.incarnation++
-	n.fold = newFold()
-	n.read = 0
+	n.state = newLogState()
+	n.recordsRead = 0
 	n.caughtUp = false
 	n.inFlight = map[string]int{}
-	n.later(50*time.Millisecond, n.follow)
-	n.later(50*time.Millisecond, n.tell)
+	n.schedule(50*time.Millisecond, n.followLog)
+	n.schedule(50*time.Millisecond, n.sendStatus)
 	for range 2 {
-		n.later(500*time.Millisecond, n.request)
+		n.schedule(500*time.Millisecond, n.request)
 	}
-	n.later(30*time.Second, func() {
+	n.schedule(30*time.Second, func() {
 		if n.w.fault(0.5) {
 			n.w.report.Event("entry restarted")
 			n.start()
@@ -49,9 +48,9 @@
 	})
 }
 
-// later does a step within a time, held up by pauses, unless the entry has
-// been restarted.
-func (n *entry) later(within time.Duration, run func()) {
+// schedule runs a step within a time, delayed by pauses, unless the entry has been
+// restarted.
+func (n *entry) schedule(within time.Duration, run func()) {
 	incarnation := n.incarnation
 	var step func()
 	step = func() {
@@ -59,81 +58,80 @@
 			return
 		}
 		if n.w.fault(0.01) {
-			n.pausedUntil = max(n.pausedUntil, n.w.now+n.w.upTo(3*time.Second))
+			n.pausedUntil = max(n.pausedUntil, n.w.now+n.w.randDuration(3*time.Second))
 		}
 		if n.w.now < n.pausedUntil {
-			n.w.after(n.pausedUntil-n.w.now, step)
+			n.w.schedule(n.pausedUntil-n.w.now, step)
 			return
 		}
 		run()
 	}
-	n.w.after(n.w.upTo(within), step)
+	n.w.schedule(n.w.randDuration(within), step)
 }
 
-func (n *entry) follow() {
-	if !n.w.log.down {
-		n.w.catchUp(&n.fold, &n.read, epoch.Add(n.w.now))
+func (n *entry) followLog() {
+	if !n.w.simLog.down {
+		n.w.catchUp(&n.state, &n.recordsRead, epoch.Add(n.w.now))
 		n.caughtUp = true
 	}
-	n.later(200*time.Millisecond, n.follow)
+	n.schedule(200*time.Millisecond, n.followLog)
 }
 
-// request counts a request, then looks whether the engine takes work, and
-// sends it.
+// request counts a request, then checks whether the engine takes work, and sends it.
 func (n *entry) request() {
 	if !n.caughtUp {
-		n.later(500*time.Millisecond, n.request)
+		n.schedule(500*time.Millisecond, n.request)
 		return
 	}
-	name := n.w.order[n.w.rng.IntN(len(n.w.order))]
-	if n.w.mutant == mutantLookFirst {
-		n.lookFirst(name)
+	name := n.w.engineNames[n.w.rng.IntN(len(n.w.engineNames))]
+	if n.w.mutant == mutantCheckBeforeCount {
+		n.checkBeforeCount(name)
 		return
 	}
 	n.inFlight[name]++
-	n.later(n.queued(), func() {
-		if n.fold.changes.Engine(name).TakesWork() {
+	n.schedule(n.queueDelay(), func() {
+		if n.state.changes.Engine(name).TakesWork() {
 			n.send(name)
 			return
 		}
 		n.inFlight[name]--
-		n.later(500*time.Millisecond, n.request)
+		n.schedule(500*time.Millisecond, n.request)
 	})
 }
 
-// queued is how long a request waits within the entry.
-func (n *entry) queued() time.Duration {
+// queueDelay returns how long a request waits within the entry.
+func (n *entry) queueDelay() time.Duration {
 	if n.w.chance(0.2) {
 		return 2 * time.Second
 	}
 	return 20 * time.Millisecond
 }
 
-// lookFirst is the broken order of the two.
-func (n *entry) lookFirst(name string) {
-	takes := n.fold.changes.Engine(name).TakesWork()
-	n.later(n.queued(), func() {
+// checkBeforeCount checks and counts in the wrong order, for mutantCheckBeforeCount.
+func (n *entry) checkBeforeCount(name string) {
+	takes := n.state.changes.Engine(name).TakesWork()
+	n.schedule(n.queueDelay(), func() {
 		if takes {
 			n.inFlight[name]++
 			n.send(name)
 			return
 		}
-		n.later(500*time.Millisecond, n.request)
+		n.schedule(500*time.Millisecond, n.request)
 	})
 }
 
 func (n *entry) send(name string) {
 	e := n.w.engines[name]
 	end := func() {
-		n.later(10*time.Millisecond, func() {
+		n.schedule(10*time.Millisecond, func() {
 			n.inFlight[name]--
-			n.later(500*time.Millisecond, n.request)
+			n.schedule(500*time.Millisecond, n.request)
 		})
 	}
 	sender := n.incarnation
 	e.receive(func() {
 		if sender != n.incarnation {
-			// The connection broke with its sender, and nobody waits any more.
+			// The connection closed with its sender, and nobody waits for the response.
 			return
 		}
 		if e.busy {
@@ -142,7 +140,7 @@
 		}
 		e.running++
 		incarnation := e.incarnation
-		n.w.after(n.w.upTo(time.Second), func() {
+		n.w.schedule(n.w.randDuration(time.Second), func() {
 			if e.incarnation == incarnation {
 				e.running--
 			}
@@ -151,19 +149,19 @@
 	}, end)
 }
 
-// tell sends a status. The position is read before the counts.
-func (n *entry) tell() {
+// sendStatus sends a status. The position is read before the counts.
+func (n *entry) sendStatus() {
 	s := status{entry: n.name, incarnation: n.incarnation, at: n.w.now, inFlight: map[string]int{}}
-	if n.read > 0 {
-		s.applied = n.w.log.records[n.read-1].Position
+	if n.recordsRead > 0 {
+		s.applied = n.w.simLog.records[n.recordsRead-1].Position
 	}
-	n.later(10*time.Millisecond, func() {
-		n.deliver(n.counted(s))
-		n.later(300*time.Millisecond, n.tell)
+	n.schedule(10*time.Millisecond, func() {
+		n.deliver(n.withCounts(s))
+		n.schedule(300*time.Millisecond, n.sendStatus)
 	})
 }
 
-func (n *entry) counted(s status) status {
+func (n *entry) withCounts(s status) status {
 	for name, count := range n.inFlight {
 		s.inFlight[name] = count
 	}
@@ -171,16 +169,16 @@
 }
 
 func (n *entry) deliver(s status) {
-	for _, m := range n.w.machines {
+	for _, m := range n.w.instances {
 		if n.w.fault(0.1) {
 			continue
 		}
-		n.w.after(n.w.upTo(50*time.Millisecond), func() { m.take(s) })
+		n.w.schedule(n.w.randDuration(50*time.Millisecond), func() { m.receiveStatus(s) })
 	}
 }
 
-// take notes a status, unless a newer one has come.
-func (m *instance) take(s status) {
+// receiveStatus records a status unless a newer one has been received.
+func (m *instance) receiveStatus(s status) {
 	p := m.process
 	if p == nil {
 		return
@@ -192,14 +190,14 @@
 	p.statuses[s.entry] = s
 }
 
-// drained is the rule of controller.StatusTracker.
+// drained applies the rule of controller.StatusTracker.Drained.
 func (p *process) drained(engine string, drain journal.Position) (bool, string) {
 	for _, n := range p.w.entries {
 		s, ok := p.statuses[n.name]
 		if !ok || p.w.now-s.at > 5*time.Second {
 			return false, "no recent status"
 		}
-		if s.applied.Less(drain) && p.w.mutant != mutantNoAcknowledgement {
+		if s.applied.Less(drain) && p.w.mutant != mutantUnacknowledgedDrain {
 			return false, "not applied"
 		}
 		if s.inFlight[engine] > 0 {
--- a/internal/controller/interleave/executor.go
+++ b/internal/controller/interleave/executor.go
@@ -9,7 +9,7 @@
 	"tamarackchute/upstream"
 )
 
-// executor plays controller.Executor over the real orders.Next.
+// executor simulates controller.Executor on top of the production orders.Next.
 type executor struct {
 	p       *process
 	engine  *engine
@@ -19,11 +19,11 @@
 
 func (p *process) newExecutor(e *engine) {
 	scope := scopeUnfenced
-	if e.checks {
+	if e.checksFencing {
 		scope = scopeFenced
 	}
 	x := &executor{p: p, engine: e, keeper: p.keepers[scope]}
-	p.later(100*time.Millisecond, x.tick)
+	p.schedule(100*time.Millisecond, x.tick)
 }
 
 func (x *executor) limits() orders.Limits {
@@ -37,15 +37,15 @@
 	return l
 }
 
-// tick takes one step; the next tick follows when it has ended.
+// tick performs one step and schedules the next tick after it.
 func (x *executor) tick() {
 	a, ok := x.keeper.authority()
 	if !ok {
-		x.p.later(100*time.Millisecond, x.tick)
+		x.p.schedule(100*time.Millisecond, x.tick)
 		return
 	}
-	x.p.w.checkLeaders(x.p, x.keeper.scope)
-	x.keeper.inHand++
+	x.p.w.checkSingleLeader(x.p, x.keeper.scope)
+	x.keeper.openSteps++
 	action := orders.Next(x.situation(a), &x.contact)
 	switch action.Kind {
 	case orders.ActionRaise:
@@ -63,29 +63,29 @@
 	case orders.ActionRenumber:
 		x.p.w.report.Event("renumbered")
 		x.keeper.machine.Renumber()
-		x.done()
+		x.finishStep()
 	default:
-		x.keeper.inHand--
-		x.p.later(300*time.Millisecond, x.tick)
+		x.keeper.openSteps--
+		x.p.schedule(300*time.Millisecond, x.tick)
 	}
 }
 
-// done ends the step in hand.
-func (x *executor) done() {
-	x.keeper.inHand--
-	x.p.later(100*time.Millisecond, x.tick)
+// finishStep ends the step in progress.
+func (x *executor) finishStep() {
+	x.keeper.openSteps--
+	x.p.schedule(100*time.Millisecond, x.tick)
 }
 
 func (x *executor) situation(a lease.Authority) orders.Situation {
 	s := orders.Situation{
-		Now: x.p.clock(), Authority: a, Checked: x.engine.checks, Limits: x.limits(),
-		Engine: x.p.fold.changes.Engine(x.engine.name),
+		Now: x.p.clock(), Authority: a, Checked: x.engine.checksFencing, Limits: x.limits(),
+		Engine: x.p.state.changes.Engine(x.engine.name),
 	}
 	if open := s.Engine.Open(); open != nil {
 		s.Drained, s.Waiting = x.p.drained(x.engine.name, open.Drain)
 		return s
 	}
-	if !x.p.w.calm && x.p.w.chance(0.3) {
+	if !x.p.w.faultsEnded && x.p.w.chance(0.3) {
 		roles := []upstream.Role{upstream.RolePrefill, upstream.RoleDecode, upstream.RoleMixed}
 		s.Want = &orders.Want{
 			ID: x.p.w.id("change"), Kind: upstream.OrderRole,
@@ -97,78 +97,78 @@
 
 func (x *executor) append(action orders.Action) {
 	x.p.append(journal.KindOrder, x.p.w.id("entry"), action.Record.Encode(), func(at journal.Position, err error) {
-		e := x.p.fold.changes.Engine(x.engine.name)
+		e := x.p.state.changes.Engine(x.engine.name)
 		x.contact.AppendDone(err == nil && e.Last == at, x.p.clock(), x.limits().Retry)
-		x.done()
+		x.finishStep()
 	})
 }
 
-// callTimeout bounds a call of an engine.
+// callTimeout bounds a call to an engine.
 const callTimeout = time.Second
 
-// readState reads the engine's state; a reply may be lost.
+// readState reads the engine's state; the reply may be lost.
 func (x *executor) readState() {
 	begun := x.p.clock()
-	over := false
+	finished := false
 	finish := func(s upstream.EngineState, err error) {
-		if over {
+		if finished {
 			return
 		}
-		over = true
+		finished = true
 		x.contact.ReadDone(s, err, begun, x.p.clock(), x.limits())
-		x.done()
+		x.finishStep()
 	}
-	fail := x.p.held(func() { finish(upstream.EngineState{}, upstream.ErrBroken) })
-	x.p.later(5*time.Millisecond, func() {
+	fail := x.p.whenRunning(func() { finish(upstream.EngineState{}, upstream.ErrBroken) })
+	x.p.schedule(5*time.Millisecond, func() {
 		x.engine.receive(func() {
 			s := x.engine.state()
-			x.p.later(10*time.Millisecond, func() { finish(s, nil) })
+			x.p.schedule(10*time.Millisecond, func() { finish(s, nil) })
 		}, fail)
 	})
-	x.p.w.after(callTimeout, fail)
+	x.p.w.schedule(callTimeout, fail)
 }
 
-// send looks at the clock, and writes an order after that; a pause may come in
-// between. The order may then reach the engine after this process has given
-// up waiting or has died, or its reply may be lost.
+// send checks the authority's validity and then writes an order; a pause may occur in
+// between. The order may reach the engine after this process has timed out or died, and its
+// reply may be lost.
 func (x *executor) send(a lease.Authority, action orders.Action, done func(error, time.Time)) {
 	begun := x.p.clock()
 	if !a.Valid(begun) {
-		x.done()
+		x.finishStep()
 		return
 	}
-	over := false
+	finished := false
 	finish := func(err error) {
-		if over {
+		if finished {
 			return
 		}
-		over = true
-		if err != nil && x.p.w.mutant == mutantLostIsNotTaken {
+		finished = true
+		if err != nil && x.p.w.mutant == mutantLostReplyNotTaken {
 			err = upstream.ErrNotSent
 		}
 		done(err, begun)
-		x.done()
+		x.finishStep()
 	}
-	x.p.later(x.trouble(), func() {
-		x.p.w.after(callTimeout, x.p.held(func() { finish(upstream.ErrBroken) }))
-		killed := x.p.w.fault(x.p.w.stalls / 3)
-		x.p.w.after(x.onTheWay(killed), func() { x.arrive(action.Order, finish) })
+	x.p.schedule(x.injectFault(), func() {
+		x.p.w.schedule(callTimeout, x.p.whenRunning(func() { finish(upstream.ErrBroken) }))
+		killed := x.p.w.fault(x.p.w.pauseProbability / 3)
+		x.p.w.schedule(x.deliveryDelay(killed), func() { x.deliver(action.Order, finish) })
 		if killed {
 			x.p.w.report.Event("controller killed just after a write")
-			x.p.on.kill()
+			x.p.instance.kill()
 		}
 	})
 }
 
-// trouble may pause the process, or begin to stop it, between the look at the
-// clock and the write. It returns how long the connection may take to make.
-func (x *executor) trouble() time.Duration {
+// injectFault may pause or stop the process between the validity check and the write. It
+// returns the maximum time to connect.
+func (x *executor) injectFault() time.Duration {
 	w := x.p.w
 	switch {
-	case w.fault(w.stalls):
+	case w.fault(w.pauseProbability):
 		w.report.Event("controller paused between the clock and the write")
 		x.p.pause(12 * time.Second)
-	case w.fault(w.stalls / 3):
+	case w.fault(w.pauseProbability / 3):
 		w.report.Event("controller stopped between the clock and the write")
 		x.p.stop()
 		return time.Second
@@ -178,22 +178,22 @@
 	return 5 * time.Millisecond
 }
 
-// onTheWay is how long an order's bytes take to the engine: at times longer
-// than their sender lives, but never as long as the settle time.
-func (x *executor) onTheWay(killed bool) time.Duration {
+// deliveryDelay returns how long an order takes to reach the engine. It may exceed the
+// sender's lifetime but is always below the settle time.
+func (x *executor) deliveryDelay(killed bool) time.Duration {
 	if killed || x.p.w.fault(0.25) {
-		return x.p.w.upTo(settle)
+		return x.p.w.randDuration(settle)
 	}
-	return x.p.w.upTo(20 * time.Millisecond)
+	return x.p.w.randDuration(20 * time.Millisecond)
 }
 
-func (x *executor) arrive(o upstream.Order, finish func(error)) {
+func (x *executor) deliver(o upstream.Order, finish func(error)) {
 	x.engine.receive(func() {
-		err := x.engine.take(o)
+		err := x.engine.handleOrder(o)
 		if x.p.w.fault(0.1) {
 			x.p.w.report.Event("reply to an order lost")
 			return
 		}
-		x.p.later(10*time.Millisecond, func() { finish(err) })
-	}, x.p.held(func() { finish(upstream.ErrNotSent) }))
+		x.p.schedule(10*time.Millisecond, func() { finish(err) })
+	}, x.p.whenRunning(func() { finish(upstream.ErrNotSent) }))
 }
--- a/internal/controller/interleave/keeper.go
+++ b/internal/controller/interleave/keeper.go
@@ -7,22 +7,22 @@
 	"tamarackchute/lease"
 )
 
-// keeper plays lease.Keeper over the real lease.Machine.
+// keeper simulates lease.Keeper on top of the production lease.Machine.
 type keeper struct {
-	p       *process
-	scope   string
-	machine *lease.Machine
-	inHand  int
-	busy    bool
-	closing bool
-	left    bool
+	p         *process
+	scope     string
+	machine   *lease.Machine
+	openSteps int
+	sending   bool
+	stopping  bool
+	released  bool
 }
 
 func (p *process) newKeeper(scope string, byProof bool) *keeper {
 	cfg := lease.Config{
-		Scope: scope, Instance: p.on.name, Incarnation: p.incarnation,
+		Scope: scope, Instance: p.instance.name, Incarnation: p.incarnation,
 		Term: term, Renew: renew, Drift: drift, Unfenced: byProof, Settle: settle,
-		ClaimDelay: time.Duration(p.on.name[1]-'1') * 50 * time.Millisecond,
+		ClaimDelay: time.Duration(p.instance.name[1]-'1') * 50 * time.Millisecond,
 	}
 	switch p.w.mutant {
 	case mutantUnfencedByTime:
@@ -33,46 +33,46 @@
 		cfg.Settle = 0
 	}
 	k := &keeper{p: p, scope: scope, machine: lease.NewMachine(cfg, p.clock())}
-	p.later(100*time.Millisecond, k.tick)
+	p.schedule(100*time.Millisecond, k.tick)
 	return k
 }
 
 func (k *keeper) tick() {
-	defer k.p.later(100*time.Millisecond, k.tick)
-	if k.busy || k.closing {
+	defer k.p.schedule(100*time.Millisecond, k.tick)
+	if k.sending || k.stopping {
 		return
 	}
-	s := k.p.fold.leases.Scope(k.scope)
-	step := k.machine.Step(s, k.sight(s), k.p.clock())
+	s := k.p.state.leases.Scope(k.scope)
+	step := k.machine.Step(s, k.observe(s), k.p.clock())
 	if step.Record != nil {
 		k.send(*step.Record)
 	}
 }
 
-func (k *keeper) sight(s lease.ScopeState) lease.Observation {
-	see := lease.Observation{AddressBound: true, SelfListed: k.p.on.listed}
-	for _, m := range k.p.w.machines {
+func (k *keeper) observe(s lease.ScopeState) lease.Observation {
+	obs := lease.Observation{AddressBound: true, SelfListed: k.p.instance.listed}
+	for _, m := range k.p.w.instances {
 		if m.name != s.Holder {
 			continue
 		}
-		see.HolderGone = !m.listed && k.p.w.now-m.goneAt > listLag
-		if k.p.w.mutant == mutantSilentIsGone {
-			see.HolderGone = m.process == nil || k.p.w.now < m.process.pausedUntil
+		obs.HolderGone = !m.listed && k.p.w.now-m.goneAt > listLag
+		if k.p.w.mutant == mutantSilentHolderGone {
+			obs.HolderGone = m.process == nil || k.p.w.now < m.process.pausedUntil
 		}
 	}
-	return see
+	return obs
 }
 
 func (k *keeper) send(r lease.Record) {
-	if r.Op == lease.OpRelease && k.inHand > 0 && k.p.w.mutant != mutantReleaseInHand {
+	if r.Op == lease.OpRelease && k.openSteps > 0 && k.p.w.mutant != mutantReleaseWithOpenStep {
 		return
 	}
-	k.busy = true
+	k.sending = true
 	id := k.machine.PendingID(r)
 	if id == "" {
 		id = k.p.w.id("entry")
 	}
-	fromReply := k.p.w.mutant == mutantFromReply
+	fromReply := k.p.w.mutant == mutantLeaseFromReply
 	if !fromReply {
 		k.machine.BeginSend(id, r, k.p.clock())
 	}
@@ -80,37 +80,37 @@
 		if fromReply {
 			k.machine.BeginSend(id, r, k.p.clock())
 		}
-		k.machine.Observe(k.p.fold.leases.Scope(k.scope), k.p.clock())
+		k.machine.Observe(k.p.state.leases.Scope(k.scope), k.p.clock())
 		if err == nil || err == errNotWritten {
 			k.machine.Resolved(id)
 		}
-		k.busy = false
+		k.sending = false
 	})
 }
 
-// leave releases the scope after the steps in hand.
-func (k *keeper) leave() {
-	if k.busy || (k.inHand > 0 && k.p.w.mutant != mutantReleaseInHand) {
-		k.p.later(50*time.Millisecond, k.leave)
+// release releases the scope once the steps in progress have ended.
+func (k *keeper) release() {
+	if k.sending || (k.openSteps > 0 && k.p.w.mutant != mutantReleaseWithOpenStep) {
+		k.p.schedule(50*time.Millisecond, k.release)
 		return
 	}
-	r, held := k.machine.Release(k.p.fold.leases.Scope(k.scope))
+	r, held := k.machine.Release(k.p.state.leases.Scope(k.scope))
 	if !held {
-		k.left = true
-		k.p.stopped()
+		k.released = true
+		k.p.exitIfReleased()
 		return
 	}
 	k.send(r)
-	if k.p.w.fault(k.p.w.stalls) {
+	if k.p.w.fault(k.p.w.pauseProbability) {
 		k.p.w.report.Event("controller paused after its release")
-		k.p.w.after(50*time.Millisecond, func() { k.p.pause(12 * time.Second) })
+		k.p.w.schedule(50*time.Millisecond, func() { k.p.pause(12 * time.Second) })
 	}
-	k.p.later(50*time.Millisecond, k.leave)
+	k.p.schedule(50*time.Millisecond, k.release)
 }
 
 func (k *keeper) authority() (lease.Authority, bool) {
-	if k.closing {
+	if k.stopping {
 		return lease.Authority{}, false
 	}
-	return k.machine.Authority(k.p.fold.leases.Scope(k.scope), k.p.clock())
+	return k.machine.Authority(k.p.state.leases.Scope(k.scope), k.p.clock())
 }
--- a/internal/controller/interleave/log.go
+++ b/internal/controller/interleave/log.go
@@ -8,75 +8,75 @@
 	"tamarackchute/lease"
 )
 
-// log is the platform's log with its faults.
-type log struct {
+// simLog simulates the platform's log and its faults.
+type simLog struct {
 	w       *world
 	records []journal.Placed
-	// landed holds the IDs of entries written before: a reader folds an entry
-	// once, however often it was written.
-	landed map[string]bool
-	down   bool
+	// written holds the IDs of entries already in the log: an entry counts once, however
+	// often it was appended.
+	written map[string]bool
+	down    bool
 }
 
 // appendTimeout is how long a writer waits for a reply.
 const appendTimeout = time.Second
 
-// The errors of an append, as the journal tells them.
+// The errors that the journal returns for a failed append.
 var (
 	errUnknown    = journal.ErrOutcomeUnknown
 	errNotWritten = infra.ErrNotWritten
 )
 
-// outages lets the log be down now and then.
-func (w *world) outages() {
-	w.after(w.upTo(20*time.Second), func() {
-		w.log.down = w.fault(0.5)
-		w.after(w.upTo(5*time.Second), func() {
-			w.log.down = false
-			w.outages()
+// scheduleOutages schedules random outages of the log.
+func (w *world) scheduleOutages() {
+	w.schedule(w.randDuration(20*time.Second), func() {
+		w.simLog.down = w.fault(0.5)
+		w.schedule(w.randDuration(5*time.Second), func() {
+			w.simLog.down = false
+			w.scheduleOutages()
 		})
 	})
 }
 
-// append writes an entry, or not, and calls done unless the writer has died.
-func (l *log) append(e journal.Entry, done func(journal.Position, error)) {
+// append writes an entry, subject to faults, and calls done unless the writer has died.
+func (l *simLog) append(e journal.Entry, done func(journal.Position, error)) {
 	w := l.w
 	switch {
 	case l.down || w.fault(0.02):
-		w.after(w.upTo(20*time.Millisecond), func() { done(journal.Position{}, errNotWritten) })
-	case w.fault(0.03): // lost on the way there
-		w.after(appendTimeout, func() { done(journal.Position{}, errUnknown) })
-	case w.fault(0.03): // its reply is lost
-		w.after(w.upTo(20*time.Millisecond), func() { l.land(e) })
-		w.after(appendTimeout, func() { done(journal.Position{}, errUnknown) })
-	case w.fault(0.03): // late
-		w.after(appendTimeout+w.upTo(8*time.Second), func() { l.land(e) })
-		w.after(appendTimeout, func() { done(journal.Position{}, errUnknown) })
+		w.schedule(w.randDuration(20*time.Millisecond), func() { done(journal.Position{}, errNotWritten) })
+	case w.fault(0.03): // the request is lost
+		w.schedule(appendTimeout, func() { done(journal.Position{}, errUnknown) })
+	case w.fault(0.03): // the reply is lost
+		w.schedule(w.randDuration(20*time.Millisecond), func() { l.write(e) })
+		w.schedule(appendTimeout, func() { done(journal.Position{}, errUnknown) })
+	case w.fault(0.03): // the request arrives late
+		w.schedule(appendTimeout+w.randDuration(8*time.Second), func() { l.write(e) })
+		w.schedule(appendTimeout, func() { done(journal.Position{}, errUnknown) })
 	default:
-		w.after(w.upTo(20*time.Millisecond), func() {
-			p := l.land(e)
-			w.after(w.upTo(20*time.Millisecond), func() { done(p, nil) })
+		w.schedule(w.randDuration(20*time.Millisecond), func() {
+			p := l.write(e)
+			w.schedule(w.randDuration(20*time.Millisecond), func() { done(p, nil) })
 		})
 	}
 }
 
-// land writes an entry and returns its position.
-func (l *log) land(e journal.Entry) journal.Position {
+// write adds an entry to the log and returns its position.
+func (l *simLog) write(e journal.Entry) journal.Position {
 	w := l.w
-	if l.landed[e.ID] {
-		return l.find(e.ID)
+	if l.written[e.ID] {
+		return l.positionOf(e.ID)
 	}
-	l.landed[e.ID] = true
+	l.written[e.ID] = true
 	at := journal.Position{Offset: infra.Offset(len(l.records) + 1)}
-	if w.mutant == mutantNoComparison && e.Kind == journal.KindLease {
-		e.Body = w.uncompared(e.Body)
+	if w.mutant == mutantUncomparedClaim && e.Kind == journal.KindLease {
+		e.Body = w.forgePredecessor(e.Body)
 	}
 	l.records = append(l.records, journal.Placed{Position: at, At: epoch.Add(w.now), Entry: e})
-	w.catchUp(&w.truth, &w.truthRead, epoch.Add(w.now))
+	w.catchUp(&w.reference, &w.referenceRead, epoch.Add(w.now))
 	return at
 }
 
-func (l *log) find(id string) journal.Position {
+func (l *simLog) positionOf(id string) journal.Position {
 	for _, r := range l.records {
 		if r.Entry.ID == id {
 			return r.Position
@@ -85,23 +85,23 @@
 	return journal.Position{}
 }
 
-// uncompared makes a claim name whatever is the last record, as if claims
-// were not compared.
-func (w *world) uncompared(body []byte) []byte {
+// forgePredecessor makes a claim name the scope's last record as its predecessor, as if
+// claims were not compared.
+func (w *world) forgePredecessor(body []byte) []byte {
 	r, err := lease.DecodeRecord(body)
 	if err != nil || r.Op != lease.OpClaim {
 		return body
 	}
-	r.After = w.truth.leases.Scope(r.Scope).Last
+	r.After = w.reference.leases.Scope(r.Scope).Last
 	return r.Encode()
 }
 
-// catchUp folds what a reader has not read yet.
-func (w *world) catchUp(f *fold, read *int, readAt time.Time) {
-	for _, p := range w.log.records[*read:] {
+// catchUp applies the records that a reader has not read yet.
+func (w *world) catchUp(f *logState, read *int, readAt time.Time) {
+	for _, p := range w.simLog.records[*read:] {
 		p.ReadAt = readAt
 		f.leases.Apply(p)
 		f.changes.Apply(p)
 	}
-	*read = len(w.log.records)
+	*read = len(w.simLog.records)
 }
--- a/internal/controller/interleave/process.go
+++ b/internal/controller/interleave/process.go
@@ -6,13 +6,14 @@
 	"tamarackchute/journal"
 )
 
-// instance is an instance on which one controller runs at a time.
+// instance runs one controller process at a time.
 type instance struct {
-	w       *world
-	name    string
-	rate    float64
-	process *process
-	// listed is whether the platform's list names it, goneAt since when not.
+	w         *world
+	name      string
+	clockRate float64
+	process   *process
+	// listed is whether the platform's list names the instance; if not, goneAt is when it
+	// was removed.
 	listed bool
 	goneAt time.Duration
 }
@@ -20,39 +21,41 @@
 // process is one run of the controller.
 type process struct {
 	w           *world
-	on          *instance
+	instance    *instance
 	incarnation string
-	alive       bool
+	running     bool
 	pausedUntil time.Duration
-	fold        fold
-	read        int
+	state       logState
+	recordsRead int
 	statuses    map[string]status
 	keepers     map[string]*keeper
 }
 
-// start runs a new process, which can take the address: the former is dead.
+// start runs a new process. It requires that the previous one is dead, since only then can
+// the new one bind the address.
 func (m *instance) start() {
 	if m.process != nil || !m.listed {
 		return
 	}
 	p := &process{
-		w: m.w, on: m, incarnation: m.w.id("run"), alive: true, fold: newFold(),
+		w: m.w, instance: m, incarnation: m.w.id("run"), running: true, state: newLogState(),
 		statuses: map[string]status{}, keepers: map[string]*keeper{},
 	}
 	m.process = p
 	p.keepers[scopeFenced] = p.newKeeper(scopeFenced, false)
 	p.keepers[scopeUnfenced] = p.newKeeper(scopeUnfenced, true)
-	for _, name := range m.w.order {
+	for _, name := range m.w.engineNames {
 		p.newExecutor(m.w.engines[name])
 	}
-	p.follow()
-	m.live()
+	p.followLog()
+	m.scheduleEnd()
 }
 
-// live ends the process now and then, in one way or another.
-func (m *instance) live() {
+// scheduleEnd schedules a random end of the process: a kill, a graceful stop or the removal
+// of the instance.
+func (m *instance) scheduleEnd() {
 	w, p := m.w, m.process
-	w.after(w.upTo(15*time.Second), func() {
+	w.schedule(w.randDuration(15*time.Second), func() {
 		if m.process != p {
 			return
 		}
@@ -68,10 +71,10 @@
 			m.kill()
 			m.listed = false
 			m.goneAt = w.now
-			w.after(listLag+w.upTo(10*time.Second), func() { m.listed = true; m.start() })
+			w.schedule(listLag+w.randDuration(10*time.Second), func() { m.listed = true; m.start() })
 			return
 		default:
-			m.live()
+			m.scheduleEnd()
 		}
 	})
 }
@@ -80,17 +83,17 @@
 	if m.process == nil {
 		return
 	}
-	m.process.alive = false
+	m.process.running = false
 	m.process = nil
 	within := 8 * time.Second
 	if m.w.chance(0.5) {
 		within = 300 * time.Millisecond
 	}
-	m.w.after(m.w.upTo(within), m.start)
+	m.w.schedule(m.w.randDuration(within), m.start)
 }
 
-// revive ends pauses and brings dead controllers back.
-func (m *instance) revive() {
+// recover ends pauses and restarts dead controllers.
+func (m *instance) recover() {
 	m.listed = true
 	if m.process != nil {
 		m.process.pausedUntil = m.w.now
@@ -99,21 +102,21 @@
 }
 
 func (p *process) clock() time.Time {
-	return epoch.Add(time.Duration(float64(p.w.now) * p.on.rate))
+	return epoch.Add(time.Duration(float64(p.w.now) * p.instance.clockRate))
 }
 
-// later does a step within a time. A process may be paused before any step,
-// for longer than a term.
-func (p *process) later(within time.Duration, run func()) {
-	p.w.after(p.w.upTo(within), p.held(run))
+// schedule runs a step within a time. The process may be paused before any step, for longer
+// than a term.
+func (p *process) schedule(within time.Duration, run func()) {
+	p.w.schedule(p.w.randDuration(within), p.whenRunning(run))
 }
 
-// held returns a step that waits while the process is paused and is dropped
-// once it is dead.
-func (p *process) held(run func()) func() {
+// whenRunning wraps a step so that it waits while the process is paused and is dropped once
+// the process is dead.
+func (p *process) whenRunning(run func()) func() {
 	var step func()
 	step = func() {
-		if !p.alive {
+		if !p.running {
 			return
 		}
 		if p.w.fault(0.004) {
@@ -121,7 +124,7 @@
 			p.pause(8 * time.Second)
 		}
 		if p.w.now < p.pausedUntil {
-			p.w.after(p.pausedUntil-p.w.now, step)
+			p.w.schedule(p.pausedUntil-p.w.now, step)
 			return
 		}
 		run()
@@ -130,39 +133,39 @@
 }
 
 func (p *process) pause(within time.Duration) {
-	p.pausedUntil = max(p.pausedUntil, p.w.now+p.w.upTo(within))
+	p.pausedUntil = max(p.pausedUntil, p.w.now+p.w.randDuration(within))
 }
 
-func (p *process) follow() {
+func (p *process) followLog() {
 	p.catchUp()
-	p.later(100*time.Millisecond, p.follow)
+	p.schedule(100*time.Millisecond, p.followLog)
 }
 
 func (p *process) catchUp() {
-	if !p.w.log.down {
-		p.w.catchUp(&p.fold, &p.read, p.clock())
+	if !p.w.simLog.down {
+		p.w.catchUp(&p.state, &p.recordsRead, p.clock())
 	}
 }
 
-// append writes an entry. The reply is handled once the own reader has folded
+// append writes an entry. The reply is handled once the process's own reader has applied
 // the entry.
 func (p *process) append(kind journal.Kind, id string, body []byte, done func(journal.Position, error)) {
 	e := journal.Entry{Kind: kind, ID: id, Body: body}
-	if p.w.fault(p.w.stalls / 4) {
+	if p.w.fault(p.w.pauseProbability / 4) {
 		p.w.report.Event("controller paused before an append")
 		p.pause(8 * time.Second)
 	}
-	p.later(10*time.Millisecond, func() {
-		p.w.log.append(e, func(at journal.Position, err error) {
-			p.held(func() { p.replied(at, err, done) })()
+	p.schedule(10*time.Millisecond, func() {
+		p.w.simLog.append(e, func(at journal.Position, err error) {
+			p.whenRunning(func() { p.handleReply(at, err, done) })()
 		})
 	})
 }
 
-func (p *process) replied(at journal.Position, err error, done func(journal.Position, error)) {
-	if err == nil && int(at.Offset) > p.read {
-		if p.w.log.down {
-			p.later(200*time.Millisecond, func() { p.replied(at, err, done) })
+func (p *process) handleReply(at journal.Position, err error, done func(journal.Position, error)) {
+	if err == nil && int(at.Offset) > p.recordsRead {
+		if p.w.simLog.down {
+			p.schedule(200*time.Millisecond, func() { p.handleReply(at, err, done) })
 			return
 		}
 		p.catchUp()
@@ -170,24 +173,25 @@
 	done(at, err)
 }
 
-// stop ends the process as a signal would: steps in hand, release, exit.
+// stop ends the process as SIGTERM would: it finishes the steps in progress, releases its
+// leases and exits.
 func (p *process) stop() {
 	for _, scope := range scopes {
 		k := p.keepers[scope]
-		k.closing = true
-		k.leave()
+		k.stopping = true
+		k.release()
 	}
 }
 
-func (p *process) stopped() {
+func (p *process) exitIfReleased() {
 	for _, k := range p.keepers {
-		if !k.left {
+		if !k.released {
 			return
 		}
 	}
-	p.later(4*time.Second, func() {
-		if p.on.process == p {
-			p.on.kill()
+	p.schedule(4*time.Second, func() {
+		if p.instance.process == p {
+			p.instance.kill()
 		}
 	})
 }
--- a/internal/controller/interleave/scenario.go
+++ b/internal/controller/interleave/scenario.go
@@ -6,23 +6,23 @@
 	"tamarackchute/internal/prove"
 )
 
-// The broken variants.
+// The mutants.
 const (
-	mutantNoFencing         = "engines ignore fencing numbers"
-	mutantNoRaise           = "a new holder doesn't raise the numbers first"
-	mutantFromReply         = "lease counted from the reply"
-	mutantNoComparison      = "claim without comparison"
-	mutantUnfencedByTime    = "unfenced scope passed on by time"
-	mutantSilentIsGone      = "a silent holder counts as gone"
-	mutantReleaseInHand     = "released with an order in hand"
-	mutantNoSettle          = "no settle time"
-	mutantNoDrift           = "drift not waited for"
-	mutantLostIsNotTaken    = "an order without reply counts as not taken"
-	mutantNoAcknowledgement = "drained without acknowledgement"
-	mutantLookFirst         = "an entry looks before it counts"
+	mutantNoFencing           = "engines ignore fencing numbers"
+	mutantTokenNotRaised      = "a new holder doesn't raise the numbers first"
+	mutantLeaseFromReply      = "lease counted from the reply"
+	mutantUncomparedClaim     = "claim without comparison"
+	mutantUnfencedByTime      = "unfenced scope passed on by time"
+	mutantSilentHolderGone    = "a silent holder counts as gone"
+	mutantReleaseWithOpenStep = "released with an order in hand"
+	mutantNoSettle            = "no settle time"
+	mutantNoDrift             = "drift not waited for"
+	mutantLostReplyNotTaken   = "an order without reply counts as not taken"
+	mutantUnacknowledgedDrain = "drained without acknowledgement"
+	mutantCheckBeforeCount    = "an entry looks before it counts"
 )
 
-// Scenario is the proof of lease and orders; it implements prove.Scenario.
+// Scenario checks leases and orders; it implements prove.Scenario.
 type Scenario struct{}
 
 // Name implements prove.Scenario.
@@ -31,9 +31,9 @@
 // Mutants implements prove.Scenario.
 func (Scenario) Mutants() []string {
 	return []string{
-		mutantNoFencing, mutantNoRaise, mutantFromReply, mutantNoComparison,
-		mutantUnfencedByTime, mutantSilentIsGone, mutantReleaseInHand, mutantNoSettle,
-		mutantNoDrift, mutantLostIsNotTaken, mutantNoAcknowledgement, mutantLookFirst,
+		mutantNoFencing, mutantTokenNotRaised, mutantLeaseFromReply, mutantUncomparedClaim,
+		mutantUnfencedByTime, mutantSilentHolderGone, mutantReleaseWithOpenStep, mutantNoSettle,
+		mutantNoDrift, mutantLostReplyNotTaken, mutantUnacknowledgedDrain, mutantCheckBeforeCount,
 	}
 }
 
@@ -42,49 +42,49 @@
 	newWorld(seed, mutant, r).run()
 }
 
-// The invariants as seen over all processes.
+// Invariants over all processes.
 const (
-	invariantLeader = "at most one process has authority over a scope"
-	invariantAlike  = "readers at the same place have the same state"
-	invariantEnds   = "every change ends once the faults have ended"
-	invariantLed    = "every scope is led once the faults have ended"
+	invariantSingleLeader = "at most one process has authority over a scope"
+	invariantStatesAgree  = "readers at the same place have the same state"
+	invariantChangesEnd   = "every change ends once the faults have ended"
+	invariantHasLeader    = "every scope is led once the faults have ended"
 )
 
-// checkLeaders checks that no other process has authority in the scope at the
-// very moment at which one acts.
-func (w *world) checkLeaders(p *process, scope string) {
-	for _, m := range w.machines {
+// checkSingleLeader checks that no other process has authority over the scope at the moment
+// at which p acts.
+func (w *world) checkSingleLeader(p *process, scope string) {
+	for _, m := range w.instances {
 		other := m.process
 		if other == nil || other == p {
 			continue
 		}
 		_, both := other.keepers[scope].authority()
-		w.report.Check(invariantLeader, !both, func() string {
-			return fmt.Sprintf("%s and %s lead %s at %v", p.on.name, other.on.name, scope, w.now)
+		w.report.Check(invariantSingleLeader, !both, func() string {
+			return fmt.Sprintf("%s and %s lead %s at %v", p.instance.name, other.instance.name, scope, w.now)
 		})
 	}
 }
 
-// checkEnd checks what must be true after a calm time.
+// checkEnd checks the invariants that hold after the recovery phase.
 func (w *world) checkEnd() {
 	for _, scope := range scopes {
-		w.report.Check(invariantLed, w.led(scope), func() string {
-			return fmt.Sprintf("nobody leads %s: %+v", scope, w.truth.leases.Scope(scope))
+		w.report.Check(invariantHasLeader, w.hasLeader(scope), func() string {
+			return fmt.Sprintf("nobody leads %s: %+v", scope, w.reference.leases.Scope(scope))
 		})
 	}
-	for _, name := range w.order {
-		open := w.truth.changes.Engine(name).Open()
-		w.report.Check(invariantEnds, open == nil, func() string {
+	for _, name := range w.engineNames {
+		open := w.reference.changes.Engine(name).Open()
+		w.report.Check(invariantChangesEnd, open == nil, func() string {
 			return fmt.Sprintf("%s: %+v", name, open)
 		})
 	}
-	for _, m := range w.machines {
-		w.checkAlike(m)
+	for _, m := range w.instances {
+		w.checkStatesAgree(m)
 	}
 }
 
-func (w *world) led(scope string) bool {
-	for _, m := range w.machines {
+func (w *world) hasLeader(scope string) bool {
+	for _, m := range w.instances {
 		if m.process == nil {
 			continue
 		}
@@ -95,19 +95,19 @@
 	return false
 }
 
-func (w *world) checkAlike(m *instance) {
+func (w *world) checkStatesAgree(m *instance) {
 	p := m.process
 	if p == nil {
 		return
 	}
 	p.catchUp()
 	for _, scope := range scopes {
-		a, b := p.fold.leases.Scope(scope), w.truth.leases.Scope(scope)
+		a, b := p.state.leases.Scope(scope), w.reference.leases.Scope(scope)
 		same := a.FencingToken == b.FencingToken && a.Last == b.Last && a.Holder == b.Holder && a.Held == b.Held
-		w.report.Check(invariantAlike, same, func() string { return fmt.Sprintf("%s: %+v and %+v", m.name, a, b) })
+		w.report.Check(invariantStatesAgree, same, func() string { return fmt.Sprintf("%s: %+v and %+v", m.name, a, b) })
 	}
-	for _, name := range w.order {
-		a, b := p.fold.changes.Engine(name), w.truth.changes.Engine(name)
-		w.report.Check(invariantAlike, a.Last == b.Last, func() string { return fmt.Sprintf("%s: %s differs", m.name, name) })
+	for _, name := range w.engineNames {
+		a, b := p.state.changes.Engine(name), w.reference.changes.Engine(name)
+		w.report.Check(invariantStatesAgree, a.Last == b.Last, func() string { return fmt.Sprintf("%s: %s differs", m.name, name) })
 	}
 }
--- a/internal/controller/interleave/scenario_test.go
+++ b/internal/controller/interleave/scenario_test.go
@@ -8,10 +8,10 @@
 	"tamarackchute/internal/prove"
 )
 
-// TestInterleavings plays a fixed part of what `make prove` plays: controllers
-// are killed, paused, stopped and replaced at every step, replies and appends
-// get lost or come late, engines crash in the middle of changes. An engine
-// must never see an order that it shouldn't, and all changes must end.
+// TestInterleavings runs a fixed part of what `make prove` runs: controllers are killed,
+// paused, stopped and replaced at every step, replies and appends get lost or arrive late,
+// and engines crash during changes. An engine must never receive an order that violates an
+// invariant, and all changes must end.
 func TestInterleavings(t *testing.T) {
 	r := prove.NewReport()
 	for seed := range uint64(200) {
@@ -24,23 +24,23 @@
 	}
 }
 
-// TestBrokenVariantsAreCaught plays, for each broken variant, an interleaving
-// in which it shows, so that the checks are known to bite. The seeds were
-// found by trying them in order; a change to the play may need new ones.
-func TestBrokenVariantsAreCaught(t *testing.T) {
+// Each mutant is run with a seed whose interleaving violates an invariant, which shows that
+// the checks detect it. A change to the simulation may need new seeds, found by trying them
+// in order.
+func TestMutantsAreCaught(t *testing.T) {
 	seeds := map[string]uint64{
-		mutantNoFencing:         4,
-		mutantNoRaise:           297,
-		mutantFromReply:         12,
-		mutantNoComparison:      4,
-		mutantUnfencedByTime:    148,
-		mutantSilentIsGone:      1,
-		mutantReleaseInHand:     529,
-		mutantNoSettle:          800,
-		mutantNoDrift:           9,
-		mutantLostIsNotTaken:    166,
-		mutantNoAcknowledgement: 102,
-		mutantLookFirst:         17,
+		mutantNoFencing:           4,
+		mutantTokenNotRaised:      297,
+		mutantLeaseFromReply:      12,
+		mutantUncomparedClaim:     4,
+		mutantUnfencedByTime:      148,
+		mutantSilentHolderGone:    1,
+		mutantReleaseWithOpenStep: 529,
+		mutantNoSettle:            800,
+		mutantNoDrift:             9,
+		mutantLostReplyNotTaken:   166,
+		mutantUnacknowledgedDrain: 102,
+		mutantCheckBeforeCount:    17,
 	}
 	for _, mutant := range (Scenario{}).Mutants() {
 		r := prove.NewReport()
--- a/internal/controller/interleave/world.go
+++ b/internal/controller/interleave/world.go
@@ -11,18 +11,18 @@
 	"tamarackchute/orders"
 )
 
-// Times of an interleaving, in virtual time.
+// Durations of an interleaving, in virtual time.
 const (
-	faultTime = 30 * time.Second
-	calmTime  = 25 * time.Second
-	term      = 3 * time.Second
-	renew     = time.Second
-	drift     = 0.2
-	settle    = time.Second
-	listLag   = 3 * time.Second
+	faultPhase    = 30 * time.Second
+	recoveryPhase = 25 * time.Second
+	term          = 3 * time.Second
+	renew         = time.Second
+	drift         = 0.2
+	settle        = time.Second
+	listLag       = 3 * time.Second
 )
 
-// Scopes and engines of the played data centre.
+// Scopes of the simulated data centre.
 const (
 	scopeFenced   = "a/fenced"
 	scopeUnfenced = "a/unfenced"
@@ -30,14 +30,15 @@
 
 var scopes = []string{scopeFenced, scopeUnfenced}
 
-// event is something that happens at a time.
-type event struct {
+// scheduledEvent is a function to run at a virtual time. Events at the same time run in the
+// order in which they were scheduled.
+type scheduledEvent struct {
 	at  time.Duration
 	seq int
 	run func()
 }
 
-type eventQueue []event
+type eventQueue []scheduledEvent
 
 func (q eventQueue) Len() int { return len(q) }
 func (q eventQueue) Less(i, j int) bool {
@@ -49,7 +50,7 @@
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
 // Push implements heap.Interface.
-func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(scheduledEvent)) }
 
 // Pop implements heap.Interface.
 func (q *eventQueue) Pop() any {
@@ -59,7 +60,7 @@
 	return e
 }
 
-// world is one interleaving.
+// world is the simulation of one interleaving.
 type world struct {
 	rng    *rand.Rand
 	now    time.Duration
@@ -68,96 +69,96 @@
 	ids    int
 	mutant string
 	report *prove.Report
-	// stalls is how often a controller is paused just before a write.
-	stalls float64
-	// calm ends all faults, so that what was begun must come to an end.
-	calm bool
-
-	log       *log
-	engines   map[string]*engine
-	order     []string
-	machines  []*instance
-	entries   []*entry
-	truth     fold
-	truthRead int
+	// pauseProbability is the probability of a pause just before a write.
+	pauseProbability float64
+	// faultsEnded disables all faults, after which every open change must end.
+	faultsEnded bool
+
+	simLog        *simLog
+	engines       map[string]*engine
+	engineNames   []string
+	instances     []*instance
+	entries       []*entry
+	reference     logState
+	referenceRead int
 }
 
-// fold is what one reader has made of the log.
-type fold struct {
+// logState is the state that a reader has built from the log.
+type logState struct {
 	leases  *lease.State
 	changes *orders.State
 }
 
-func newFold() fold {
+func newLogState() logState {
 	leases := &lease.State{}
-	return fold{leases: leases, changes: orders.NewState(leases)}
+	return logState{leases: leases, changes: orders.NewState(leases)}
 }
 
 func newWorld(seed uint64, mutant string, r *prove.Report) *world {
 	w := &world{
 		rng: rand.New(rand.NewPCG(seed, 1)), mutant: mutant, report: r,
-		engines: map[string]*engine{}, truth: newFold(),
+		engines: map[string]*engine{}, reference: newLogState(),
 	}
-	w.stalls = w.rng.Float64() * 0.3
-	w.log = &log{w: w, landed: map[string]bool{}}
+	w.pauseProbability = w.rng.Float64() * 0.3
+	w.simLog = &simLog{w: w, written: map[string]bool{}}
 	w.addEngine("e1", true)
 	w.addEngine("e2", true)
 	w.addEngine("u1", false)
 	w.addEngine("u2", false)
 	for _, name := range []string{"i1", "i2", "i3"} {
-		m := &instance{w: w, name: name, listed: true, rate: 1 + (w.rng.Float64()-0.5)*drift}
-		w.machines = append(w.machines, m)
-		w.after(w.upTo(200*time.Millisecond), m.start)
+		m := &instance{w: w, name: name, listed: true, clockRate: 1 + (w.rng.Float64()-0.5)*drift}
+		w.instances = append(w.instances, m)
+		w.schedule(w.randDuration(200*time.Millisecond), m.start)
 	}
 	for _, name := range []string{"n1", "n2"} {
 		n := &entry{w: w, name: name}
 		w.entries = append(w.entries, n)
 		n.start()
 	}
-	w.outages()
+	w.scheduleOutages()
 	return w
 }
 
 func (w *world) addEngine(name string, checks bool) {
-	w.engines[name] = &engine{w: w, name: name, checks: checks, incarnation: w.id("engine"), role: "mixed"}
-	w.order = append(w.order, name)
-	w.engines[name].live()
+	w.engines[name] = &engine{w: w, name: name, checksFencing: checks, incarnation: w.id("engine"), role: "mixed"}
+	w.engineNames = append(w.engineNames, name)
+	w.engines[name].scheduleFaults()
 }
 
-// run plays the faults, then the calm.
+// run runs the fault phase and the recovery phase, then the final checks.
 func (w *world) run() {
-	w.until(faultTime)
-	w.calm = true
-	for _, m := range w.machines {
-		m.revive()
+	w.runUntil(faultPhase)
+	w.faultsEnded = true
+	for _, m := range w.instances {
+		m.recover()
 	}
-	w.until(faultTime + calmTime)
+	w.runUntil(faultPhase + recoveryPhase)
 	w.checkEnd()
 }
 
-func (w *world) until(end time.Duration) {
+func (w *world) runUntil(end time.Duration) {
 	for len(w.queue) > 0 && w.queue[0].at <= end {
-		e := heap.Pop(&w.queue).(event)
+		e := heap.Pop(&w.queue).(scheduledEvent)
 		w.now = e.at
 		e.run()
 	}
 	w.now = end
 }
 
-// after lets something happen after a delay.
-func (w *world) after(d time.Duration, run func()) {
+// schedule runs a function after a delay.
+func (w *world) schedule(d time.Duration, run func()) {
 	w.seq++
-	heap.Push(&w.queue, event{at: w.now + max(d, 0), seq: w.seq, run: run})
+	heap.Push(&w.queue, scheduledEvent{at: w.now + max(d, 0), seq: w.seq, run: run})
 }
 
-// chance is true with a probability.
+// chance returns true with probability p.
 func (w *world) chance(p float64) bool { return w.rng.Float64() < p }
 
-// fault is true with a probability, as long as there are faults.
-func (w *world) fault(p float64) bool { return !w.calm && w.chance(p) }
+// fault returns true with probability p, and false once the faults have ended.
+func (w *world) fault(p float64) bool { return !w.faultsEnded && w.chance(p) }
 
-// upTo returns a random duration below a bound.
-func (w *world) upTo(d time.Duration) time.Duration {
+// randDuration returns a random duration below d.
+func (w *world) randDuration(d time.Duration) time.Duration {
 	return time.Duration(w.rng.Int64N(int64(d)))
 }
 
@@ -166,5 +167,5 @@
 	return kind + "-" + strconv.Itoa(w.ids)
 }
 
-// epoch is the wall clock at the beginning of an interleaving.
+// epoch is the wall-clock time at the start of an interleaving.
 var epoch = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
