--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -1,7 +1,7 @@
-// Package audit keeps the trail of changes: who did what to what, when, why, and
-// from which state. Records go through the journal, so every instance shows the
-// same trail; publications of rules and the beginnings of quarantines are taken
-// from those packages' own folds.
+// Package audit keeps the audit trail: who did what to what, when, why, and from which
+// state. Records go through the journal, so every instance shows the same trail.
+// Publications of rules and starts of quarantines are taken from the state of those
+// packages.
 package audit
 
 import (
@@ -16,10 +16,10 @@
 	"tamarackchute/journal"
 )
 
-// Action says what was done.
+// Action is the kind of a recorded change.
 type Action string
 
-// The actions that the system records.
+// Recorded actions.
 const (
 	RulesPublished    Action = "rules published"
 	RulesConflict     Action = "rules conflict"
@@ -33,27 +33,27 @@
 	ClaimGapAccepted  Action = "claim gap accepted"
 )
 
-// Record is one change.
+// Record describes one change.
 type Record struct {
-	// Who is an operator's name, or instance/program for what the system did.
+	// Who is an operator's name, or instance/program for a change made by the system.
 	Who  string `json:"who" msgpack:"w"`
 	What Action `json:"what" msgpack:"a"`
-	// Target is what was changed: an engine, a scope, a digest.
+	// Target is the changed object: an engine, a scope or a digest.
 	Target string `json:"target,omitempty" msgpack:"t,omitempty"`
 	Reason string `json:"reason,omitempty" msgpack:"r,omitempty"`
 	// From and To are the states before and after.
 	From string `json:"from,omitempty" msgpack:"f,omitempty"`
 	To   string `json:"to,omitempty" msgpack:"o,omitempty"`
-	// At is by the log's clock. It is set when the record is read.
+	// At is the log's timestamp, set when the record is read.
 	At time.Time `json:"at" msgpack:"-"`
 }
 
-// maxFieldBytes bounds each text of a record.
+// maxFieldBytes limits each text of a record.
 const maxFieldBytes = 1 << 10
 
-// Append writes a record to the journal. It returns when the own reader has
-// folded it. An error that matches infra.ErrNotWritten is final; after any
-// other the record may be in the log.
+// Append writes a record to the journal. It returns once the process's own reader has
+// applied the record. An error that matches infra.ErrNotWritten is final; after any other
+// error the record may still be in the log.
 func Append(ctx context.Context, w journal.Writer, r Record) error {
 	for _, field := range []*string{&r.Who, &r.Target, &r.Reason, &r.From, &r.To} {
 		*field = strings.ToValidUTF8((*field)[:min(len(*field), maxFieldBytes)], "")
--- a/internal/audit/trail.go
+++ b/internal/audit/trail.go
@@ -11,23 +11,23 @@
 	"tamarackchute/rules"
 )
 
-// defaultCapacity is the number of records a trail keeps.
+// defaultCapacity is the number of records that a trail keeps by default.
 const defaultCapacity = 1000
 
 // Trail keeps the latest records. It implements journal.Folder; register it for
-// journal.KindAudit. Its methods may be called from any goroutine.
+// journal.KindAudit. It is safe for concurrent use.
 type Trail struct {
 	logger *slog.Logger
 
 	mu sync.Mutex
-	// ring holds the records; next is the place of the next one.
-	ring []Record
-	next int
+	// ring holds the records; oldest is the index of the one to overwrite next.
+	ring   []Record
+	oldest int
 }
 
 var _ journal.Folder = (*Trail)(nil)
 
-// NewTrail returns a trail of the latest records, 1,000 if capacity is 0.
+// NewTrail returns a trail of the latest records, 1,000 if capacity isn't positive.
 func NewTrail(capacity int, logger *slog.Logger) *Trail {
 	if capacity <= 0 {
 		capacity = defaultCapacity
@@ -42,15 +42,15 @@
 func (t *Trail) Apply(p journal.Placed) {
 	var r Record
 	if err := codec.Unmarshal(p.Entry.Body, &r); err != nil {
-		t.logger.Error("audit record can't be read; it is left out", "position", p.Position, "err", err)
+		t.logger.Error("audit record can't be decoded; ignored", "position", p.Position, "err", err)
 		return
 	}
 	r.At = p.At
 	t.Add(r)
 }
 
-// ObserveRules adds the verdict on a publication. Give it to a rules.Replica as its
-// observer.
+// ObserveRules adds the verdict on a publication. Register it as the observer of a
+// rules.Replica.
 func (t *Trail) ObserveRules(v rules.Verdict) {
 	r := Record{
 		Who: v.Author, What: RulesUncertain, Target: "rules " + v.Version.String(), Reason: v.Note,
@@ -65,25 +65,25 @@
 	t.Add(r)
 }
 
-// ObserveQuarantine adds the beginning of a quarantine. Give it to a
-// quarantine.Guard as its observer.
+// ObserveQuarantine adds the start of a quarantine. Register it as the observer of a
+// quarantine.Guard.
 func (t *Trail) ObserveQuarantine(e quarantine.Entered) {
 	t.Add(Record{
-		Who: program(e.Writer), What: QuarantineEntered, Target: e.Digest.String(),
+		Who: programName(e.Writer), What: QuarantineEntered, Target: e.Digest.String(),
 		Reason: "in flight at the crashes of " + strings.Join(e.Upstreams, ", "),
 		From:   "suspected", To: "quarantined", At: e.At,
 	})
 }
 
-// program shortens a writer's name, instance/program/incarnation, to the form
-// that stands in records.
-func program(writer string) string {
+// programName shortens a writer's name, instance/program/incarnation, to instance/program,
+// as used in records.
+func programName(writer string) string {
 	instance, rest, _ := strings.Cut(writer, "/")
 	name, _, _ := strings.Cut(rest, "/")
 	return instance + "/" + name
 }
 
-// Add adds a record that follows from another fold.
+// Add adds a record that doesn't come from the journal's audit entries.
 func (t *Trail) Add(r Record) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -91,8 +91,8 @@
 		t.ring = append(t.ring, r)
 		return
 	}
-	t.ring[t.next] = r
-	t.next = (t.next + 1) % len(t.ring)
+	t.ring[t.oldest] = r
+	t.oldest = (t.oldest + 1) % len(t.ring)
 }
 
 // Latest returns up to n records, newest first.
@@ -102,8 +102,8 @@
 	n = min(max(n, 0), len(t.ring))
 	records := make([]Record, 0, n)
 	for i := range n {
-		place := (t.next + 2*len(t.ring) - 1 - i) % len(t.ring)
-		records = append(records, t.ring[place])
+		index := (t.oldest + 2*len(t.ring) - 1 - i) % len(t.ring)
+		records = append(records, t.ring[index])
 	}
 	return records
 }
--- a/internal/audit/trail_test.go
+++ b/internal/audit/trail_test.go
@@ -12,21 +12,21 @@
 	"tamarackchute/rules"
 )
 
-// straight is a journal that folds each entry at once.
-type straight struct {
+// syncJournal is a journal that applies each entry immediately.
+type syncJournal struct {
 	trail *Trail
 	at    time.Time
 }
 
-func (s straight) Append(_ context.Context, e journal.Entry) (journal.Position, error) {
+func (s syncJournal) Append(_ context.Context, e journal.Entry) (journal.Position, error) {
 	s.trail.Apply(journal.Placed{At: s.at, Entry: e})
 	return journal.Position{}, nil
 }
 
-func TestTrailKeepsTheLatestOfBothSources(t *testing.T) {
+func TestTrailKeepsLatestOfAllSources(t *testing.T) {
 	trail := NewTrail(3, nil)
 	at := time.Date(2026, 5, 4, 3, 2, 1, 0, time.UTC)
-	w := straight{trail: trail, at: at}
+	w := syncJournal{trail: trail, at: at}
 	require.Empty(t, trail.Latest(10))
 	v1, v2 := rules.Version{Offset: 7}, rules.Version{Offset: 9}
 	released := Record{Who: "anna", What: QuarantineEnded, Target: "d1", Reason: strings.Repeat("x", 2000)}
--- a/internal/controller/interleave/process.go
+++ b/internal/controller/interleave/process.go
@@ -92,8 +92,8 @@
 	m.w.schedule(m.w.randDuration(within), m.start)
 }
 
-// recover ends pauses and restarts dead controllers.
-func (m *instance) recover() {
+// restart ends pauses and restarts dead controllers.
+func (m *instance) restart() {
 	m.listed = true
 	if m.process != nil {
 		m.process.pausedUntil = m.w.now
--- a/internal/controller/interleave/world.go
+++ b/internal/controller/interleave/world.go
@@ -130,7 +130,7 @@
 	w.runUntil(faultPhase)
 	w.faultsEnded = true
 	for _, m := range w.instances {
-		m.recover()
+		m.restart()
 	}
 	w.runUntil(faultPhase + recoveryPhase)
 	w.checkEnd()
--- a/internal/operator/api/known.go
+++ b/internal/operator/api/known.go
@@ -7,7 +7,7 @@
 	"tamarackchute/rules"
 )
 
-// KnownNames lists the names of a deployment that its rules may use.
+// KnownNames lists the names of a deployment that its rules may refer to.
 func KnownNames(d *settings.Deployment) rules.KnownNames {
 	known := rules.KnownNames{Pools: []string{}, Models: []string{}, DataCentres: []string{}}
 	for _, u := range d.Upstreams {
--- a/internal/operator/auth.go
+++ b/internal/operator/auth.go
@@ -12,12 +12,12 @@
 	"tamarackchute/internal/settings"
 )
 
-// operatorKey is where a request's operator stands among fiber's locals.
+// operatorKey is the key of the operator's name in fiber's locals.
 type operatorKey struct{}
 
 const bearerPrefix = "Bearer "
 
-// authenticator knows the operators by the hashes of their tokens.
+// authenticator identifies operators by the hashes of their tokens.
 type authenticator struct {
 	operators []knownOperator
 	logger    *slog.Logger
@@ -33,22 +33,22 @@
 	for _, o := range operators {
 		hash, err := hex.DecodeString(o.TokenSHA256)
 		if err != nil {
-			panic("operator: settings with a token hash that isn't hex") // refused when loaded
+			panic("operator: token hash in the settings isn't hexadecimal") // rejected when the settings are loaded
 		}
 		a.operators = append(a.operators, knownOperator{name: o.Name, hash: hash})
 	}
 	return a
 }
 
-// RequireToken returns a handler that lets requests through only with the token of
-// an operator. Other programs' pages use it, so that there is one check.
+// RequireToken returns a handler that rejects requests without an operator's token. Other
+// programs use it for their own pages, so that the check exists once.
 func RequireToken(operators []settings.Operator, logger *slog.Logger) fiber.Handler {
-	return newAuthenticator(operators, logger).check
+	return newAuthenticator(operators, logger).authenticate
 }
 
-// check lets a request through that carries an operator's token. Neither the
-// token nor its hash is logged.
-func (a *authenticator) check(c *fiber.Ctx) error {
+// authenticate lets a request pass if it carries an operator's token. Neither the token nor
+// its hash is logged.
+func (a *authenticator) authenticate(c *fiber.Ctx) error {
 	token, bearer := strings.CutPrefix(c.Get(fiber.HeaderAuthorization), bearerPrefix)
 	name := ""
 	if bearer && token != "" {
@@ -57,14 +57,14 @@
 	if name == "" {
 		a.logger.Warn("operator's call without a valid token", "remote", c.IP(), "method", c.Method(), "path", c.Path())
 		c.Set(fiber.HeaderWWWAuthenticate, "Bearer")
-		return fail(c, fiber.StatusUnauthorized, "a valid operator's token is needed")
+		return sendError(c, fiber.StatusUnauthorized, "a valid operator's token is needed")
 	}
 	c.Locals(operatorKey{}, name)
 	return c.Next()
 }
 
-// identify returns the operator's name, or "". It compares with all hashes in
-// constant time, so that its duration tells nothing of them.
+// identify returns the operator's name, or "". It compares the token with every hash in
+// constant time, so that timing reveals nothing about the hashes.
 func (a *authenticator) identify(token string) string {
 	hash := sha256.Sum256([]byte(token))
 	name := ""
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,6 +1,6 @@
-// Package operator serves the operators' HTTP interface of an entry: rules,
-// status, audit trail, releases from quarantine and the acceptance of lost claims. It belongs on the operators'
-// address only, never on that of callers.
+// Package operator serves the operators' HTTP interface of an entry: rules, status, audit
+// trail, releases from quarantine and acceptance of lost claims. Register it on the
+// operators' address only, never on the callers' address.
 package operator
 
 import (
@@ -19,40 +19,40 @@
 	"tamarackchute/rules"
 )
 
-// Times and bounds of the interface.
+// Limits of the interface.
 const (
 	defaultWriteTimeout = 8 * time.Second
 	defaultCount        = 50
 	maxCount            = 1000
 )
 
-// Releaser ends the quarantine of a request; quarantine.Guard is one.
+// Releaser releases a request from quarantine; quarantine.Guard implements it.
 type Releaser interface {
 	Release(ctx context.Context, r quarantine.Release) error
 }
 
-// ClaimHistory is the history of protected calls; claim.Guard is one.
+// ClaimHistory is the history of protected calls; claim.Guard implements it.
 type ClaimHistory interface {
 	AcceptGap(ctx context.Context) error
 	Stats() claim.Stats
 }
 
-// Deps is what the interface works with. All fields but the last two are needed.
+// Deps holds the dependencies of the interface. Only Logger and WriteTimeout are optional.
 type Deps struct {
 	Operators  []settings.Operator
 	Publisher  *rules.Publisher
 	Replica    *rules.Replica
 	KnownNames rules.KnownNames
 	Trail      *audit.Trail
-	// Journal takes audit records.
+	// Journal receives the audit records.
 	Journal    journal.Writer
 	Quarantine Releaser
 	Claims     ClaimHistory
-	// Status returns what the instance knows.
+	// Status returns the instance's current status.
 	Status func() api.Status
 	Logger *slog.Logger
-	// WriteTimeout bounds the wait for the log, after which the outcome of a
-	// write is unknown; 8 s if 0.
+	// WriteTimeout bounds the wait for the log, after which the outcome of a write is
+	// unknown. The default is 8 s.
 	WriteTimeout time.Duration
 }
 
@@ -60,7 +60,7 @@
 	Deps
 }
 
-// Register adds the routes, each behind the operators' token.
+// Register adds the routes, each of which requires an operator's token.
 func Register(app fiber.Router, d Deps) {
 	if d.Logger == nil {
 		d.Logger = slog.Default()
@@ -71,7 +71,7 @@
 	h := &handler{Deps: d}
 	auth := newAuthenticator(d.Operators, d.Logger)
 	route := func(method, path string, serve fiber.Handler) {
-		app.Add(method, path, auth.check, serve)
+		app.Add(method, path, auth.authenticate, serve)
 	}
 	route(fiber.MethodGet, api.PathRules, h.getRules)
 	route(fiber.MethodPut, api.PathRules, h.putRules)
@@ -83,18 +83,18 @@
 	route(fiber.MethodPost, api.PathAcceptGap, h.acceptGap)
 }
 
-func fail(c *fiber.Ctx, status int, message string) error {
+func sendError(c *fiber.Ctx, status int, message string) error {
 	return c.Status(status).JSON(api.Error{Error: message})
 }
 
-// count reads the wanted length of a list.
-func count(c *fiber.Ctx) int {
+// listLength returns the requested length of a list, limited to maxCount.
+func listLength(c *fiber.Ctx) int {
 	n := c.QueryInt(api.ParamCount, defaultCount)
 	return min(max(n, 0), maxCount)
 }
 
 func (h *handler) getAudit(c *fiber.Ctx) error {
-	return c.JSON(api.Audit{Records: h.Trail.Latest(count(c))})
+	return c.JSON(api.Audit{Records: h.Trail.Latest(listLength(c))})
 }
 
 func (h *handler) getStatus(c *fiber.Ctx) error { return c.JSON(h.Status()) }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -20,12 +20,12 @@
 )
 
 const (
-	oneRule    = `{"rules": [{"name": "a", "when": "stream", "then": {"pool": "agronomy"}}]} // é`
-	otherRule  = `{"rules": [{"name": "a", "when": "!stream", "then": {"pool": "booking"}}]}`
-	faultyRule = `{"rules": [{"name": "a", "when": "strem", "then": {"pool": "agronomy"}}]}`
+	validRule   = `{"rules": [{"name": "a", "when": "stream", "then": {"pool": "agronomy"}}]} // é`
+	otherRule   = `{"rules": [{"name": "a", "when": "!stream", "then": {"pool": "booking"}}]}`
+	invalidRule = `{"rules": [{"name": "a", "when": "strem", "then": {"pool": "agronomy"}}]}`
 )
 
-// call sends one request and returns the status and the body.
+// call sends one request and returns the response's status and body.
 func call(t *testing.T, app *fiber.App, method, path, token string, body any) (int, string) {
 	data, err := json.Marshal(body)
 	require.NoError(t, err)
@@ -40,7 +40,7 @@
 	return response.StatusCode, string(text)
 }
 
-func TestCallsAndTheirReplies(t *testing.T) {
+func TestCallsAndReplies(t *testing.T) {
 	log := journaltest.NewLog()
 	i := operatortest.Start(log, "c1", slog.New(slog.DiscardHandler))
 	defer i.Stop()
@@ -53,12 +53,12 @@
 		want               string
 	}{
 		{"no rules yet", "GET", api.PathRules, nil, 200, `"version":"none"`},
-		{"first", "PUT", api.PathRules, api.PublishRequest{ID: "p1", Document: oneRule, Note: "n"}, 200, `"version":"1.0"`},
-		{"sent again", "PUT", api.PathRules, api.PublishRequest{ID: "p1", Document: oneRule}, 200, `"version":"1.0"`},
+		{"first", "PUT", api.PathRules, api.PublishRequest{ID: "p1", Document: validRule, Note: "n"}, 200, `"version":"1.0"`},
+		{"sent again", "PUT", api.PathRules, api.PublishRequest{ID: "p1", Document: validRule}, 200, `"version":"1.0"`},
 		{"read", "GET", api.PathRules, nil, 200, `"version":"1.0","author":"anna","note":"n"`},
 		{"old base", "PUT", api.PathRules, api.PublishRequest{Document: otherRule}, 409, `"kind":"changed","rule":"a"`},
-		{"faulty", "PUT", api.PathRules, api.PublishRequest{Base: v1, Document: faultyRule}, 422, `"line":1,"column":35,"rule":"a","message":"when: unknown name strem"`},
-		{"valid", "POST", api.PathValidate, api.ValidateRequest{Document: oneRule}, 200, `{"problems":[]}`},
+		{"faulty", "PUT", api.PathRules, api.PublishRequest{Base: v1, Document: invalidRule}, 422, `"line":1,"column":35,"rule":"a","message":"when: unknown name strem"`},
+		{"valid", "POST", api.PathValidate, api.ValidateRequest{Document: validRule}, 200, `{"problems":[]}`},
 		{"invalid", "POST", api.PathValidate, api.ValidateRequest{Document: "{"}, 422, `"line":1`},
 		{"no JSON", "PUT", api.PathRules, 3, 400, `the body is no publication`},
 		{"no version", "PUT", api.PathRules, map[string]string{"base": "x"}, 400, `is no version`},
@@ -81,9 +81,9 @@
 	require.Contains(t, body, "not published")
 }
 
-// A token in a log file, or a call that works without one, gives the rules away.
-// Each route must refuse, and the log must say who tried without the token.
-func TestEveryRouteNeedsATokenThatNoLogShows(t *testing.T) {
+// A route that works without a token, or a token in a log file, gives access to the rules.
+// Each route must refuse, and the log must record the attempt without the token.
+func TestEveryRouteRequiresTokenAndLogsNone(t *testing.T) {
 	var lines bytes.Buffer
 	i := operatortest.Start(journaltest.NewLog(), "c1", slog.New(slog.NewTextHandler(&lines, &slog.HandlerOptions{Level: slog.LevelDebug})))
 	routes := 0
@@ -99,18 +99,18 @@
 		}
 	}
 	require.Equal(t, 8, routes)
-	call(t, i.App, "PUT", api.PathRules, operatortest.Token, api.PublishRequest{Document: oneRule})
-	call(t, i.App, "PUT", api.PathRules, operatortest.Token, api.PublishRequest{Document: faultyRule})
+	call(t, i.App, "PUT", api.PathRules, operatortest.Token, api.PublishRequest{Document: validRule})
+	call(t, i.App, "PUT", api.PathRules, operatortest.Token, api.PublishRequest{Document: invalidRule})
 	i.Stop()
 	require.Contains(t, lines.String(), "without a valid token")
 	require.NotContains(t, lines.String(), "secret")
 	require.NotContains(t, lines.String(), operatortest.Token)
 }
 
-// The log was in use before this system, so the history of protected calls has a
-// gap that no checkpoint closes, and plain keys are refused until somebody
-// accepts it. That act must be in the audit trail, with who and why.
-func TestAcceptedGapIsOnRecord(t *testing.T) {
+// If the log was in use before this system, the history of protected calls has a gap that
+// no checkpoint closes, and plain keys are refused until an operator accepts it. The audit
+// trail must record who accepted it and why.
+func TestAcceptedGapIsAudited(t *testing.T) {
 	log := journaltest.NewLog()
 	log.Put([]byte("expired"))
 	log.Trim(2)
@@ -137,8 +137,9 @@
 	}
 }
 
-// With the log down, or silent, an operator must not read "accepted".
-func TestGapIsNotAcceptedWithoutTheLog(t *testing.T) {
+// While the log is down or doesn't answer, the operator must not be told that the gap was
+// accepted.
+func TestGapNotAcceptedWithoutLog(t *testing.T) {
 	log := journaltest.NewLog()
 	log.Put([]byte("expired"))
 	log.Trim(2)
--- a/internal/operator/operatortest/instance.go
+++ b/internal/operator/operatortest/instance.go
@@ -1,5 +1,5 @@
-// Package operatortest runs the operators' interface of an instance over any
-// log, for tests of the interface and of chutectl.
+// Package operatortest runs an instance's operators' interface on any log, for tests of the
+// interface and of chutectl.
 package operatortest
 
 import (
@@ -23,17 +23,17 @@
 	"tamarackchute/rules"
 )
 
-// Token is the token of the operator anna.
+// Token is the token of the operator "anna".
 const Token = "spring-lime-4711"
 
-// KnownNames lists the names that rules may use.
+// KnownNames lists the names that rules may refer to.
 var KnownNames = rules.KnownNames{
 	Pools:       []string{"agronomy", "booking"},
 	Models:      []string{"soil"},
 	DataCentres: []string{"cesis-a"},
 }
 
-// Instance is an entry's part that serves operators.
+// Instance is the part of an entry that serves operators.
 type Instance struct {
 	App     *fiber.App
 	Journal *journal.Journal
@@ -41,12 +41,12 @@
 	Trail   *audit.Trail
 	Guard   *quarantine.Guard
 	Claims  *claim.Guard
-	// Stop ends the instance's journal.
+	// Stop stops the instance's journal.
 	Stop func()
 }
 
-// Start runs an instance over a log and waits until it has read it, if the log
-// answers.
+// Start runs an instance on a log and waits until it has read the log, for at most a second
+// if the log doesn't answer.
 func Start(log infra.Log, name string, logger *slog.Logger) *Instance {
 	i := &Instance{App: fiber.New(fiber.Config{DisableStartupMessage: true})}
 	i.Journal = journal.New(log, journal.Config{Writer: name + "/entry/1", Logger: logger})
@@ -58,7 +58,7 @@
 	i.Journal.Register(journal.KindQuarantine, i.Guard)
 	claims, err := claim.NewGuard(i.Journal, claim.Config{Writer: name + "/entry/1"})
 	if err != nil {
-		panic(err) // the defaults fit together
+		panic(err) // the default configuration is valid
 	}
 	i.Claims = claims
 	i.Journal.Register(journal.KindClaim, i.Claims)
@@ -73,7 +73,7 @@
 		Claims:     i.Claims,
 		Status:     func() api.Status { return i.status(name) },
 		Logger:     logger,
-		// Long against a loopback, short for a test of an outage.
+		// Long for a loopback connection, but short enough to test an outage.
 		WriteTimeout: 500 * time.Millisecond,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/status/fetch.go
+++ b/internal/status/fetch.go
@@ -15,32 +15,30 @@
 )
 
 const (
-	// askAfter is how long a starting entry waits for the log before it asks
-	// peers. It guards against a request cut off by an order: an entry that was
-	// killed had acknowledged a drain of which its successor doesn't know, and
-	// for a while a leader still counts the acknowledgement. Once it doesn't any
-	// more, no drain is complete without this instance, but those that every
-	// peer has applied already; the peer's answer names these.
-	askAfter = wire.StatusFresh + 100*time.Millisecond
-	// askAtOnce bounds how many peers are asked at the same time.
-	askAtOnce = 8
-	// askTimeout bounds one question, well within the two seconds in which an
+	// firstFetchDelay is how long a starting entry waits for the log before it asks peers.
+	// Without it an order could cut off a request: a killed entry may have acknowledged a
+	// drain that its successor doesn't know, and leaders count that for wire.StatusFresh.
+	// Later a drain completes without this entry only if every peer has applied it, and
+	// then replies name it.
+	firstFetchDelay = wire.StatusFresh + 100*time.Millisecond
+	// maxConcurrentFetches limits how many peers are asked at the same time.
+	maxConcurrentFetches = 8
+	// fetchTimeout bounds one request to a peer, well within the two seconds in which an
 	// instance with empty memory must serve.
-	askTimeout = 600 * time.Millisecond
-	// askAgain is the time between two rounds while the log can't be read.
-	askAgain = time.Second
+	fetchTimeout = 600 * time.Millisecond
+	// fetchInterval is the time between two rounds while the log can't be read.
+	fetchInterval = time.Second
 )
 
-// FetchRules asks some peers, the nearest first, for the rules that they have in
-// force and offers them to the book, which keeps the highest version. Each round
-// asks the next ones. It returns whether any answer was of use; peers that don't
-// answer are passed over.
+// FetchRules asks some peers, nearest first, for their rules in force and applies the
+// replies to the replica, which keeps the highest version. Each round asks the next peers.
+// It returns whether any reply was used; peers that don't answer are skipped.
 func (n *Node) FetchRules(ctx context.Context, round int) bool {
 	var used atomic.Bool
 	var wg conc.WaitGroup
-	for _, in := range n.toAsk(round) {
+	for _, in := range n.peersToAsk(round) {
 		wg.Go(func() {
-			if n.askRules(ctx, in) {
+			if n.fetchFrom(ctx, in) {
 				used.Store(true)
 			}
 		})
@@ -49,9 +47,9 @@
 	return used.Load()
 }
 
-// toAsk picks other instances by the settings alone: at a start nobody has been
-// heard of yet.
-func (n *Node) toAsk(round int) []settings.Instance {
+// peersToAsk selects other instances by the settings alone, because no peer has been heard
+// from at a start.
+func (n *Node) peersToAsk(round int) []settings.Instance {
 	var near []settings.Instance
 	for _, dc := range n.opts.Deployment.Nearest(n.opts.Self.DataCentre) {
 		for _, in := range n.opts.Deployment.Instances {
@@ -60,40 +58,40 @@
 			}
 		}
 	}
-	if len(near) <= askAtOnce {
+	if len(near) <= maxConcurrentFetches {
 		return near
 	}
-	first := round * askAtOnce % len(near)
-	return slices.Concat(near[first:], near[:first])[:askAtOnce]
+	first := round * maxConcurrentFetches % len(near)
+	return slices.Concat(near[first:], near[:first])[:maxConcurrentFetches]
 }
 
-func (n *Node) askRules(ctx context.Context, in settings.Instance) bool {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (n *Node) fetchFrom(ctx context.Context, in settings.Instance) bool {
+	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	answer, err := wire.Ask(ctx, n.cfg, in.Peers, wire.RulesRequest{})
 	if err != nil {
-		n.log.Debug("peer gave no rules", "peer", in.Name, "err", err)
+		n.log.Debug("rules request to peer failed", "peer", in.Name, "err", err)
 		return false
 	}
 	reply, ok := answer.(wire.RulesReply)
 	if !ok {
-		n.log.Warn("peer answered with something else", "peer", in.Name, "kind", answer.Kind())
+		n.log.Warn("unexpected reply to a rules request", "peer", in.Name, "kind", answer.Kind())
 		return false
 	}
-	// First the drains: with the rules the entry begins to serve.
+	// Drains are applied first, because the entry begins to serve once it has rules.
 	n.opts.Drains.Avoid(reply.Draining)
 	return n.opts.Rules.ApplyPeerState(reply.PeerState)
 }
 
-// rulesFetcher asks peers for rules at the start, until the log has been read to
-// its end: from then on the log tells more than any peer.
+// rulesFetcher asks peers for rules at the start, until the log has been read to its end
+// and is more current than any peer.
 type rulesFetcher struct{ node *Node }
 
 func (f *rulesFetcher) String() string { return "rules of peers" }
 
-// Serve ends for good once the log has been read.
+// Serve returns for good once the log has been read.
 func (f *rulesFetcher) Serve(ctx context.Context) error {
-	wait := askAfter
+	wait := firstFetchDelay
 	for round := 0; ; round++ {
 		t := time.NewTimer(wait)
 		select {
@@ -102,12 +100,12 @@
 			return ctx.Err()
 		case <-f.node.opts.CaughtUp:
 			t.Stop()
-			return eris.Wrap(suture.ErrDoNotRestart, "the log has been read")
+			return eris.Wrap(suture.ErrDoNotRestart, "log has been read")
 		case <-t.C:
 		}
 		if f.node.FetchRules(ctx, round) {
 			f.node.log.Info("rules taken from a peer")
 		}
-		wait = askAgain
+		wait = fetchInterval
 	}
 }
--- a/internal/status/node.go
+++ b/internal/status/node.go
@@ -17,26 +17,26 @@
 	"tamarackchute/rules"
 )
 
-// RuleReplica is what a Node needs of the rules; rules.Replica is one.
+// RuleReplica provides and accepts rules; rules.Replica implements it.
 type RuleReplica interface {
 	PeerState(applied journal.Position) rules.PeerState
 	ApplyPeerState(rules.PeerState) bool
 }
 
-// DrainTracker is what a Node needs of the engines' drains.
+// DrainTracker tracks the engines' drains.
 type DrainTracker interface {
-	// Draining names the engines that get no new work.
+	// Draining returns the engines that get no new work.
 	Draining() []string
-	// Avoid takes engines that a peer gives no new work. Until the log has been
-	// read, they get none here either.
+	// Avoid excludes engines that a peer gives no new work. It has an effect only until the
+	// log has been read.
 	Avoid(engines []string)
 }
 
-// StatusSource tells the state of the entry; the node fills in who and when. The
-// position must be read before the counts of requests.
+// StatusSource returns the entry's status; the node fills in the sender and the time. It
+// must read the journal position before the request counts.
 type StatusSource func() wire.EntryStatus
 
-// Options is what a Node works with.
+// Options configures a Node.
 type Options struct {
 	Deployment *settings.Deployment
 	Self       settings.Instance
@@ -54,7 +54,7 @@
 	Logger   *slog.Logger
 }
 
-// Node runs an entry's side of the exchange. It is a suture service.
+// Node exchanges state with other entries and the controllers. It is a suture service.
 type Node struct {
 	opts        Options
 	incarnation uint64
@@ -62,11 +62,12 @@
 	cfg         wire.Config
 	log         *slog.Logger
 
-	server  *wire.Server
-	members *membership.Runner
-	toPeers *wire.Links
-	// toLeaders is apart, so that no entry's heartbeats wait behind statuses.
-	toLeaders *wire.Links
+	server    *wire.Server
+	members   *membership.Runner
+	peerLinks *wire.Links
+	// leaderLinks is separate from peerLinks so that heartbeats to entries aren't delayed
+	// by statuses.
+	leaderLinks *wire.Links
 }
 
 // NewNode returns a node; Serve runs it.
@@ -86,8 +87,8 @@
 		n.peers[in.Name] = in
 		all = append(all, membership.Peer{Name: in.Name, DataCentre: in.DataCentre})
 	}
-	n.toPeers = wire.NewLinks("links to entries", n.cfg, nil, n.log)
-	n.toLeaders = wire.NewLinks("links to controllers", n.cfg, nil, n.log)
+	n.peerLinks = wire.NewLinks("links to entries", n.cfg, nil, n.log)
+	n.leaderLinks = wire.NewLinks("links to controllers", n.cfg, nil, n.log)
 	n.members = membership.NewRunner(membership.Config{
 		Self:        membership.Peer{Name: o.Self.Name, DataCentre: o.Self.DataCentre},
 		Peers:       all,
@@ -103,32 +104,32 @@
 
 // Serve runs until the context ends.
 func (n *Node) Serve(ctx context.Context) error {
-	s := suture.New(n.String(), suture.Spec{EventHook: n.event, FailureBackoff: time.Second})
+	s := suture.New(n.String(), suture.Spec{EventHook: n.logEvent, FailureBackoff: time.Second})
 	s.Add(n.server)
-	s.Add(n.toPeers)
-	s.Add(n.toLeaders)
+	s.Add(n.peerLinks)
+	s.Add(n.leaderLinks)
 	s.Add(n.members)
-	s.Add(&pusher{node: n})
+	s.Add(&statusPusher{node: n})
 	s.Add(&rulesFetcher{node: n})
 	return s.Serve(ctx)
 }
 
-func (n *Node) event(e suture.Event) { n.log.Warn("supervisor", "event", e.String()) }
+func (n *Node) logEvent(e suture.Event) { n.log.Warn("supervisor", "event", e.String()) }
 
-// View returns what is believed about the instances now; a hint only.
+// View returns the current membership view. It is only a hint.
 func (n *Node) View() *membership.View { return n.members.View() }
 
-// State returns what is believed about one instance now; a hint only.
+// State returns the membership state of one instance. It is only a hint.
 func (n *Node) State(instance string) membership.State { return n.View().State(instance) }
 
-// TakeList takes an answer of the platform's list of instances.
+// TakeList applies a response of the platform's instance list.
 func (n *Node) TakeList(rows []infra.Instance) { n.members.TakeList(rows) }
 
-// Leave tells the other instances at once that this one has begun to stop. The
-// node must be served until the end.
+// Leave announces to the other instances that this one has begun to shut down. Serve must
+// keep running until the end.
 func (n *Node) Leave() { n.members.Leave() }
 
-// handle takes messages of other entries.
+// handle processes messages of other entries.
 func (n *Node) handle(_ string, m wire.Message, reply func(wire.Message)) {
 	switch m := m.(type) {
 	case wire.Heartbeat:
@@ -141,7 +142,7 @@
 	}
 }
 
-// transport sends the membership's messages.
+// transport sends membership messages over the peer links.
 type transport struct{ node *Node }
 
 // Send implements membership.Transport.
@@ -149,8 +150,8 @@
 	address := t.node.peers[to].Peers
 	switch m := m.(type) {
 	case membership.Heartbeat:
-		t.node.toPeers.Send(address, wire.Heartbeat{Heartbeat: m})
+		t.node.peerLinks.Send(address, wire.Heartbeat{Heartbeat: m})
 	case membership.Summary:
-		t.node.toPeers.Send(address, wire.Summary{Summary: m})
+		t.node.peerLinks.Send(address, wire.Summary{Summary: m})
 	}
 }
--- a/internal/status/push.go
+++ b/internal/status/push.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// pushEvery is the time between two statuses to a leader. A drain waits about
-// that long for its acknowledgement.
-const pushEvery = 500 * time.Millisecond
+// pushInterval is the time between two statuses to a leader. A drain waits about that long
+// for its acknowledgement.
+const pushInterval = 500 * time.Millisecond
 
-// pusher sends the entry's status to every instance whose controller leads a
-// scope, as far as the journal tells: an entry may have work on any engine.
-type pusher struct {
+// statusPusher sends the entry's status to every instance whose controller leads a scope
+// according to the journal, because an entry may have requests on any engine.
+type statusPusher struct {
 	node *Node
 	seq  uint64
 }
 
-func (p *pusher) String() string { return "status to the leaders" }
+func (p *statusPusher) String() string { return "status to the leaders" }
 
-// Serve pushes until the context ends, and at once whenever a leader changes.
-func (p *pusher) Serve(ctx context.Context) error {
-	tick := time.NewTicker(pushEvery)
+// Serve pushes until the context ends, and immediately when a leader changes.
+func (p *statusPusher) Serve(ctx context.Context) error {
+	tick := time.NewTicker(pushInterval)
 	defer tick.Stop()
-	var told []string
+	var lastLeaders []string
 	for {
 		changed := p.node.opts.Leases.Changed()
 		leaders := p.leaders()
-		if !slices.Equal(leaders, told) {
+		if !slices.Equal(leaders, lastLeaders) {
 			p.push(leaders)
-			told = leaders
+			lastLeaders = leaders
 		}
 		select {
 		case <-ctx.Done():
@@ -42,8 +42,8 @@
 	}
 }
 
-// leaders names the instances that hold a scope, in order.
-func (p *pusher) leaders() []string {
+// leaders returns the instances that hold a scope, sorted.
+func (p *statusPusher) leaders() []string {
 	holders := map[string]bool{}
 	for _, scope := range p.node.opts.Leases.Snapshot().Scopes {
 		if scope.Held {
@@ -53,7 +53,7 @@
 	return slices.Sorted(maps.Keys(holders))
 }
 
-func (p *pusher) push(leaders []string) {
+func (p *statusPusher) push(leaders []string) {
 	if len(leaders) == 0 {
 		return
 	}
@@ -66,7 +66,7 @@
 	status.At = time.Now()
 	for _, name := range leaders {
 		if in, ok := p.node.peers[name]; ok {
-			p.node.toLeaders.Send(in.ControllerPeers, status)
+			p.node.leaderLinks.Send(in.ControllerPeers, status)
 		}
 	}
 }
--- a/internal/status/status_test.go
+++ b/internal/status/status_test.go
@@ -19,9 +19,9 @@
 	"tamarackchute/rules"
 )
 
-const patience = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
-// freeAddress finds a port that nobody listens on.
+// freeAddress returns an address with a free port.
 func freeAddress(t *testing.T, ip string) string {
 	l, err := net.Listen("tcp", ip+":0")
 	require.NoError(t, err)
@@ -43,25 +43,25 @@
 
 type testNode struct {
 	*Node
-	book   *rules.Replica
-	leases *lease.View
-	drains *drains
+	replica      *rules.Replica
+	leases       *lease.View
+	drainTracker *fakeDrains
 }
 
-type drains struct {
+type fakeDrains struct {
 	draining []string
 	avoided  chan []string
 }
 
-func (d *drains) Draining() []string     { return d.draining }
-func (d *drains) Avoid(engines []string) { d.avoided <- engines }
+func (d *fakeDrains) Draining() []string     { return d.draining }
+func (d *fakeDrains) Avoid(engines []string) { d.avoided <- engines }
 
-// start runs the node of an instance until the test ends. Its log is down.
+// start runs an instance's node until the test ends. Its log is down.
 func start(t *testing.T, d *settings.Deployment, i int) testNode {
-	n := testNode{book: rules.NewReplica(rules.ReplicaOptions{}), leases: lease.NewView(), drains: &drains{[]string{"e" + d.Instances[i].Name}, make(chan []string, 100)}}
+	n := testNode{replica: rules.NewReplica(rules.ReplicaOptions{}), leases: lease.NewView(), drainTracker: &fakeDrains{[]string{"e" + d.Instances[i].Name}, make(chan []string, 100)}}
 	n.Node = NewNode(Options{
 		Deployment: d, Self: d.Instances[i], Secret: []byte("a secret of the tests"),
-		Leases: n.leases, Rules: n.book, Drains: n.drains,
+		Leases: n.leases, Rules: n.replica, Drains: n.drainTracker,
 		Applied: func() journal.Position { return journal.Position{} },
 		Source:  func() wire.EntryStatus { return wire.EntryStatus{Applied: journal.Position{Offset: 5}} },
 		Logger:  slog.New(slog.DiscardHandler),
@@ -73,31 +73,31 @@
 	return n
 }
 
-// An instance starts with empty memory while the log is down. Callers of it are
-// refused until it has rules, and the only place to get them is a peer. It must
-// not serve on them so soon that a leader could still take its killed
-// predecessor's last status for its own, nor before it knows the peer's drains.
-func TestRulesComeFromAPeerWhileTheLogIsDown(t *testing.T) {
+// An instance that starts with empty memory while the log is down refuses its callers until
+// it has rules, which it can get only from a peer. It must not serve before a leader has
+// stopped counting its killed predecessor's last status, nor before it knows the peer's
+// drains.
+func TestRulesFetchedFromPeerWhileLogIsDown(t *testing.T) {
 	d := testDeployment(t, 3) // i1 never runs
-	giver := start(t, d, 0)
+	source := start(t, d, 0)
 	version := rules.Version{Offset: 40, Index: 2}
 	document := []byte(`{"rules": [{"name": "all", "when": "true", "then": {"pool": "p"}}]}`)
-	require.True(t, giver.book.ApplyPeerState(rules.PeerState{
+	require.True(t, source.replica.ApplyPeerState(rules.PeerState{
 		State:   rules.State{Version: version, Document: document, At: time.Unix(9, 0)},
 		Through: journal.Position(version),
 	}))
-	began := time.Now()
-	taker := start(t, d, 2)
-	require.Eventually(t, func() bool { return taker.book.Current().Version == version }, patience, time.Millisecond)
-	require.GreaterOrEqual(t, time.Since(began), askAfter)
-	require.Equal(t, []string{"ei0"}, <-taker.drains.avoided)
-	decision := taker.book.Current().Set.Match(rules.Request{})
+	started := time.Now()
+	target := start(t, d, 2)
+	require.Eventually(t, func() bool { return target.replica.Current().Version == version }, waitTimeout, time.Millisecond)
+	require.GreaterOrEqual(t, time.Since(started), firstFetchDelay)
+	require.Equal(t, []string{"ei0"}, <-target.drainTracker.avoided)
+	decision := target.replica.Current().Set.Match(rules.Request{})
 	require.Equal(t, "p", decision.Then.Pool)
 }
 
-// A controller takes over. Its orders wait until every entry has told it what
-// is in flight, so entries must find it by the journal alone and at once.
-func TestStatusGoesToWhoeverLeads(t *testing.T) {
+// After a takeover, a controller's orders wait for the status of every entry, so entries
+// must find the new leader from the journal alone and immediately.
+func TestStatusSentToCurrentLeader(t *testing.T) {
 	d := testDeployment(t, 2)
 	received := make(chan wire.EntryStatus, 100)
 	server := wire.NewServer(wire.Config{Secret: []byte("a secret of the tests")}, d.Instances[1].ControllerPeers,
@@ -121,16 +121,16 @@
 	require.Greater(t, second.Seq, first.Seq)
 }
 
-// An instance begins to stop. The others must leave it out of their answers
-// although the platform's list says nothing yet.
-func TestLeavingIsToldAtOnce(t *testing.T) {
+// An instance begins to stop. The others must stop listing it as an entry although the
+// platform's list hasn't changed.
+func TestShutdownIsAnnouncedImmediately(t *testing.T) {
 	d := testDeployment(t, 2)
 	nodes := []testNode{start(t, d, 0), start(t, d, 1)}
 	sees := func(s membership.State) func() bool {
 		return func() bool { return nodes[0].State("i1") == s }
 	}
-	require.Eventually(t, sees(membership.Live), patience, time.Millisecond)
+	require.Eventually(t, sees(membership.Live), waitTimeout, time.Millisecond)
 	nodes[1].Leave()
-	require.Eventually(t, sees(membership.Leaving), patience, time.Millisecond)
+	require.Eventually(t, sees(membership.Leaving), waitTimeout, time.Millisecond)
 	require.Equal(t, []string{"i0"}, nodes[0].View().Entries("a"))
 }
