--- a/cmd/chute-controller/handover_bench_test.go
+++ b/cmd/chute-controller/handover_bench_test.go
@@ -12,17 +12,17 @@
 	"tamarackchute/lease"
 )
 
-// BenchmarkHandover measures the time without a leader: from a signal to the
-// leader until the journal shows the successor's claim, and for engines that
-// don't check fencing numbers the settle time after it.
+// BenchmarkHandover measures the time without a leader: from a signal to the leader until
+// the journal shows the successor's claim, plus the settle time for engines that don't
+// check fencing tokens.
 func BenchmarkHandover(b *testing.B) {
 	cases := []struct {
 		name   string
 		f      settings.Fencing
 		signal syscall.Signal
-		// again starts the leader's program again at once, unlist takes its
-		// instance off the list.
-		again, unlist bool
+		// restart restarts the leader's process at once; unlist removes its instance from
+		// the platform's list.
+		restart, unlist bool
 	}{
 		{"checked/SIGKILL", settings.FencingChecked, syscall.SIGKILL, false, false},
 		{"checked/SIGKILL-restarted", settings.FencingChecked, syscall.SIGKILL, true, false},
@@ -38,10 +38,10 @@
 			c := startWith(b, d, d)
 			var total, longest time.Duration
 			for i := range b.N {
-				before := c.leader(scopeOf(bc.f), 0)
-				// Anywhere between two renewals.
+				before := c.waitForLeader(scopeOf(bc.f), 0)
+				// Spread the signals over the interval between two renewals.
 				time.Sleep(time.Second + time.Duration(i%7)*150*time.Millisecond)
-				took := c.handOver(before, bc.signal, bc.again, bc.unlist)
+				took := c.measureHandover(before, bc.signal, bc.restart, bc.unlist)
 				total += took
 				longest = max(longest, took)
 			}
@@ -52,19 +52,19 @@
 	}
 }
 
-// BenchmarkAtRest counts the appends a second of a whole deployment's
-// controllers while nothing happens.
+// BenchmarkAtRest measures the appends per second of a whole deployment's controllers while
+// nothing changes.
 func BenchmarkAtRest(b *testing.B) {
 	for _, name := range []string{"kalku-rinda", "regnbrunnur"} {
 		b.Run(name, func(b *testing.B) {
-			d := moved(b, "../../deploy/"+name+"/settings.json")
+			d := loadWithFreePorts(b, "../../deploy/"+name+"/settings.json")
 			c := startWith(b, d, d)
 			for _, u := range d.Upstreams {
 				if u.Kind == settings.KindEngine {
-					c.leader(controller.ScopeOf(u), 0)
+					c.waitForLeader(controller.ScopeOf(u), 0)
 				}
 			}
-			time.Sleep(5 * time.Second) // the records of the beginning
+			time.Sleep(5 * time.Second) // wait until the start-up records are written
 			const interval = 20 * time.Second
 			before := c.log.Counters().Appends
 			time.Sleep(interval)
@@ -74,11 +74,11 @@
 	}
 }
 
-// moved loads a deployment and gives it free addresses.
-func moved(b *testing.B, file string) *settings.Deployment {
+// loadWithFreePorts loads a deployment and assigns it free addresses.
+func loadWithFreePorts(b *testing.B, file string) *settings.Deployment {
 	d, err := settings.Load(file)
 	require.NoError(b, err)
-	free := &ports{t: b}
+	free := &portPool{t: b}
 	defer free.free()
 	for i := range d.Instances {
 		in := &d.Instances[i]
@@ -93,8 +93,8 @@
 	return d
 }
 
-// handOver takes the leader away and returns how long nobody could lead.
-func (c *cluster) handOver(before lease.ScopeState, s syscall.Signal, again, unlist bool) time.Duration {
+// measureHandover stops the leader and returns how long no process could lead.
+func (c *cluster) measureHandover(before lease.ScopeState, s syscall.Signal, restart, unlist bool) time.Duration {
 	begun := time.Now()
 	c.signal(before.Holder, s)
 	if s != syscall.SIGSTOP {
@@ -102,12 +102,12 @@
 		delete(c.running, before.Holder)
 	}
 	if unlist {
-		c.unlist(before.Holder)
+		c.removeFromList(before.Holder)
 	}
-	if again {
+	if restart {
 		c.launch(before.Holder)
 	}
-	after := c.leader(before.Scope, before.FencingToken)
+	after := c.waitForLeader(before.Scope, before.FencingToken)
 	took := time.Since(begun)
 	if after.Unfenced {
 		took += time.Duration(c.d.Lease.SettleSeconds * float64(time.Second))
@@ -116,12 +116,12 @@
 	return took
 }
 
-// restore brings an instance back for the next round.
+// restore brings an instance back for the next iteration.
 func (c *cluster) restore(instance string) {
 	if cmd, ok := c.running[instance]; ok {
 		_ = cmd.Process.Signal(syscall.SIGCONT)
 		return
 	}
-	c.relist(instance)
+	c.addToList(instance)
 	c.launch(instance)
 }
--- a/cmd/chute-controller/harness_test.go
+++ b/cmd/chute-controller/harness_test.go
@@ -28,11 +28,11 @@
 	"tamarackchute/orders"
 )
 
-// patience bounds the wait for anything; it isn't what is tested.
-const patience = 60 * time.Second
+// waitTimeout bounds every wait; it is not what the tests measure.
+const waitTimeout = 60 * time.Second
 
-// cluster is one data centre: stand-ins within the test, controllers as
-// processes, and an entry that has no work and asks for what demand says.
+// cluster is one data centre: stand-ins within the test, controllers as processes, and
+// entries that have no requests and report the demand set by setDemand.
 type cluster struct {
 	t        testing.TB
 	d        *settings.Deployment
@@ -47,36 +47,36 @@
 	changes  *orders.View
 	statuses *wire.Links
 
-	// real is what the stand-ins are, if not what the settings say.
-	real *settings.Deployment
+	// actual describes the stand-ins where they differ from the settings.
+	actual *settings.Deployment
 
 	mu     sync.Mutex
 	demand []wire.ModelDemand
 }
 
-// ports hands out free addresses, all different.
-type ports struct {
+// portPool hands out distinct free addresses.
+type portPool struct {
 	t    testing.TB
 	held []net.Listener
 }
 
-func (p *ports) next() string {
+func (p *portPool) next() string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(p.t, err)
 	p.held = append(p.held, l)
 	return l.Addr().String()
 }
 
-func (p *ports) free() {
+func (p *portPool) free() {
 	for _, l := range p.held {
 		_ = l.Close()
 	}
 }
 
-// deployment has one data centre with three instances and an engine of each
-// kind that is named.
+// deployment returns a data centre with three instances and one engine per given kind of
+// fencing.
 func deployment(t testing.TB, kinds ...settings.Fencing) *settings.Deployment {
-	free := &ports{t: t}
+	free := &portPool{t: t}
 	defer free.free()
 	d := settings.Defaults()
 	d.Name = "test"
@@ -102,29 +102,29 @@
 	return &d
 }
 
-// start brings a data centre up, with its controllers. Its terms are short, to
-// spare time.
+// start starts a data centre with its controllers. Lease terms are short, to save time.
 func start(t testing.TB, kinds ...settings.Fencing) *cluster {
 	d := deployment(t, kinds...)
 	d.Lease.TermSeconds, d.Lease.RenewSeconds = 1.2, 0.4
 	return startWith(t, d, d)
 }
 
-// startWith takes what the settings say and what the stand-ins really are.
+// startWith starts the controllers with the settings d and the stand-ins as described by
+// actual.
 func startWith(t testing.TB, d, real *settings.Deployment) *cluster {
 	c := &cluster{
-		t: t, d: d, real: real, engines: map[string]*standin.Engine{}, running: map[string]*exec.Cmd{},
+		t: t, d: d, actual: real, engines: map[string]*standin.Engine{}, running: map[string]*exec.Cmd{},
 		leases: lease.NewView(),
 	}
 	dir := t.TempDir()
 	c.file = filepath.Join(dir, "settings.json")
-	require.NoError(t, os.WriteFile(c.file, document(t, c.d), 0o600))
+	require.NoError(t, os.WriteFile(c.file, settingsDocument(t, c.d), 0o600))
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "peer.secret"), []byte("0123456789abcdef0123"), 0o600))
 	c.binary = filepath.Join(dir, "chute-controller")
 	out, err := exec.Command("go", "build", "-o", c.binary, ".").CombinedOutput()
 	require.NoError(t, err, "%s", out)
 	c.serveStandins()
-	c.follow()
+	c.followJournal()
 	t.Cleanup(c.killAll)
 	for _, in := range c.d.Instances {
 		c.launch(in.Name)
@@ -132,9 +132,9 @@
 	return c
 }
 
-// document writes a deployment as a settings file. A list that isn't set must
-// not be in it.
-func document(t testing.TB, d *settings.Deployment) []byte {
+// settingsDocument encodes a deployment as a settings file. Lists that aren't set must be
+// absent.
+func settingsDocument(t testing.TB, d *settings.Deployment) []byte {
 	doc, err := json.Marshal(d)
 	require.NoError(t, err)
 	return regexp.MustCompile(`"\w+":null,?`).ReplaceAll(doc, nil)
@@ -145,7 +145,7 @@
 	speed.Change = 400 * time.Millisecond
 	speed.LoadLag = 100 * time.Millisecond
 	set, err := standin.NewSet(standin.Config{
-		Deployment: c.real, LogAppendsPerSecond: 300, ListLag: 500 * time.Millisecond,
+		Deployment: c.actual, LogAppendsPerSecond: 300, ListLag: 500 * time.Millisecond,
 		WeightBytes: 1 << 20, Speed: speed,
 	})
 	require.NoError(c.t, err)
@@ -170,8 +170,8 @@
 	c.t.Cleanup(func() { cancel(); wg.Wait() })
 }
 
-// follow reads the journal and sends the entries' statuses.
-func (c *cluster) follow() {
+// followJournal reads the journal and sends the entries' statuses.
+func (c *cluster) followJournal() {
 	quiet := slog.New(slog.DiscardHandler)
 	c.journal = journal.New(logclient.New(c.d.Platform.Log, httpx.Options{}), journal.Config{Logger: quiet})
 	c.changes = orders.NewView(c.leases)
@@ -181,11 +181,11 @@
 	cfg := wire.Config{Name: "test/entry", Secret: []byte("0123456789abcdef0123")}
 	c.statuses = wire.NewLinks("statuses", cfg, nil, quiet)
 	c.background(c.statuses.Serve)
-	c.background(c.tell)
+	c.background(c.reportStatuses)
 }
 
-// tell sends a status of each entry instance to each controller.
-func (c *cluster) tell(ctx context.Context) error {
+// reportStatuses sends a status of each entry instance to each controller.
+func (c *cluster) reportStatuses(ctx context.Context) error {
 	for seq := uint64(1); ctx.Err() == nil; seq++ {
 		applied := c.journal.Applied()
 		c.mu.Lock()
@@ -204,8 +204,8 @@
 	return ctx.Err()
 }
 
-// want makes the entries report a demand that calls for other roles.
-func (c *cluster) want(prompt, output float64) {
+// setDemand sets the demand that the entries report, which makes the policy change roles.
+func (c *cluster) setDemand(prompt, output float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.demand = []wire.ModelDemand{{
@@ -220,12 +220,12 @@
 	c.running[instance] = cmd
 }
 
-// signal sends a signal to the controller of an instance.
+// signal sends a signal to an instance's controller.
 func (c *cluster) signal(instance string, s syscall.Signal) {
 	require.NoError(c.t, c.running[instance].Process.Signal(s))
 }
 
-// kill ends the controller of an instance and waits for its end.
+// kill kills an instance's controller and waits for its end.
 func (c *cluster) kill(instance string) {
 	cmd := c.running[instance]
 	_ = cmd.Process.Kill()
@@ -239,27 +239,28 @@
 	}
 }
 
-// unlist takes an instance off the platform's list.
-func (c *cluster) unlist(instance string) {
+// removeFromList removes an instance from the platform's list.
+func (c *cluster) removeFromList(instance string) {
 	require.NoError(c.t, c.list.SetFaults([]byte(fmt.Sprintf(`{"remove":[%q]}`, instance))))
 }
 
-// relist puts an instance on the platform's list again.
-func (c *cluster) relist(instance string) {
+// addToList adds an instance to the platform's list.
+func (c *cluster) addToList(instance string) {
 	row := `{"add":[{"name":%q,"kind":"entry","data_centre":"a"}]}`
 	require.NoError(c.t, c.list.SetFaults([]byte(fmt.Sprintf(row, instance))))
 }
 
-// until waits for a condition on what the journal says.
-func (c *cluster) until(what string, ok func() bool) {
+// waitFor waits until a condition on the journal's state holds.
+func (c *cluster) waitFor(what string, ok func() bool) {
 	c.t.Helper()
-	require.Eventually(c.t, ok, patience, 5*time.Millisecond, what)
+	require.Eventually(c.t, ok, waitTimeout, 5*time.Millisecond, what)
 }
 
-// leader waits for a term after a fencing number and returns its state.
-func (c *cluster) leader(scope string, after uint64) lease.ScopeState {
+// waitForLeader waits for a term with a fencing token above after and returns the scope's
+// state.
+func (c *cluster) waitForLeader(scope string, after uint64) lease.ScopeState {
 	c.t.Helper()
-	c.until("a leader", func() bool {
+	c.waitFor("a leader", func() bool {
 		s := c.leases.Scope(scope)
 		return s.Held && s.FencingToken > after
 	})
--- a/cmd/chute-controller/main.go
+++ b/cmd/chute-controller/main.go
@@ -1,5 +1,5 @@
-// Command chute-controller runs on every entry instance. One of a data centre's
-// leads its engines at a time and is the only program that sends them orders.
+// Command chute-controller runs on every entry instance. In each data centre one of them
+// leads the engines at a time and is the only process that sends them orders.
 package main
 
 import (
@@ -15,7 +15,7 @@
 	"tamarackchute/internal/settings"
 )
 
-// controlConns bounds the connections to one engine or platform service.
+// controlConns limits the connections to one engine or platform service.
 const controlConns = 16
 
 // callTimeout bounds a call whose caller sets no earlier deadline.
--- a/cmd/chute-prove/main.go
+++ b/cmd/chute-prove/main.go
@@ -1,5 +1,5 @@
-// Command chute-prove runs random interleavings of the coordination protocols
-// and fails if an invariant was violated or a broken variant not caught.
+// Command chute-prove runs random interleavings of the coordination protocols and fails if
+// an invariant was violated or a mutant was not caught.
 package main
 
 import (
@@ -15,7 +15,7 @@
 	"tamarackchute/internal/prove/claims"
 )
 
-// scenarios lists what is proved.
+// scenarios lists the simulated protocols.
 var scenarios = []prove.Scenario{
 	claims.Scenario{},
 	interleave.Scenario{},
--- a/internal/prove/claims/call.go
+++ b/internal/prove/claims/call.go
@@ -9,208 +9,208 @@
 type stage int
 
 const (
-	stageClaiming stage = iota
-	stageWon            // the last look before the dispatch is next
-	stageSending        // the request goes out next
-	stageSent           // the request is on its way, or its answer is
+	stageClaiming    stage = iota
+	stageConfirming        // the check before the dispatch is next
+	stageDispatching       // the dispatch is next
+	stageSent              // the request or its response is in transit
 	stageWaiting
 	stageEnded
 )
 
-// call is a caller's request within a process.
+// call is a caller's request being processed by a process.
 type call struct {
-	proc    *process
-	id      claim.CallID
-	request *send
-	stage   stage
-	started time.Time
-	until   time.Time
-	woken   bool
-	// gaveUp is set when the caller's deadline has passed.
-	gaveUp bool
-	// inCore is whether the core still knows the call.
-	inCore bool
-	reply  *reply
-	sentAt time.Time
+	process   *process
+	id        claim.CallID
+	request   *callerRequest
+	stage     stage
+	started   time.Time
+	waitUntil time.Time
+	woken     bool
+	// deadlinePassed is set when the caller's deadline has passed.
+	deadlinePassed bool
+	// pendingInCore is whether the core still tracks the call.
+	pendingInCore bool
+	reply         *reply
+	sentAt        time.Time
 }
 
-// begin takes a caller's request.
-func (p *process) begin(s *send) {
-	c := &call{proc: p, request: s, started: p.world.now, inCore: true}
+// begin starts the processing of a caller's request.
+func (p *process) begin(s *callerRequest) {
+	c := &call{process: p, request: s, started: p.world.now, pendingInCore: true}
 	p.calls = append(p.calls, c)
 	var step claim.Step
 	c.id, step = p.core.Start(p.env(), s.key.key, s.digest)
-	c.follow(step)
-	p.changed()
+	c.applyStep(step)
+	p.collectOutput()
 }
 
-// follow does what a step of the core asks for, or notes it as next.
-func (c *call) follow(step claim.Step) {
-	p, w := c.proc, c.proc.world
+// applyStep performs a step requested by the core or schedules it.
+func (c *call) applyStep(step claim.Step) {
+	p, w := c.process, c.process.world
 	switch s := step.(type) {
 	case claim.ClaimStep:
 		c.stage = stageClaiming
 		a := &pendingAppend{entry: s.Entry, call: c}
-		w.claims[lastAttempt(w)] = claimInfo{writer: p.name, owner: p, key: c.request.key, digest: c.request.digest}
-		if w.mutant == dispatchBeforeClaim {
+		w.claims[lastAttempt(w)] = claimOwner{writer: p.name, owner: p, key: c.request.key, digest: c.request.digest}
+		if w.mutant == mutantDispatchBeforeClaim {
 			a.call = nil
-			c.mayDispatch()
+			c.scheduleDispatch()
 		}
-		p.queue(a)
+		p.enqueue(a)
 	case claim.DispatchStep:
-		c.stage = stageWon
+		c.stage = stageConfirming
 	case claim.WaitStep:
-		c.stage, c.until = stageWaiting, s.Until
+		c.stage, c.waitUntil = stageWaiting, s.Until
 	case claim.ResultStep:
-		c.inCore = false
+		c.pendingInCore = false
 		c.stage = stageEnded
 		c.answer(s.Result)
 		c.remove()
 	}
 }
 
-// lastAttempt is the attempt that was made last.
+// lastAttempt returns the most recently created attempt ID.
 func lastAttempt(w *world) claim.AttemptID {
 	w.attempts--
 	return w.newAttempt()
 }
 
-// claimed hands the end of a claim's append to the core.
-func (c *call) claimed(r claim.AppendResult) {
-	p := c.proc
+// handleClaimResult passes the outcome of a claim's append to the core.
+func (c *call) handleClaimResult(r claim.AppendResult) {
+	p := c.process
 	step := p.core.Claimed(p.env(), c.id, r)
 	_, won := step.(claim.DispatchStep)
-	if p.world.mutant == secondClaimRuns && r == claim.Appended && !won {
+	if p.world.mutant == mutantSecondClaimRuns && r == claim.Appended && !won {
 		_, ended := step.(claim.ResultStep)
-		c.inCore = !ended
-		c.mayDispatch()
+		c.pendingInCore = !ended
+		c.scheduleDispatch()
 		return
 	}
-	c.follow(step)
-	p.changed()
+	c.applyStep(step)
+	p.collectOutput()
 }
 
-// advance takes the call's next step, if it can be taken now.
+// advance performs the call's next step if it is due.
 func (c *call) advance() {
 	switch c.stage {
-	case stageWon:
+	case stageConfirming:
 		c.confirm()
-	case stageSending:
+	case stageDispatching:
 		c.dispatch()
 	case stageSent:
-		c.takeReply()
+		c.handleReply()
 	case stageWaiting:
 		c.resume()
 	}
 }
 
 func (c *call) confirm() {
-	p, env := c.proc, c.proc.env()
-	if p.world.mutant == noLookBeforeDispatch {
+	p, env := c.process, c.process.env()
+	if p.world.mutant == mutantNoClockCheck {
 		env.Now = c.started
 	}
-	if step := p.core.Confirm(env, c.id, c.gaveUp); step != nil {
-		c.follow(step)
-		p.changed()
+	if step := p.core.Confirm(env, c.id, c.deadlinePassed); step != nil {
+		c.applyStep(step)
+		p.collectOutput()
 		return
 	}
-	c.mayDispatch()
+	c.scheduleDispatch()
 }
 
-// mayDispatch starts the time that a dispatch may take.
-func (c *call) mayDispatch() {
-	c.stage = stageSending
-	c.sentAt = c.proc.world.now
+// scheduleDispatch makes the dispatch the next step and starts its time limit.
+func (c *call) scheduleDispatch() {
+	c.stage = stageDispatching
+	c.sentAt = c.process.world.now
 }
 
-// dispatch puts the request on the network, unless no connection can be made
-// or the dispatch's time ran out during a pause.
+// dispatch sends the request over the network, unless the connection fails or the
+// dispatch's time limit passed during a pause.
 func (c *call) dispatch() {
-	w := c.proc.world
+	w := c.process.world
 	c.stage = stageSent
-	late := w.now.Sub(c.sentAt) >= config.MaxDispatch && w.mutant != noLookBeforeDispatch
-	if late || (!w.calm && w.chance(5)) {
-		c.reply = &reply{failure: claim.DispatchNotRun}
+	late := w.now.Sub(c.sentAt) >= config.MaxDispatch && w.mutant != mutantNoClockCheck
+	if late || (!w.faultsEnded && w.chance(5)) {
+		c.reply = &reply{result: claim.DispatchNotRun}
 		return
 	}
-	w.network = append(w.network, &request{call: c, send: c.request, sentAt: w.now})
+	w.network = append(w.network, &dispatchedRequest{call: c, request: c.request, sentAt: w.now})
 }
 
-// takeReply ends the dispatch when its reply is there or its time is up. A
-// request whose time is up may still run later.
-func (c *call) takeReply() {
-	p, w := c.proc, c.proc.world
+// handleReply ends the dispatch when its reply has arrived or its time limit has passed. A
+// request whose time limit has passed may still run later.
+func (c *call) handleReply() {
+	p, w := c.process, c.process.world
 	r := c.reply
 	if r == nil && w.now.Sub(c.sentAt) >= config.MaxDispatch {
-		r = &reply{failure: claim.DispatchMayHaveRun}
+		r = &reply{result: claim.DispatchMayHaveRun}
 		w.report.Event("dispatch timed out")
 	}
 	if r == nil {
-		if c.gaveUp {
+		if c.deadlinePassed {
 			c.answer(claim.MayHaveRun{Reason: claim.ReasonRunning})
 		}
 		return
 	}
-	if !c.inCore {
+	if !c.pendingInCore {
 		c.stage = stageEnded
-		if r.failure == claim.DispatchCompleted {
-			c.answer(claim.Done{Response: r.recorded, ResponseComplete: true})
+		if r.result == claim.DispatchCompleted {
+			c.answer(claim.Done{Response: r.response, ResponseComplete: true})
 		}
 		c.remove()
 		return
 	}
-	c.follow(p.core.Dispatched(p.env(), c.id, r.recorded, r.failure))
-	p.changed()
+	c.applyStep(p.core.Dispatched(p.env(), c.id, r.response, r.result))
+	p.collectOutput()
 }
 
 func (c *call) resume() {
-	p, w := c.proc, c.proc.world
-	timeUp := c.gaveUp || !w.now.Before(c.until)
+	p, w := c.process, c.process.world
+	timeUp := c.deadlinePassed || !w.now.Before(c.waitUntil)
 	if !c.woken && !timeUp {
 		return
 	}
 	c.woken = false
 	if timeUp {
-		c.brokenTimeout()
+		c.mutantTimeout()
 	}
 	if c.stage == stageEnded {
 		return
 	}
-	c.follow(p.core.Resume(p.env(), c.id, timeUp))
-	p.changed()
+	c.applyStep(p.core.Resume(p.env(), c.id, timeUp))
+	p.collectOutput()
 }
 
-// brokenTimeout is what two of the mutants do when nothing comes of somebody
-// else's claim.
-func (c *call) brokenTimeout() {
-	p, w := c.proc, c.proc.world
+// mutantTimeout implements two of the mutants: what they do when a wait for another
+// process's claim times out.
+func (c *call) mutantTimeout() {
+	p, w := c.process, c.process.world
 	state, attempt := p.core.Ledger().Lookup(c.request.key.key)
 	info := w.claims[attempt]
 	if state != claim.KeyClaimed || info.owner == nil {
 		return
 	}
 	switch w.mutant {
-	case silenceIsNotRun:
+	case mutantNoOutcomeIsNotRun:
 		c.stage = stageEnded
 		c.answer(claim.NotRun{Reason: claim.ReasonClaimUnclear})
 		c.remove()
-	case anybodyWithdraws:
-		p.queue(&pendingAppend{entry: forgeWithdrawal(w, attempt, info)})
+	case mutantForeignWithdrawal:
+		p.enqueue(&pendingAppend{entry: forgeWithdrawal(w, attempt, info)})
 	}
 }
 
-// answer tells the caller, unless it was told before.
+// answer gives the caller its result, unless it already has one.
 func (c *call) answer(r claim.Result) {
 	s := c.request
 	if s.result != nil {
 		return
 	}
 	s.result = r
-	c.proc.world.checkAnswer(c.proc, s, r)
+	c.process.world.checkAnswer(c.process, s, r)
 }
 
 func (c *call) remove() {
-	p := c.proc
+	p := c.process
 	for i := range p.calls {
 		if p.calls[i] == c {
 			p.calls = append(p.calls[:i], p.calls[i+1:]...)
--- a/internal/prove/claims/log.go
+++ b/internal/prove/claims/log.go
@@ -7,14 +7,13 @@
 	"tamarackchute/journal"
 )
 
-// simLog is the platform's log.
+// simLog simulates the platform's log.
 type simLog struct {
 	records []logRecord // records[i] has offset i+1
 	oldest  infra.Offset
 	down    bool
-	// late holds records that are on their way although their writers have
-	// given them up.
-	late [][]journal.Entry
+	// delayed holds records still in transit whose writers have given up on them.
+	delayed [][]journal.Entry
 }
 
 type logRecord struct {
@@ -28,18 +27,18 @@
 	l.records = append(l.records, logRecord{at: w.now, entries: entries})
 }
 
-// land writes a late record.
-func (l *simLog) land(w *world) {
-	if len(l.late) == 0 || l.down {
+// writeDelayed writes a random delayed record.
+func (l *simLog) writeDelayed(w *world) {
+	if len(l.delayed) == 0 || l.down {
 		return
 	}
-	i := w.rng.IntN(len(l.late))
-	l.write(w, l.late[i])
-	l.late = append(l.late[:i], l.late[i+1:]...)
+	i := w.rng.IntN(len(l.delayed))
+	l.write(w, l.delayed[i])
+	l.delayed = append(l.delayed[:i], l.delayed[i+1:]...)
 	w.report.Event("record landed late")
 }
 
-// trim lets records expire that are older than the retention.
+// trim removes the records that are older than the retention.
 func (l *simLog) trim(w *world) {
 	before := l.oldest
 	for l.oldest < l.next() && w.now.Sub(l.records[l.oldest-1].at) > config.Retention {
@@ -50,37 +49,37 @@
 	}
 }
 
-// fate is what becomes of an append.
-type fate int
+// appendOutcome is the outcome of an append.
+type appendOutcome int
 
 const (
-	fateWritten fate = iota
-	fateReplyLost
-	fateLost
-	fateLate
-	fateRefused
+	appendWritten appendOutcome = iota
+	appendReplyLost
+	appendLost
+	appendDelayed
+	appendRefused
 )
 
-// append takes a record and tells what became of it. Only fateWritten and
-// fateRefused are known to the writer.
-func (l *simLog) append(w *world, entries []journal.Entry) fate {
-	f := fateWritten
-	if !w.calm {
-		f = pick(w, []fate{
-			fateWritten, fateWritten, fateWritten, fateWritten, fateWritten,
-			fateReplyLost, fateLost, fateLate, fateRefused,
+// append appends a record and returns the outcome. The writer learns only of appendWritten
+// and appendRefused.
+func (l *simLog) append(w *world, entries []journal.Entry) appendOutcome {
+	f := appendWritten
+	if !w.faultsEnded {
+		f = pick(w, []appendOutcome{
+			appendWritten, appendWritten, appendWritten, appendWritten, appendWritten,
+			appendReplyLost, appendLost, appendDelayed, appendRefused,
 		})
 	}
 	if l.down {
-		f = pick(w, []fate{fateRefused, fateLost, fateLate})
+		f = pick(w, []appendOutcome{appendRefused, appendLost, appendDelayed})
 	}
 	switch f {
-	case fateWritten, fateReplyLost:
+	case appendWritten, appendReplyLost:
 		l.write(w, entries)
-	case fateLate:
-		l.late = append(l.late, entries)
+	case appendDelayed:
+		l.delayed = append(l.delayed, entries)
 	}
-	if f == fateReplyLost {
+	if f == appendReplyLost {
 		w.report.Event("reply of an append lost after the write")
 	}
 	return f
--- a/internal/prove/claims/outside.go
+++ b/internal/prove/claims/outside.go
@@ -9,60 +9,60 @@
 	"tamarackchute/journal"
 )
 
-// key is an idempotency key as its caller uses it.
+// key is an idempotency key and its use by callers.
 type key struct {
-	key    claim.Key
-	sends  []*send
-	runs   []run
-	first  time.Time
-	serial int
+	key       claim.Key
+	requests  []*callerRequest
+	runs      []run
+	firstSent time.Time
+	serial    int
 }
 
-// send is one request of a caller.
-type send struct {
+// callerRequest is one request of a caller.
+type callerRequest struct {
 	key    *key
 	digest uint64
 	result claim.Result
 	ran    bool
 }
 
-// run is one run at the upstream.
+// run is one execution at the upstream.
 type run struct {
 	at       time.Time
 	digest   uint64
-	recorded claim.Response
+	response claim.Response
 }
 
-// request is on its way to the upstream.
-type request struct {
-	call   *call
-	send   *send
-	sentAt time.Time
+// dispatchedRequest is a request in transit to the upstream.
+type dispatchedRequest struct {
+	call    *call
+	request *callerRequest
+	sentAt  time.Time
 }
 
-// maxUnderWay bounds how long a request is on its way, which stands for a
-// process paused within the very write as well.
-const maxUnderWay = 5 * time.Minute
+// maxDelivery bounds a request's time in transit. It also covers a process that is paused
+// during the write itself.
+const maxDelivery = 5 * time.Minute
 
 type reply struct {
-	recorded claim.Response
-	failure  claim.DispatchResult
+	response claim.Response
+	result   claim.DispatchResult
 }
 
-// Digests of requests: now and then a key is used for a second one.
+// Digests of requests. A key is occasionally used for a second request.
 const (
-	usualDigest = 1
-	otherDigest = 2
+	firstDigest  = 1
+	secondDigest = 2
 )
 
-// maxKeys bounds the keys of an interleaving.
+// maxKeys limits the keys of an interleaving.
 const maxKeys = 5
 
-// callerActs sends a new or a repeated request, or gives one up.
-func (w *world) callerActs() {
+// stepCaller sends a new or a repeated request, or lets one's deadline pass.
+func (w *world) stepCaller() {
 	if w.chance(10) {
 		if c := pick(w, pick(w, w.procs).calls); c != nil {
-			c.gaveUp = true
+			c.deadlinePassed = true
 		}
 		return
 	}
@@ -74,41 +74,41 @@
 		return
 	}
 	if p := pick(w, w.procs); p.running() {
-		p.begin(w.newSend(k))
+		p.begin(w.newRequest(k))
 	}
 }
 
 func (w *world) newKey(timed bool) *key {
-	k := &key{first: w.now, serial: len(w.keys) + 1}
+	k := &key{firstSent: w.now, serial: len(w.keys) + 1}
 	binary.BigEndian.PutUint64(k.key.ID[:], uint64(k.serial))
 	if timed {
-		k.key.CreatedAt = w.now.Add(w.between(-2*config.KeySkew, 2*config.KeySkew)).Truncate(time.Millisecond)
+		k.key.CreatedAt = w.now.Add(w.randDuration(-2*config.KeySkew, 2*config.KeySkew)).Truncate(time.Millisecond)
 	}
 	w.keys = append(w.keys, k)
 	return k
 }
 
-func (w *world) newSend(k *key) *send {
-	s := &send{key: k, digest: usualDigest}
+func (w *world) newRequest(k *key) *callerRequest {
+	s := &callerRequest{key: k, digest: firstDigest}
 	if w.chance(4) {
-		s.digest = otherDigest
+		s.digest = secondDigest
 	}
-	k.sends = append(k.sends, s)
+	k.requests = append(k.requests, s)
 	return s
 }
 
-// mayResend is the rule for callers: a plain key is not sent again when it is
-// about to be forgotten. Long after that it counts as new.
+// mayResend is the rule for callers: a plain key is not sent again shortly before or after
+// it is forgotten. Long after that it counts as new.
 func (w *world) mayResend(k *key) bool {
-	age := w.now.Sub(k.first)
+	age := w.now.Sub(k.firstSent)
 	return k.key.Timed() || age < config.KeyTTL*9/10 || age > config.KeyTTL*12/10
 }
 
-// lostOnItsWay is the highest number of arrive's draw for a lost request.
-const lostOnItsWay = 22
+// lastLostDraw is the highest random draw in deliver for which a request is lost.
+const lastLostDraw = 22
 
-// arrive lets a request reach the upstream, or get lost.
-func (w *world) arrive() {
+// deliver lets a random request reach the upstream or get lost.
+func (w *world) deliver() {
 	if len(w.network) == 0 {
 		return
 	}
@@ -116,48 +116,48 @@
 	r := w.network[i]
 	w.network = append(w.network[:i], w.network[i+1:]...)
 	n := 99
-	if !w.calm {
+	if !w.faultsEnded {
 		n = w.rng.IntN(100)
 	}
-	if w.now.Sub(r.sentAt) > maxUnderWay {
-		n = lostOnItsWay
+	if w.now.Sub(r.sentAt) > maxDelivery {
+		n = lastLostDraw
 	}
 	switch {
 	case n < 8:
-		r.call.reply = &reply{failure: claim.DispatchNotRun}
+		r.call.reply = &reply{result: claim.DispatchNotRun}
 	case n < 14:
-		r.call.reply = &reply{failure: claim.DispatchMayHaveRun}
+		r.call.reply = &reply{result: claim.DispatchMayHaveRun}
 		w.report.Event("upstream broke before running")
 	case n < 20:
-		w.run(r.send)
-		r.call.reply = &reply{failure: claim.DispatchMayHaveRun}
+		w.run(r.request)
+		r.call.reply = &reply{result: claim.DispatchMayHaveRun}
 		w.report.Event("upstream broke after running")
-	case n <= lostOnItsWay:
+	case n <= lastLostDraw:
 		w.report.Event("request lost on its way")
 	default:
-		recorded := w.run(r.send)
-		r.call.reply = &reply{recorded: recorded}
+		recorded := w.run(r.request)
+		r.call.reply = &reply{response: recorded}
 	}
 }
 
-// run carries a request out and makes its answer, like no other's.
-func (w *world) run(s *send) claim.Response {
+// run executes a request and returns a unique response.
+func (w *world) run(s *callerRequest) claim.Response {
 	w.runs++
 	body := fmt.Sprintf("run %d", w.runs)
 	if w.chance(20) {
 		body += " with an answer that is too long to be kept"
 	}
-	r := run{at: w.now, digest: s.digest, recorded: claim.Response{Status: 200 + w.runs%50, Body: []byte(body)}}
+	r := run{at: w.now, digest: s.digest, response: claim.Response{Status: 200 + w.runs%50, Body: []byte(body)}}
 	w.checkRun(s, r)
 	s.ran = true
 	s.key.runs = append(s.key.runs, r)
 	w.report.Event("run")
-	return r.recorded
+	return r.response
 }
 
-// forgeWithdrawal makes the withdrawal of somebody else's claim, as if that
-// one had made it.
-func forgeWithdrawal(w *world, attempt claim.AttemptID, info claimInfo) journal.Entry {
+// forgeWithdrawal creates a withdrawal of another process's claim, as if its owner had
+// written it.
+func forgeWithdrawal(w *world, attempt claim.AttemptID, info claimOwner) journal.Entry {
 	c := claim.NewCore(config, w.now)
 	c.NewAttempt = func() claim.AttemptID { return attempt }
 	env := claim.Env{Now: w.now, LogUp: true}
--- a/internal/prove/claims/process.go
+++ b/internal/prove/claims/process.go
@@ -9,34 +9,34 @@
 	"tamarackchute/journal"
 )
 
-// process is one instance's process: the real core, with a reader, a writer
-// and calls whose steps are taken when the scheduler says so.
+// process simulates one instance's process: the production core with a reader, a writer and
+// calls, whose steps run when the scheduler selects them.
 type process struct {
 	world       *world
 	index       int
 	incarnation int
 	name        string
 	core        *claim.Core
-	next        infra.Offset
+	nextOffset  infra.Offset
 	logUp       bool
 	appends     []*pendingAppend
 	calls       []*call
-	dead        bool
+	killed      bool
 	pausedUntil time.Time
 }
 
-// pendingAppend is an entry that the process wants in the log.
+// pendingAppend is an entry that the process wants to append to the log.
 type pendingAppend struct {
-	entry  journal.Entry
-	since  time.Time
-	sent   bool // may be in the log
-	folded bool // the own reader has seen it
+	entry   journal.Entry
+	since   time.Time
+	sent    bool // may be in the log
+	applied bool // read back by this process
 	// call is set for a claim, message for an outcome or a withdrawal.
 	call    *call
 	message *claim.Message
 }
 
-// start runs a new incarnation, with empty memory.
+// start begins a new incarnation with empty memory.
 func (p *process) start() {
 	w := p.world
 	p.incarnation++
@@ -45,24 +45,24 @@
 	cfg.Writer = p.name
 	p.core = claim.NewCore(cfg, w.now)
 	p.core.NewAttempt = w.newAttempt
-	p.next, p.logUp, p.dead = 1, true, false
+	p.nextOffset, p.logUp, p.killed = 1, true, false
 	p.appends, p.calls = nil, nil
 }
 
-func (p *process) running() bool { return !p.dead && !p.world.now.Before(p.pausedUntil) }
+func (p *process) running() bool { return !p.killed && !p.world.now.Before(p.pausedUntil) }
 
 func (p *process) env() claim.Env { return claim.Env{Now: p.world.now, LogUp: p.logUp} }
 
-// act does one thing.
-func (p *process) act() {
+// step performs one random action.
+func (p *process) step() {
 	w := p.world
 	switch n := w.rng.IntN(100); {
 	case n < 30:
 		p.read(1 + w.rng.IntN(4))
 	case n < 55:
-		p.send()
+		p.flush()
 	case n < 75:
-		p.resolve(pick(w, p.appends))
+		p.completeAppend(pick(w, p.appends))
 	case n < 97:
 		if c := pick(w, p.calls); c != nil {
 			c.advance()
@@ -72,15 +72,15 @@
 	}
 }
 
-// actAll does all that can be done.
-func (p *process) actAll() {
+// stepAll performs all pending work.
+func (p *process) stepAll() {
 	p.read(1 << 20)
 	for range 4 {
-		p.send()
+		p.flush()
 	}
 	p.read(1 << 20)
 	for _, a := range append([]*pendingAppend(nil), p.appends...) {
-		p.resolve(a)
+		p.completeAppend(a)
 	}
 	for _, c := range append([]*call(nil), p.calls...) {
 		c.advance()
@@ -88,53 +88,54 @@
 	p.checkpoint()
 }
 
-// read folds up to n records.
+// read applies up to n records.
 func (p *process) read(n int) {
 	w := p.world
 	p.logUp = !w.log.down
 	if w.log.down {
 		return
 	}
-	if p.next < w.log.oldest {
-		p.next = w.log.oldest
+	if p.nextOffset < w.log.oldest {
+		p.nextOffset = w.log.oldest
 		w.report.Event("reader met expired records")
-		if w.mutant != trustAfterExpiry {
-			p.core.Trimmed(p.next)
+		if w.mutant != mutantTrustAfterExpiry {
+			p.core.Trimmed(p.nextOffset)
 		}
-		p.changed()
+		p.collectOutput()
 	}
-	for ; n > 0 && p.next < w.log.next(); n-- {
-		p.fold(w.log.records[p.next-1])
+	for ; n > 0 && p.nextOffset < w.log.next(); n-- {
+		p.applyRecord(w.log.records[p.nextOffset-1])
 	}
 }
 
-func (p *process) fold(r logRecord) {
+func (p *process) applyRecord(r logRecord) {
 	w := p.world
 	for i, e := range r.entries {
-		at := journal.Position{Offset: p.next, Index: uint16(i)}
+		at := journal.Position{Offset: p.nextOffset, Index: uint16(i)}
 		p.core.Apply(journal.Placed{Position: at, At: r.at, ReadAt: w.now, Entry: e})
 		for _, a := range p.appends {
-			a.folded = a.folded || a.entry.ID == e.ID
+			a.applied = a.applied || a.entry.ID == e.ID
 		}
-		p.changed()
+		p.collectOutput()
 	}
-	p.next++
+	p.nextOffset++
 	w.checkAgreement(p)
 }
 
-// changed hands on what the core asks for beside its steps.
-func (p *process) changed() {
+// collectOutput wakes the calls that the core reports as changed and queues the entries in
+// its outbox.
+func (p *process) collectOutput() {
 	for _, id := range p.core.Changed() {
 		for _, c := range p.calls {
 			c.woken = c.woken || c.id == id
 		}
 	}
 	for _, m := range p.core.Outbox() {
-		p.queue(&pendingAppend{entry: m.Entry, message: &m})
+		p.enqueue(&pendingAppend{entry: m.Entry, message: &m})
 	}
 }
 
-func (p *process) queue(a *pendingAppend) {
+func (p *process) enqueue(a *pendingAppend) {
 	if a.entry.Writer == "" {
 		a.entry.Writer = p.name
 	}
@@ -142,14 +143,14 @@
 	p.appends = append(p.appends, a)
 }
 
-// send appends some of the waiting entries as one record. An entry that was
-// sent before may be sent again: the journal does that after a lost reply.
-func (p *process) send() {
+// flush appends some of the pending entries as one record. It may send an entry again, as
+// the journal does after a lost reply.
+func (p *process) flush() {
 	w := p.world
 	var batch []*pendingAppend
 	var entries []journal.Entry
 	for _, a := range p.appends {
-		if a.folded || (a.sent && !w.chance(20)) || (!w.calm && w.chance(30)) {
+		if a.applied || (a.sent && !w.chance(20)) || (!w.faultsEnded && w.chance(30)) {
 			continue
 		}
 		batch = append(batch, a)
@@ -161,55 +162,55 @@
 	if len(batch) > 1 {
 		w.report.Event("entries shared an append")
 	}
-	refused := w.log.append(w, entries) == fateRefused
+	refused := w.log.append(w, entries) == appendRefused
 	for _, a := range batch {
 		a.sent = a.sent || !refused
 	}
 }
 
-// resolve ends an append whose entry was read, or whose time is up.
-func (p *process) resolve(a *pendingAppend) {
+// completeAppend ends an append whose entry has been read or whose time limit has passed.
+func (p *process) completeAppend(a *pendingAppend) {
 	if a == nil {
 		return
 	}
-	timeUp := p.world.now.Sub(a.since) >= config.ClaimTimeout || (a.call != nil && a.call.gaveUp)
-	if !a.folded && !timeUp {
+	timeUp := p.world.now.Sub(a.since) >= config.ClaimTimeout || (a.call != nil && a.call.deadlinePassed)
+	if !a.applied && !timeUp {
 		return
 	}
 	if a.call != nil {
-		p.resolveClaim(a)
+		p.completeClaim(a)
 		return
 	}
 	if a.message == nil {
-		p.drop(a)
+		p.remove(a)
 		return
 	}
-	// Outcomes and withdrawals are tried for longer than claims.
-	if a.folded || p.world.now.Sub(a.since) > 20*config.ClaimTimeout {
-		p.drop(a)
+	// Outcomes and withdrawals are retried for longer than claims.
+	if a.applied || p.world.now.Sub(a.since) > 20*config.ClaimTimeout {
+		p.remove(a)
 		p.core.Sent(*a.message)
-		p.changed()
+		p.collectOutput()
 	}
 }
 
-func (p *process) resolveClaim(a *pendingAppend) {
+func (p *process) completeClaim(a *pendingAppend) {
 	result := claim.AppendUnclear
 	switch {
-	case a.folded:
+	case a.applied:
 		result = claim.Appended
 	case !a.sent:
 		result = claim.NotAppended
-	case p.world.mutant == refuseWithoutLatch:
+	case p.world.mutant == mutantRefuseWithoutLatch:
 		a.call.answer(claim.NotRun{Reason: claim.ReasonClaimUnclear})
 		return
 	default:
 		p.world.report.Event("claim unclear at its timeout")
 	}
-	p.drop(a)
-	a.call.claimed(result)
+	p.remove(a)
+	a.call.handleClaimResult(result)
 }
 
-func (p *process) drop(a *pendingAppend) {
+func (p *process) remove(a *pendingAppend) {
 	for i := range p.appends {
 		if p.appends[i] == a {
 			p.appends = append(p.appends[:i], p.appends[i+1:]...)
@@ -218,24 +219,24 @@
 	}
 }
 
-// checkpoint appends a checkpoint if one is due, and now and then anyway.
+// checkpoint appends a checkpoint if one is due, and occasionally at other times.
 func (p *process) checkpoint() {
 	w := p.world
 	due := p.core.CheckpointDue(w.now, w.now)
-	if !due && (w.calm || !p.core.Ledger().Complete() || !w.chance(20)) {
+	if !due && (w.faultsEnded || !p.core.Ledger().Complete() || !w.chance(20)) {
 		return
 	}
 	for _, a := range p.appends {
 		if a.call == nil && a.message == nil {
-			return // one is under way
+			return // a checkpoint is already pending
 		}
 	}
-	applied := journal.Position{Offset: p.next - 1}
-	if w.mutant == checkpointTooFar {
+	applied := journal.Position{Offset: p.nextOffset - 1}
+	if w.mutant == mutantOverstatedCheckpoint {
 		applied.Offset = w.log.next() - 1
 	}
 	for _, e := range p.core.Checkpoint(applied) {
-		p.queue(&pendingAppend{entry: e})
+		p.enqueue(&pendingAppend{entry: e})
 	}
 	w.report.Event("checkpoint begun")
 }
--- a/internal/prove/claims/scenario.go
+++ b/internal/prove/claims/scenario.go
@@ -1,8 +1,7 @@
-// Package claims puts the at-most-once claims under proof: several processes,
-// each the real claim.Core over its own reading of one log, are stepped in a
-// random order, and every fault that the platform and the machines may show is
-// put between any two steps. The checks are made from the callers' and the
-// upstream's side.
+// Package claims simulates the at-most-once claims. Several processes, each with the
+// production claim.Core and its own position in one log, are stepped in random order, with
+// every fault of the platform and the machines possible between any two steps. The
+// invariants are checked from the callers' and the upstream's side.
 package claims
 
 import (
@@ -16,32 +15,32 @@
 	"tamarackchute/internal/prove"
 )
 
-// The broken variants.
+// The mutants.
 const (
-	dispatchBeforeClaim  = "dispatch before claim"
-	refuseWithoutLatch   = "not run after lost reply, without latch"
-	secondClaimRuns      = "second claim may run"
-	anybodyWithdraws     = "claim withdrawn by anybody"
-	noLookBeforeDispatch = "no look at the clock before dispatch"
-	trustAfterExpiry     = "history trusted after records expired"
-	checkpointTooFar     = "checkpoint claims to cover more than it does"
-	silenceIsNotRun      = "no outcome taken as not run"
+	mutantDispatchBeforeClaim  = "dispatch before claim"
+	mutantRefuseWithoutLatch   = "not run after lost reply, without latch"
+	mutantSecondClaimRuns      = "second claim may run"
+	mutantForeignWithdrawal    = "claim withdrawn by anybody"
+	mutantNoClockCheck         = "no look at the clock before dispatch"
+	mutantTrustAfterExpiry     = "history trusted after records expired"
+	mutantOverstatedCheckpoint = "checkpoint claims to cover more than it does"
+	mutantNoOutcomeIsNotRun    = "no outcome taken as not run"
 )
 
-// mustViolate names the invariant that a broken variant must be caught by: the
-// harm that it does, not a side effect.
-var mustViolate = map[string]string{
-	dispatchBeforeClaim:  atMostOnce,
-	refuseWithoutLatch:   notRunIsTrue,
-	secondClaimRuns:      atMostOnce,
-	anybodyWithdraws:     atMostOnce,
-	noLookBeforeDispatch: atMostOnce,
-	trustAfterExpiry:     atMostOnce,
-	checkpointTooFar:     atMostOnce,
-	silenceIsNotRun:      notRunKnows,
+// expectedViolation maps each mutant to the invariant that must catch it: the harm that it
+// does, not a side effect.
+var expectedViolation = map[string]string{
+	mutantDispatchBeforeClaim:  invariantAtMostOnce,
+	mutantRefuseWithoutLatch:   invariantNotRunIsTrue,
+	mutantSecondClaimRuns:      invariantAtMostOnce,
+	mutantForeignWithdrawal:    invariantAtMostOnce,
+	mutantNoClockCheck:         invariantAtMostOnce,
+	mutantTrustAfterExpiry:     invariantAtMostOnce,
+	mutantOverstatedCheckpoint: invariantAtMostOnce,
+	mutantNoOutcomeIsNotRun:    invariantNotRunOwnClaim,
 }
 
-// Scenario implements prove.Scenario.
+// Scenario simulates claims; it implements prove.Scenario.
 type Scenario struct{}
 
 var _ prove.Scenario = Scenario{}
@@ -50,15 +49,15 @@
 func (Scenario) Name() string { return "claim" }
 
 // Mutants implements prove.Scenario.
-func (Scenario) Mutants() []string { return slices.Sorted(maps.Keys(mustViolate)) }
+func (Scenario) Mutants() []string { return slices.Sorted(maps.Keys(expectedViolation)) }
 
-// Sizes of an interleaving.
+// Size of an interleaving.
 const (
 	processes = 3
 	maxSteps  = 900
 )
 
-// Times of the protocol, small against each other's bounds as in settings.
+// config holds the protocol's timing, in proportions like those of the settings.
 var config = claim.Config{
 	ClaimTimeout: 2 * time.Second,
 	MaxClaimAge:  4 * time.Second,
@@ -66,7 +65,7 @@
 	KeyTTL:       10 * time.Minute,
 	Retention:    time.Minute,
 	KeySkew:      20 * time.Second,
-	// Some answers are too large to be kept.
+	// Some answers exceed this and are not recorded.
 	MaxRecordedBytes: 40,
 }
 
@@ -77,11 +76,11 @@
 	for range steps {
 		w.step()
 	}
-	w.settle()
+	w.finish()
 }
 
-// world is everything outside the processes: the log, the upstream, the
-// network, the callers, and time.
+// world simulates everything outside the processes: the log, the upstream, the network, the
+// callers and time.
 type world struct {
 	rng    *rand.Rand
 	mutant string
@@ -90,19 +89,20 @@
 	now     time.Time
 	log     simLog
 	procs   []*process
-	network []*request
+	network []*dispatchedRequest
 	keys    []*key
-	// prints holds the fingerprint of complete readers after each record.
-	prints map[uint64]uint64
-	// claims tells of each attempt whose it is.
-	claims   map[claim.AttemptID]claimInfo
+	// fingerprints maps each record's offset to the state fingerprint of the complete
+	// readers that have applied it.
+	fingerprints map[uint64]uint64
+	// claims maps each attempt to its owner.
+	claims   map[claim.AttemptID]claimOwner
 	attempts uint64
 	runs     int
-	// calm ends the faults.
-	calm bool
+	// faultsEnded disables all faults.
+	faultsEnded bool
 }
 
-type claimInfo struct {
+type claimOwner struct {
 	writer string
 	owner  *process
 	key    *key
@@ -111,13 +111,13 @@
 
 func newWorld(rng *rand.Rand, mutant string, r *prove.Report) *world {
 	w := &world{
-		rng:    rng,
-		mutant: mutant,
-		report: r,
-		now:    time.Unix(1_700_000_000, 0),
-		log:    simLog{oldest: 1},
-		prints: map[uint64]uint64{},
-		claims: map[claim.AttemptID]claimInfo{},
+		rng:          rng,
+		mutant:       mutant,
+		report:       r,
+		now:          time.Unix(1_700_000_000, 0),
+		log:          simLog{oldest: 1},
+		fingerprints: map[uint64]uint64{},
+		claims:       map[claim.AttemptID]claimOwner{},
 	}
 	for i := range processes {
 		p := &process{world: w, index: i}
@@ -127,26 +127,25 @@
 	return w
 }
 
-// newAttempt makes attempt ids that a seed repeats.
+// newAttempt returns an attempt ID that is reproducible from the seed.
 func (w *world) newAttempt() (a claim.AttemptID) {
 	w.attempts++
 	binary.BigEndian.PutUint64(a[:], w.attempts)
 	return a
 }
 
-// check counts a check. For a broken variant only that one counts by which it
-// must be caught.
+// check counts a check. For a mutant, only the invariant that must catch it counts.
 func (w *world) check(invariant string, ok bool, detail func() string) {
-	if w.mutant == "" || mustViolate[w.mutant] == invariant {
+	if w.mutant == "" || expectedViolation[w.mutant] == invariant {
 		w.report.Check(invariant, ok, detail)
 	}
 }
 
-// chance is true with a probability of percent in 100.
+// chance returns true with a probability of percent in 100.
 func (w *world) chance(percent int) bool { return w.rng.IntN(100) < percent }
 
-// between returns a random time from lo to hi.
-func (w *world) between(lo, hi time.Duration) time.Duration {
+// randDuration returns a random duration from lo to below hi.
+func (w *world) randDuration(lo, hi time.Duration) time.Duration {
 	return lo + time.Duration(w.rng.Int64N(int64(hi-lo)))
 }
 
@@ -158,72 +157,71 @@
 	return from[w.rng.IntN(len(from))]
 }
 
-// step lets one thing happen.
+// step performs one random action.
 func (w *world) step() {
-	w.now = w.now.Add(w.between(0, 15*time.Millisecond))
+	w.now = w.now.Add(w.randDuration(0, 15*time.Millisecond))
 	switch n := w.rng.IntN(100); {
 	case n < 75:
 		if p := pick(w, w.procs); p.running() {
-			p.act()
+			p.step()
 		}
 	case n < 83:
-		w.arrive()
+		w.deliver()
 	case n < 92:
-		w.callerActs()
+		w.stepCaller()
 	case n < 95:
-		w.log.land(w)
+		w.log.writeDelayed(w)
 	default:
 		w.fault()
 	}
 }
 
-// fault lets something go wrong, or well again.
+// fault injects or ends a random fault.
 func (w *world) fault() {
 	p := pick(w, w.procs)
 	switch n := w.rng.IntN(100); {
 	case w.log.down && n < 50:
 		w.log.down = false
-	case p.dead && n < 80:
+	case p.killed && n < 80:
 		p.start()
 	case n < 8:
 		w.log.down = true
 		w.report.Event("outage of the log")
 	case n < 20:
-		w.now = w.now.Add(w.between(100*time.Millisecond, 5*time.Second))
+		w.now = w.now.Add(w.randDuration(100*time.Millisecond, 5*time.Second))
 	case n < 23:
-		w.now = w.now.Add(w.between(10*time.Second, config.Retention))
+		w.now = w.now.Add(w.randDuration(10*time.Second, config.Retention))
 	case n < 25:
-		w.now = w.now.Add(w.between(config.KeyTTL/2, 2*config.KeyTTL))
+		w.now = w.now.Add(w.randDuration(config.KeyTTL/2, 2*config.KeyTTL))
 	case n < 45:
 		w.log.trim(w)
 	case n < 60:
-		p.pausedUntil = w.now.Add(w.between(50*time.Millisecond, time.Second))
+		p.pausedUntil = w.now.Add(w.randDuration(50*time.Millisecond, time.Second))
 		w.report.Event("process paused")
 	case n < 66:
-		p.pausedUntil = w.now.Add(w.between(time.Second, 10*time.Second))
+		p.pausedUntil = w.now.Add(w.randDuration(time.Second, 10*time.Second))
 		w.report.Event("process paused for longer than a claim may take")
 	case n < 68:
-		p.pausedUntil = w.now.Add(w.between(config.Retention, 2*config.KeyTTL))
+		p.pausedUntil = w.now.Add(w.randDuration(config.Retention, 2*config.KeyTTL))
 		w.report.Event("process paused for longer than the log keeps records")
-	case n < 75 && !p.dead:
-		p.dead = true
+	case n < 75 && !p.killed:
+		p.killed = true
 		w.report.Event("process killed")
 	}
 }
 
-// settle ends the faults and lets everything come to rest; then it checks what
-// must be true at rest.
-func (w *world) settle() {
-	w.calm = true
+// finish ends the faults, runs until nothing is pending and checks the final invariants.
+func (w *world) finish() {
+	w.faultsEnded = true
 	w.log.down = false
 	for _, p := range w.procs {
 		p.pausedUntil = time.Time{}
-		if p.dead {
+		if p.killed {
 			p.start()
 		}
 	}
 	for range 200 {
-		w.round(200 * time.Millisecond)
+		w.runRound(200 * time.Millisecond)
 	}
 	w.checkAllAnswered()
 	w.checkGapsClose()
@@ -231,16 +229,17 @@
 	w.checkRefusedKeysRun()
 }
 
-// round lets every process and the network do all that is to be done.
-func (w *world) round(d time.Duration) {
+// runRound advances time by d, delivers everything in transit and lets every process do all
+// its pending work.
+func (w *world) runRound(d time.Duration) {
 	w.now = w.now.Add(d)
-	for len(w.log.late) > 0 {
-		w.log.land(w)
+	for len(w.log.delayed) > 0 {
+		w.log.writeDelayed(w)
 	}
 	for range len(w.network) {
-		w.arrive()
+		w.deliver()
 	}
 	for _, p := range w.procs {
-		p.actAll()
+		p.stepAll()
 	}
 }
--- a/internal/prove/claims/scenario_test.go
+++ b/internal/prove/claims/scenario_test.go
@@ -9,12 +9,12 @@
 	"tamarackchute/internal/prove"
 )
 
-// fixedRun is the part of the proof that CI runs.
-var fixedRun = prove.Options{Interleavings: 1500, Seed: 1, Workers: 4}
+// ciOptions selects the interleavings that CI runs.
+var ciOptions = prove.Options{Interleavings: 1500, Seed: 1, Workers: 4}
 
-func TestInterleavingsKeepTheInvariants(t *testing.T) {
-	sum := prove.Run(t.Context(), Scenario{}, fixedRun)
-	require.Equal(t, fixedRun.Interleavings, sum.Interleavings)
+func TestInvariantsHold(t *testing.T) {
+	sum := prove.Run(t.Context(), Scenario{}, ciOptions)
+	require.Equal(t, ciOptions.Interleavings, sum.Interleavings)
 	for name, tally := range sum.Report.Invariants {
 		require.Zero(t, tally.Violated, "%s: %s", name, tally.Example)
 		require.Positive(t, tally.Checked, name)
@@ -24,8 +24,8 @@
 	}
 }
 
-// A failing interleaving is of use only if its seed shows it again.
-func TestSeedsRepeat(t *testing.T) {
+// A failing interleaving can be investigated only if its seed reproduces it.
+func TestSeedsAreReproducible(t *testing.T) {
 	a, b := prove.NewReport(), prove.NewReport()
 	for seed := range uint64(50) {
 		Scenario{}.Run(seed, "", a)
@@ -34,7 +34,7 @@
 	require.Equal(t, a, b)
 }
 
-// The seeds of interleavings that failed are kept below testdata/rapid.
+// Seeds of interleavings that failed are kept below testdata/rapid.
 func TestRapidInterleavings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := prove.NewReport()
--- a/internal/prove/prove.go
+++ b/internal/prove/prove.go
@@ -1,6 +1,6 @@
-// Package prove runs random interleavings of the coordination protocols and
-// counts, per invariant, how often it was checked and violated. It also runs
-// deliberately broken variants (mutants), which a check must catch.
+// Package prove runs random interleavings of the coordination protocols and counts, per
+// invariant, how often it was checked and violated. It also runs deliberately broken
+// variants (mutants), which a check must catch.
 package prove
 
 import (
@@ -16,15 +16,15 @@
 	"github.com/sourcegraph/conc/pool"
 )
 
-// Scenario is one protocol under proof.
+// Scenario simulates one protocol.
 type Scenario interface {
-	// Name is a short name for the output, like "claim".
+	// Name is a short name for the output, for example "claim".
 	Name() string
-	// Mutants names the broken variants that Run knows.
+	// Mutants returns the names of the broken variants that Run implements.
 	Mutants() []string
-	// Run runs one interleaving, wholly determined by seed, and reports its
-	// checks to r. The mutant is "" for the real thing. Run is called from
-	// several goroutines at once, each with a Report of its own.
+	// Run runs one interleaving, fully determined by seed, and reports its checks to r. An
+	// empty mutant selects the correct protocol. Run is called concurrently, each time with
+	// its own Report.
 	Run(seed uint64, mutant string, r *Report)
 }
 
@@ -35,14 +35,13 @@
 	Example string
 }
 
-// Report collects the checks of interleavings. It isn't safe for concurrent
-// use.
+// Report collects the checks of interleavings. It isn't safe for concurrent use.
 type Report struct {
-	// Seed is the seed of the interleaving that runs now.
+	// Seed is the seed of the current interleaving.
 	Seed       uint64
 	Invariants map[string]Tally
-	// Events counts what the interleavings came through, so that a reader
-	// sees that the faults and outcomes did occur.
+	// Events counts the faults and outcomes of the interleavings, to show that they did
+	// occur.
 	Events map[string]int64
 }
 
@@ -51,8 +50,8 @@
 	return &Report{Invariants: map[string]Tally{}, Events: map[string]int64{}}
 }
 
-// Check counts one check of an invariant. The detail is asked for only if it
-// was violated.
+// Check counts one check of an invariant. It calls detail only if the invariant was
+// violated.
 func (r *Report) Check(invariant string, ok bool, detail func() string) {
 	t := r.Invariants[invariant]
 	t.Checked++
@@ -65,10 +64,10 @@
 	r.Invariants[invariant] = t
 }
 
-// Event counts something that happened.
+// Event counts one occurrence of a named event.
 func (r *Report) Event(name string) { r.Events[name]++ }
 
-// Violated counts the violations of all invariants.
+// Violated returns the number of violations of all invariants.
 func (r *Report) Violated() int64 {
 	var n int64
 	for _, t := range r.Invariants {
@@ -90,10 +89,10 @@
 	}
 }
 
-// Options sets a run.
+// Options configures a run.
 type Options struct {
-	// Interleavings is how many to run per scenario; a mutant gets at most as
-	// many, and ends with the first that catches it.
+	// Interleavings is the number of interleavings per scenario. It is also the limit for
+	// each mutant, whose run ends with the first interleaving that catches it.
 	Interleavings int
 	// Seed is the seed of the first interleaving; the others follow by one.
 	Seed uint64
@@ -101,17 +100,18 @@
 	Workers int
 }
 
-// MutantResult tells how a mutant fared.
+// MutantResult is the outcome of running one mutant.
 type MutantResult struct {
 	Name   string
 	Caught bool
 	// Interleavings is the number of interleavings that it took.
 	Interleavings int
-	// ViolatedInvariants names the violated invariants of the interleaving that caught it.
+	// ViolatedInvariants lists the invariants violated by the interleaving that caught the
+	// mutant.
 	ViolatedInvariants []string
 }
 
-// Summary is the result of one scenario.
+// Summary is the result of running one scenario.
 type Summary struct {
 	Scenario      string
 	Interleavings int
@@ -120,14 +120,15 @@
 	Mutants       []MutantResult
 }
 
-// OK reports whether no invariant was violated and every mutant was caught.
+// OK reports whether invariants were checked, none was violated and every mutant was
+// caught.
 func (s Summary) OK() bool {
 	caught := !slices.ContainsFunc(s.Mutants, func(m MutantResult) bool { return !m.Caught })
 	return caught && s.Report.Violated() == 0 && len(s.Report.Invariants) > 0
 }
 
-// Run runs the scenario's interleavings and then its mutants. It stops early
-// when ctx ends; the summary then counts what ran.
+// Run runs the scenario's interleavings and then its mutants. It stops early when ctx ends;
+// the summary then counts the completed interleavings.
 func Run(ctx context.Context, s Scenario, o Options) Summary {
 	start := time.Now()
 	sum := Summary{Scenario: s.Name(), Report: NewReport()}
@@ -192,7 +193,7 @@
 	return m
 }
 
-// Print writes a summary for people.
+// Print writes the summary as text.
 func (s Summary) Print(w io.Writer) {
 	fmt.Fprintf(w, "%s: %d interleavings in %.1f s\n", s.Scenario, s.Interleavings, s.Took.Seconds())
 	for _, name := range slices.Sorted(maps.Keys(s.Report.Invariants)) {
--- a/internal/status/fetch.go
+++ b/internal/status/fetch.go
@@ -100,7 +100,7 @@
 			return ctx.Err()
 		case <-f.node.opts.CaughtUp:
 			t.Stop()
-			return eris.Wrap(suture.ErrDoNotRestart, "log has been read")
+			return eris.Wrap(suture.ErrDoNotRestart, "the log has been read")
 		case <-t.C:
 		}
 		if f.node.FetchRules(ctx, round) {
