--- a/cmd/chute-controller/handover_bench_test.go
+++ b/cmd/chute-controller/handover_bench_test.go
@@ -41,9 +41,9 @@
 				before := c.waitForLeader(scopeOf(bc.f), 0)
 				// Spread the signals over the interval between two renewals.
 				time.Sleep(time.Second + time.Duration(i%7)*150*time.Millisecond)
-				took := c.measureHandover(before, bc.signal, bc.restart, bc.unlist)
-				total += took
-				longest = max(longest, took)
+				elapsed := c.measureHandover(before, bc.signal, bc.restart, bc.unlist)
+				total += elapsed
+				longest = max(longest, elapsed)
 			}
 			b.ReportMetric(total.Seconds()/float64(b.N), "s-leaderless")
 			b.ReportMetric(longest.Seconds(), "s-longest")
@@ -95,7 +95,7 @@
 
 // measureHandover stops the leader and returns how long no process could lead.
 func (c *cluster) measureHandover(before lease.ScopeState, s syscall.Signal, restart, unlist bool) time.Duration {
-	begun := time.Now()
+	started := time.Now()
 	c.signal(before.Holder, s)
 	if s != syscall.SIGSTOP {
 		_ = c.running[before.Holder].Wait()
@@ -108,12 +108,12 @@
 		c.launch(before.Holder)
 	}
 	after := c.waitForLeader(before.Scope, before.FencingToken)
-	took := time.Since(begun)
+	elapsed := time.Since(started)
 	if after.Unfenced {
-		took += time.Duration(c.d.Lease.SettleSeconds * float64(time.Second))
+		elapsed += time.Duration(c.d.Lease.SettleSeconds * float64(time.Second))
 	}
 	c.restore(before.Holder)
-	return took
+	return elapsed
 }
 
 // restore brings an instance back for the next iteration.
--- a/cmd/chute-controller/harness_test.go
+++ b/cmd/chute-controller/harness_test.go
@@ -111,9 +111,9 @@
 
 // startWith starts the controllers with the settings d and the stand-ins as described by
 // actual.
-func startWith(t testing.TB, d, real *settings.Deployment) *cluster {
+func startWith(t testing.TB, d, actual *settings.Deployment) *cluster {
 	c := &cluster{
-		t: t, d: d, actual: real, engines: map[string]*standin.Engine{}, running: map[string]*exec.Cmd{},
+		t: t, d: d, actual: actual, engines: map[string]*standin.Engine{}, running: map[string]*exec.Cmd{},
 		leases: lease.NewView(),
 	}
 	dir := t.TempDir()
--- a/cmd/chute-controller/process_test.go
+++ b/cmd/chute-controller/process_test.go
@@ -139,10 +139,10 @@
 func TestReplacedEngineLoadsConfiguredModel(t *testing.T) {
 	d := deployment(t, settings.FencingChecked, settings.FencingChecked)
 	d.Platform.WeightBytesPerSecond = 10 << 20
-	real := *d
-	real.Upstreams = slices.Clone(d.Upstreams)
-	real.Upstreams[0].Models = []string{"old"}
-	c := startWith(t, d, &real)
+	actual := *d
+	actual.Upstreams = slices.Clone(d.Upstreams)
+	actual.Upstreams[0].Models = []string{"old"}
+	c := startWith(t, d, &actual)
 	ch := c.waitForChange(func(ch orders.Change) bool { return ch.Phase == orders.PhaseConfirmed })
 	assert.Equal(t, upstream.OrderModel, ch.Kind)
 	assert.Equal(t, "e1", ch.Engine)
--- a/internal/controller/chooser.go
+++ b/internal/controller/chooser.go
@@ -101,21 +101,21 @@
 		Name: e.Name, DataCentre: e.DataCentre, Models: e.Models,
 		Role: upstream.Role(e.Role), ReportAge: time.Duration(1<<63 - 1),
 	}
-	if l, ok := c.loadReports.latest(e.Name); ok {
-		out.Role = l.report.Role
-		out.InService = l.report.InService
-		out.ReportAge = l.age(now)
-		out.Reported = rolepolicy.Rates{Prefill: l.report.PrefillPerSec, Decode: l.report.DecodePerSec}
-		out.Running, out.Waiting = l.report.Running, l.report.Waiting
-		out.QueuedPrompt, out.MaxBatch = l.report.QueuedPrompt, l.report.MaxBatch
+	if load, ok := c.loadReports.latest(e.Name); ok {
+		out.Role = load.report.Role
+		out.InService = load.report.InService
+		out.ReportAge = load.age(now)
+		out.Reported = rolepolicy.Rates{Prefill: load.report.PrefillPerSec, Decode: load.report.DecodePerSec}
+		out.Running, out.Waiting = load.report.Running, load.report.Waiting
+		out.QueuedPrompt, out.MaxBatch = load.report.QueuedPrompt, load.report.MaxBatch
 	}
 	if known.Believed.Role != "" {
 		out.Role = known.Believed.Role
 	}
-	if ch := known.Change; ch != nil {
-		out.Changing = ch.Phase.Open()
-		out.To = ch.Target.Role
-		out.LastChange = ch.PhaseAt
+	if change := known.Change; change != nil {
+		out.Changing = change.Phase.Open()
+		out.To = change.Target.Role
+		out.LastChange = change.PhaseAt
 	}
 	return out
 }
--- a/internal/controller/executor.go
+++ b/internal/controller/executor.go
@@ -159,19 +159,19 @@
 func (x *Executor) read(ctx context.Context) bool {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	begun := time.Now()
+	started := time.Now()
 	state, err := x.control.State(callCtx)
-	x.contact.ReadDone(state, err, begun, time.Now(), x.limits)
+	x.contact.ReadDone(state, err, started, time.Now(), x.limits)
 	if err == nil {
 		x.mu.Lock()
-		x.state, x.stateAt = state, begun
+		x.state, x.stateAt = state, started
 		x.mu.Unlock()
 	}
 	return err == nil
 }
 
 func (x *Executor) append(ctx context.Context, action orders.Action) bool {
-	was := x.view.Snapshot().Engine(x.engine).Believed
+	previous := x.view.Snapshot().Engine(x.engine).Believed
 	p, err := x.journal.Append(ctx, journal.Entry{
 		Kind: journal.KindOrder, ID: uuid.NewString(), Writer: x.writer, Body: action.Record.Encode(),
 	})
@@ -183,14 +183,14 @@
 		return false
 	}
 	if action.Record.Change != nil {
-		x.recordAccepted(*engine.Change, was, action.Reason)
+		x.recordAccepted(*engine.Change, previous, action.Reason)
 	}
 	return true
 }
 
 // recordAccepted records an accepted step of a change and clears the request that led to
 // it.
-func (x *Executor) recordAccepted(c orders.Change, was orders.Settings, reason string) {
+func (x *Executor) recordAccepted(c orders.Change, previous orders.Settings, reason string) {
 	x.mu.Lock()
 	if x.want != nil && x.want.ID == c.ID {
 		x.want = nil
@@ -198,7 +198,7 @@
 	x.mu.Unlock()
 	x.log.Info("change", "id", c.ID, "phase", c.Phase.String(), "kind", c.Kind,
 		"role", c.Target.Role, "fence", c.Fence, "reason", reason)
-	x.recorder.RecordChange(c, was, reason)
+	x.recorder.RecordChange(c, previous, reason)
 }
 
 // send sends an order. The authority's validity is checked last before the write. A pause
@@ -207,12 +207,12 @@
 func (x *Executor) send(ctx context.Context, a lease.Authority, action orders.Action) bool {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	begun := time.Now()
-	if !a.Valid(begun) {
+	started := time.Now()
+	if !a.Valid(started) {
 		return false
 	}
 	err := x.control.Order(callCtx, action.Order)
-	x.contact.SendDone(action.Change, err, begun, time.Now(), x.limits.Retry)
+	x.contact.SendDone(action.Change, err, started, time.Now(), x.limits.Retry)
 	x.log.Info("order sent", "order", action.Order.ID, "fence", action.Order.FencingToken,
 		"attempt", action.Change.Attempt, "error", err)
 	x.recorder.RecordOrder(err)
--- a/internal/controller/interleave/engine.go
+++ b/internal/controller/interleave/engine.go
@@ -100,7 +100,7 @@
 	e.lastOrder = o.ID
 	e.busy = true
 	e.changeSeq++
-	e.w.report.Event("order taken")
+	e.w.report.Event("order accepted")
 	e.performChange(o)
 	return nil
 }
@@ -122,7 +122,7 @@
 	if e.w.mutant == mutantNoFencing || !e.checksFencing || o.FencingToken >= e.fencingToken {
 		return false
 	}
-	e.w.report.Event("order refused by its fencing number")
+	e.w.report.Event("order rejected by its fencing token")
 	return true
 }
 
@@ -133,7 +133,7 @@
 	if e.w.fault(0.15) {
 		e.w.schedule(duration/2, func() {
 			if e.changeSeq == seq {
-				e.w.report.Event("engine crashed in a change")
+				e.w.report.Event("engine crashed during a change")
 				e.crash()
 			}
 		})
@@ -168,21 +168,21 @@
 
 func (e *engine) checkNoConflict(o upstream.Order) {
 	e.w.report.Check(invariantNoConflict, !e.busy || o.ID == e.lastOrder, func() string {
-		return fmt.Sprintf("%s got %s while it carries out %s at %v", e.name, o.ID, e.lastOrder, e.w.now)
+		return fmt.Sprintf("%s received %s while carrying out %s at %v", e.name, o.ID, e.lastOrder, e.w.now)
 	})
 }
 
 func (e *engine) checkAccepted(o upstream.Order) {
 	w := e.w
 	w.report.Check(invariantFencing, o.FencingToken >= e.highestToken, func() string {
-		return fmt.Sprintf("%s took %s with number %d after %d at %v", e.name, o.ID, o.FencingToken, e.highestToken, w.now)
+		return fmt.Sprintf("%s accepted %s with fencing token %d after %d at %v", e.name, o.ID, o.FencingToken, e.highestToken, w.now)
 	})
 	open := w.reference.changes.Engine(e.name).Open()
 	ordered := open != nil && open.ID == o.ID && open.Phase == orders.PhaseOrdered && open.Fence == o.FencingToken
 	w.report.Check(invariantIntended, ordered, func() string {
-		return fmt.Sprintf("%s took %s with number %d at %v, open is %+v", e.name, o.ID, o.FencingToken, w.now, open)
+		return fmt.Sprintf("%s accepted %s with fencing token %d at %v, open change is %+v", e.name, o.ID, o.FencingToken, w.now, open)
 	})
 	w.report.Check(invariantNoCutOff, e.running == 0, func() string {
-		return fmt.Sprintf("%s took %s with %d requests at %v", e.name, o.ID, e.running, w.now)
+		return fmt.Sprintf("%s accepted %s with %d running requests at %v", e.name, o.ID, e.running, w.now)
 	})
 }
--- a/internal/controller/interleave/executor.go
+++ b/internal/controller/interleave/executor.go
@@ -53,8 +53,8 @@
 			x.contact.RaiseDone(err, x.p.clock(), x.limits().Retry)
 		})
 	case orders.ActionSend:
-		x.send(a, action, func(err error, begun time.Time) {
-			x.contact.SendDone(action.Change, err, begun, x.p.clock(), x.limits().Retry)
+		x.send(a, action, func(err error, started time.Time) {
+			x.contact.SendDone(action.Change, err, started, x.p.clock(), x.limits().Retry)
 		})
 	case orders.ActionRead:
 		x.readState()
@@ -108,14 +108,14 @@
 
 // readState reads the engine's state; the reply may be lost.
 func (x *executor) readState() {
-	begun := x.p.clock()
+	started := x.p.clock()
 	finished := false
 	finish := func(s upstream.EngineState, err error) {
 		if finished {
 			return
 		}
 		finished = true
-		x.contact.ReadDone(s, err, begun, x.p.clock(), x.limits())
+		x.contact.ReadDone(s, err, started, x.p.clock(), x.limits())
 		x.finishStep()
 	}
 	fail := x.p.whenRunning(func() { finish(upstream.EngineState{}, upstream.ErrBroken) })
@@ -132,8 +132,8 @@
 // between. The order may reach the engine after this process has timed out or died, and its
 // reply may be lost.
 func (x *executor) send(a lease.Authority, action orders.Action, done func(error, time.Time)) {
-	begun := x.p.clock()
-	if !a.Valid(begun) {
+	started := x.p.clock()
+	if !a.Valid(started) {
 		x.finishStep()
 		return
 	}
@@ -146,7 +146,7 @@
 		if err != nil && x.p.w.mutant == mutantLostReplyNotTaken {
 			err = upstream.ErrNotSent
 		}
-		done(err, begun)
+		done(err, started)
 		x.finishStep()
 	}
 	x.p.schedule(x.injectFault(), func() {
@@ -166,10 +166,10 @@
 	w := x.p.w
 	switch {
 	case w.fault(w.pauseProbability):
-		w.report.Event("controller paused between the clock and the write")
+		w.report.Event("controller paused between the validity check and the write")
 		x.p.pause(12 * time.Second)
 	case w.fault(w.pauseProbability / 3):
-		w.report.Event("controller stopped between the clock and the write")
+		w.report.Event("controller stopped between the validity check and the write")
 		x.p.stop()
 		return time.Second
 	case w.fault(0.2):
--- a/internal/controller/interleave/process.go
+++ b/internal/controller/interleave/process.go
@@ -67,7 +67,7 @@
 			w.report.Event("controller stopped gracefully")
 			p.stop()
 		case w.fault(0.1):
-			w.report.Event("instance taken away")
+			w.report.Event("instance removed")
 			m.kill()
 			m.listed = false
 			m.goneAt = w.now
--- a/internal/controller/interleave/scenario.go
+++ b/internal/controller/interleave/scenario.go
@@ -45,9 +45,9 @@
 // Invariants over all processes.
 const (
 	invariantSingleLeader = "at most one process has authority over a scope"
-	invariantStatesAgree  = "readers at the same place have the same state"
+	invariantStatesAgree  = "readers at the same position have the same state"
 	invariantChangesEnd   = "every change ends once the faults have ended"
-	invariantHasLeader    = "every scope is led once the faults have ended"
+	invariantHasLeader    = "every scope has a leader once the faults have ended"
 )
 
 // checkSingleLeader checks that no other process has authority over the scope at the moment
@@ -69,7 +69,7 @@
 func (w *world) checkEnd() {
 	for _, scope := range scopes {
 		w.report.Check(invariantHasLeader, w.hasLeader(scope), func() string {
-			return fmt.Sprintf("nobody leads %s: %+v", scope, w.reference.leases.Scope(scope))
+			return fmt.Sprintf("%s has no leader: %+v", scope, w.reference.leases.Scope(scope))
 		})
 	}
 	for _, name := range w.engineNames {
--- a/internal/controller/interleave/scenario_test.go
+++ b/internal/controller/interleave/scenario_test.go
@@ -47,8 +47,8 @@
 		r.Seed = seeds[mutant]
 		Scenario{}.Run(r.Seed, mutant, r)
 		assert.Positive(t, r.Violated(), mutant)
-		real := prove.NewReport()
-		Scenario{}.Run(r.Seed, "", real)
-		assert.Zero(t, real.Violated(), mutant)
+		correct := prove.NewReport()
+		Scenario{}.Run(r.Seed, "", correct)
+		assert.Zero(t, correct.Violated(), mutant)
 	}
 }
--- a/internal/controller/presence.go
+++ b/internal/controller/presence.go
@@ -23,13 +23,13 @@
 	maxLag time.Duration
 
 	mu sync.Mutex
-	// current is the last response, lastAsked the time of its request.
-	current   map[string]infra.Instance
-	lastAsked time.Time
+	// current is the last response, lastRequestedAt the time of its request.
+	current         map[string]infra.Instance
+	lastRequestedAt time.Time
 	// absentSince maps each instance missing from the last response to the request time of
 	// the first of the consecutive responses without it.
-	absentSince map[string]time.Time
-	firstAsked  time.Time
+	absentSince      map[string]time.Time
+	firstRequestedAt time.Time
 }
 
 // NewPresence returns a follower of the list. An instance counts as gone only after it has
@@ -51,7 +51,7 @@
 }
 
 func (p *Presence) poll(ctx context.Context) {
-	asked := time.Now()
+	requestedAt := time.Now()
 	pollCtx, cancel := context.WithTimeout(ctx, 4*listPollInterval)
 	defer cancel()
 	rows, err := p.list.Instances(pollCtx)
@@ -59,11 +59,11 @@
 		p.log.Debug("instance list not read", "error", err)
 		return
 	}
-	p.update(rows, asked)
+	p.update(rows, requestedAt)
 }
 
 // update records a response to a request made at the given time.
-func (p *Presence) update(rows []infra.Instance, asked time.Time) {
+func (p *Presence) update(rows []infra.Instance, requestedAt time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	before := p.current
@@ -74,13 +74,13 @@
 	}
 	for name := range before {
 		if _, ok := p.current[name]; !ok {
-			p.absentSince[name] = asked
+			p.absentSince[name] = requestedAt
 		}
 	}
-	if p.firstAsked.IsZero() {
-		p.firstAsked = asked
+	if p.firstRequestedAt.IsZero() {
+		p.firstRequestedAt = requestedAt
 	}
-	p.lastAsked = asked
+	p.lastRequestedAt = requestedAt
 }
 
 // Gone implements lease.Presence. Only responses to requests made after the given time
@@ -97,12 +97,12 @@
 	}
 	since, ok := p.absentSince[instance]
 	if !ok {
-		since = p.firstAsked
+		since = p.firstRequestedAt
 	}
 	if since.Before(after) {
 		since = after
 	}
-	return p.lastAsked.Sub(since) >= p.maxLag
+	return p.lastRequestedAt.Sub(since) >= p.maxLag
 }
 
 // Listed implements lease.Presence.
--- a/internal/controller/trail.go
+++ b/internal/controller/trail.go
@@ -19,9 +19,9 @@
 // EventRecorder records the controller's actions in the audit trail and the metrics. Its
 // methods don't block.
 type EventRecorder interface {
-	// RecordChange records an accepted step of a change; was holds the engine's settings
+	// RecordChange records an accepted step of a change; previous holds the engine settings
 	// before the step.
-	RecordChange(c orders.Change, was orders.Settings, reason string)
+	RecordChange(c orders.Change, previous orders.Settings, reason string)
 	// RecordOrder records that an order was sent, and the error of its reply.
 	RecordOrder(err error)
 	// RecordTerm records a term that this process has begun or ended.
@@ -102,13 +102,13 @@
 
 // RecordChange implements EventRecorder. Only a change's begin and end go to the audit
 // trail; its other steps are in the journal.
-func (t *auditRecorder) RecordChange(c orders.Change, was orders.Settings, reason string) {
+func (t *auditRecorder) RecordChange(c orders.Change, previous orders.Settings, reason string) {
 	t.scope.Tagged(map[string]string{"phase": c.Phase.String()}).Counter("changes").Inc(1)
 	if c.Phase.Open() && c.Phase != orders.PhaseDraining {
 		return
 	}
 	r := audit.Record{
-		What: auditAction(c), Target: c.Engine, From: describeSettings(c.Kind, was), To: describeSettings(c.Kind, c.Target),
+		What: auditAction(c), Target: c.Engine, From: describeSettings(c.Kind, previous), To: describeSettings(c.Kind, c.Target),
 		Reason: fmt.Sprintf("%s: %s", c.Phase, c.Reason),
 	}
 	if c.Outcome != "" {
--- a/internal/operator/api/known.go
+++ b/internal/operator/api/known.go
@@ -9,17 +9,17 @@
 
 // KnownNames lists the names of a deployment that its rules may refer to.
 func KnownNames(d *settings.Deployment) rules.KnownNames {
-	known := rules.KnownNames{Pools: []string{}, Models: []string{}, DataCentres: []string{}}
+	names := rules.KnownNames{Pools: []string{}, Models: []string{}, DataCentres: []string{}}
 	for _, u := range d.Upstreams {
-		known.Pools = appendNew(known.Pools, u.Pool)
+		names.Pools = appendNew(names.Pools, u.Pool)
 		for _, model := range u.Models {
-			known.Models = appendNew(known.Models, model)
+			names.Models = appendNew(names.Models, model)
 		}
 	}
 	for _, dc := range d.DataCentres {
-		known.DataCentres = appendNew(known.DataCentres, dc.Name)
+		names.DataCentres = appendNew(names.DataCentres, dc.Name)
 	}
-	return known
+	return names
 }
 
 func appendNew(list []string, value string) []string {
--- a/internal/prove/claims/call.go
+++ b/internal/prove/claims/call.go
@@ -50,13 +50,13 @@
 	switch s := step.(type) {
 	case claim.ClaimStep:
 		c.stage = stageClaiming
-		a := &pendingAppend{entry: s.Entry, call: c}
+		pending := &pendingAppend{entry: s.Entry, call: c}
 		w.claims[lastAttempt(w)] = claimOwner{writer: p.name, owner: p, key: c.request.key, digest: c.request.digest}
 		if w.mutant == mutantDispatchBeforeClaim {
-			a.call = nil
+			pending.call = nil
 			c.scheduleDispatch()
 		}
-		p.enqueue(a)
+		p.enqueue(pending)
 	case claim.DispatchStep:
 		c.stage = stageConfirming
 	case claim.WaitStep:
--- a/internal/prove/claims/checks.go
+++ b/internal/prove/claims/checks.go
@@ -11,14 +11,14 @@
 // The invariants.
 const (
 	invariantAtMostOnce     = "a key's call runs at most once"
-	invariantNotRunIsTrue   = "a request told \"not run\" never ran and never runs"
-	invariantNotRunKeyScope = "\"not run\" of a whole key: no request with it had run"
-	invariantNotRunOwnClaim = "\"not run\" is not said of a key known as another's"
-	invariantDoneMatchesRun = "an answer given is the answer of the key's run"
+	invariantNotRunIsTrue   = "a request reported as \"not run\" never ran and never runs"
+	invariantNotRunKeyScope = "\"not run\" for a key: no request with the key had run"
+	invariantNotRunOwnClaim = "\"not run\" is never reported for another process's claim"
+	invariantDoneMatchesRun = "a reported response is the response of the key's run"
 	invariantReadersAgree   = "complete readers at one position agree"
-	invariantReusedIsTrue   = "\"key reused\" is said only of a key with two requests"
+	invariantReusedIsTrue   = "\"key reused\" is reported only for a key with two requests"
 	invariantAllAnswered    = "after the faults every request is answered"
-	invariantGapsClose      = "after the faults a reader learns what expired"
+	invariantGapsClose      = "after the faults every reader recovers the expired history"
 	invariantFreshKeyRuns   = "after the faults a new key runs at every process"
 	invariantRefusedKeyRuns = "after the faults a refused key runs when sent again"
 )
@@ -82,8 +82,8 @@
 	}
 	state, attempt := p.core.Ledger().Lookup(s.key.key)
 	info := w.claims[attempt]
-	own := state == claim.KeyClaimed && info.owner == p && info.writer == p.name
-	w.check(invariantNotRunOwnClaim, state == claim.KeyFree || own, func() string {
+	ownClaim := state == claim.KeyClaimed && info.owner == p && info.writer == p.name
+	w.check(invariantNotRunOwnClaim, state == claim.KeyFree || ownClaim, func() string {
 		return fmt.Sprintf("key %d is in state %d by %q, and %q says %#v", s.key.serial, state, info.writer, p.name, r)
 	})
 }
@@ -98,7 +98,7 @@
 		return fmt.Sprintf("key %d: %#v, runs %v", s.key.serial, r, s.key.runs)
 	})
 	if !r.ResponseComplete {
-		w.report.Event("answer not kept")
+		w.report.Event("response not recorded")
 	}
 }
 
@@ -127,13 +127,13 @@
 	if !p.core.Ledger().Complete() {
 		return
 	}
-	at, print := uint64(p.nextOffset-1), p.core.Ledger().Fingerprint()
+	at, fingerprint := uint64(p.nextOffset-1), p.core.Ledger().Fingerprint()
 	other, ok := w.fingerprints[at]
 	if !ok {
-		w.fingerprints[at] = print
+		w.fingerprints[at] = fingerprint
 		return
 	}
-	w.check(invariantReadersAgree, print == other, func() string {
+	w.check(invariantReadersAgree, fingerprint == other, func() string {
 		return fmt.Sprintf("%s differs after record %d", p.name, at)
 	})
 }
@@ -156,7 +156,7 @@
 		}
 	}
 	if complete == 0 {
-		w.report.Event("no process has the whole history")
+		w.report.Event("no process has the complete history")
 		return
 	}
 	for range 40 {
--- a/internal/prove/claims/log.go
+++ b/internal/prove/claims/log.go
@@ -35,7 +35,7 @@
 	i := w.rng.IntN(len(l.delayed))
 	l.write(w, l.delayed[i])
 	l.delayed = append(l.delayed[:i], l.delayed[i+1:]...)
-	w.report.Event("record landed late")
+	w.report.Event("delayed record written")
 }
 
 // trim removes the records that are older than the retention.
--- a/internal/prove/claims/outside.go
+++ b/internal/prove/claims/outside.go
@@ -133,7 +133,7 @@
 		r.call.reply = &reply{result: claim.DispatchMayHaveRun}
 		w.report.Event("upstream broke after running")
 	case n <= lastLostDraw:
-		w.report.Event("request lost on its way")
+		w.report.Event("request lost in transit")
 	default:
 		recorded := w.run(r.request)
 		r.call.reply = &reply{response: recorded}
--- a/internal/prove/claims/process.go
+++ b/internal/prove/claims/process.go
@@ -97,7 +97,7 @@
 	}
 	if p.nextOffset < w.log.oldest {
 		p.nextOffset = w.log.oldest
-		w.report.Event("reader met expired records")
+		w.report.Event("reader found expired records")
 		if w.mutant != mutantTrustAfterExpiry {
 			p.core.Trimmed(p.nextOffset)
 		}
@@ -160,7 +160,7 @@
 		return
 	}
 	if len(batch) > 1 {
-		w.report.Event("entries shared an append")
+		w.report.Event("append with several entries")
 	}
 	refused := w.log.append(w, entries) == appendRefused
 	for _, a := range batch {
@@ -238,5 +238,5 @@
 	for _, e := range p.core.Checkpoint(applied) {
 		p.enqueue(&pendingAppend{entry: e})
 	}
-	w.report.Event("checkpoint begun")
+	w.report.Event("checkpoint started")
 }
--- a/internal/prove/claims/scenario.go
+++ b/internal/prove/claims/scenario.go
@@ -186,7 +186,7 @@
 		p.start()
 	case n < 8:
 		w.log.down = true
-		w.report.Event("outage of the log")
+		w.report.Event("log outage")
 	case n < 20:
 		w.now = w.now.Add(w.randDuration(100*time.Millisecond, 5*time.Second))
 	case n < 23:
--- a/internal/prove/prove.go
+++ b/internal/prove/prove.go
@@ -104,7 +104,7 @@
 type MutantResult struct {
 	Name   string
 	Caught bool
-	// Interleavings is the number of interleavings that it took.
+	// Interleavings is the number of interleavings that were run.
 	Interleavings int
 	// ViolatedInvariants lists the invariants violated by the interleaving that caught the
 	// mutant.
--- a/internal/status/node.go
+++ b/internal/status/node.go
@@ -27,8 +27,8 @@
 type DrainTracker interface {
 	// Draining returns the engines that get no new work.
 	Draining() []string
-	// Avoid excludes engines that a peer gives no new work. It has an effect only until the
-	// log has been read.
+	// Avoid excludes engines to which a peer sends no new work. It has an effect only until
+	// the log has been read.
 	Avoid(engines []string)
 }
 
