--- a/internal/controller/interleave/engine.go
+++ b/internal/controller/interleave/engine.go
@@ -20,9 +20,11 @@
 	lastOrder     string
 	fencingToken  uint64
 	running       int
-	changeSeq     int
-	pausedUntil   time.Duration
-	down          bool
+	// changeSeq rises with each accepted order and crash, which voids scheduled
+	// completions.
+	changeSeq   int
+	pausedUntil time.Duration
+	down        bool
 	// highestToken is the highest fencing token of an accepted order, whether or not the
 	// engine checks tokens.
 	highestToken uint64
--- a/internal/controller/interleave/log.go
+++ b/internal/controller/interleave/log.go
@@ -97,11 +97,11 @@
 }
 
 // catchUp applies the records that a reader has not read yet.
-func (w *world) catchUp(f *logState, read *int, readAt time.Time) {
+func (w *world) catchUp(state *logState, read *int, readAt time.Time) {
 	for _, p := range w.simLog.records[*read:] {
 		p.ReadAt = readAt
-		f.leases.Apply(p)
-		f.changes.Apply(p)
+		state.leases.Apply(p)
+		state.changes.Apply(p)
 	}
 	*read = len(w.simLog.records)
 }
--- a/internal/prove/claims/call.go
+++ b/internal/prove/claims/call.go
@@ -35,11 +35,11 @@
 }
 
 // begin starts the processing of a caller's request.
-func (p *process) begin(s *callerRequest) {
-	c := &call{process: p, request: s, started: p.world.now, pendingInCore: true}
+func (p *process) begin(req *callerRequest) {
+	c := &call{process: p, request: req, started: p.world.now, pendingInCore: true}
 	p.calls = append(p.calls, c)
 	var step claim.Step
-	c.id, step = p.core.Start(p.env(), s.key.key, s.digest)
+	c.id, step = p.core.Start(p.env(), req.key.key, req.digest)
 	c.applyStep(step)
 	p.collectOutput()
 }
@@ -201,12 +201,12 @@
 
 // answer gives the caller its result, unless it already has one.
 func (c *call) answer(r claim.Result) {
-	s := c.request
-	if s.result != nil {
+	req := c.request
+	if req.result != nil {
 		return
 	}
-	s.result = r
-	c.process.world.checkAnswer(c.process, s, r)
+	req.result = r
+	c.process.world.checkAnswer(c.process, req, r)
 }
 
 func (c *call) remove() {
--- a/internal/prove/claims/checks.go
+++ b/internal/prove/claims/checks.go
@@ -24,12 +24,12 @@
 )
 
 // checkRun checks a run before it is recorded.
-func (w *world) checkRun(s *callerRequest, r run) {
-	w.check(invariantAtMostOnce, w.runAllowed(s.key, r), func() string {
-		return fmt.Sprintf("key %d ran at %v and again at %v", s.key.serial, s.key.runs[0].at, r.at)
+func (w *world) checkRun(req *callerRequest, r run) {
+	w.check(invariantAtMostOnce, w.runAllowed(req.key, r), func() string {
+		return fmt.Sprintf("key %d ran at %v and again at %v", req.key.serial, req.key.runs[0].at, r.at)
 	})
-	w.check(invariantNotRunIsTrue, !isNotRun(s.result), func() string {
-		return fmt.Sprintf("key %d runs after %#v", s.key.serial, s.result)
+	w.check(invariantNotRunIsTrue, !isNotRun(req.result), func() string {
+		return fmt.Sprintf("key %d runs after %#v", req.key.serial, req.result)
 	})
 }
 
@@ -52,39 +52,39 @@
 }
 
 // checkAnswer checks a result given to a caller.
-func (w *world) checkAnswer(p *process, s *callerRequest, r claim.Result) {
+func (w *world) checkAnswer(p *process, req *callerRequest, r claim.Result) {
 	w.report.Event(fmt.Sprintf("answer %T", r))
 	if isNotRun(r) {
-		w.check(invariantNotRunIsTrue, !s.ran, func() string {
-			return fmt.Sprintf("key %d ran before %#v", s.key.serial, r)
+		w.check(invariantNotRunIsTrue, !req.ran, func() string {
+			return fmt.Sprintf("key %d ran before %#v", req.key.serial, r)
 		})
 	}
 	switch r := r.(type) {
 	case claim.NotRun:
 		w.report.Event("not run: " + string(r.Reason))
-		w.checkNotRun(p, s, r)
+		w.checkNotRun(p, req, r)
 	case claim.Done:
-		w.checkDone(s, r)
+		w.checkDone(req, r)
 	case claim.KeyReused:
-		w.checkReused(s)
+		w.checkReused(req)
 	}
 }
 
-func (w *world) checkNotRun(p *process, s *callerRequest, r claim.NotRun) {
+func (w *world) checkNotRun(p *process, req *callerRequest, r claim.NotRun) {
 	if r.Scope == claim.ScopeKey {
-		w.check(invariantNotRunKeyScope, !w.ranRecently(s.key), func() string {
-			return fmt.Sprintf("key %d had run, and %#v", s.key.serial, r)
+		w.check(invariantNotRunKeyScope, !w.ranRecently(req.key), func() string {
+			return fmt.Sprintf("key %d had run, and %#v", req.key.serial, r)
 		})
 	}
 	if !p.core.Ledger().Complete() {
 		// An apparent claim of another process may have lost to a claim that expired.
 		return
 	}
-	state, attempt := p.core.Ledger().Lookup(s.key.key)
+	state, attempt := p.core.Ledger().Lookup(req.key.key)
 	info := w.claims[attempt]
 	ownClaim := state == claim.KeyClaimed && info.owner == p && info.writer == p.name
 	w.check(invariantNotRunOwnClaim, state == claim.KeyFree || ownClaim, func() string {
-		return fmt.Sprintf("key %d is in state %d by %q, and %q says %#v", s.key.serial, state, info.writer, p.name, r)
+		return fmt.Sprintf("key %d is in state %d by %q, and %q says %#v", req.key.serial, state, info.writer, p.name, r)
 	})
 }
 
@@ -93,18 +93,18 @@
 	return n > 0 && (k.key.Timed() || w.now.Sub(k.runs[n-1].at) < config.KeyTTL*8/10)
 }
 
-func (w *world) checkDone(s *callerRequest, r claim.Done) {
-	w.check(invariantDoneMatchesRun, matchesRun(s, r), func() string {
-		return fmt.Sprintf("key %d: %#v, runs %v", s.key.serial, r, s.key.runs)
+func (w *world) checkDone(req *callerRequest, r claim.Done) {
+	w.check(invariantDoneMatchesRun, matchesRun(req, r), func() string {
+		return fmt.Sprintf("key %d: %#v, runs %v", req.key.serial, r, req.key.runs)
 	})
 	if !r.ResponseComplete {
 		w.report.Event("response not recorded")
 	}
 }
 
-func matchesRun(s *callerRequest, d claim.Done) bool {
-	for _, r := range s.key.runs {
-		same := r.response.Status == d.Response.Status && r.digest == s.digest
+func matchesRun(req *callerRequest, d claim.Done) bool {
+	for _, r := range req.key.runs {
+		same := r.response.Status == d.Response.Status && r.digest == req.digest
 		if same && (!d.ResponseComplete || bytes.Equal(r.response.Body, d.Response.Body)) {
 			return true
 		}
@@ -112,13 +112,13 @@
 	return false
 }
 
-func (w *world) checkReused(s *callerRequest) {
+func (w *world) checkReused(req *callerRequest) {
 	differs := false
-	for _, o := range s.key.requests {
-		differs = differs || o.digest != s.digest
+	for _, o := range req.key.requests {
+		differs = differs || o.digest != req.digest
 	}
 	w.check(invariantReusedIsTrue, differs, func() string {
-		return fmt.Sprintf("key %d has one request", s.key.serial)
+		return fmt.Sprintf("key %d has one request", req.key.serial)
 	})
 }
 
@@ -169,9 +169,9 @@
 
 func (w *world) checkFreshKeyRuns() {
 	for _, p := range w.procs {
-		s := &callerRequest{key: w.newKey(false), digest: firstDigest}
-		s.key.requests = []*callerRequest{s}
-		w.checkRuns(p, s, invariantFreshKeyRuns)
+		req := &callerRequest{key: w.newKey(false), digest: firstDigest}
+		req.key.requests = []*callerRequest{req}
+		w.checkRuns(p, req, invariantFreshKeyRuns)
 	}
 }
 
@@ -183,22 +183,22 @@
 		if state != claim.KeyFree || k.key.Timed() || !w.mayResend(k) {
 			continue
 		}
-		s := &callerRequest{key: k, digest: firstDigest}
-		k.requests = append(k.requests, s)
-		w.checkRuns(p, s, invariantRefusedKeyRuns)
+		req := &callerRequest{key: k, digest: firstDigest}
+		k.requests = append(k.requests, req)
+		w.checkRuns(p, req, invariantRefusedKeyRuns)
 	}
 }
 
-func (w *world) checkRuns(p *process, s *callerRequest, invariant string) {
+func (w *world) checkRuns(p *process, req *callerRequest, invariant string) {
 	if !p.core.Ledger().Complete() {
 		return
 	}
-	p.begin(s)
+	p.begin(req)
 	for range 10 {
 		w.runRound(100 * time.Millisecond)
 	}
-	_, done := s.result.(claim.Done)
+	_, done := req.result.(claim.Done)
 	w.check(invariant, done, func() string {
-		return fmt.Sprintf("%s, key %d: %#v", p.name, s.key.serial, s.result)
+		return fmt.Sprintf("%s, key %d: %#v", p.name, req.key.serial, req.result)
 	})
 }
--- a/internal/prove/claims/log.go
+++ b/internal/prove/claims/log.go
@@ -63,24 +63,24 @@
 // append appends a record and returns the outcome. The writer learns only of appendWritten
 // and appendRefused.
 func (l *simLog) append(w *world, entries []journal.Entry) appendOutcome {
-	f := appendWritten
+	outcome := appendWritten
 	if !w.faultsEnded {
-		f = pick(w, []appendOutcome{
+		outcome = pick(w, []appendOutcome{
 			appendWritten, appendWritten, appendWritten, appendWritten, appendWritten,
 			appendReplyLost, appendLost, appendDelayed, appendRefused,
 		})
 	}
 	if l.down {
-		f = pick(w, []appendOutcome{appendRefused, appendLost, appendDelayed})
+		outcome = pick(w, []appendOutcome{appendRefused, appendLost, appendDelayed})
 	}
-	switch f {
+	switch outcome {
 	case appendWritten, appendReplyLost:
 		l.write(w, entries)
 	case appendDelayed:
 		l.delayed = append(l.delayed, entries)
 	}
-	if f == appendReplyLost {
+	if outcome == appendReplyLost {
 		w.report.Event("reply of an append lost after the write")
 	}
-	return f
+	return outcome
 }
--- a/internal/prove/claims/outside.go
+++ b/internal/prove/claims/outside.go
@@ -89,12 +89,12 @@
 }
 
 func (w *world) newRequest(k *key) *callerRequest {
-	s := &callerRequest{key: k, digest: firstDigest}
+	req := &callerRequest{key: k, digest: firstDigest}
 	if w.chance(4) {
-		s.digest = secondDigest
+		req.digest = secondDigest
 	}
-	k.requests = append(k.requests, s)
-	return s
+	k.requests = append(k.requests, req)
+	return req
 }
 
 // mayResend is the rule for callers: a plain key is not sent again shortly before or after
@@ -135,22 +135,22 @@
 	case n <= lastLostDraw:
 		w.report.Event("request lost in transit")
 	default:
-		recorded := w.run(r.request)
-		r.call.reply = &reply{response: recorded}
+		response := w.run(r.request)
+		r.call.reply = &reply{response: response}
 	}
 }
 
 // run executes a request and returns a unique response.
-func (w *world) run(s *callerRequest) claim.Response {
+func (w *world) run(req *callerRequest) claim.Response {
 	w.runs++
 	body := fmt.Sprintf("run %d", w.runs)
 	if w.chance(20) {
 		body += " with an answer that is too long to be kept"
 	}
-	r := run{at: w.now, digest: s.digest, response: claim.Response{Status: 200 + w.runs%50, Body: []byte(body)}}
-	w.checkRun(s, r)
-	s.ran = true
-	s.key.runs = append(s.key.runs, r)
+	r := run{at: w.now, digest: req.digest, response: claim.Response{Status: 200 + w.runs%50, Body: []byte(body)}}
+	w.checkRun(req, r)
+	req.ran = true
+	req.key.runs = append(req.key.runs, r)
 	w.report.Event("run")
 	return r.response
 }
--- a/internal/prove/prove.go
+++ b/internal/prove/prove.go
@@ -115,7 +115,7 @@
 type Summary struct {
 	Scenario      string
 	Interleavings int
-	Took          time.Duration
+	Elapsed       time.Duration
 	Report        *Report
 	Mutants       []MutantResult
 }
@@ -134,7 +134,7 @@
 	sum := Summary{Scenario: s.Name(), Report: NewReport()}
 	sum.Interleavings = runAll(ctx, s, o, sum.Report)
 	sum.Mutants = runMutants(ctx, s, o)
-	sum.Took = time.Since(start)
+	sum.Elapsed = time.Since(start)
 	return sum
 }
 
@@ -195,7 +195,7 @@
 
 // Print writes the summary as text.
 func (s Summary) Print(w io.Writer) {
-	fmt.Fprintf(w, "%s: %d interleavings in %.1f s\n", s.Scenario, s.Interleavings, s.Took.Seconds())
+	fmt.Fprintf(w, "%s: %d interleavings in %.1f s\n", s.Scenario, s.Interleavings, s.Elapsed.Seconds())
 	for _, name := range slices.Sorted(maps.Keys(s.Report.Invariants)) {
 		t := s.Report.Invariants[name]
 		fmt.Fprintf(w, "  %-58s checked %9d  violated %d\n", name, t.Checked, t.Violated)
--- a/internal/status/fetch.go
+++ b/internal/status/fetch.go
@@ -16,10 +16,9 @@
 
 const (
 	// firstFetchDelay is how long a starting entry waits for the log before it asks peers.
-	// Without it an order could cut off a request: a killed entry may have acknowledged a
-	// drain that its successor doesn't know, and leaders count that for wire.StatusFresh.
-	// Later a drain completes without this entry only if every peer has applied it, and
-	// then replies name it.
+	// A leader counts a killed predecessor's acknowledged drain for wire.StatusFresh; until
+	// then its order could cut off this entry's requests. A later drain is complete without
+	// this entry only if every peer has applied it, and then replies name it.
 	firstFetchDelay = wire.StatusFresh + 100*time.Millisecond
 	// maxConcurrentFetches limits how many peers are asked at the same time.
 	maxConcurrentFetches = 8
@@ -50,32 +49,32 @@
 // peersToAsk selects other instances by the settings alone, because no peer has been heard
 // from at a start.
 func (n *Node) peersToAsk(round int) []settings.Instance {
-	var near []settings.Instance
+	var candidates []settings.Instance
 	for _, dc := range n.opts.Deployment.Nearest(n.opts.Self.DataCentre) {
 		for _, in := range n.opts.Deployment.Instances {
 			if in.DataCentre == dc && in.Name != n.opts.Self.Name {
-				near = append(near, in)
+				candidates = append(candidates, in)
 			}
 		}
 	}
-	if len(near) <= maxConcurrentFetches {
-		return near
+	if len(candidates) <= maxConcurrentFetches {
+		return candidates
 	}
-	first := round * maxConcurrentFetches % len(near)
-	return slices.Concat(near[first:], near[:first])[:maxConcurrentFetches]
+	first := round * maxConcurrentFetches % len(candidates)
+	return slices.Concat(candidates[first:], candidates[:first])[:maxConcurrentFetches]
 }
 
 func (n *Node) fetchFrom(ctx context.Context, in settings.Instance) bool {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	answer, err := wire.Ask(ctx, n.cfg, in.Peers, wire.RulesRequest{})
+	message, err := wire.Ask(ctx, n.cfg, in.Peers, wire.RulesRequest{})
 	if err != nil {
 		n.log.Debug("rules request to peer failed", "peer", in.Name, "err", err)
 		return false
 	}
-	reply, ok := answer.(wire.RulesReply)
+	reply, ok := message.(wire.RulesReply)
 	if !ok {
-		n.log.Warn("unexpected reply to a rules request", "peer", in.Name, "kind", answer.Kind())
+		n.log.Warn("unexpected reply to a rules request", "peer", in.Name, "kind", message.Kind())
 		return false
 	}
 	// Drains are applied first, because the entry begins to serve once it has rules.
--- a/internal/status/node.go
+++ b/internal/status/node.go
@@ -32,9 +32,9 @@
 	Avoid(engines []string)
 }
 
-// StatusSource returns the entry's status; the node fills in the sender and the time. It
+// Source returns the entry's status; the node fills in the sender and the time. It
 // must read the journal position before the request counts.
-type StatusSource func() wire.EntryStatus
+type Source func() wire.EntryStatus
 
 // Options configures a Node.
 type Options struct {
@@ -50,7 +50,7 @@
 	Applied   func() journal.Position
 	// CaughtUp is closed once the log has been read to its end.
 	CaughtUp <-chan struct{}
-	Source   StatusSource
+	Source   Source
 	Logger   *slog.Logger
 }
 
--- a/internal/status/status_test.go
+++ b/internal/status/status_test.go
@@ -41,6 +41,7 @@
 	return d
 }
 
+// testNode is a running node with access to its dependencies.
 type testNode struct {
 	*Node
 	replica      *rules.Replica
