--- a/internal/controller/auditrecorder.go
+++ b/internal/controller/auditrecorder.go
@@ -35,8 +35,8 @@
 	maxPendingRecords = 256
 	// recordTimeout bounds the writing of one record.
 	recordTimeout = 5 * time.Second
-	// drainPollInterval is the time between two checks whether all records are written.
-	drainPollInterval = 10 * time.Millisecond
+	// flushPollInterval is the polling interval of flush.
+	flushPollInterval = 10 * time.Millisecond
 )
 
 // auditRecorder implements EventRecorder. It queues audit records and writes them to the
@@ -74,10 +74,10 @@
 	}
 }
 
-// drain waits until all records have been written or the context ends.
-func (t *auditRecorder) drain(ctx context.Context) {
+// flush waits until all records have been written or the context ends.
+func (t *auditRecorder) flush(ctx context.Context) {
 	for ctx.Err() == nil && t.unwritten.Load() > 0 {
-		sleep(ctx, drainPollInterval)
+		sleep(ctx, flushPollInterval)
 	}
 }
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -32,14 +32,16 @@
 	stopTimeout = 5 * time.Second
 	// claimStagger is the delay between the lease claims of a data centre's instances.
 	claimStagger = 50 * time.Millisecond
-	// drainTimeoutFactor times the duration of a change bounds a drain.
+	// drainTimeoutFactor is the maximum duration of a drain, as a multiple of a change's
+	// duration.
 	drainTimeoutFactor = 30
 	// An engine's state is read readsPerChange times in the duration of a change, at
 	// intervals from minReadInterval to maxReadInterval.
 	readsPerChange  = 8
 	minReadInterval = 50 * time.Millisecond
 	maxReadInterval = 500 * time.Millisecond
-	// orderTimeoutFactor times the duration of a change bounds an order.
+	// orderTimeoutFactor is the maximum duration of an order, as a multiple of a change's
+	// duration.
 	orderTimeoutFactor = 10
 )
 
@@ -196,13 +198,13 @@
 // claimDelay returns this instance's claim delay: claimStagger times its rank among the
 // data centre's instances by name.
 func (c *Controller) claimDelay() time.Duration {
-	var before time.Duration
+	var delay time.Duration
 	for _, in := range c.cfg.Deployment.Instances {
 		if in.DataCentre == c.self.DataCentre && in.Name < c.self.Name {
-			before += claimStagger
+			delay += claimStagger
 		}
 	}
-	return before
+	return delay
 }
 
 // leading reports whether this process leads any scope now.
@@ -348,7 +350,7 @@
 		}
 	}
 	c.leadership.report()
-	c.recorder.drain(ctx)
+	c.recorder.flush(ctx)
 }
 
 func (c *Controller) logEvent(e suture.Event) { c.log.Debug("supervisor", "event", e.String()) }
--- a/internal/controller/executor.go
+++ b/internal/controller/executor.go
@@ -201,9 +201,9 @@
 	x.recorder.RecordChange(c, previous, reason)
 }
 
-// send sends an order. The authority's validity is checked last before the write. A pause
-// in between is guarded against by fencing tokens, and for engines that don't check them by
-// never taking over their scope on expiry alone.
+// send sends an order. The authority's validity is checked last before the write. If the
+// process is paused in between, fencing tokens protect the engines that check them; for the
+// others, the scope is never taken over on expiry alone.
 func (x *Executor) send(ctx context.Context, a lease.Authority, action orders.Action) bool {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/internal/controller/interleave/entry.go
+++ b/internal/controller/interleave/entry.go
@@ -109,9 +109,9 @@
 
 // checkBeforeCount checks and counts in the wrong order, for mutantCheckBeforeCount.
 func (n *entry) checkBeforeCount(name string) {
-	takes := n.state.changes.Engine(name).TakesWork()
+	takesWork := n.state.changes.Engine(name).TakesWork()
 	n.schedule(n.queueDelay(), func() {
-		if takes {
+		if takesWork {
 			n.inFlight[name]++
 			n.send(name)
 			return
--- a/internal/controller/interleave/keeper.go
+++ b/internal/controller/interleave/keeper.go
@@ -18,10 +18,10 @@
 	released  bool
 }
 
-func (p *process) newKeeper(scope string, byProof bool) *keeper {
+func (p *process) newKeeper(scope string, unfenced bool) *keeper {
 	cfg := lease.Config{
 		Scope: scope, Instance: p.instance.name, Incarnation: p.incarnation,
-		Term: term, Renew: renew, Drift: drift, Unfenced: byProof, Settle: settle,
+		Term: term, Renew: renew, Drift: drift, Unfenced: unfenced, Settle: settle,
 		ClaimDelay: time.Duration(p.instance.name[1]-'1') * 50 * time.Millisecond,
 	}
 	switch p.w.mutant {
--- a/internal/controller/interleave/scenario.go
+++ b/internal/controller/interleave/scenario.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// checkEnd checks the invariants that hold after the recovery phase.
-func (w *world) checkEnd() {
+// checkFinalState checks the invariants that hold after the recovery phase.
+func (w *world) checkFinalState() {
 	for _, scope := range scopes {
 		w.report.Check(invariantHasLeader, w.hasLeader(scope), func() string {
 			return fmt.Sprintf("%s has no leader: %+v", scope, w.reference.leases.Scope(scope))
--- a/internal/controller/interleave/world.go
+++ b/internal/controller/interleave/world.go
@@ -69,7 +69,7 @@
 	ids    int
 	mutant string
 	report *prove.Report
-	// pauseProbability is the probability of a pause just before a write.
+	// pauseProbability scales the probability of a pause, stop or kill around a write.
 	pauseProbability float64
 	// faultsEnded disables all faults, after which every open change must end.
 	faultsEnded bool
@@ -133,7 +133,7 @@
 		m.restart()
 	}
 	w.runUntil(faultPhase + recoveryPhase)
-	w.checkEnd()
+	w.checkFinalState()
 }
 
 func (w *world) runUntil(end time.Duration) {
--- a/internal/controller/operatorserver.go
+++ b/internal/controller/operatorserver.go
@@ -17,11 +17,11 @@
 
 // Bounds of the operators' HTTP server.
 const (
-	pageMaxBody = 4 << 10
-	pageTimeout = 10 * time.Second
+	maxRequestBody = 4 << 10
+	requestTimeout = 10 * time.Second
 	// pageCloseTimeout bounds the wait for requests in flight when the controller stops.
-	pageCloseTimeout = time.Second
-	contentText      = "text/plain; version=0.0.4; charset=utf-8"
+	serverCloseTimeout = time.Second
+	metricsContentType      = "text/plain; version=0.0.4; charset=utf-8"
 )
 
 // OperatorServer serves the operators' address of a controller over HTTP: the status
@@ -93,7 +93,7 @@
 	if p.tls != nil {
 		l = tls.NewListener(l, p.tls)
 	}
-	if err := httpx.Serve(ctx, p.app(), l, pageCloseTimeout); err != nil && ctx.Err() == nil {
+	if err := httpx.Serve(ctx, p.app(), l, serverCloseTimeout); err != nil && ctx.Err() == nil {
 		return eris.Wrap(err, "operators' page")
 	}
 	return ctx.Err()
@@ -102,10 +102,10 @@
 func (p *OperatorServer) app() *fiber.App {
 	app := fiber.New(fiber.Config{
 		DisableStartupMessage: true,
-		BodyLimit:             pageMaxBody,
-		ReadTimeout:           pageTimeout,
-		WriteTimeout:          pageTimeout,
-		IdleTimeout:           pageTimeout,
+		BodyLimit:             maxRequestBody,
+		ReadTimeout:           requestTimeout,
+		WriteTimeout:          requestTimeout,
+		IdleTimeout:           requestTimeout,
 	})
 	app.Get("/healthz", func(c *fiber.Ctx) error { return c.SendString("ok\n") })
 	app.Get("/readyz", p.readyz)
@@ -126,6 +126,6 @@
 	if _, err := p.metrics.WriteTo(&buf); err != nil {
 		return err
 	}
-	c.Set(fiber.HeaderContentType, contentText)
+	c.Set(fiber.HeaderContentType, metricsContentType)
 	return c.Send(buf.Bytes())
 }
--- a/internal/controller/operatorserver_test.go
+++ b/internal/controller/operatorserver_test.go
@@ -17,12 +17,12 @@
 	"tamarackchute/internal/telemetry"
 )
 
-const pageToken = "spring-lime-4711"
+const testToken = "spring-lime-4711"
 
 // The status shows who leads and which engine is about to change, so it needs a token.
 // Probes and scrapers have none, so health and metrics stay open.
 func TestStatusRequiresOperatorToken(t *testing.T) {
-	hash := sha256.Sum256([]byte(pageToken))
+	hash := sha256.Sum256([]byte(testToken))
 	var lines bytes.Buffer
 	c := &Controller{cfg: Config{
 		Deployment: &settings.Deployment{Security: settings.Security{
@@ -40,9 +40,9 @@
 		want                string
 	}{
 		{"/status", "", 401, "a valid operator's token is needed"},
-		{"/status", "Bearer " + pageToken + "x", 401, "a valid operator's token is needed"},
-		{"/status", "Basic " + pageToken, 401, "a valid operator's token is needed"},
-		{"/status", "Bearer " + pageToken, 200, `"instance":"i1"`},
+		{"/status", "Bearer " + testToken + "x", 401, "a valid operator's token is needed"},
+		{"/status", "Basic " + testToken, 401, "a valid operator's token is needed"},
+		{"/status", "Bearer " + testToken, 200, `"instance":"i1"`},
 		{"/healthz", "", 200, "ok"},
 		{"/readyz", "", 200, "ok"},
 		{"/metrics", "", 200, ""},
@@ -58,5 +58,5 @@
 		assert.Contains(t, string(body), step.want)
 	}
 	assert.Contains(t, lines.String(), "without a valid token")
-	assert.NotContains(t, lines.String(), pageToken)
+	assert.NotContains(t, lines.String(), testToken)
 }
--- a/internal/controller/presence.go
+++ b/internal/controller/presence.go
@@ -34,8 +34,8 @@
 
 // NewPresence returns a follower of the list. An instance counts as gone only after it has
 // been missing from all responses for maxLag.
-func NewPresence(list infra.InstanceList, lag time.Duration, log *slog.Logger) *Presence {
-	return &Presence{list: list, maxLag: lag, log: log, absentSince: map[string]time.Time{}}
+func NewPresence(list infra.InstanceList, maxLag time.Duration, log *slog.Logger) *Presence {
+	return &Presence{list: list, maxLag: maxLag, log: log, absentSince: map[string]time.Time{}}
 }
 
 // String names the service for the supervisor's log.
--- a/internal/prove/claims/scenario.go
+++ b/internal/prove/claims/scenario.go
@@ -65,7 +65,7 @@
 	KeyTTL:       10 * time.Minute,
 	Retention:    time.Minute,
 	KeySkew:      20 * time.Second,
-	// Some answers exceed this and are not recorded.
+	// Some responses exceed this and are not recorded.
 	MaxRecordedBytes: 40,
 }
 
