--- a/internal/controller/operatorserver.go
+++ b/internal/controller/operatorserver.go
@@ -21,7 +21,7 @@
 	requestTimeout = 10 * time.Second
 	// pageCloseTimeout bounds the wait for requests in flight when the controller stops.
 	serverCloseTimeout = time.Second
-	metricsContentType      = "text/plain; version=0.0.4; charset=utf-8"
+	metricsContentType = "text/plain; version=0.0.4; charset=utf-8"
 )
 
 // OperatorServer serves the operators' address of a controller over HTTP: the status
