--- a/claim/bench_test.go
+++ b/claim/bench_test.go
@@ -140,7 +140,7 @@
 		core := claim.NewCore(claim.Config{}, env.Now)
 		id, step := core.Start(env, claim.ParseKey(fmt.Sprint("key", i)), 1)
 		entry := step.(claim.ClaimStep).Entry
-		core.Apply(journal.Placed{Position: journal.Position{Offset: 1}, At: env.Now, Entry: entry})
+		core.Apply(journal.LogEntry{Position: journal.Position{Offset: 1}, At: env.Now, Entry: entry})
 		core.Claimed(env, id, claim.Appended)
 		core.Confirm(env, id, false)
 		core.Dispatched(env, id, claim.Response{Status: 201, Body: []byte(`{"booking":"1234567"}`)}, claim.DispatchCompleted)
@@ -160,11 +160,11 @@
 		l := claim.NewLedger(claim.Config{})
 		start := time.Now()
 		for i, e := range entries {
-			l.Apply(journal.Placed{Position: journal.Position{Offset: 1, Index: uint16(i)}, At: env.Now, Entry: e})
+			l.Apply(journal.LogEntry{Position: journal.Position{Offset: 1, Index: uint16(i)}, At: env.Now, Entry: e})
 		}
 		took := time.Since(start)
 		full := heap() - before
-		l.Apply(journal.Placed{At: env.Now.Add(2 * time.Hour), Entry: entries[0]}) // responses expire
+		l.Apply(journal.LogEntry{At: env.Now.Add(2 * time.Hour), Entry: entries[0]}) // responses expire
 		b.ReportMetric(float64(len(entries))/took.Seconds(), "entries/s")
 		b.ReportMetric(float64(full)/keys, "B/key-with-answer")
 		b.ReportMetric(float64(heap()-before)/keys, "B/key")
--- a/claim/core.go
+++ b/claim/core.go
@@ -92,7 +92,7 @@
 func (c *Core) Ledger() *Ledger { return c.ledger }
 
 // Apply folds a journal entry.
-func (c *Core) Apply(p journal.Placed) {
+func (c *Core) Apply(p journal.LogEntry) {
 	c.handleMessage(c.ledger.fold(p))
 	c.pruneBlocked()
 }
--- a/claim/guard.go
+++ b/claim/guard.go
@@ -58,8 +58,8 @@
 }
 
 var (
-	_ journal.Folder  = (*Guard)(nil)
-	_ journal.Trimmer = (*Guard)(nil)
+	_ journal.StateMachine = (*Guard)(nil)
+	_ journal.TrimListener = (*Guard)(nil)
 )
 
 // NewGuard returns a Guard over a journal. It fails if the durations in cfg are
@@ -81,12 +81,12 @@
 	}, nil
 }
 
-// Apply implements journal.Folder.
-func (g *Guard) Apply(p journal.Placed) {
+// Apply implements journal.StateMachine.
+func (g *Guard) Apply(p journal.LogEntry) {
 	g.withCore(func() { g.core.Apply(p) })
 }
 
-// Trimmed implements journal.Trimmer.
+// Trimmed implements journal.TrimListener.
 func (g *Guard) Trimmed(oldest infra.Offset) {
 	g.withCore(func() { g.core.Trimmed(oldest) })
 }
--- a/claim/ledger.go
+++ b/claim/ledger.go
@@ -42,8 +42,8 @@
 }
 
 var (
-	_ journal.Folder  = (*Ledger)(nil)
-	_ journal.Trimmer = (*Ledger)(nil)
+	_ journal.StateMachine = (*Ledger)(nil)
+	_ journal.TrimListener = (*Ledger)(nil)
 )
 
 // NewLedger returns an empty ledger. It assumes a complete history until Trimmed
@@ -62,12 +62,12 @@
 	l.now = time.Time{}
 }
 
-// Apply implements journal.Folder. An entry that can't be decoded is counted
+// Apply implements journal.StateMachine. An entry that can't be decoded is counted
 // and skipped, by every reader alike.
-func (l *Ledger) Apply(p journal.Placed) { l.fold(p) }
+func (l *Ledger) Apply(p journal.LogEntry) { l.fold(p) }
 
 // fold applies an entry and returns its message, or nil if it can't be decoded.
-func (l *Ledger) fold(p journal.Placed) any {
+func (l *Ledger) fold(p journal.LogEntry) any {
 	l.position = p.Position
 	m, err := decodeEntry(p.Entry.Body)
 	if err != nil {
@@ -90,7 +90,7 @@
 	return m
 }
 
-// Trimmed implements journal.Trimmer. The known state may be out of date, so the
+// Trimmed implements journal.TrimListener. The known state may be out of date, so the
 // ledger starts from scratch, after a gap that a checkpoint closes.
 func (l *Ledger) Trimmed(oldest infra.Offset) {
 	l.clear()
--- a/claim/ledger_test.go
+++ b/claim/ledger_test.go
@@ -17,12 +17,12 @@
 var testStart = time.Unix(1_700_000_000, 0)
 
 // history is a log of claim entries.
-type history []journal.Placed
+type history []journal.LogEntry
 
 func (h *history) add(at time.Time, e journal.Entry, writer string) {
 	e.Writer = writer
 	position := journal.Position{Offset: infra.Offset(len(*h) + 1)}
-	*h = append(*h, journal.Placed{Position: position, At: at, ReadAt: at, Entry: e})
+	*h = append(*h, journal.LogEntry{Position: position, At: at, ReadAt: at, Entry: e})
 }
 
 func (h history) fold(l *Ledger) *Ledger {
@@ -129,7 +129,7 @@
 		core := NewCore(testConfig, testStart)
 		env := Env{Now: testStart, LogUp: true}
 		id, step := core.Start(env, Key{ID: KeyID{1}}, 1)
-		core.Apply(journal.Placed{Position: journal.Position{Offset: 1}, At: testStart, Entry: step.(ClaimStep).Entry})
+		core.Apply(journal.LogEntry{Position: journal.Position{Offset: 1}, At: testStart, Entry: step.(ClaimStep).Entry})
 		require.Equal(t, DispatchStep{}, core.Claimed(env, id, Appended))
 		env.Now = testStart.Add(c.pause)
 		result := core.Confirm(env, id, false).(ResultStep).Result.(NotRun)
@@ -147,7 +147,7 @@
 	f.Fuzz(func(t *testing.T, body []byte) {
 		l := NewLedger(testConfig)
 		l.Trimmed(1)
-		l.Apply(journal.Placed{Position: journal.Position{Offset: 1}, At: testStart, Entry: journal.Entry{Body: body}})
+		l.Apply(journal.LogEntry{Position: journal.Position{Offset: 1}, At: testStart, Entry: journal.Entry{Body: body}})
 		l.Fingerprint()
 	})
 }
@@ -171,7 +171,7 @@
 		t.Run(name, func(t *testing.T) {
 			l := NewLedger(testConfig)
 			l.Trimmed(1)
-			l.Apply(journal.Placed{Position: journal.Position{Offset: 1}, At: testStart, Entry: journal.Entry{Body: body}})
+			l.Apply(journal.LogEntry{Position: journal.Position{Offset: 1}, At: testStart, Entry: journal.Entry{Body: body}})
 			require.Equal(t, 1, l.Corrupt())
 		})
 	}
--- a/cmd/chute-controller/process_test.go
+++ b/cmd/chute-controller/process_test.go
@@ -146,7 +146,7 @@
 	ch := c.changed(func(ch orders.Change) bool { return ch.Phase == orders.PhaseConfirmed })
 	assert.Equal(t, upstream.OrderModel, ch.Kind)
 	assert.Equal(t, "e1", ch.Engine)
-	assert.InDelta(t, 5<<20, ch.Reserve.BytesPerSec, 1)
+	assert.InDelta(t, 5<<20, ch.Reservation.BytesPerSec, 1)
 	state := c.engines["e1"].State()
 	assert.Equal(t, "m", state.Model)
 	assert.Equal(t, "v2", state.Version)
--- a/internal/audit/trail.go
+++ b/internal/audit/trail.go
@@ -14,7 +14,7 @@
 // defaultCapacity is the number of records a trail keeps.
 const defaultCapacity = 1000
 
-// Trail keeps the latest records. It implements journal.Folder; register it for
+// Trail keeps the latest records. It implements journal.StateMachine; register it for
 // journal.KindAudit. Its methods may be called from any goroutine.
 type Trail struct {
 	logger *slog.Logger
@@ -25,7 +25,7 @@
 	next int
 }
 
-var _ journal.Folder = (*Trail)(nil)
+var _ journal.StateMachine = (*Trail)(nil)
 
 // NewTrail returns a trail of the latest records, 1,000 if capacity is 0.
 func NewTrail(capacity int, logger *slog.Logger) *Trail {
@@ -38,8 +38,8 @@
 	return &Trail{logger: logger, ring: make([]Record, 0, capacity)}
 }
 
-// Apply implements journal.Folder.
-func (t *Trail) Apply(p journal.Placed) {
+// Apply implements journal.StateMachine.
+func (t *Trail) Apply(p journal.LogEntry) {
 	var r Record
 	if err := codec.Unmarshal(p.Entry.Body, &r); err != nil {
 		t.logger.Error("audit record can't be read; it is left out", "position", p.Position, "err", err)
--- a/internal/audit/trail_test.go
+++ b/internal/audit/trail_test.go
@@ -19,7 +19,7 @@
 }
 
 func (s straight) Append(_ context.Context, e journal.Entry) (journal.Position, error) {
-	s.trail.Apply(journal.Placed{At: s.at, Entry: e})
+	s.trail.Apply(journal.LogEntry{At: s.at, Entry: e})
 	return journal.Position{}, nil
 }
 
@@ -41,6 +41,6 @@
 		{Who: "anna", What: RulesPublished, Target: "rules 9.0", From: "7.0", To: "9.0", At: at},
 		{Who: "s1/controller", What: RoleChanged, From: "mixed", To: "decode", At: at},
 	}, trail.Latest(10))
-	trail.Apply(journal.Placed{Entry: journal.Entry{Body: []byte{0xc1}}})
+	trail.Apply(journal.LogEntry{Entry: journal.Entry{Body: []byte{0xc1}}})
 	require.Len(t, trail.Latest(1), 1)
 }
--- a/internal/controller/chooser.go
+++ b/internal/controller/chooser.go
@@ -75,7 +75,7 @@
 			continue
 		}
 		c.log.Info("role change wanted", "engine", d.Engine, "from", d.From, "to", d.To, "reason", d.Reason)
-		x.Ask(orders.Want{
+		x.Ask(orders.ChangeRequest{
 			ID: uuid.NewString(), Kind: upstream.OrderRole,
 			Target: orders.Settings{Role: d.To}, Reason: d.Reason,
 		})
@@ -109,8 +109,8 @@
 		out.Running, out.Waiting = l.report.Running, l.report.Waiting
 		out.QueuedPrompt, out.MaxBatch = l.report.QueuedPrompt, l.report.MaxBatch
 	}
-	if known.Believed.Role != "" {
-		out.Role = known.Believed.Role
+	if known.Observed.Role != "" {
+		out.Role = known.Observed.Role
 	}
 	if ch := known.Change; ch != nil {
 		out.Changing = ch.Phase.Open()
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -165,9 +165,9 @@
 	change := seconds(c.cfg.Deployment.Roles.ChangeSeconds)
 	read := min(slowestRead, max(fastestRead, change/readsPerChange))
 	return orders.Limits{
-		Drain: drainChanges * change, Order: orderChanges * change,
-		Settle: seconds(c.cfg.Deployment.Lease.SettleSeconds),
-		Read:   read, Fresh: 2 * read, Retry: read,
+		DrainTimeout: drainChanges * change, OrderTimeout: orderChanges * change,
+		SettleTime:   seconds(c.cfg.Deployment.Lease.SettleSeconds),
+		ReadInterval: read, MaxStateAge: 2 * read, RetryDelay: read,
 	}
 }
 
--- a/internal/controller/executor.go
+++ b/internal/controller/executor.go
@@ -43,10 +43,10 @@
 	trail    Trail
 	log      *slog.Logger
 
-	contact orders.Contact
+	contact orders.Session
 
 	mu      sync.Mutex
-	want    *orders.Want
+	want    *orders.ChangeRequest
 	wantAt  time.Time
 	doing   string
 	state   upstream.EngineState
@@ -95,22 +95,22 @@
 	return x.carryOut(ctx, a, action)
 }
 
-func (x *Executor) situation(a lease.Authority) orders.Situation {
+func (x *Executor) situation(a lease.Authority) orders.Input {
 	now := time.Now()
-	s := orders.Situation{
-		Now: now, Authority: a, Checked: x.checked, Limits: x.limits,
+	s := orders.Input{
+		Now: now, Authority: a, EnforcesFencing: x.checked, Limits: x.limits,
 		Engine: x.view.Snapshot().Engine(x.engine),
 	}
 	leaving := x.presence.Leaving(x.engine)
 	if leaving {
-		s.Cancel = "the engine is leaving"
+		s.CancelReason = "the engine is leaving"
 	}
 	if open := s.Engine.Open(); open != nil {
-		s.Drained, s.Waiting = x.drained(open.Drain, now)
+		s.Drained, s.WaitReason = x.drained(open.DrainStart, now)
 		return s
 	}
 	if !leaving {
-		s.Want = x.wanted(now)
+		s.Requested = x.wanted(now)
 	}
 	return s
 }
@@ -125,7 +125,7 @@
 
 func (x *Executor) carryOut(ctx context.Context, a lease.Authority, action orders.Action) bool {
 	switch action.Kind {
-	case orders.ActionRaise:
+	case orders.ActionRaiseToken:
 		return x.raise(ctx, a, action)
 	case orders.ActionRead:
 		return x.read(ctx)
@@ -148,7 +148,7 @@
 		return false
 	}
 	err := x.control.Order(callCtx, action.Order)
-	x.contact.RaiseDone(err, time.Now(), x.limits.Retry)
+	x.contact.RaiseDone(err, time.Now(), x.limits.RetryDelay)
 	if err != nil {
 		x.log.Warn("fencing number not raised", "fence", a.FencingToken, "error", err)
 	}
@@ -170,13 +170,13 @@
 }
 
 func (x *Executor) append(ctx context.Context, action orders.Action) bool {
-	was := x.view.Snapshot().Engine(x.engine).Believed
+	was := x.view.Snapshot().Engine(x.engine).Observed
 	p, err := x.journal.Append(ctx, journal.Entry{
 		Kind: journal.KindOrder, ID: uuid.NewString(), Writer: x.writer, Body: action.Record.Encode(),
 	})
 	engine := x.view.Snapshot().Engine(x.engine)
-	accepted := err == nil && engine.Last == p
-	x.contact.AppendDone(accepted, time.Now(), x.limits.Retry)
+	accepted := err == nil && engine.LastPosition == p
+	x.contact.AppendDone(accepted, time.Now(), x.limits.RetryDelay)
 	if !accepted {
 		x.log.Warn("step not recorded", "step", action.Reason, "error", err)
 		return false
@@ -195,7 +195,7 @@
 	}
 	x.mu.Unlock()
 	x.log.Info("change", "id", c.ID, "phase", c.Phase.String(), "kind", c.Kind,
-		"role", c.Target.Role, "fence", c.Fence, "reason", reason)
+		"role", c.Target.Role, "fence", c.FencingToken, "reason", reason)
 	x.trail.Change(c, was, reason)
 }
 
@@ -210,7 +210,7 @@
 		return false
 	}
 	err := x.control.Order(callCtx, action.Order)
-	x.contact.SendDone(action.Change, err, begun, time.Now(), x.limits.Retry)
+	x.contact.SendDone(action.Change, err, begun, time.Now(), x.limits.RetryDelay)
 	x.log.Info("order sent", "order", action.Order.ID, "fence", action.Order.FencingToken,
 		"attempt", action.Change.Attempt, "error", err)
 	x.trail.Order(err)
@@ -218,14 +218,14 @@
 }
 
 // Ask hands over a decision of the role policy. A later one replaces it.
-func (x *Executor) Ask(w orders.Want) {
+func (x *Executor) Ask(w orders.ChangeRequest) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.want = &w
 	x.wantAt = time.Now()
 }
 
-func (x *Executor) wanted(now time.Time) *orders.Want {
+func (x *Executor) wanted(now time.Time) *orders.ChangeRequest {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.want != nil && now.Sub(x.wantAt) > wantFresh {
--- a/internal/controller/interleave/engine.go
+++ b/internal/controller/interleave/engine.go
@@ -178,7 +178,7 @@
 		return fmt.Sprintf("%s took %s with number %d after %d at %v", e.name, o.ID, o.FencingToken, e.highest, w.now)
 	})
 	open := w.truth.changes.Engine(e.name).Open()
-	ordered := open != nil && open.ID == o.ID && open.Phase == orders.PhaseOrdered && open.Fence == o.FencingToken
+	ordered := open != nil && open.ID == o.ID && open.Phase == orders.PhaseOrdered && open.FencingToken == o.FencingToken
 	w.report.Check(invariantOpen, ordered, func() string {
 		return fmt.Sprintf("%s took %s with number %d at %v, open is %+v", e.name, o.ID, o.FencingToken, w.now, open)
 	})
--- a/internal/controller/interleave/executor.go
+++ b/internal/controller/interleave/executor.go
@@ -14,7 +14,7 @@
 	p       *process
 	engine  *engine
 	keeper  *keeper
-	contact orders.Contact
+	contact orders.Session
 }
 
 func (p *process) newExecutor(e *engine) {
@@ -28,11 +28,11 @@
 
 func (x *executor) limits() orders.Limits {
 	l := orders.Limits{
-		Drain: 6 * time.Second, Order: 5 * time.Second, Settle: settle,
-		Read: 300 * time.Millisecond, Fresh: 500 * time.Millisecond, Retry: 300 * time.Millisecond,
+		DrainTimeout: 6 * time.Second, OrderTimeout: 5 * time.Second, SettleTime: settle,
+		ReadInterval: 300 * time.Millisecond, MaxStateAge: 500 * time.Millisecond, RetryDelay: 300 * time.Millisecond,
 	}
 	if x.p.w.mutant == mutantNoSettle {
-		l.Settle = time.Nanosecond
+		l.SettleTime = time.Nanosecond
 	}
 	return l
 }
@@ -48,13 +48,13 @@
 	x.keeper.inHand++
 	action := orders.Next(x.situation(a), &x.contact)
 	switch action.Kind {
-	case orders.ActionRaise:
+	case orders.ActionRaiseToken:
 		x.send(a, action, func(err error, _ time.Time) {
-			x.contact.RaiseDone(err, x.p.clock(), x.limits().Retry)
+			x.contact.RaiseDone(err, x.p.clock(), x.limits().RetryDelay)
 		})
 	case orders.ActionSend:
 		x.send(a, action, func(err error, begun time.Time) {
-			x.contact.SendDone(action.Change, err, begun, x.p.clock(), x.limits().Retry)
+			x.contact.SendDone(action.Change, err, begun, x.p.clock(), x.limits().RetryDelay)
 		})
 	case orders.ActionRead:
 		x.readState()
@@ -76,18 +76,18 @@
 	x.p.later(100*time.Millisecond, x.tick)
 }
 
-func (x *executor) situation(a lease.Authority) orders.Situation {
-	s := orders.Situation{
-		Now: x.p.clock(), Authority: a, Checked: x.engine.checks, Limits: x.limits(),
+func (x *executor) situation(a lease.Authority) orders.Input {
+	s := orders.Input{
+		Now: x.p.clock(), Authority: a, EnforcesFencing: x.engine.checks, Limits: x.limits(),
 		Engine: x.p.fold.changes.Engine(x.engine.name),
 	}
 	if open := s.Engine.Open(); open != nil {
-		s.Drained, s.Waiting = x.p.drained(x.engine.name, open.Drain)
+		s.Drained, s.WaitReason = x.p.drained(x.engine.name, open.DrainStart)
 		return s
 	}
 	if !x.p.w.calm && x.p.w.chance(0.3) {
 		roles := []upstream.Role{upstream.RolePrefill, upstream.RoleDecode, upstream.RoleMixed}
-		s.Want = &orders.Want{
+		s.Requested = &orders.ChangeRequest{
 			ID: x.p.w.id("change"), Kind: upstream.OrderRole,
 			Target: orders.Settings{Role: roles[x.p.w.rng.IntN(len(roles))]}, Reason: "trial",
 		}
@@ -98,7 +98,7 @@
 func (x *executor) append(action orders.Action) {
 	x.p.append(journal.KindOrder, x.p.w.id("entry"), action.Record.Encode(), func(at journal.Position, err error) {
 		e := x.p.fold.changes.Engine(x.engine.name)
-		x.contact.AppendDone(err == nil && e.Last == at, x.p.clock(), x.limits().Retry)
+		x.contact.AppendDone(err == nil && e.LastPosition == at, x.p.clock(), x.limits().RetryDelay)
 		x.done()
 	})
 }
--- a/internal/controller/interleave/log.go
+++ b/internal/controller/interleave/log.go
@@ -11,7 +11,7 @@
 // log is the platform's log with its faults.
 type log struct {
 	w       *world
-	records []journal.Placed
+	records []journal.LogEntry
 	// landed holds the IDs of entries written before: a reader folds an entry
 	// once, however often it was written.
 	landed map[string]bool
@@ -71,7 +71,7 @@
 	if w.mutant == mutantNoComparison && e.Kind == journal.KindLease {
 		e.Body = w.uncompared(e.Body)
 	}
-	l.records = append(l.records, journal.Placed{Position: at, At: epoch.Add(w.now), Entry: e})
+	l.records = append(l.records, journal.LogEntry{Position: at, At: epoch.Add(w.now), Entry: e})
 	w.catchUp(&w.truth, &w.truthRead, epoch.Add(w.now))
 	return at
 }
--- a/internal/controller/interleave/scenario.go
+++ b/internal/controller/interleave/scenario.go
@@ -108,6 +108,6 @@
 	}
 	for _, name := range w.order {
 		a, b := p.fold.changes.Engine(name), w.truth.changes.Engine(name)
-		w.report.Check(invariantAlike, a.Last == b.Last, func() string { return fmt.Sprintf("%s: %s differs", m.name, name) })
+		w.report.Check(invariantAlike, a.LastPosition == b.LastPosition, func() string { return fmt.Sprintf("%s: %s differs", m.name, name) })
 	}
 }
--- a/internal/controller/loader.go
+++ b/internal/controller/loader.go
@@ -101,21 +101,21 @@
 }
 
 // want asks for the newest version of a model.
-func (l *Loader) want(ctx context.Context, model string) (orders.Want, error) {
+func (l *Loader) want(ctx context.Context, model string) (orders.ChangeRequest, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	versions, err := l.weights.Versions(ctx, model)
 	if err != nil {
-		return orders.Want{}, err
+		return orders.ChangeRequest{}, err
 	}
 	if len(versions) == 0 {
-		return orders.Want{}, fmt.Errorf("the weight store has no version of %q", model)
+		return orders.ChangeRequest{}, fmt.Errorf("the weight store has no version of %q", model)
 	}
 	newest := versions[len(versions)-1]
-	return orders.Want{
+	return orders.ChangeRequest{
 		ID: uuid.NewString(), Kind: upstream.OrderModel,
-		Target:  orders.Settings{Model: model, Version: newest.Version},
-		Reason:  "the engine should serve the model and doesn't have it",
-		Reserve: &orders.Reservation{Bytes: newest.Bytes, BytesPerSec: l.limit / loadsAtOnce, LimitPerSec: l.limit},
+		Target:      orders.Settings{Model: model, Version: newest.Version},
+		Reason:      "the engine should serve the model and doesn't have it",
+		Reservation: &orders.Reservation{Bytes: newest.Bytes, BytesPerSec: l.limit / loadsAtOnce, LimitPerSec: l.limit},
 	}, nil
 }
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -66,7 +66,7 @@
 	known := c.changes.Snapshot().Engine(u.Name)
 	doing, state, _ := x.seen()
 	out := EngineStatus{
-		Engine: u.Name, Scope: ScopeOf(u), Believed: known.Believed, Change: known.Change,
+		Engine: u.Name, Scope: ScopeOf(u), Believed: known.Observed, Change: known.Change,
 		Open: known.Open() != nil, Doing: doing, Busy: state.Busy, Running: state.Running,
 		FencingNumber: state.FencingToken, LastOrder: state.LastOrder, Incarnation: state.Incarnation,
 	}
--- a/internal/entry/crash/crash_test.go
+++ b/internal/entry/crash/crash_test.go
@@ -26,7 +26,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.next++
-	p := journal.Placed{Position: journal.Position{Offset: l.next}, At: time.Now(), ReadAt: time.Now(), Entry: e}
+	p := journal.LogEntry{Position: journal.Position{Offset: l.next}, At: time.Now(), ReadAt: time.Now(), Entry: e}
 	l.guard.Apply(p)
 	return p.Position, nil
 }
--- a/internal/entry/ordersfeed.go
+++ b/internal/entry/ordersfeed.go
@@ -35,7 +35,7 @@
 	for _, name := range f.engines {
 		engine := s.Engine(name)
 		f.tracker.SetDraining(name, !engine.TakesWork())
-		if role := engine.Believed.Role; role != "" {
+		if role := engine.Observed.Role; role != "" {
 			f.tracker.SetRole(name, role)
 		}
 	}
--- a/internal/prove/claims/outside.go
+++ b/internal/prove/claims/outside.go
@@ -163,7 +163,7 @@
 	env := claim.Env{Now: w.now, LogUp: true}
 	id, step := c.Start(env, claim.Key{ID: info.key.key.ID}, info.digest)
 	entry := step.(claim.ClaimStep).Entry
-	c.Apply(journal.Placed{Position: journal.Position{Offset: 1}, At: w.now, ReadAt: w.now, Entry: entry})
+	c.Apply(journal.LogEntry{Position: journal.Position{Offset: 1}, At: w.now, ReadAt: w.now, Entry: entry})
 	c.Claimed(env, id, claim.Appended)
 	c.Confirm(env, id, true)
 	e := c.Outbox()[0].Entry
--- a/internal/prove/claims/process.go
+++ b/internal/prove/claims/process.go
@@ -112,7 +112,7 @@
 	w := p.world
 	for i, e := range r.entries {
 		at := journal.Position{Offset: p.next, Index: uint16(i)}
-		p.core.Apply(journal.Placed{Position: at, At: r.at, ReadAt: w.now, Entry: e})
+		p.core.Apply(journal.LogEntry{Position: at, At: r.at, ReadAt: w.now, Entry: e})
 		for _, a := range p.appends {
 			a.folded = a.folded || a.entry.ID == e.ID
 		}
--- a/internal/status/node.go
+++ b/internal/status/node.go
@@ -122,7 +122,7 @@
 func (n *Node) State(instance string) membership.State { return n.View().State(instance) }
 
 // TakeList takes an answer of the platform's list of instances.
-func (n *Node) TakeList(rows []infra.Instance) { n.members.TakeList(rows) }
+func (n *Node) TakeList(rows []infra.Instance) { n.members.ApplyList(rows) }
 
 // Leave tells the other instances at once that this one has begun to stop. The
 // node must be served until the end.
--- a/internal/status/status_test.go
+++ b/internal/status/status_test.go
@@ -110,7 +110,7 @@
 
 	n := start(t, d, 0)
 	claim := lease.Record{Op: lease.OpClaim, Scope: "a/fenced", Holder: "i1", Incarnation: "x", Term: time.Minute, Basis: lease.BasisFirst}
-	n.leases.Apply(journal.Placed{
+	n.leases.Apply(journal.LogEntry{
 		Position: journal.Position{Offset: 4}, ReadAt: time.Now(),
 		Entry: journal.Entry{Kind: journal.KindLease, ID: "claim", Body: claim.Encode()},
 	})
--- a/journal/example_test.go
+++ b/journal/example_test.go
@@ -12,7 +12,7 @@
 // the log wins, and every reader sees the same one.
 type firstWins struct{ winner string }
 
-func (f *firstWins) Apply(p journal.Placed) {
+func (f *firstWins) Apply(p journal.LogEntry) {
 	if f.winner == "" {
 		f.winner = string(p.Entry.Body)
 	}
--- a/journal/journal.go
+++ b/journal/journal.go
@@ -55,7 +55,7 @@
 }
 
 // Placed is an entry with its place in the log.
-type Placed struct {
+type LogEntry struct {
 	Position Position
 	// At is the log's wall clock when it took the record.
 	At time.Time
@@ -67,8 +67,8 @@
 
 // Folder turns entries into state. Apply is called from one goroutine, in
 // order of position, once per entry ID.
-type Folder interface {
-	Apply(p Placed)
+type StateMachine interface {
+	Apply(p LogEntry)
 }
 
 // Writer appends entries.
--- a/journal/journal_test.go
+++ b/journal/journal_test.go
@@ -22,7 +22,7 @@
 	trimmed infra.Offset
 }
 
-func (b *bodies) Apply(p journal.Placed)      { b.got = append(b.got, string(p.Entry.Body)) }
+func (b *bodies) Apply(p journal.LogEntry)    { b.got = append(b.got, string(p.Entry.Body)) }
 func (b *bodies) Trimmed(oldest infra.Offset) { b.trimmed = oldest }
 func entry(id string) journal.Entry {
 	return journal.Entry{Kind: journal.KindAudit, ID: id, Body: []byte(id)}
--- a/journal/reader.go
+++ b/journal/reader.go
@@ -111,14 +111,14 @@
 			continue
 		}
 		at := Position{Offset: r.Offset, Index: uint16(i)}
-		f.Apply(Placed{Position: at, At: r.At, ReadAt: readAt, Entry: e})
+		f.Apply(LogEntry{Position: at, At: r.At, ReadAt: readAt, Entry: e})
 	}
 
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.next = r.Offset + 1
 	j.applied = Position{Offset: r.Offset, Index: uint16(max(len(entries)-1, 0))}
-	j.stats.Folded += folded
+	j.stats.Applied += folded
 	j.stats.Duplicates += duplicates
 	j.stats.Corrupt += corrupt
 	for i, e := range entries {
@@ -130,7 +130,7 @@
 func (j *Journal) skipTo(oldest infra.Offset) {
 	j.cfg.Logger.Warn("records expired before they were read", "next", oldest)
 	for _, f := range j.folders {
-		if t, ok := f.(Trimmer); ok {
+		if t, ok := f.(TrimListener); ok {
 			t.Trimmed(oldest)
 		}
 	}
@@ -144,7 +144,7 @@
 	j.cfg.Logger.Warn("the log was restored from an older copy", "next", oldest, "era", oldest.Era())
 	j.dedupe = newDeduper(j.cfg.Retention, defaultMaxIDs)
 	for _, f := range j.folders {
-		if r, ok := f.(Restorer); ok {
+		if r, ok := f.(RestoreListener); ok {
 			r.Restored(oldest)
 		}
 	}
--- a/journal/restore_test.go
+++ b/journal/restore_test.go
@@ -59,7 +59,7 @@
 	restored int
 }
 
-func (f *folded) Apply(p Placed) {
+func (f *folded) Apply(p LogEntry) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.ids = append(f.ids, p.Entry.ID)
--- a/journal/runtime.go
+++ b/journal/runtime.go
@@ -80,14 +80,14 @@
 // Trimmer is a Folder that wants to know when records expired before they
 // were read. Trimmed is called from the goroutine that calls Apply: every
 // record before oldest that wasn't applied yet never will be.
-type Trimmer interface {
+type TrimListener interface {
 	Trimmed(oldest infra.Offset)
 }
 
 // Restorer is a Folder whose log may come back from an older copy. Restored is called from
 // the goroutine that calls Apply: all that was applied is void, and what has outlived the
 // restore is applied again, from oldest on.
-type Restorer interface {
+type RestoreListener interface {
 	Restored(oldest infra.Offset)
 }
 
@@ -108,7 +108,7 @@
 	// FailedAppends counts appends without a confirmation.
 	FailedAppends int64
 	// Folded counts entries given to folders, Duplicates those left out.
-	Folded, Duplicates int64
+	Applied, Duplicates int64
 	// Corrupt counts records that could not be decoded and were skipped.
 	Corrupt int64
 }
@@ -119,7 +119,7 @@
 	cfg     Config
 	log     infra.Log
 	limiter *rate.Limiter
-	folders map[Kind]Folder
+	folders map[Kind]StateMachine
 	dedupe  *deduper
 
 	// wake has room for one signal to the writer.
@@ -148,7 +148,7 @@
 		cfg:      cfg,
 		log:      log,
 		limiter:  rate.NewLimiter(limit, 1),
-		folders:  map[Kind]Folder{},
+		folders:  map[Kind]StateMachine{},
 		dedupe:   newDeduper(cfg.Retention, defaultMaxIDs),
 		wake:     make(chan struct{}, 1),
 		caughtUp: make(chan struct{}),
@@ -159,7 +159,7 @@
 
 // Register names the folder of a kind of entry. It must not be called after
 // Serve, nor twice for one kind.
-func (j *Journal) Register(k Kind, f Folder) {
+func (j *Journal) Register(k Kind, f StateMachine) {
 	if _, ok := j.folders[k]; ok {
 		panic("journal: two folders for one kind of entry")
 	}
--- a/lease/chain_test.go
+++ b/lease/chain_test.go
@@ -14,7 +14,7 @@
 // history is a log of one scope with the states that a reader of the whole log
 // goes through.
 type history struct {
-	records []journal.Placed
+	records []journal.LogEntry
 	states  []ScopeState
 	// accepted says for each record whether it was accepted.
 	accepted []bool
@@ -24,7 +24,7 @@
 // was accepted meanwhile.
 func (h *history) add(r Record) {
 	at := journal.Position{Offset: infra.Offset(len(h.records) + 1)}
-	p := journal.Placed{Position: at, Entry: journal.Entry{Kind: journal.KindLease, Body: r.Encode()}}
+	p := journal.LogEntry{Position: at, Entry: journal.Entry{Kind: journal.KindLease, Body: r.Encode()}}
 	before := ScopeState{}
 	if n := len(h.states); n > 0 {
 		before = h.states[n-1]
--- a/lease/example_test.go
+++ b/lease/example_test.go
@@ -57,7 +57,7 @@
 	claim := lease.Record{Op: lease.OpClaim, Scope: "s", Basis: lease.BasisFirst, Term: time.Second}
 	for offset, holder := range []string{"i1", "i2"} {
 		claim.Holder = holder
-		p := journal.Placed{Position: journal.Position{}, Entry: journal.Entry{Kind: journal.KindLease, Body: claim.Encode()}}
+		p := journal.LogEntry{Position: journal.Position{}, Entry: journal.Entry{Kind: journal.KindLease, Body: claim.Encode()}}
 		p.Position.Offset = 1
 		p.Position.Index = uint16(offset)
 		_, accepted := state.Apply(p)
--- a/lease/machine_test.go
+++ b/lease/machine_test.go
@@ -30,8 +30,8 @@
 	return s
 }
 
-func placed(offset infra.Offset, id string, readAt time.Time) journal.Placed {
-	return journal.Placed{
+func placed(offset infra.Offset, id string, readAt time.Time) journal.LogEntry {
+	return journal.LogEntry{
 		Position: journal.Position{Offset: offset}, At: readAt, ReadAt: readAt,
 		Entry: journal.Entry{ID: id},
 	}
--- a/lease/restore_test.go
+++ b/lease/restore_test.go
@@ -16,12 +16,12 @@
 // restoredLog is a log that can be restored from an older copy.
 type restoredLog struct {
 	era     uint64
-	records []journal.Placed
+	records []journal.LogEntry
 }
 
 func (l *restoredLog) append(id string, r Record) {
 	at := journal.Position{Offset: infra.NewOffset(l.era, uint64(len(l.records)+1))}
-	l.records = append(l.records, journal.Placed{Position: at, Entry: journal.Entry{Kind: journal.KindLease, ID: id, Body: r.Encode()}})
+	l.records = append(l.records, journal.LogEntry{Position: at, Entry: journal.Entry{Kind: journal.KindLease, ID: id, Body: r.Encode()}})
 }
 
 // restore drops the newest records. The others get offsets in the new era.
@@ -161,7 +161,7 @@
 	var s State
 	apply := func(index uint64, id string, r Record) bool {
 		r.Scope, r.Incarnation, r.Term = "s", "1", time.Second
-		_, accepted := s.Apply(journal.Placed{
+		_, accepted := s.Apply(journal.LogEntry{
 			Position: journal.Position{Offset: infra.NewOffset(1, index)}, ReadAt: testStart,
 			Entry: journal.Entry{Kind: journal.KindLease, ID: id, Body: r.Encode()},
 		})
--- a/lease/state.go
+++ b/lease/state.go
@@ -66,7 +66,7 @@
 func (s ScopeState) hasStaleToken() bool { return infra.Offset(s.FencingToken).Era() < s.Era }
 
 // Apply returns the state after a record and whether the record was accepted.
-func (s ScopeState) Apply(p journal.Placed, r Record) (ScopeState, bool) {
+func (s ScopeState) Apply(p journal.LogEntry, r Record) (ScopeState, bool) {
 	era := p.Position.Offset.Era()
 	if s.currentEra && r.Era < era {
 		return s, false
@@ -121,7 +121,7 @@
 	}
 }
 
-func (s ScopeState) with(p journal.Placed, r Record) ScopeState {
+func (s ScopeState) with(p journal.LogEntry, r Record) ScopeState {
 	s.Scope = r.Scope
 	s.Known = true
 	s.Held = r.Op != OpRelease && !r.Released
@@ -156,7 +156,7 @@
 }
 
 // Apply folds one journal entry and reports whether it was an accepted record.
-func (s *State) Apply(p journal.Placed) (ScopeState, bool) {
+func (s *State) Apply(p journal.LogEntry) (ScopeState, bool) {
 	s.observeEra(p)
 	if p.Entry.Kind != journal.KindLease {
 		return ScopeState{}, false
@@ -180,7 +180,7 @@
 
 // observeEra treats the first record of a new era as a restore at this time: a
 // reader that starts with it can't know how long ago the restore was.
-func (s *State) observeEra(p journal.Placed) {
+func (s *State) observeEra(p journal.LogEntry) {
 	if era := p.Position.Offset.Era(); era > s.era {
 		s.era, s.restoredAt = era, p.ReadAt
 	}
--- a/lease/view.go
+++ b/lease/view.go
@@ -30,7 +30,7 @@
 }
 
 // View folds the journal's lease records into the leader of each scope. It
-// implements journal.Folder, journal.Trimmer and journal.Restorer; its other
+// implements journal.StateMachine, journal.TrimListener and journal.RestoreListener; its other
 // methods are safe for concurrent use.
 type View struct {
 	state   State
@@ -45,8 +45,8 @@
 	return v
 }
 
-// Apply implements journal.Folder.
-func (v *View) Apply(p journal.Placed) {
+// Apply implements journal.StateMachine.
+func (v *View) Apply(p journal.LogEntry) {
 	next := &Snapshot{Position: p.Position, Scopes: v.current.Load().Scopes, unknown: v.state.unknown()}
 	_, accepted := v.state.Apply(p)
 	if accepted {
@@ -58,13 +58,13 @@
 	}
 }
 
-// Trimmed implements journal.Trimmer.
+// Trimmed implements journal.TrimListener.
 func (v *View) Trimmed(infra.Offset) {
 	v.state.Trimmed(time.Now())
 	v.publish(v.current.Load().Position)
 }
 
-// Restored implements journal.Restorer.
+// Restored implements journal.RestoreListener.
 func (v *View) Restored(oldest infra.Offset) {
 	v.state.Restored(time.Now(), oldest)
 	v.publish(journal.Position{Offset: oldest - 1})
--- a/membership/config.go
+++ b/membership/config.go
@@ -24,19 +24,19 @@
 	// Beat is the time between heartbeats, SuspectAfter the silence after which
 	// an instance is suspected, GoneAfter the silence after which it counts as
 	// gone unless another instance vouches for it.
-	Beat, SuspectAfter, GoneAfter time.Duration
+	HeartbeatInterval, SuspectAfter, GoneAfter time.Duration
 	// SummaryEvery is the time between summaries, SummaryFresh how long one
 	// counts.
-	SummaryEvery, SummaryFresh time.Duration
+	SummaryInterval, SummaryTTL time.Duration
 }
 
 // The default times.
 const (
-	DefaultBeat         = 500 * time.Millisecond
-	DefaultSuspectAfter = 1500 * time.Millisecond
-	DefaultGoneAfter    = 5 * time.Second
-	DefaultSummaryEvery = time.Second
-	DefaultSummaryFresh = 4 * time.Second
+	DefaultHeartbeatInterval = 500 * time.Millisecond
+	DefaultSuspectAfter      = 1500 * time.Millisecond
+	DefaultGoneAfter         = 5 * time.Second
+	DefaultSummaryInterval   = time.Second
+	DefaultSummaryTTL        = 4 * time.Second
 )
 
 // Bounds on what one message or one data centre may take.
@@ -48,11 +48,11 @@
 )
 
 func (c Config) withDefaults() Config {
-	orElse(&c.Beat, DefaultBeat)
+	orElse(&c.HeartbeatInterval, DefaultHeartbeatInterval)
 	orElse(&c.SuspectAfter, DefaultSuspectAfter)
 	orElse(&c.GoneAfter, DefaultGoneAfter)
-	orElse(&c.SummaryEvery, DefaultSummaryEvery)
-	orElse(&c.SummaryFresh, DefaultSummaryFresh)
+	orElse(&c.SummaryInterval, DefaultSummaryInterval)
+	orElse(&c.SummaryTTL, DefaultSummaryTTL)
 	return c
 }
 
--- a/membership/example_test.go
+++ b/membership/example_test.go
@@ -24,7 +24,7 @@
 		for _, out := range second.Tick(now) {
 			first.ReceiveHeartbeat(out.Message.(membership.Heartbeat), now)
 		}
-		now = now.Add(membership.DefaultBeat)
+		now = now.Add(membership.DefaultHeartbeatInterval)
 	}
 	fmt.Println(first.View().Entries("a"))
 
--- a/membership/machine.go
+++ b/membership/machine.go
@@ -129,16 +129,16 @@
 // Tick lets time pass. It should be called several times a Beat.
 func (m *Machine) Tick(now time.Time) []Outgoing {
 	for _, dc := range m.remote {
-		dc.prune(now, m.cfg.SummaryFresh)
+		dc.prune(now, m.cfg.SummaryTTL)
 	}
 	m.refresh(now)
 	var out []Outgoing
 	if !now.Before(m.nextBeat) {
-		m.nextBeat = now.Add(m.cfg.Beat)
+		m.nextBeat = now.Add(m.cfg.HeartbeatInterval)
 		out = m.heartbeats(now)
 	}
 	if !now.Before(m.nextSummary) {
-		m.nextSummary = now.Add(m.cfg.SummaryEvery)
+		m.nextSummary = now.Add(m.cfg.SummaryInterval)
 		out = append(out, m.sendSummaries()...)
 	}
 	return out
@@ -153,7 +153,7 @@
 }
 
 // ReadList takes the platform's list; rows of other kinds are skipped.
-func (m *Machine) ReadList(rows []infra.Instance, now time.Time) {
+func (m *Machine) ApplyList(rows []infra.Instance, now time.Time) {
 	m.listRead = true
 	byName := make(map[string]infra.Instance, len(rows))
 	for _, r := range rows {
@@ -175,13 +175,13 @@
 // its clock was set back, then everybody tells it in Unheard which number they
 // know, and it goes on with a higher one.
 func (m *Machine) ReceiveHeartbeat(h Heartbeat, now time.Time) {
-	for _, s := range h.Unheard {
+	for _, s := range h.Silent {
 		if s.Name == m.self.Name && s.Incarnation > m.self.incarnation {
 			m.self.incarnation = s.Incarnation + 1
 		}
 	}
 	mem := m.member(h.From)
-	if mem == nil || mem == m.self || mem.DataCentre != m.self.DataCentre || len(h.Unheard) > maxUnheard {
+	if mem == nil || mem == m.self || mem.DataCentre != m.self.DataCentre || len(h.Silent) > maxUnheard {
 		return
 	}
 	before := m.believe(mem, now)
@@ -194,7 +194,7 @@
 // from there is handed on to everybody of this data centre.
 func (m *Machine) ReceiveSummary(s Summary, now time.Time) []Outgoing {
 	dc := m.other(s.DataCentre)
-	if dc == nil || !dc.knows(s.From) || len(s.Members) > len(dc.members) || len(s.Hears) > len(m.remote) {
+	if dc == nil || !dc.knows(s.From) || len(s.Members) > len(dc.members) || len(s.ReceivesFrom) > len(m.remote) {
 		return nil
 	}
 	if !dc.add(s, now) {
--- a/membership/member.go
+++ b/membership/member.go
@@ -63,8 +63,8 @@
 	m.heard = now
 	m.leaving = h.Leaving
 	m.partial = h.Truncated
-	m.unheard = make(map[string]uint64, len(h.Unheard))
-	for _, s := range h.Unheard {
+	m.unheard = make(map[string]uint64, len(h.Silent))
+	for _, s := range h.Silent {
 		m.unheard[s.Name] = s.Incarnation
 	}
 	return true
--- a/membership/message.go
+++ b/membership/message.go
@@ -50,14 +50,14 @@
 	Leaving bool   `msgpack:"l,omitempty"`
 	// Unheard names those of the data centre whom the sender doesn't hear. An
 	// instance that isn't named there is vouched for by the sender.
-	Unheard []Suspect `msgpack:"u,omitempty"`
+	Silent []SilentPeer `msgpack:"u,omitempty"`
 	// Truncated says that Unheard was too long to be sent whole.
 	Truncated bool `msgpack:"t,omitempty"`
 }
 
 // Suspect names an instance that the sender of a heartbeat doesn't hear, with
 // the highest incarnation that the sender knows of it.
-type Suspect struct {
+type SilentPeer struct {
 	Name        string `msgpack:"n"`
 	Incarnation uint64 `msgpack:"i"`
 }
@@ -72,7 +72,7 @@
 	Seq     uint64   `msgpack:"q"`
 	Members []Member `msgpack:"m"`
 	// Hears names the data centres of which From has a recent summary.
-	Hears []string `msgpack:"h,omitempty"`
+	ReceivesFrom []string `msgpack:"h,omitempty"`
 	// Relayed says that the summary was handed on within a data centre; it goes
 	// no further.
 	Relayed bool `msgpack:"r,omitempty"`
--- a/membership/runner.go
+++ b/membership/runner.go
@@ -81,9 +81,9 @@
 
 // TakeList takes an answer of the platform's list. While it can't be read, the
 // last one counts on.
-func (r *Runner) TakeList(rows []infra.Instance) {
+func (r *Runner) ApplyList(rows []infra.Instance) {
 	r.step(func(m *Machine, now time.Time) []Outgoing {
-		m.ReadList(rows, now)
+		m.ApplyList(rows, now)
 		return nil
 	})
 }
--- a/membership/send.go
+++ b/membership/send.go
@@ -16,11 +16,11 @@
 		if !mem.silent(now, m.cfg.SuspectAfter) {
 			continue
 		}
-		if len(h.Unheard) == maxUnheard {
+		if len(h.Silent) == maxUnheard {
 			h.Truncated = true
 			break
 		}
-		h.Unheard = append(h.Unheard, Suspect{mem.Name, mem.incarnation})
+		h.Silent = append(h.Silent, SilentPeer{mem.Name, mem.incarnation})
 	}
 	out := make([]Outgoing, 0, len(m.local))
 	for _, mem := range m.local {
@@ -49,7 +49,7 @@
 	}
 	for _, dc := range m.remote {
 		if len(dc.bySender) > 0 {
-			s.Hears = append(s.Hears, dc.name)
+			s.ReceivesFrom = append(s.ReceivesFrom, dc.name)
 		}
 	}
 	out := make([]Outgoing, 0, len(m.remote))
--- a/membership/sim_test.go
+++ b/membership/sim_test.go
@@ -108,7 +108,7 @@
 		for _, name := range s.names() {
 			m := s.running[name]
 			if s.now.UnixMilli()%1000 == 0 {
-				m.ReadList(s.lists[0].rows, s.now)
+				m.ApplyList(s.lists[0].rows, s.now)
 			}
 			s.post(name, m.Tick(s.now))
 		}
--- a/membership/size_test.go
+++ b/membership/size_test.go
@@ -53,7 +53,7 @@
 	now := time.Now()
 	m := targetMachine(now)
 	for b.Loop() {
-		now = now.Add(DefaultBeat)
+		now = now.Add(DefaultHeartbeatInterval)
 		m.Tick(now)
 	}
 }
--- a/membership/summaries.go
+++ b/membership/summaries.go
@@ -78,7 +78,7 @@
 // hears tells whether some sender has recent summaries of a data centre.
 func (ss *summaries) hears(dataCentre string) bool {
 	for _, r := range ss.bySender {
-		if slices.Contains(r.summary.Hears, dataCentre) {
+		if slices.Contains(r.summary.ReceivesFrom, dataCentre) {
 			return true
 		}
 	}
--- a/orders/contact.go
+++ b/orders/contact.go
@@ -13,36 +13,36 @@
 // The outcomes of a send.
 const (
 	// OutcomeNone: this process has not sent it.
-	OutcomeNone Outcome = iota
+	OutcomeNotSent Outcome = iota
 	// OutcomeTaken: the engine said that it took the order.
-	OutcomeTaken
+	OutcomeAccepted
 	// OutcomeNotTaken: the engine didn't take it and won't.
-	OutcomeNotTaken
+	OutcomeRejected
 	// OutcomeFenced: the engine has seen a higher fencing number.
 	OutcomeFenced
 	// OutcomeOpen: no usable reply; it may have been taken, or may still be.
-	OutcomeOpen
+	OutcomeUnknown
 )
 
 // outcomeOf sorts the error of a send.
 func outcomeOf(err error) Outcome {
 	switch {
 	case err == nil:
-		return OutcomeTaken
+		return OutcomeAccepted
 	case errors.Is(err, upstream.ErrFenced):
 		return OutcomeFenced
 	case errors.Is(err, upstream.ErrBusy),
 		errors.Is(err, upstream.ErrNotSent),
 		errors.Is(err, upstream.ErrRefused):
-		return OutcomeNotTaken
+		return OutcomeRejected
 	default:
-		return OutcomeOpen
+		return OutcomeUnknown
 	}
 }
 
 // Contact is what a leader has learnt from its own dealings with one engine
 // under one fencing number. The zero value has learnt nothing.
-type Contact struct {
+type Session struct {
 	fence  uint64
 	raised bool
 	// state is the last state read; readAt is when that read was begun, zero
@@ -66,18 +66,18 @@
 }
 
 // under forgets everything that was learnt under another fencing number.
-func (c *Contact) under(fence uint64) {
+func (c *Session) under(fence uint64) {
 	if c.fence != fence {
-		*c = Contact{fence: fence}
+		*c = Session{fence: fence}
 	}
 }
 
 // State returns the engine's state as last read, and when the read was begun;
 // a zero time if none has been answered.
-func (c *Contact) State() (upstream.EngineState, time.Time) { return c.state, c.readAt }
+func (c *Session) State() (upstream.EngineState, time.Time) { return c.state, c.readAt }
 
 // RaiseDone takes in the reply to an order that raises the fencing number.
-func (c *Contact) RaiseDone(err error, now time.Time, retry time.Duration) {
+func (c *Session) RaiseDone(err error, now time.Time, retry time.Duration) {
 	c.raised = err == nil
 	c.backOff(err, now, retry)
 }
@@ -88,9 +88,9 @@
 // ReadDone takes in the answer to a read of the engine's state that was begun
 // at a time. A failed or slow read ends the time for which the engine has
 // answered: the engine may have been paused meanwhile.
-func (c *Contact) ReadDone(s upstream.EngineState, err error, begun, now time.Time, l Limits) {
-	c.backOff(err, now, l.Retry)
-	if err != nil || now.Sub(begun) > max(l.Settle/4, minSlowRead) {
+func (c *Session) ReadDone(s upstream.EngineState, err error, begun, now time.Time, l Limits) {
+	c.backOff(err, now, l.RetryDelay)
+	if err != nil || now.Sub(begun) > max(l.SettleTime/4, minSlowRead) {
 		c.answeringSince = time.Time{}
 	}
 	if err != nil {
@@ -108,7 +108,7 @@
 }
 
 // SendDone takes in the reply to an order that was sent at a time.
-func (c *Contact) SendDone(ch Change, err error, begun, now time.Time, retry time.Duration) {
+func (c *Session) SendDone(ch Change, err error, begun, now time.Time, retry time.Duration) {
 	c.sentID = ch.ID
 	c.sentAttempt = ch.Attempt
 	c.sentAt = begun
@@ -119,13 +119,13 @@
 }
 
 // AppendDone takes in whether a record was accepted.
-func (c *Contact) AppendDone(accepted bool, now time.Time, retry time.Duration) {
+func (c *Session) AppendDone(accepted bool, now time.Time, retry time.Duration) {
 	if !accepted {
 		c.retryAt = now.Add(retry)
 	}
 }
 
-func (c *Contact) backOff(err error, now time.Time, retry time.Duration) {
+func (c *Session) backOff(err error, now time.Time, retry time.Duration) {
 	c.retryAt = time.Time{}
 	if err != nil {
 		c.retryAt = now.Add(retry)
@@ -133,20 +133,20 @@
 }
 
 // outcome returns what is known of an attempt of a change.
-func (c *Contact) outcome(ch Change) Outcome {
+func (c *Session) outcome(ch Change) Outcome {
 	if c.sentID != ch.ID || c.sentAttempt != ch.Attempt {
-		return OutcomeNone
+		return OutcomeNotSent
 	}
 	return c.sent
 }
 
 // fresh reports whether the state read last was asked for recently.
-func (c *Contact) fresh(now time.Time, within time.Duration) bool {
+func (c *Session) fresh(now time.Time, within time.Duration) bool {
 	return !c.readAt.IsZero() && now.Sub(c.readAt) <= within
 }
 
 // inHand returns for how long this leader has had a change in hand.
-func (c *Contact) inHand(id string, now time.Time) time.Duration {
+func (c *Session) inHand(id string, now time.Time) time.Duration {
 	if c.changeID != id {
 		c.changeID = id
 		c.changeSince = now
--- a/orders/record.go
+++ b/orders/record.go
@@ -76,11 +76,11 @@
 	Target Settings           `msgpack:"t" json:"target"`
 	Phase  Phase              `msgpack:"p" json:"phase"`
 	// Scope and Fence are those of the leader that recorded this phase.
-	Scope string `msgpack:"s" json:"scope"`
-	Fence uint64 `msgpack:"f" json:"fence"`
+	Scope        string `msgpack:"s" json:"scope"`
+	FencingToken uint64 `msgpack:"f" json:"fence"`
 	// Drain is the position of the record that began the drain. It is zero in
 	// that record itself; the fold fills it in.
-	Drain journal.Position `msgpack:"d" json:"drain"`
+	DrainStart journal.Position `msgpack:"d" json:"drain"`
 	// Attempt counts how often the order was about to be sent.
 	Attempt int `msgpack:"n" json:"attempt"`
 	// Incarnation is the engine's when the order was about to be sent.
@@ -90,7 +90,7 @@
 	Outcome string `msgpack:"o" json:"outcome"`
 	// Reserve is set from PhaseOrdered on if the order makes the engine read
 	// the weight store.
-	Reserve *Reservation `msgpack:"b" json:"reserve,omitempty"`
+	Reservation *Reservation `msgpack:"b" json:"reserve,omitempty"`
 	// PlannedAt and PhaseAt are the log's wall clock at the first and at the
 	// last record of the change; the fold fills them in.
 	PlannedAt time.Time `msgpack:"pa" json:"planned_at"`
@@ -100,13 +100,13 @@
 // Order returns the order that carries the change out.
 func (c Change) Order() upstream.Order {
 	return upstream.Order{
-		ID: c.ID, Kind: c.Kind, FencingToken: c.Fence, Role: c.Target.Role,
+		ID: c.ID, Kind: c.Kind, FencingToken: c.FencingToken, Role: c.Target.Role,
 		Model: c.Target.Model, Version: c.Target.Version, Adapter: c.Target.Adapter,
 	}
 }
 
 // Reached reports whether an engine's settings show the change.
-func (c Change) Reached(s Settings) bool {
+func (c Change) SatisfiedBy(s Settings) bool {
 	switch c.Kind {
 	case upstream.OrderRole:
 		return s.Role == c.Target.Role
@@ -126,8 +126,8 @@
 	// After is the engine's last accepted record as the writer knew it.
 	After journal.Position `msgpack:"a"`
 	// Scope and Fence show the writer's authority.
-	Scope string `msgpack:"s"`
-	Fence uint64 `msgpack:"f"`
+	Scope        string `msgpack:"s"`
+	FencingToken uint64 `msgpack:"f"`
 	// Checkpoint marks a record that repeats the engine's state unchanged, so
 	// that the log's retention doesn't take the only record of it. Any process
 	// may write one.
@@ -136,15 +136,15 @@
 	// the engine's settings.
 	Change *Change `msgpack:"c"`
 	// Believed is what the engine was last seen to be.
-	Believed Settings `msgpack:"b"`
+	Observed Settings `msgpack:"b"`
 }
 
 // CheckpointOf returns the record that repeats what is known of an engine,
 // under the scope and number of its last change.
 func CheckpointOf(e Engine) Record {
-	r := Record{Engine: e.Name, After: e.Last, Checkpoint: true, Change: e.Change, Believed: e.Believed}
+	r := Record{Engine: e.Name, After: e.LastPosition, Checkpoint: true, Change: e.Change, Observed: e.Observed}
 	if e.Change != nil {
-		r.Scope, r.Fence = e.Change.Scope, e.Change.Fence
+		r.Scope, r.FencingToken = e.Change.Scope, e.Change.FencingToken
 	}
 	return r
 }
--- a/orders/state.go
+++ b/orders/state.go
@@ -14,13 +14,13 @@
 	Known bool
 	// Believed is what the engine was last seen to be; its fields are empty
 	// if no record told.
-	Believed Settings
+	Observed Settings
 	// Change is the last change; Phase.Open tells whether it still runs.
 	Change *Change
 	// Last is the position of the last accepted record, LastReadAt this
 	// process's own clock just after it read that record.
-	Last       journal.Position
-	LastReadAt time.Time
+	LastPosition journal.Position
+	LastReadAt   time.Time
 
 	chain lease.Chain
 }
@@ -60,7 +60,7 @@
 
 // Apply folds one journal entry and reports whether it was an accepted record
 // of an order.
-func (s *State) Apply(p journal.Placed) (Engine, bool) {
+func (s *State) Apply(p journal.LogEntry) (Engine, bool) {
 	if p.Entry.Kind != journal.KindOrder {
 		return Engine{}, false
 	}
@@ -71,7 +71,7 @@
 	return s.applyRecord(p, r)
 }
 
-func (s *State) applyRecord(p journal.Placed, r Record) (Engine, bool) {
+func (s *State) applyRecord(p journal.LogEntry, r Record) (Engine, bool) {
 	prev := s.engines[r.Engine]
 	link := prev.chain.Classify(r.After, p.Position)
 	if link == lease.LinkStale || !s.authorized(r) {
@@ -101,19 +101,19 @@
 		return true
 	}
 	l := s.leases.Scope(r.Scope)
-	return l.Held && l.FencingToken == r.Fence
+	return l.Held && l.FencingToken == r.FencingToken
 }
 
 // repeatedBy reports whether a checkpoint tells this very state.
 func (e Engine) repeatedBy(r Record) bool {
-	if e.Believed != r.Believed || (e.Change == nil) != (r.Change == nil) {
+	if e.Observed != r.Observed || (e.Change == nil) != (r.Change == nil) {
 		return false
 	}
 	return e.Change == nil || e.Change.sameStep(*r.Change)
 }
 
 func (c Change) sameStep(d Change) bool {
-	return c.ID == d.ID && c.Phase == d.Phase && c.Fence == d.Fence && c.Attempt == d.Attempt
+	return c.ID == d.ID && c.Phase == d.Phase && c.FencingToken == d.FencingToken && c.Attempt == d.Attempt
 }
 
 // allows reports whether a record is a step that may follow the engine's state.
@@ -122,7 +122,7 @@
 	if next == nil {
 		return open == nil
 	}
-	if next.Engine != r.Engine || next.Scope != r.Scope || next.Fence != r.Fence {
+	if next.Engine != r.Engine || next.Scope != r.Scope || next.FencingToken != r.FencingToken {
 		return false
 	}
 	if open == nil {
@@ -152,31 +152,31 @@
 // withinBudget reports whether a load fits beside those already under way.
 // The reservation ends with the change, whoever ends it.
 func (s *State) withinBudget(r Record) bool {
-	if r.Change.Phase != PhaseOrdered || r.Change.Reserve == nil {
+	if r.Change.Phase != PhaseOrdered || r.Change.Reservation == nil {
 		return true
 	}
-	sum := r.Change.Reserve.BytesPerSec
+	sum := r.Change.Reservation.BytesPerSec
 	for name, e := range s.engines {
 		if name != r.Engine {
 			sum += e.reserved()
 		}
 	}
-	return sum <= r.Change.Reserve.LimitPerSec
+	return sum <= r.Change.Reservation.LimitPerSec
 }
 
 func (e Engine) reserved() float64 {
 	c := e.Open()
-	if c == nil || c.Phase != PhaseOrdered || c.Reserve == nil {
+	if c == nil || c.Phase != PhaseOrdered || c.Reservation == nil {
 		return 0
 	}
-	return c.Reserve.BytesPerSec
+	return c.Reservation.BytesPerSec
 }
 
-func (e Engine) with(p journal.Placed, r Record) Engine {
+func (e Engine) with(p journal.LogEntry, r Record) Engine {
 	e.Name = r.Engine
 	e.Known = true
-	e.Believed = r.Believed
-	e.Last = p.Position
+	e.Observed = r.Observed
+	e.LastPosition = p.Position
 	e.LastReadAt = p.ReadAt
 	if r.Change == nil {
 		return e
@@ -188,7 +188,7 @@
 	}
 	c.PhaseAt = p.At
 	if c.Phase == PhaseDraining {
-		c.Drain = p.Position
+		c.DrainStart = p.Position
 		c.PlannedAt = p.At
 	}
 	return e
@@ -197,7 +197,7 @@
 // Gap takes note that records have expired before they were read. What was
 // known is kept, but the next record of an engine may follow one that was
 // missed.
-func (s *State) Gap() {
+func (s *State) Trimmed() {
 	for name, e := range s.engines {
 		e.chain.Reset()
 		s.engines[name] = e
--- a/orders/state_test.go
+++ b/orders/state_test.go
@@ -32,7 +32,7 @@
 
 func (b *book) apply(r Record) bool {
 	b.next++
-	p := journal.Placed{
+	p := journal.LogEntry{
 		Position: journal.Position{Offset: b.next},
 		Entry:    journal.Entry{Kind: journal.KindOrder, Body: r.Encode()},
 	}
@@ -43,8 +43,8 @@
 // step makes the record of a phase of a change after the engine's last one.
 func (b *book) step(engine, id, scope string, fence uint64, p Phase, reserve *Reservation) Record {
 	e := b.Engine(engine)
-	return Record{Engine: engine, After: e.Last, Scope: scope, Fence: fence, Change: &Change{
-		ID: id, Engine: engine, Kind: upstream.OrderRole, Phase: p, Scope: scope, Fence: fence, Reserve: reserve,
+	return Record{Engine: engine, After: e.LastPosition, Scope: scope, FencingToken: fence, Change: &Change{
+		ID: id, Engine: engine, Kind: upstream.OrderRole, Phase: p, Scope: scope, FencingToken: fence, Reservation: reserve,
 		Target: Settings{Role: upstream.RoleDecode},
 	}}
 }
@@ -102,23 +102,23 @@
 	late.next = b.next
 	require.True(t, b.apply(again))
 	require.True(t, late.apply(again))
-	assert.Equal(t, e.Change.Drain, late.Engine("e").Change.Drain)
-	assert.Equal(t, b.Engine("e").Last, late.Engine("e").Last)
+	assert.Equal(t, e.Change.DrainStart, late.Engine("e").Change.DrainStart)
+	assert.Equal(t, b.Engine("e").LastPosition, late.Engine("e").LastPosition)
 	other := again
-	other.Change = &Change{ID: "c", Engine: "e", Phase: PhaseUndone, Scope: "a", Fence: 1}
-	other.After = b.Engine("e").Last
+	other.Change = &Change{ID: "c", Engine: "e", Phase: PhaseUndone, Scope: "a", FencingToken: 1}
+	other.After = b.Engine("e").LastPosition
 	assert.False(t, b.apply(other), "a checkpoint changes nothing")
 }
 
 // situation is one of a leader with number 5 over a checked engine.
-func situation(c *Change, now time.Time) Situation {
-	return Situation{
-		Now: now, Checked: true, Drained: true,
+func situation(c *Change, now time.Time) Input {
+	return Input{
+		Now: now, EnforcesFencing: true, Drained: true,
 		Authority: lease.Authority{Scope: "a", FencingToken: 5},
 		Engine:    Engine{Name: "e", Known: true, Change: c},
 		Limits: Limits{
-			Drain: time.Minute, Order: time.Minute, Settle: time.Second,
-			Read: time.Second / 2, Fresh: time.Second, Retry: time.Second / 2,
+			DrainTimeout: time.Minute, OrderTimeout: time.Minute, SettleTime: time.Second,
+			ReadInterval: time.Second / 2, MaxStateAge: time.Second, RetryDelay: time.Second / 2,
 		},
 	}
 }
@@ -128,15 +128,15 @@
 // number is gone and raise it again.
 func TestNumberIsRaisedAgainAfterARestart(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-	var c Contact
+	var c Session
 	s := situation(nil, now)
-	require.Equal(t, ActionRaise, Next(s, &c).Kind)
-	c.RaiseDone(nil, now, s.Limits.Retry)
+	require.Equal(t, ActionRaiseToken, Next(s, &c).Kind)
+	c.RaiseDone(nil, now, s.Limits.RetryDelay)
 	require.Equal(t, ActionRead, Next(s, &c).Kind)
 	c.ReadDone(upstream.EngineState{FencingToken: 5, Role: "mixed"}, nil, now, now, s.Limits)
 	require.Equal(t, ActionAppend, Next(s, &c).Kind, "believed settings")
 	c.ReadDone(upstream.EngineState{Role: "mixed"}, nil, now, now, s.Limits)
-	assert.Equal(t, ActionRaise, Next(s, &c).Kind)
+	assert.Equal(t, ActionRaiseToken, Next(s, &c).Kind)
 }
 
 // The reply to an order is lost, and the engine doesn't show the order. It may
@@ -146,14 +146,14 @@
 	start := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	ch := &Change{
 		ID: "c", Engine: "e", Kind: upstream.OrderRole, Target: Settings{Role: upstream.RoleDecode},
-		Phase: PhaseOrdered, Scope: "a", Fence: 5, Attempt: 1, Incarnation: "1",
+		Phase: PhaseOrdered, Scope: "a", FencingToken: 5, Attempt: 1, Incarnation: "1",
 	}
 	seen := upstream.EngineState{Role: upstream.RoleMixed, FencingToken: 5, Incarnation: "1"}
 	for _, checked := range []bool{true, false} {
-		var c Contact
-		at := func(d time.Duration) Situation {
+		var c Session
+		at := func(d time.Duration) Input {
 			s := situation(ch, start.Add(d))
-			s.Checked = checked
+			s.EnforcesFencing = checked
 			return s
 		}
 		readAt := func(d time.Duration) {
--- a/orders/view.go
+++ b/orders/view.go
@@ -31,8 +31,8 @@
 	return e
 }
 
-// View folds the journal's order records. It implements journal.Folder and
-// journal.Trimmer; its other methods may be called from anywhere.
+// View folds the journal's order records. It implements journal.StateMachine and
+// journal.TrimListener; its other methods may be called from anywhere.
 type View struct {
 	state   *State
 	current atomic.Pointer[Snapshot]
@@ -47,8 +47,8 @@
 	return v
 }
 
-// Apply implements journal.Folder.
-func (v *View) Apply(p journal.Placed) {
+// Apply implements journal.StateMachine.
+func (v *View) Apply(p journal.LogEntry) {
 	next := &Snapshot{Position: p.Position, Engines: v.current.Load().Engines}
 	_, accepted := v.state.Apply(p)
 	if accepted {
@@ -60,8 +60,8 @@
 	}
 }
 
-// Trimmed implements journal.Trimmer.
-func (v *View) Trimmed(infra.Offset) { v.state.Gap() }
+// Trimmed implements journal.TrimListener.
+func (v *View) Trimmed(infra.Offset) { v.state.Trimmed() }
 
 // Snapshot returns the current state.
 func (v *View) Snapshot() *Snapshot { return v.current.Load() }
--- a/quarantine/entered.go
+++ b/quarantine/entered.go
@@ -20,7 +20,7 @@
 	At time.Time
 }
 
-func (x *suspect) entered(p journal.Placed) Entered {
+func (x *suspect) entered(p journal.LogEntry) Entered {
 	e := Entered{Digest: x.digest, Writer: p.Entry.Writer, At: p.At}
 	for _, c := range x.crashes {
 		e.Upstreams = append(e.Upstreams, c.Upstream)
--- a/quarantine/guard.go
+++ b/quarantine/guard.go
@@ -63,7 +63,7 @@
 }
 
 // Apply folds an entry of the journal.
-func (g *Guard) Apply(p journal.Placed) {
+func (g *Guard) Apply(p journal.LogEntry) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.state.Apply(p)
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -19,7 +19,7 @@
 // fakeLog is a log that several guards fold at once, each entry ID once.
 type fakeLog struct {
 	at      time.Time
-	entries []journal.Placed
+	entries []journal.LogEntry
 	seen    map[string]bool
 	guards  []*Guard
 	down    bool
@@ -45,7 +45,7 @@
 		return journal.Position{}, errDown
 	}
 	l.at = l.at.Add(5 * time.Millisecond)
-	p := journal.Placed{Position: journal.Position{Offset: infra.Offset(len(l.entries) + 1)}, At: l.at, ReadAt: l.at, Entry: e}
+	p := journal.LogEntry{Position: journal.Position{Offset: infra.Offset(len(l.entries) + 1)}, At: l.at, ReadAt: l.at, Entry: e}
 	l.entries = append(l.entries, p)
 	if l.seen[e.ID] {
 		return p.Position, nil
--- a/quarantine/state.go
+++ b/quarantine/state.go
@@ -95,7 +95,7 @@
 
 // Apply folds an entry. Bodies that can't be decoded are ignored, in the same way
 // by every process.
-func (s *State) Apply(p journal.Placed) {
+func (s *State) Apply(p journal.LogEntry) {
 	s.touched = s.touched[:0]
 	s.entered = s.entered[:0]
 	if p.At.After(s.logNow) {
@@ -124,7 +124,7 @@
 	}
 }
 
-func (s *State) applyCrash(c *Crash, p journal.Placed) {
+func (s *State) applyCrash(c *Crash, p journal.LogEntry) {
 	s.touched = append(append(s.touched, c.Suspects...), c.Doubtful...)
 	s.crashed = c.Upstream
 	for _, d := range c.Suspects {
@@ -139,7 +139,7 @@
 
 // countCrash counts a crash against a digest, once even if several processes
 // report it.
-func (s *State) countCrash(d Digest, c *Crash, p journal.Placed, counts bool) {
+func (s *State) countCrash(d Digest, c *Crash, p journal.LogEntry, counts bool) {
 	x := s.suspects[d]
 	if x == nil {
 		x = &suspect{digest: d}
@@ -194,7 +194,7 @@
 	s.reservations[i.Upstream] = reservation{i.Digest, s.logNow}
 }
 
-func (s *State) applyIsolationEnd(c *isolationEnd, p journal.Placed) {
+func (s *State) applyIsolationEnd(c *isolationEnd, p journal.LogEntry) {
 	if s.reservations[c.Upstream].digest == c.Digest {
 		delete(s.reservations, c.Upstream)
 	}
@@ -208,7 +208,7 @@
 	x.written = p.At
 }
 
-func (s *State) applyRelease(r *Release, p journal.Placed) {
+func (s *State) applyRelease(r *Release, p journal.LogEntry) {
 	mark := released{*r, r.Basis, r.At, p.At}
 	if r.Basis.IsZero() {
 		mark.position, mark.at = p.Position, p.At
@@ -224,7 +224,7 @@
 
 // applyCheckpoint restores state from entries that this process may not have read
 // before they expired.
-func (s *State) applyCheckpoint(c *checkpoint, p journal.Placed) {
+func (s *State) applyCheckpoint(c *checkpoint, p journal.LogEntry) {
 	x := s.suspects[c.Digest]
 	if x != nil && c.Basis.Less(x.basis) {
 		return
--- a/rules/fold_test.go
+++ b/rules/fold_test.go
@@ -61,7 +61,7 @@
 		record := m.log[r.next-1]
 		if !r.seen[record.id] {
 			r.seen[record.id] = true
-			r.replica.Apply(journal.Placed{
+			r.replica.Apply(journal.LogEntry{
 				Position: journal.Position{Offset: r.next},
 				Entry:    journal.Entry{Kind: journal.KindRules, ID: record.id, Body: record.body},
 			})
@@ -231,7 +231,7 @@
 	require.Contains(t, b.Status().Problem, "unknown name new_field")
 	publish("load > 1")
 	require.Equal(t, Version{Offset: 3}, b.Current().Version)
-	b.Apply(journal.Placed{Position: journal.Position{Offset: 4}, ReadAt: time.Now(), Entry: journal.Entry{Body: []byte{1}}})
+	b.Apply(journal.LogEntry{Position: journal.Position{Offset: 4}, ReadAt: time.Now(), Entry: journal.Entry{Body: []byte{1}}})
 	require.Equal(t, 1, b.Status().Faults.Undecodable)
 	require.Equal(t, Version{Offset: 3}, b.Current().Version)
 }
--- a/rules/replica.go
+++ b/rules/replica.go
@@ -24,7 +24,7 @@
 }
 
 // Replica is this process's copy of the published rules, built by folding the
-// log's rules entries. It implements journal.Folder and journal.Trimmer;
+// log's rules entries. It implements journal.StateMachine and journal.TrimListener;
 // register it for journal.KindRules. Its other methods may be called from any
 // goroutine.
 type Replica struct {
@@ -48,8 +48,8 @@
 }
 
 var (
-	_ journal.Folder  = (*Replica)(nil)
-	_ journal.Trimmer = (*Replica)(nil)
+	_ journal.StateMachine = (*Replica)(nil)
+	_ journal.TrimListener = (*Replica)(nil)
 )
 
 // recordTimes are the times of the last record that holds the state in force.
@@ -147,8 +147,8 @@
 	return status
 }
 
-// Apply implements journal.Folder.
-func (r *Replica) Apply(p journal.Placed) {
+// Apply implements journal.StateMachine.
+func (r *Replica) Apply(p journal.LogEntry) {
 	rec, err := decodeBody(p.Entry.Body)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -168,7 +168,7 @@
 	}
 }
 
-func (r *Replica) applyPublish(p journal.Placed, publish Publication) {
+func (r *Replica) applyPublish(p journal.LogEntry, publish Publication) {
 	verdicts := r.fold.publish(loggedPublication{at: p.Position, logTime: p.At, Publication: publish})
 	if r.fold.state.Version == Version(p.Position) {
 		r.stateRecord = recordTimes{logTime: p.At, readAt: p.ReadAt}
@@ -177,7 +177,7 @@
 	r.refresh(p.ReadAt.Sub(p.At) < maxEagerCompileAge)
 }
 
-func (r *Replica) applyCheckpoint(p journal.Placed, c Checkpoint) {
+func (r *Replica) applyCheckpoint(p journal.LogEntry, c Checkpoint) {
 	r.requestedAt = time.Time{}
 	verdicts, consistent := r.fold.checkpoint(p.Position, c)
 	if !consistent {
@@ -193,7 +193,7 @@
 	r.refresh(p.ReadAt.Sub(p.At) < maxEagerCompileAge)
 }
 
-// Trimmed implements journal.Trimmer.
+// Trimmed implements journal.TrimListener.
 func (r *Replica) Trimmed(oldest infra.Offset) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
