--- a/journal/dedupe.go
+++ b/journal/dedupe.go
@@ -7,38 +7,38 @@
 	"github.com/twmb/murmur3"
 )
 
-// defaultMaxIDs bounds the entry IDs that a deduper keeps.
+// defaultMaxIDs bounds the number of entry IDs that a deduper remembers.
 const defaultMaxIDs = 1 << 20
 
-// idHash stands for an entry ID in 16 bytes.
+// idHash is the 128-bit hash of an entry ID.
 type idHash [2]uint64
 
-// sighting is an ID and when it was first seen by the log's clock.
-type sighting struct {
+// seenID is an ID with the log time at which it was first seen.
+type seenID struct {
 	id idHash
 	at time.Time
 }
 
-// deduper tells entries that were folded before. It knows an ID for one
-// window by the log's clock, and drops the oldest one early only when it
-// holds maxIDs. What it knows follows from the records alone, so every reader
-// of the same records gives the same verdicts.
+// deduper detects entries that were applied before. It remembers an ID for one
+// window of log time; only when it holds maxIDs does it drop the oldest one
+// earlier. Its state depends on the records alone, so all readers of the same
+// records make the same decisions.
 type deduper struct {
 	window time.Duration
 	maxIDs int
-	// now is the latest time of a record; a record with an earlier one
-	// doesn't turn it back.
+	// now is the latest time of a record. It never goes back, even if a later
+	// record has an earlier time.
 	now     time.Time
 	known   map[idHash]struct{}
-	inOrder deque.Deque[sighting]
+	inOrder deque.Deque[seenID]
 }
 
 func newDeduper(window time.Duration, maxIDs int) *deduper {
 	return &deduper{window: window, maxIDs: maxIDs, known: map[idHash]struct{}{}}
 }
 
-// first reports whether id is seen for the first time, and remembers it.
-func (d *deduper) first(id string, at time.Time) bool {
+// addIfNew remembers id and reports whether it wasn't known yet.
+func (d *deduper) addIfNew(id string, at time.Time) bool {
 	d.expire(at)
 	a, b := murmur3.StringSum128(id)
 	h := idHash{a, b}
@@ -49,11 +49,11 @@
 		d.dropOldest()
 	}
 	d.known[h] = struct{}{}
-	d.inOrder.PushBack(sighting{id: h, at: d.now})
+	d.inOrder.PushBack(seenID{id: h, at: d.now})
 	return true
 }
 
-// expire drops the IDs whose window has passed at the time at.
+// expire advances the log time to at and drops the IDs whose window has passed.
 func (d *deduper) expire(at time.Time) {
 	if at.After(d.now) {
 		d.now = at
--- a/journal/dedupe_test.go
+++ b/journal/dedupe_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// An ID must be known for the whole window, else an entry whose record was
-// written twice counts twice; and memory must be bounded.
-func TestDeduperKnowsTheWindow(t *testing.T) {
+// If an ID were forgotten within the window, an entry whose record was written
+// twice would be applied twice. The number of remembered IDs must stay bounded.
+func TestDeduperRemembersIDsForWindow(t *testing.T) {
 	const maxIDs = 8
 	rapid.Check(t, func(t *rapid.T) {
 		d := newDeduper(time.Minute, 2*maxIDs)
@@ -22,7 +22,7 @@
 			at = at.Add(time.Duration(rapid.IntRange(0, 40).Draw(t, "wait")) * time.Second)
 			id := strconv.Itoa(rapid.IntRange(0, 20).Draw(t, "id"))
 			before, known := seen[id]
-			first := d.first(id, at)
+			first := d.addIfNew(id, at)
 			require.LessOrEqual(t, len(d.known), 2*maxIDs)
 			require.Len(t, d.known, d.inOrder.Len())
 			if !known {
--- a/journal/example_test.go
+++ b/journal/example_test.go
@@ -8,8 +8,8 @@
 	"tamarackchute/journal/journaltest"
 )
 
-// firstWins is a decision that needs no vote: the entry that stands first in
-// the log wins, and every reader sees the same one.
+// firstWins decides by log order: the first entry in the log wins, and every
+// reader sees the same one.
 type firstWins struct{ winner string }
 
 func (f *firstWins) Apply(p journal.LogEntry) {
@@ -27,7 +27,7 @@
 		j, f := journal.New(log, journal.Config{Writer: name}), &firstWins{}
 		j.Register(journal.KindAudit, f)
 		go func() { _ = j.Serve(ctx) }()
-		// Append returns when f has seen the entry, so the verdict is there.
+		// Append returns after the entry was applied to f, so f.winner is set.
 		if _, err := j.Append(ctx, journal.Entry{Kind: journal.KindAudit, Body: []byte(name)}); err != nil {
 			panic(err)
 		}
--- a/journal/journal.go
+++ b/journal/journal.go
@@ -1,7 +1,7 @@
-// Package journal carries typed entries over the platform's log. Several
-// entries of one process share one append (group commit), each process reads
-// the whole log in order, and folders turn the entries into state. Every
-// process that has read up to the same position has the same state.
+// Package journal replicates typed entries over the platform's append-only log.
+// Entries of one process share appends (group commit). Each process reads the
+// whole log in order and applies the entries to its state machines, so all
+// processes that have read up to the same position have the same state.
 package journal
 
 import (
@@ -11,8 +11,9 @@
 	"tamarackchute/infra"
 )
 
-// Position is the place of an entry: the offset of its log record, and its
-// index within that record. Positions are totally ordered, alike everywhere.
+// Position identifies an entry by the offset of its log record and its index
+// within that record. Positions are totally ordered, and an entry has the same
+// position in every process.
 type Position struct {
 	Offset infra.Offset `msgpack:"o" json:"offset"`
 	Index  uint16       `msgpack:"i" json:"index"`
@@ -26,56 +27,56 @@
 	return p.Index < q.Index
 }
 
-// IsZero reports whether p is before every entry.
+// IsZero reports whether p is the zero position, which precedes every entry.
 func (p Position) IsZero() bool { return p == Position{} }
 
-// Kind says which folder an entry is for.
+// Kind selects the state machine that an entry is applied to.
 type Kind uint8
 
-// The kinds of entry. Their numbers stand in the log: never reuse one.
+// The kinds of entries. Their numbers are stored in the log: never reuse one.
 const (
 	KindRules      Kind = 1 // rules: publish and checkpoint
 	KindLease      Kind = 2 // lease: claim, renewal, release
 	KindClaim      Kind = 3 // claim: claims and outcomes of protected calls
-	KindOrder      Kind = 4 // orders: phases of changes to engines
-	KindQuarantine Kind = 5 // quarantine: suspicions, releases
-	KindAudit      Kind = 6 // audit: who did what, and why
+	KindOrder      Kind = 4 // orders: phases of engine changes
+	KindQuarantine Kind = 5 // quarantine: suspicions and releases
+	KindAudit      Kind = 6 // audit: operator and system actions with their reasons
 )
 
 // Entry is one typed entry of the journal.
 type Entry struct {
 	Kind Kind `msgpack:"k"`
-	// ID is unique to the entry. An entry that was appended twice, after a
-	// lost reply, is folded once.
+	// ID is unique to the entry. An entry that is appended again after a lost
+	// reply is applied only once.
 	ID string `msgpack:"id"`
 	// Writer names the process that wrote it, as instance/program/incarnation.
 	Writer string `msgpack:"w"`
-	// Body is the msgpack form of the kind's own type.
+	// Body is the msgpack encoding of the type that belongs to Kind.
 	Body []byte `msgpack:"b"`
 }
 
-// Placed is an entry with its place in the log.
+// LogEntry is an entry as read from the log, with its position and timestamps.
 type LogEntry struct {
 	Position Position
-	// At is the log's wall clock when it took the record.
+	// At is the log's wall-clock time when it accepted the record.
 	At time.Time
-	// ReadAt is the reader's own clock, with its monotonic part, just after
-	// the read returned.
+	// ReadAt is the local time, with its monotonic reading, just after the read
+	// returned.
 	ReadAt time.Time
 	Entry  Entry
 }
 
-// Folder turns entries into state. Apply is called from one goroutine, in
-// order of position, once per entry ID.
+// StateMachine builds state from entries. Apply is called from one goroutine,
+// in order of position, once per entry ID.
 type StateMachine interface {
 	Apply(p LogEntry)
 }
 
 // Writer appends entries.
 type Writer interface {
-	// Append adds an entry and returns its position once the process's own
-	// reader has folded everything up to it, so that the caller sees the
-	// verdict. An error that matches infra.ErrNotWritten is final. After
-	// any other error the entry may be in the log, or may still arrive.
+	// Append adds an entry and returns its position once the local reader has
+	// applied everything up to it, so that the caller sees the entry's effect on
+	// the state. An error that matches infra.ErrNotWritten is final. After any
+	// other error the entry may be in the log or may still arrive there.
 	Append(ctx context.Context, e Entry) (Position, error)
 }
--- a/journal/journal_test.go
+++ b/journal/journal_test.go
@@ -16,26 +16,28 @@
 	"tamarackchute/journal/journaltest"
 )
 
-// bodies is a folder that keeps what it is given.
-type bodies struct {
-	got     []string
+// recordingStateMachine records the bodies of the entries applied to it.
+type recordingStateMachine struct {
+	applied []string
 	trimmed infra.Offset
 }
 
-func (b *bodies) Apply(p journal.LogEntry)    { b.got = append(b.got, string(p.Entry.Body)) }
-func (b *bodies) Trimmed(oldest infra.Offset) { b.trimmed = oldest }
+func (b *recordingStateMachine) Apply(p journal.LogEntry) {
+	b.applied = append(b.applied, string(p.Entry.Body))
+}
+func (b *recordingStateMachine) Trimmed(oldest infra.Offset) { b.trimmed = oldest }
 func entry(id string) journal.Entry {
 	return journal.Entry{Kind: journal.KindAudit, ID: id, Body: []byte(id)}
 }
-func quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
-func within(d time.Duration) (context.Context, context.CancelFunc) {
+func discardLogger() *slog.Logger { return slog.New(slog.DiscardHandler) }
+func withTimeout(d time.Duration) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.Background(), d)
 }
 
-// run starts a journal within a synctest bubble and ends it with the test.
-func run(t *testing.T, log infra.Log, cfg journal.Config) (*journal.Journal, *bodies) {
-	cfg.Writer, cfg.Logger = "test", quiet()
-	j, f := journal.New(log, cfg), &bodies{}
+// startJournal runs a journal within a synctest bubble until the test ends.
+func startJournal(t *testing.T, log infra.Log, cfg journal.Config) (*journal.Journal, *recordingStateMachine) {
+	cfg.Writer, cfg.Logger = "test", discardLogger()
+	j, f := journal.New(log, cfg), &recordingStateMachine{}
 	j.Register(journal.KindAudit, f)
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg conc.WaitGroup
@@ -56,27 +58,27 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				log := journaltest.NewLog()
-				j, f := run(t, log, c.cfg)
+				j, f := startJournal(t, log, c.cfg)
 				var wg conc.WaitGroup
 				for i := range 50 {
 					wg.Go(func() {
 						pos, err := j.Append(t.Context(), entry(fmt.Sprint(i)))
 						require.NoError(t, err)
-						require.False(t, j.Applied().Less(pos), "returned before its entry was folded")
+						require.False(t, j.Applied().Less(pos), "returned before its entry was applied")
 					})
 				}
 				wg.Wait()
-				require.Len(t, f.got, 50)
+				require.Len(t, f.applied, 50)
 				require.Equal(t, c.appends, log.Appends())
 			})
 		})
 	}
 }
 
-// A caller's claim is written, but the log's reply gets lost, or the record
-// arrives late. The journal sends the entry again, so that it stands in the
-// log twice. Folding it twice would be a second publish or a second claim.
-func TestUnclearAppendCountsOnce(t *testing.T) {
+// If the log's reply is lost or the record arrives late, the journal appends the
+// entry again and the log may hold it twice. Applying it twice would publish or
+// claim a second time.
+func TestAppendWithUnknownOutcomeIsAppliedOnce(t *testing.T) {
 	for name, faults := range map[string][]journaltest.Fault{
 		"reply lost":         {journaltest.FaultReplyLost},
 		"late":               {journaltest.FaultLate},
@@ -88,58 +90,57 @@
 			synctest.Test(t, func(t *testing.T) {
 				log := journaltest.NewLog()
 				log.Fail(faults...)
-				j, f := run(t, log, journal.Config{})
+				j, f := startJournal(t, log, journal.Config{})
 				_, err := j.Append(t.Context(), entry("a"))
 				require.NoError(t, err)
 				time.Sleep(10 * time.Second)
 				synctest.Wait()
-				require.Equal(t, []string{"a"}, f.got)
+				require.Equal(t, []string{"a"}, f.applied)
 			})
 		})
 	}
 }
 
-// An operator's publish times out. If the journal said "not written" of an
-// entry that lands later, the operator would publish the rules twice.
-func TestGivenUpAppendTellsTheTruth(t *testing.T) {
+// When an Append times out, an entry that may still be written must not be
+// reported as not written: an operator would then publish the rules twice.
+func TestCancelledAppendReportsOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := journaltest.NewLog()
 		log.Fail(journaltest.FaultHang)
-		j, f := run(t, log, journal.Config{MaxInFlight: 1})
+		j, f := startJournal(t, log, journal.Config{MaxInFlight: 1})
 		var wg conc.WaitGroup
 		wg.Go(func() {
-			ctx, cancel := within(500 * time.Millisecond)
+			ctx, cancel := withTimeout(500 * time.Millisecond)
 			defer cancel()
 			_, err := j.Append(ctx, entry("sent"))
 			require.ErrorIs(t, err, journal.ErrOutcomeUnknown)
 			require.NotErrorIs(t, err, infra.ErrNotWritten)
 		})
 		synctest.Wait()
-		ctx, cancel := within(100 * time.Millisecond)
+		ctx, cancel := withTimeout(100 * time.Millisecond)
 		defer cancel()
 		_, err := j.Append(ctx, entry("queued"))
 		require.ErrorIs(t, err, infra.ErrNotWritten)
 		wg.Wait()
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
-		require.Equal(t, []string{"sent"}, f.got)
+		require.Equal(t, []string{"sent"}, f.applied)
 	})
 }
 
-// With the log down for an hour, each call that wants to write must be
-// answered and memory must not grow; afterwards the journal works again. The
-// calls give up between two tries of the writer, whose waits are multiples of
-// 50 ms: one that gives up at the instant of a try can't know its end, which
-// TestGivenUpAppendTellsTheTruth is about.
+// While the log is unavailable, each Append must return and the backlog stay
+// bounded; afterwards the journal must recover. The calls end between two
+// attempts of the writer, whose delays are multiples of 50 ms: the outcome of a
+// call that ends during an attempt would be unknown.
 func TestOutageBoundsTheBacklog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := journaltest.NewLog()
 		log.Outage(true)
-		j, f := run(t, log, journal.Config{MaxPending: 10})
+		j, f := startJournal(t, log, journal.Config{MaxPending: 10})
 		var wg conc.WaitGroup
 		for i := range 10 {
 			wg.Go(func() {
-				ctx, cancel := within(time.Hour + 25*time.Millisecond)
+				ctx, cancel := withTimeout(time.Hour + 25*time.Millisecond)
 				defer cancel()
 				_, err := j.Append(ctx, entry(fmt.Sprint(i)))
 				require.ErrorIs(t, err, infra.ErrNotWritten)
@@ -157,14 +158,14 @@
 		require.True(t, j.Health().LogUp)
 		_, err = j.Append(t.Context(), entry("after"))
 		require.NoError(t, err)
-		require.Equal(t, []string{"after"}, f.got)
+		require.Equal(t, []string{"after"}, f.applied)
 	})
 }
 
-// An instance that was paused for longer than the log's retention comes back:
-// its reader asks for records that have expired. It must not stop there, and
-// its folders must learn that they missed some.
-func TestReaderGoesOnBehindExpiredAndForeignRecords(t *testing.T) {
+// The reader of an instance that was paused for longer than the log's retention
+// requests expired records. It must continue after them and notify its state
+// machines, and it must skip records that another program wrote.
+func TestReaderSkipsTrimmedAndForeignRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := journaltest.NewLog()
 		for i := range 3 {
@@ -174,10 +175,10 @@
 		}
 		log.Put([]byte("not ours"))
 		log.Trim(3)
-		j, f := run(t, log, journal.Config{})
+		j, f := startJournal(t, log, journal.Config{})
 		<-j.CaughtUp()
 		require.Equal(t, infra.Offset(3), f.trimmed)
-		require.Equal(t, []string{"2"}, f.got)
+		require.Equal(t, []string{"2"}, f.applied)
 		require.Equal(t, infra.Offset(4), j.Applied().Offset)
 		require.Equal(t, int64(1), j.Stats().Corrupt)
 	})
--- a/journal/journaltest/log.go
+++ b/journal/journaltest/log.go
@@ -1,6 +1,6 @@
-// Package journaltest holds an in-memory log with faults on demand, for tests
-// of packages that work over the journal. It takes the time from package time,
-// so that it works within a testing/synctest bubble.
+// Package journaltest provides an in-memory log with fault injection for tests of
+// packages that use the journal. It uses package time, so it works within a
+// testing/synctest bubble.
 package journaltest
 
 import (
@@ -13,62 +13,61 @@
 	"tamarackchute/infra"
 )
 
-// Fault is what happens to one append.
+// Fault is the way in which one append fails.
 type Fault uint8
 
 // The faults of an append.
 const (
-	// FaultNone: the append works.
+	// FaultNone: the append succeeds.
 	FaultNone Fault = iota
-	// FaultNotWritten: refused, with an error that matches ErrNotWritten.
+	// FaultNotWritten: the append fails with an error that matches ErrNotWritten.
 	FaultNotWritten
-	// FaultReplyLost: the record is written, the writer gets ErrUnavailable.
+	// FaultReplyLost: the record is written, but Append returns ErrUnavailable.
 	FaultReplyLost
-	// FaultLost: nothing is written, the writer gets ErrUnavailable.
+	// FaultLost: nothing is written, and Append returns ErrUnavailable.
 	FaultLost
-	// FaultLate: the writer gets ErrUnavailable at once, and the record is
-	// written after the log's LateAfter.
+	// FaultLate: Append returns ErrUnavailable at once; the record is written
+	// after the delay set by SetLateAfter.
 	FaultLate
-	// FaultHang: no answer until the writer gives up; the record is written
-	// after the log's LateAfter.
+	// FaultHang: Append blocks until its context ends; the record is written
+	// after the delay set by SetLateAfter.
 	FaultHang
 )
 
-// Log implements infra.Log in memory. Its zero value is not usable.
+// Log is an in-memory infra.Log. Use NewLog to create one.
 type Log struct {
 	mu      sync.Mutex
 	records []infra.Record
 	oldest  infra.Offset
-	// changed is closed and replaced with each new record or change of state.
-	changed chan struct{}
-	outage  bool
-	hang    bool
-	faults  []Fault
-	late    time.Duration
-	latency time.Duration
-	limiter *rate.Limiter
-	appends int
+	// changed is closed and replaced at each new record or change of settings.
+	changed   chan struct{}
+	outage    bool
+	hang      bool
+	faults    []Fault
+	lateAfter time.Duration
+	latency   time.Duration
+	limiter   *rate.Limiter
+	appends   int
 }
 
 var _ infra.Log = (*Log)(nil)
 
 // NewLog returns an empty log without faults.
 func NewLog() *Log {
-	return &Log{oldest: 1, changed: make(chan struct{}), late: time.Second}
+	return &Log{oldest: 1, changed: make(chan struct{}), lateAfter: time.Second}
 }
 
-// SetLatency sets how long each append takes, and each read that finds a
-// record, there and back.
-func (l *Log) SetLatency(d time.Duration) { l.set(func() { l.latency = d }) }
+// SetLatency sets the round-trip time of appends and reads.
+func (l *Log) SetLatency(d time.Duration) { l.update(func() { l.latency = d }) }
 
-// SetLateAfter sets how long after its append a late record is written; one
-// second unless set.
-func (l *Log) SetLateAfter(d time.Duration) { l.set(func() { l.late = d }) }
+// SetLateAfter sets the delay with which late records are written; one second by
+// default.
+func (l *Log) SetLateAfter(d time.Duration) { l.update(func() { l.lateAfter = d }) }
 
-// SetRate bounds the appends a second, from all writers; beyond it they get
-// ErrRateLimited. A rate of 0 sets no bound.
+// SetRate limits the appends per second of all writers together; beyond the limit
+// Append returns ErrRateLimited. A rate of 0 means no limit.
 func (l *Log) SetRate(perSecond float64, burst int) {
-	l.set(func() {
+	l.update(func() {
 		l.limiter = nil
 		if perSecond > 0 {
 			l.limiter = rate.NewLimiter(rate.Limit(perSecond), burst)
@@ -76,20 +75,20 @@
 	})
 }
 
-// Outage starts or ends an outage in which every call is refused at once:
-// appends with an error that matches ErrNotWritten.
-func (l *Log) Outage(on bool) { l.set(func() { l.outage = on }) }
+// Outage starts or ends an outage in which every call fails at once, appends with
+// an error that matches ErrNotWritten.
+func (l *Log) Outage(on bool) { l.update(func() { l.outage = on }) }
 
-// Hang starts or ends an outage in which no call is answered until its caller
-// gives up. Appends made meanwhile are not written.
-func (l *Log) Hang(on bool) { l.set(func() { l.hang = on }) }
+// Hang starts or ends an outage in which every call blocks until its context
+// ends. Appends made meanwhile are not written.
+func (l *Log) Hang(on bool) { l.update(func() { l.hang = on }) }
 
-// Fail sets the faults of the next appends, one each.
-func (l *Log) Fail(faults ...Fault) { l.set(func() { l.faults = append(l.faults, faults...) }) }
+// Fail queues faults for the next appends, one for each.
+func (l *Log) Fail(faults ...Fault) { l.update(func() { l.faults = append(l.faults, faults...) }) }
 
-// Trim lets all records before oldest expire.
+// Trim expires all records before oldest.
 func (l *Log) Trim(oldest infra.Offset) {
-	l.set(func() {
+	l.update(func() {
 		oldest = min(oldest, l.next())
 		for len(l.records) > 0 && l.records[0].Offset < oldest {
 			l.records = l.records[1:]
@@ -98,7 +97,7 @@
 	})
 }
 
-// TrimBefore lets all records expire that were written before t.
+// TrimBefore expires all records that were written before t.
 func (l *Log) TrimBefore(t time.Time) {
 	l.mu.Lock()
 	oldest := l.oldest
@@ -111,7 +110,7 @@
 	l.Trim(oldest)
 }
 
-// Put writes a record, whatever the faults. It serves as another writer.
+// Put writes a record regardless of faults, as another writer would.
 func (l *Log) Put(data []byte) infra.Offset {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -125,7 +124,7 @@
 	return l.next()
 }
 
-// Appends returns the number of appends tried.
+// Appends returns the number of attempted appends.
 func (l *Log) Appends() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -135,10 +134,10 @@
 // Append implements infra.Log.
 func (l *Log) Append(ctx context.Context, data []byte) (infra.Offset, error) {
 	data = append([]byte(nil), data...)
-	if err := pause(ctx, l.begin()/2); err != nil {
+	if err := sleep(ctx, l.countAppend()/2); err != nil {
 		return 0, infra.ErrNotWritten
 	}
-	off, late, err := l.take(data)
+	off, late, err := l.applyFault(data)
 	if late > 0 {
 		time.AfterFunc(late, func() { l.Put(data) })
 	}
@@ -149,7 +148,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if err := pause(ctx, l.wait()/2); err != nil {
+	if err := sleep(ctx, l.currentLatency()/2); err != nil {
 		return 0, infra.ErrUnavailable
 	}
 	return off, nil
@@ -161,12 +160,12 @@
 	defer timer.Stop()
 	expired := wait <= 0
 	for {
-		res, changed, hang, err := l.look(from, limit)
+		res, changed, hang, err := l.readNow(from, limit)
 		if err != nil {
 			return res, err
 		}
 		if !hang && (len(res.Records) > 0 || expired) {
-			if pause(ctx, l.wait()) != nil {
+			if sleep(ctx, l.currentLatency()) != nil {
 				return infra.ReadResult{}, infra.ErrUnavailable
 			}
 			return res, nil
@@ -181,15 +180,16 @@
 	}
 }
 
-// errHang makes Append wait for its caller to give up.
+// errHang makes Append block until its context ends.
 const errHang = hangError("hang")
 
 type hangError string
 
 func (e hangError) Error() string { return string(e) }
 
-// take decides what becomes of one append.
-func (l *Log) take(data []byte) (off infra.Offset, late time.Duration, err error) {
+// applyFault decides the outcome of one append: it writes the record unless an
+// outage, the rate limit or the next queued fault prevents that.
+func (l *Log) applyFault(data []byte) (off infra.Offset, late time.Duration, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.outage {
@@ -210,9 +210,9 @@
 	case FaultLost:
 		return 0, 0, infra.ErrUnavailable
 	case FaultLate:
-		return 0, l.late, infra.ErrUnavailable
+		return 0, l.lateAfter, infra.ErrUnavailable
 	case FaultHang:
-		return 0, l.late, errHang
+		return 0, l.lateAfter, errHang
 	default:
 		return l.put(data), 0, nil
 	}
@@ -227,7 +227,7 @@
 	return f
 }
 
-func (l *Log) look(from infra.Offset, limit int) (infra.ReadResult, chan struct{}, bool, error) {
+func (l *Log) readNow(from infra.Offset, limit int) (infra.ReadResult, chan struct{}, bool, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.outage {
@@ -262,27 +262,27 @@
 	l.changed = make(chan struct{})
 }
 
-func (l *Log) set(change func()) {
+func (l *Log) update(change func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change()
 	l.signal()
 }
 
-func (l *Log) begin() time.Duration {
+func (l *Log) countAppend() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.appends++
 	return l.latency
 }
 
-func (l *Log) wait() time.Duration {
+func (l *Log) currentLatency() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.latency
 }
 
-func pause(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return nil
 	}
--- a/journal/queue.go
+++ b/journal/queue.go
@@ -2,36 +2,35 @@
 
 import "time"
 
-// pendingState says how far an entry's append has come.
+// pendingState is the progress of an entry's append.
 type pendingState uint8
 
 const (
-	// stateQueued: waits for the writer.
+	// stateQueued: waiting for the writer.
 	stateQueued pendingState = iota
-	// stateSending: part of an append that has no answer yet, or whose record
-	// the own reader has still to reach.
+	// stateSending: part of an append that has no reply yet, or whose record the
+	// local reader hasn't read yet.
 	stateSending
 )
 
-// pending is an entry that somebody waits for.
+// pending is an entry that at least one call of Append waits for.
 type pending struct {
-	entry Entry
-	size  int
-	since time.Time
-	state pendingState
-	// maybeWritten is set once an append with the entry was begun whose end
-	// wasn't a certain "not written". Only the log's word that this append
-	// never lands takes it back.
+	entry    Entry
+	size     int
+	queuedAt time.Time
+	state    pendingState
+	// maybeWritten is set before an append with the entry is sent. It is reset
+	// only if the log reports that this append will never be written.
 	maybeWritten bool
 	waiters      int
-	// done is closed, with position set, when the own reader has folded it.
+	// done is closed, with position set, when the local reader has applied the
+	// entry.
 	done     chan struct{}
 	position Position
 }
 
-// queue holds the pending entries of one process: those that wait for the
-// writer, in order, and by ID those that wait for the reader. It isn't safe
-// for concurrent use.
+// queue holds the pending entries of one process: all of them by ID, and in
+// order those that wait for the writer. It isn't safe for concurrent use.
 type queue struct {
 	waiting      []*pending
 	waitingBytes int
@@ -45,8 +44,8 @@
 	return &queue{byID: map[string]*pending{}, maxEntries: maxEntries, maxBytes: maxBytes}
 }
 
-// add takes an entry in, or joins the one that is pending under its ID. It
-// returns nil if the queue is full.
+// add queues an entry, or adds a waiter to the pending entry with the same ID.
+// It returns nil if the queue is full.
 func (q *queue) add(e Entry, now time.Time) *pending {
 	if p, ok := q.byID[e.ID]; ok {
 		p.waiters++
@@ -56,7 +55,7 @@
 	if len(q.byID) >= q.maxEntries || q.bytes+size > q.maxBytes {
 		return nil
 	}
-	p := &pending{entry: e, size: size, since: now, waiters: 1, done: make(chan struct{})}
+	p := &pending{entry: e, size: size, queuedAt: now, waiters: 1, done: make(chan struct{})}
 	q.byID[e.ID] = p
 	q.bytes += size
 	q.waiting = append(q.waiting, p)
@@ -64,20 +63,19 @@
 	return p
 }
 
-// leave takes back one waiter. An entry that nobody waits for is not sent
-// again.
-func (q *queue) leave(p *pending) {
+// removeWaiter removes one waiter. An entry without waiters is not sent again.
+func (q *queue) removeWaiter(p *pending) {
 	p.waiters--
 	if p.waiters > 0 || q.byID[p.entry.ID] != p {
 		return
 	}
-	q.forget(p)
+	q.drop(p)
 	if p.state == stateQueued {
 		q.unqueue(p)
 	}
 }
 
-func (q *queue) forget(p *pending) {
+func (q *queue) drop(p *pending) {
 	delete(q.byID, p.entry.ID)
 	q.bytes -= p.size
 }
@@ -92,9 +90,9 @@
 	}
 }
 
-// next takes the entries of the next append: the oldest ones, up to maxBytes
-// in all and at least one.
-func (q *queue) next(maxBytes, maxEntries int) []*pending {
+// dequeue removes the entries of the next append: the oldest ones, at least one
+// and up to maxBytes in total.
+func (q *queue) dequeue(maxBytes, maxEntries int) []*pending {
 	size, n := 0, 0
 	for n < len(q.waiting) && n < maxEntries {
 		size += q.waiting[n].size
@@ -112,9 +110,9 @@
 	return batch
 }
 
-// giveBack queues the entries of a failed append again, first in line, but
-// for those that were folded meanwhile or that nobody waits for.
-func (q *queue) giveBack(batch []*pending) {
+// requeue puts the entries of a failed append back at the head of the queue,
+// except those that have been applied or have no waiters left.
+func (q *queue) requeue(batch []*pending) {
 	var again []*pending
 	for _, p := range batch {
 		if q.byID[p.entry.ID] == p && p.state == stateSending {
@@ -126,13 +124,13 @@
 	q.waiting = append(again, q.waiting...)
 }
 
-// folded settles the entry with that ID, if it is pending here.
-func (q *queue) folded(id string, at Position) {
+// applied completes the pending entry with the given ID, if there is one.
+func (q *queue) applied(id string, at Position) {
 	p, ok := q.byID[id]
 	if !ok {
 		return
 	}
-	q.forget(p)
+	q.drop(p)
 	if p.state == stateQueued {
 		q.unqueue(p)
 	}
--- a/journal/reader.go
+++ b/journal/reader.go
@@ -8,17 +8,17 @@
 	"tamarackchute/infra"
 )
 
-// readMax is the most records asked for at once.
-const readMax = 512
+// maxReadRecords is the maximum number of records requested per read.
+const maxReadRecords = 512
 
-// Waits between two failed calls of the log.
+// The bounds of the backoff after failed calls of the log.
 const (
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = time.Second
 )
 
-// read folds the log's records, in order, until ctx ends.
-func (j *Journal) read(ctx context.Context) {
+// runReader applies the log's records in order until ctx ends.
+func (j *Journal) runReader(ctx context.Context) {
 	backoff := minBackoff
 	for ctx.Err() == nil {
 		if j.readOnce(ctx) {
@@ -30,40 +30,41 @@
 	}
 }
 
-// readOnce does one read and reports whether the log answered.
+// readOnce performs one read and reports whether it succeeded.
 func (j *Journal) readOnce(ctx context.Context) bool {
 	from, first := j.readFrom()
 	wait := j.cfg.LongPoll
 	if first {
-		// The first read must not wait for news: its end is what CaughtUp needs.
+		// The first read must not wait for new records: CaughtUp needs the log's
+		// current end.
 		wait = 0
 	}
 	rctx, cancel := context.WithTimeout(ctx, 2*j.cfg.LongPoll)
 	defer cancel()
-	res, err := j.log.Read(rctx, from, readMax, wait)
+	res, err := j.log.Read(rctx, from, maxReadRecords, wait)
 	readAt := time.Now()
 
 	var trimmed *infra.TrimmedError
 	if errors.As(err, &trimmed) && trimmed.Oldest > from {
-		j.contact(readAt)
-		j.skipTo(trimmed.Oldest)
+		j.markUp(readAt)
+		j.skipTrimmed(trimmed.Oldest)
 		return true
 	}
 	var restored *infra.RestoredError
 	if errors.As(err, &restored) {
-		j.contact(readAt)
-		j.beginAnew(restored.Oldest)
+		j.markUp(readAt)
+		j.handleRestore(restored.Oldest)
 		return true
 	}
 	if err != nil {
-		j.lost(ctx, err)
+		j.markDown(ctx, err)
 		return false
 	}
-	j.contact(readAt)
+	j.markUp(readAt)
 	for _, r := range res.Records {
-		j.fold(r, readAt)
+		j.applyRecord(r, readAt)
 	}
-	return j.reached(ctx, res)
+	return j.checkProgress(ctx, res)
 }
 
 func (j *Journal) readFrom() (from infra.Offset, first bool) {
@@ -72,10 +73,10 @@
 	return j.next, j.target == 0
 }
 
-// reached closes CaughtUp when it is time, and reports whether the answer
-// makes sense: a log whose end lies before what was read has lost records,
-// and asking it again at once would be answered at once.
-func (j *Journal) reached(ctx context.Context, res infra.ReadResult) bool {
+// checkProgress closes CaughtUp once the reader has reached the initial end of
+// the log. It returns false if the log ends before records that were already
+// read: it has lost records, and reading on without a backoff would busy-loop.
+func (j *Journal) checkProgress(ctx context.Context, res infra.ReadResult) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.target == 0 {
@@ -85,28 +86,28 @@
 		closeOnce(j.caughtUp)
 	}
 	if res.Next < j.next && len(res.Records) == 0 {
-		j.cfg.Logger.ErrorContext(ctx, "the log ends before records that were read",
+		j.cfg.Logger.ErrorContext(ctx, "the log ends before records that were already read",
 			"end", res.Next, "read_up_to", j.next)
 		return false
 	}
 	return true
 }
 
-// fold gives a record's entries to their folders.
-func (j *Journal) fold(r infra.Record, readAt time.Time) {
+// applyRecord applies a record's entries to their state machines.
+func (j *Journal) applyRecord(r infra.Record, readAt time.Time) {
 	entries, err := DecodeRecord(r.Data)
-	var folded, duplicates, corrupt int64
+	var applied, duplicates, corrupt int64
 	if err != nil {
 		corrupt = 1
-		j.cfg.Logger.Warn("skipped a record of the log", "offset", r.Offset, "err", err)
+		j.cfg.Logger.Warn("skipped a log record that can't be decoded", "offset", r.Offset, "err", err)
 	}
 	for i, e := range entries {
-		if !j.dedupe.first(e.ID, r.At) {
+		if !j.dedupe.addIfNew(e.ID, r.At) {
 			duplicates++
 			continue
 		}
-		folded++
-		f, ok := j.folders[e.Kind]
+		applied++
+		f, ok := j.stateMachines[e.Kind]
 		if !ok {
 			continue
 		}
@@ -118,65 +119,65 @@
 	defer j.mu.Unlock()
 	j.next = r.Offset + 1
 	j.applied = Position{Offset: r.Offset, Index: uint16(max(len(entries)-1, 0))}
-	j.stats.Applied += folded
+	j.stats.Applied += applied
 	j.stats.Duplicates += duplicates
 	j.stats.Corrupt += corrupt
 	for i, e := range entries {
-		j.queue.folded(e.ID, Position{Offset: r.Offset, Index: uint16(i)})
+		j.queue.applied(e.ID, Position{Offset: r.Offset, Index: uint16(i)})
 	}
 }
 
-// skipTo goes on after a gap of expired records.
-func (j *Journal) skipTo(oldest infra.Offset) {
+// skipTrimmed continues after records that expired before they were read.
+func (j *Journal) skipTrimmed(oldest infra.Offset) {
 	j.cfg.Logger.Warn("records expired before they were read", "next", oldest)
-	for _, f := range j.folders {
+	for _, f := range j.stateMachines {
 		if t, ok := f.(TrimListener); ok {
 			t.Trimmed(oldest)
 		}
 	}
-	j.goOnAt(oldest)
+	j.resumeAt(oldest)
 }
 
-// beginAnew reads the log of a new era from its oldest record. Those that were read
-// before and have outlived the restore are folded once more: readers that had read
-// further than others agree again with them, and with one that begins now.
-func (j *Journal) beginAnew(oldest infra.Offset) {
+// handleRestore restarts at the oldest record of the log's new era. Surviving
+// records are applied again, so that readers that had read past the restored
+// copy agree with the other readers and with new ones.
+func (j *Journal) handleRestore(oldest infra.Offset) {
 	j.cfg.Logger.Warn("the log was restored from an older copy", "next", oldest, "era", oldest.Era())
 	j.dedupe = newDeduper(j.cfg.Retention, defaultMaxIDs)
-	for _, f := range j.folders {
+	for _, f := range j.stateMachines {
 		if r, ok := f.(RestoreListener); ok {
 			r.Restored(oldest)
 		}
 	}
-	j.goOnAt(oldest)
+	j.resumeAt(oldest)
 }
 
-// goOnAt makes a record the next one to read.
-func (j *Journal) goOnAt(oldest infra.Offset) {
+// resumeAt makes oldest the next offset to read.
+func (j *Journal) resumeAt(oldest infra.Offset) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.next = oldest
-	j.applied = Position{Offset: oldest - 1, Index: lastIndex}
+	j.applied = Position{Offset: oldest - 1, Index: maxIndex}
 }
 
-func (j *Journal) contact(at time.Time) {
+func (j *Journal) markUp(at time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if !j.health.LogUp {
-		j.cfg.Logger.Info("the log answers")
+		j.cfg.Logger.Info("log is available")
 	}
 	j.health.LogUp = true
 	j.health.LastContact = at
 }
 
-func (j *Journal) lost(ctx context.Context, err error) {
+func (j *Journal) markDown(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.health.LogUp {
-		j.cfg.Logger.Warn("the log doesn't answer", "err", err)
+		j.cfg.Logger.Warn("log is unavailable", "err", err)
 	}
 	j.health.LogUp = false
 }
--- a/journal/record.go
+++ b/journal/record.go
@@ -7,27 +7,27 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// recordVersion stands first in each record. A reader skips records of a
-// version that it doesn't know.
+// recordVersion is the first field of each record. A reader skips records with
+// a version that it doesn't know.
 const recordVersion = 1
 
-// maxEntriesPerRecord keeps Position.Index within its 16 bits.
+// maxEntriesPerRecord keeps Position.Index within 16 bits.
 const maxEntriesPerRecord = 1 << 15
 
-// entryOverhead is the most bytes that an entry adds to a record beside its
-// own strings and body.
+// entryOverhead is an upper bound of the bytes that an entry adds to a record
+// in addition to its strings and body.
 const entryOverhead = 24
 
-// recordFields is the number of fields of a record.
+// recordFields is the length of the array that encodes a record.
 const recordFields = 3
 
-// record is the form of one log record: the entries that share one append.
+// record is the encoding of one log record: the entries that share an append.
 type record struct {
 	//lint:ignore U1000 read by msgpack
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Version uint8
-	// Writer is the writer of each entry that names no other.
+	// Writer is the writer of each entry whose own Writer is empty.
 	Writer  string
 	Entries []recordEntry
 }
@@ -42,7 +42,7 @@
 	Body   []byte
 }
 
-// EncodeRecord builds the log record that holds the entries, in their order.
+// EncodeRecord encodes entries as one log record, in the given order.
 func EncodeRecord(writer string, entries []Entry) ([]byte, error) {
 	r := record{Version: recordVersion, Writer: writer, Entries: make([]recordEntry, len(entries))}
 	for i, e := range entries {
@@ -55,16 +55,17 @@
 	return data, eris.Wrap(err, "journal: encode record")
 }
 
-// DecodeRecord takes a log record apart. Its error says that the record is
-// not of this journal's form, for example because somebody else wrote it.
+// DecodeRecord returns the entries of a log record. It returns an error if the
+// record doesn't have this journal's encoding, for example because another
+// program wrote it.
 func DecodeRecord(data []byte) ([]Entry, error) {
 	dec := msgpack.NewDecoder(bytes.NewReader(data))
-	writer, n, err := decodeHead(dec)
+	writer, n, err := decodeHeader(dec)
 	if err != nil {
 		return nil, eris.Wrap(errCorrupt, err.Error())
 	}
-	// The library allocates a slice of structs by its declared length, so a
-	// corrupt length would exhaust memory; an entry takes at least one byte.
+	// msgpack allocates a slice of structs by its declared length, so a corrupt
+	// length would exhaust memory. An entry takes at least one byte.
 	if n < 0 || n > min(maxEntriesPerRecord, len(data)) {
 		return nil, errCorrupt
 	}
@@ -82,8 +83,8 @@
 	return entries, nil
 }
 
-// decodeHead reads a record up to the first of its n entries.
-func decodeHead(dec *msgpack.Decoder) (writer string, n int, err error) {
+// decodeHeader decodes a record up to the first of its n entries.
+func decodeHeader(dec *msgpack.Decoder) (writer string, n int, err error) {
 	fields, err := dec.DecodeArrayLen()
 	if err != nil {
 		return "", 0, err
--- a/journal/restore_test.go
+++ b/journal/restore_test.go
@@ -13,21 +13,21 @@
 	"tamarackchute/infra"
 )
 
-// copyLog is a log in memory that can come back from an older copy.
-type copyLog struct {
+// restorableLog is an in-memory log that can be restored from an older copy.
+type restorableLog struct {
 	mu      sync.Mutex
 	era     uint64
 	records [][]byte
 }
 
-func (l *copyLog) Append(_ context.Context, data []byte) (infra.Offset, error) {
+func (l *restorableLog) Append(_ context.Context, data []byte) (infra.Offset, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.records = append(l.records, data)
 	return infra.NewOffset(l.era, uint64(len(l.records))), nil
 }
 
-func (l *copyLog) Read(ctx context.Context, from infra.Offset, _ int, wait time.Duration) (infra.ReadResult, error) {
+func (l *restorableLog) Read(ctx context.Context, from infra.Offset, _ int, wait time.Duration) (infra.ReadResult, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if from > 1 && from.Era() != l.era {
@@ -45,46 +45,46 @@
 	return result, nil
 }
 
-func (l *copyLog) restore(kept int) {
+func (l *restorableLog) restore(kept int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.era++
 	l.records = l.records[:kept]
 }
 
-// folded is a folder that keeps what was applied since the last restore.
-type folded struct {
+// appliedIDs records the IDs of the entries applied since the last restore.
+type appliedIDs struct {
 	mu       sync.Mutex
 	ids      []string
 	restored int
 }
 
-func (f *folded) Apply(p LogEntry) {
+func (f *appliedIDs) Apply(p LogEntry) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.ids = append(f.ids, p.Entry.ID)
 }
 
-func (f *folded) Restored(infra.Offset) {
+func (f *appliedIDs) Restored(infra.Offset) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.ids = nil
 	f.restored++
 }
 
-func (f *folded) now() []string {
+func (f *appliedIDs) snapshot() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]string{}, f.ids...)
 }
 
-// Guards against two replicas with two states: one that had read what a restore lost, and one
-// that begins after it.
+// A replica that had read records lost by a restore must end up in the same state
+// as one that starts after the restore.
 func TestReplicasAgreeAfterARestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		log := &copyLog{}
-		join := func(ctx context.Context) (*Journal, *folded) {
-			j, f := New(log, Config{Writer: "w", Logger: slog.New(slog.DiscardHandler)}), &folded{}
+		log := &restorableLog{}
+		join := func(ctx context.Context) (*Journal, *appliedIDs) {
+			j, f := New(log, Config{Writer: "w", Logger: slog.New(slog.DiscardHandler)}), &appliedIDs{}
 			j.Register(KindLease, f)
 			go func() { _ = j.Serve(ctx) }()
 			return j, f
@@ -97,18 +97,18 @@
 		}
 		write("kept")
 		write("lost")
-		require.Equal(t, []string{"kept", "lost"}, seen.now())
+		require.Equal(t, []string{"kept", "lost"}, seen.snapshot())
 
 		log.restore(1)
 		time.Sleep(time.Second)
-		require.Equal(t, []string{"kept"}, seen.now())
+		require.Equal(t, []string{"kept"}, seen.snapshot())
 		require.Equal(t, 1, seen.restored)
-		write("lost") // appended once more under its ID
+		write("lost") // appended again with the same ID
 		write("new")
 		_, late := join(ctx)
 		time.Sleep(time.Second)
-		require.Equal(t, []string{"kept", "lost", "new"}, seen.now())
-		require.Equal(t, seen.now(), late.now())
+		require.Equal(t, []string{"kept", "lost", "new"}, seen.snapshot())
+		require.Equal(t, seen.snapshot(), late.snapshot())
 		cancel()
 		synctest.Wait()
 	})
--- a/journal/runtime.go
+++ b/journal/runtime.go
@@ -14,7 +14,7 @@
 	"tamarackchute/infra"
 )
 
-// Defaults of Config.
+// The defaults of Config, and bounds that aren't configurable.
 const (
 	defaultMaxBatchBytes  = 64 << 10
 	defaultRetention      = time.Hour
@@ -25,35 +25,35 @@
 	defaultLongPoll       = 2 * time.Second
 )
 
-// Config sets a journal up. Zero values stand for the defaults.
+// Config configures a journal. Zero values select the defaults.
 type Config struct {
 	// Writer names this process in its entries: instance/program/incarnation.
 	Writer string
-	// Linger is how long an entry waits for company in its append. With 0 an
-	// entry goes out as soon as the rate and the appends in flight allow, and
-	// shares its append with what came meanwhile.
+	// Linger is how long an entry waits for others to share its append. With 0
+	// an entry is sent as soon as the rate limit and the appends in flight
+	// allow, together with the entries queued by then.
 	Linger time.Duration
-	// AppendsPerSecond bounds this process's appends; 0 sets no bound.
+	// AppendsPerSecond limits this process's appends; 0 means no limit.
 	AppendsPerSecond float64
-	// Retention is how long the log keeps a record, and for how long entry
-	// IDs are known. One hour by default.
+	// Retention is how long the log keeps a record, and how long entry IDs are
+	// remembered for deduplication. One hour by default.
 	Retention time.Duration
-	// MaxBatchBytes is the largest record, 64 KiB by default.
+	// MaxBatchBytes is the maximum size of a record, 64 KiB by default.
 	MaxBatchBytes int
-	// MaxBatchEntries is the most entries in one record; 1 switches group
-	// commit off.
+	// MaxBatchEntries is the maximum number of entries in a record; 1 disables
+	// group commit.
 	MaxBatchEntries int
-	// MaxPending is the most entries that wait for the log, 4096 by default.
+	// MaxPending is the maximum number of pending entries, 4096 by default.
 	MaxPending int
-	// AppendTimeout bounds one append; then its outcome counts as unknown. Two
-	// seconds by default.
+	// AppendTimeout is the time after which the outcome of an append counts as
+	// unknown. Two seconds by default.
 	AppendTimeout time.Duration
-	// MaxInFlight is the most appends under way at once, 16 by default.
+	// MaxInFlight is the maximum number of concurrent appends, 16 by default.
 	MaxInFlight int
 	// LongPoll is how long a read waits for the next record, two seconds by
-	// default. An outage is noticed after at most twice that.
+	// default. An outage is detected after at most twice that time.
 	LongPoll time.Duration
-	// Logger takes the journal's messages; slog.Default() if nil.
+	// Logger receives the journal's log messages; slog.Default() if nil.
 	Logger *slog.Logger
 }
 
@@ -77,67 +77,69 @@
 	}
 }
 
-// Trimmer is a Folder that wants to know when records expired before they
-// were read. Trimmed is called from the goroutine that calls Apply: every
-// record before oldest that wasn't applied yet never will be.
+// TrimListener is a StateMachine that is notified when records expired before
+// they were read. Trimmed is called from the goroutine that calls Apply. Records
+// before oldest that haven't been applied by then never will be.
 type TrimListener interface {
 	Trimmed(oldest infra.Offset)
 }
 
-// Restorer is a Folder whose log may come back from an older copy. Restored is called from
-// the goroutine that calls Apply: all that was applied is void, and what has outlived the
-// restore is applied again, from oldest on.
+// RestoreListener is a StateMachine that is notified when the log was restored
+// from an older copy. Restored is called from the goroutine that calls Apply and
+// must discard the state; the records that survived the restore are then applied
+// again, starting at oldest.
 type RestoreListener interface {
 	Restored(oldest infra.Offset)
 }
 
-// Health is what a journal knows about the log.
+// Health describes the log as observed by a journal.
 type Health struct {
-	// LogUp is whether the last read was answered.
+	// LogUp reports whether the last read succeeded.
 	LogUp bool
-	// LastContact is when the log last answered a read or an append.
+	// LastContact is when the log last answered a read or confirmed an append.
 	LastContact time.Time
-	// Pending is the number of entries that wait to be folded.
+	// Pending is the number of entries that haven't been applied yet.
 	Pending int
 }
 
-// Stats counts what a journal has done since it was made.
+// Stats holds a journal's counters since its creation.
 type Stats struct {
-	// Appends counts records that the log confirmed, Entries what they held.
+	// Appends counts the records that the log confirmed, Entries their entries.
 	Appends, Entries int64
 	// FailedAppends counts appends without a confirmation.
 	FailedAppends int64
-	// Folded counts entries given to folders, Duplicates those left out.
+	// Applied counts the first occurrences of entries, Duplicates the repeated
+	// ones, which are skipped.
 	Applied, Duplicates int64
-	// Corrupt counts records that could not be decoded and were skipped.
+	// Corrupt counts the records that couldn't be decoded and were skipped.
 	Corrupt int64
 }
 
-// Journal is a process's access to the journal. Its Serve runs the reader and
-// the writer.
+// Journal reads and writes the journal for one process. Serve runs its reader
+// and its writer.
 type Journal struct {
-	cfg     Config
-	log     infra.Log
-	limiter *rate.Limiter
-	folders map[Kind]StateMachine
-	dedupe  *deduper
+	cfg           Config
+	log           infra.Log
+	limiter       *rate.Limiter
+	stateMachines map[Kind]StateMachine
+	dedupe        *deduper
 
-	// wake has room for one signal to the writer.
+	// wake signals the writer; it has a buffer of one.
 	wake     chan struct{}
 	caughtUp chan struct{}
 
 	mu      sync.Mutex
 	queue   *queue
-	next    infra.Offset // first offset not read yet
-	target  infra.Offset // Next of the first read after the start
+	next    infra.Offset // next offset to read
+	target  infra.Offset // end of the log at the first read; 0 before that
 	applied Position
 	health  Health
 	stats   Stats
-	// failedInRow counts failed appends since the last confirmed one.
-	failedInRow int
+	// consecutiveFailures counts the failed appends since the last confirmed one.
+	consecutiveFailures int
 }
 
-// New returns a journal over log. Folders are registered before Serve.
+// New returns a journal over log. Register its state machines before Serve.
 func New(log infra.Log, cfg Config) *Journal {
 	cfg = cfg.withDefaults()
 	limit := rate.Inf
@@ -145,41 +147,41 @@
 		limit = rate.Limit(cfg.AppendsPerSecond)
 	}
 	return &Journal{
-		cfg:      cfg,
-		log:      log,
-		limiter:  rate.NewLimiter(limit, 1),
-		folders:  map[Kind]StateMachine{},
-		dedupe:   newDeduper(cfg.Retention, defaultMaxIDs),
-		wake:     make(chan struct{}, 1),
-		caughtUp: make(chan struct{}),
-		queue:    newQueue(cfg.MaxPending, defaultMaxPendingSize),
-		next:     1,
+		cfg:           cfg,
+		log:           log,
+		limiter:       rate.NewLimiter(limit, 1),
+		stateMachines: map[Kind]StateMachine{},
+		dedupe:        newDeduper(cfg.Retention, defaultMaxIDs),
+		wake:          make(chan struct{}, 1),
+		caughtUp:      make(chan struct{}),
+		queue:         newQueue(cfg.MaxPending, defaultMaxPendingSize),
+		next:          1,
 	}
 }
 
-// Register names the folder of a kind of entry. It must not be called after
-// Serve, nor twice for one kind.
+// Register sets the state machine for a kind of entries. It must not be called
+// after Serve, nor twice for one kind.
 func (j *Journal) Register(k Kind, f StateMachine) {
-	if _, ok := j.folders[k]; ok {
-		panic("journal: two folders for one kind of entry")
+	if _, ok := j.stateMachines[k]; ok {
+		panic("journal: two state machines registered for one kind of entry")
 	}
-	j.folders[k] = f
+	j.stateMachines[k] = f
 }
 
-// Serve reads and writes until ctx ends. It may be called again after it has
-// returned, and then goes on where it was.
+// Serve runs the reader and the writer until ctx ends. It may be called again
+// after it has returned and then continues where it stopped.
 func (j *Journal) Serve(ctx context.Context) error {
 	var wg conc.WaitGroup
-	wg.Go(func() { j.read(ctx) })
-	wg.Go(func() { j.write(ctx) })
+	wg.Go(func() { j.runReader(ctx) })
+	wg.Go(func() { j.runWriter(ctx) })
 	wg.Wait()
 	return ctx.Err()
 }
 
-// Append implements Writer. An empty ID is replaced by a new one. If the ID
-// was folded before, the position is that of the duplicate. When the log is
-// slow or down the call waits until ctx ends, unless the backlog is full. See
-// the package's errors for how it fails.
+// Append implements Writer. An empty ID is replaced by a new one. If an entry
+// with the ID was applied before, the position is that of the duplicate. While
+// the log is slow or unavailable the call blocks until ctx ends, unless the
+// backlog is full. The package's errors describe how it fails.
 func (j *Journal) Append(ctx context.Context, e Entry) (Position, error) {
 	if e.Writer == "" {
 		e.Writer = j.cfg.Writer
@@ -204,12 +206,13 @@
 	case <-p.done:
 		return p.position, nil
 	case <-ctx.Done():
-		return j.giveUp(p)
+		return j.cancelWait(p)
 	}
 }
 
-// giveUp ends the wait for p and tells truly what may have become of it.
-func (j *Journal) giveUp(p *pending) (Position, error) {
+// cancelWait ends one wait for p. Unless p has been applied, its error tells
+// whether p may have been written.
+func (j *Journal) cancelWait(p *pending) (Position, error) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	select {
@@ -217,26 +220,26 @@
 		return p.position, nil
 	default:
 	}
-	j.queue.leave(p)
+	j.queue.removeWaiter(p)
 	if p.maybeWritten {
 		return Position{}, ErrOutcomeUnknown
 	}
 	return Position{}, ErrNeverSent
 }
 
-// Applied returns the position of the last entry folded. Every entry at or
-// before it that the log still held was folded.
+// Applied returns the position of the last applied entry. Every entry up to it
+// that was still in the log when it was read has been applied.
 func (j *Journal) Applied() Position {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.applied
 }
 
-// CaughtUp is closed once the reader has folded all that stood in the log at
-// its first read.
+// CaughtUp returns a channel that is closed once the reader has applied all
+// entries that the log held at the first read.
 func (j *Journal) CaughtUp() <-chan struct{} { return j.caughtUp }
 
-// Health tells what is known about the log.
+// Health returns the current state of the log as this journal observes it.
 func (j *Journal) Health() Health {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -245,12 +248,12 @@
 	return h
 }
 
-// Stats returns the counts so far.
+// Stats returns the current counters.
 func (j *Journal) Stats() Stats {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.stats
 }
 
-// lastIndex makes a position that is behind every entry of its record.
-const lastIndex = math.MaxUint16
+// maxIndex is the index of a position that follows every entry of its record.
+const maxIndex = math.MaxUint16
--- a/journal/writer.go
+++ b/journal/writer.go
@@ -10,15 +10,15 @@
 	"tamarackchute/infra"
 )
 
-// settleWait is how long an append of unknown outcome waits for the own
-// reader to show its record, before the entries are sent once more.
-const settleWait = 250 * time.Millisecond
+// unknownOutcomeDelay is how long an append with an unknown outcome waits for
+// the local reader to find its record before the entries are sent again.
+const unknownOutcomeDelay = 250 * time.Millisecond
 
-// maxBackoffDoublings keeps the growing wait after failed appends in range.
+// maxBackoffDoublings keeps the exponential backoff of appends from overflowing.
 const maxBackoffDoublings = 8
 
-// write sends the queued entries, several to an append, until ctx ends.
-func (j *Journal) write(ctx context.Context) {
+// runWriter appends the queued entries in batches until ctx ends.
+func (j *Journal) runWriter(ctx context.Context) {
 	slots := make(chan struct{}, j.cfg.MaxInFlight)
 	var wg conc.WaitGroup
 	defer wg.Wait()
@@ -58,11 +58,11 @@
 	}
 }
 
-// awaitEntries waits until the oldest queued entry has lingered for its time
-// or a whole record is queued. It returns false when ctx ends.
+// awaitEntries waits until the oldest queued entry has waited for Linger or a
+// full record is queued. It returns false when ctx ends.
 func (j *Journal) awaitEntries(ctx context.Context) bool {
 	for {
-		wait, queued := j.lingerLeft()
+		wait, queued := j.lingerRemaining()
 		if queued && wait <= 0 {
 			return true
 		}
@@ -86,7 +86,7 @@
 	}
 }
 
-func (j *Journal) lingerLeft() (wait time.Duration, queued bool) {
+func (j *Journal) lingerRemaining() (wait time.Duration, queued bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if len(j.queue.waiting) == 0 {
@@ -96,31 +96,31 @@
 	if full {
 		return 0, true
 	}
-	return j.cfg.Linger - time.Since(j.queue.waiting[0].since), true
+	return j.cfg.Linger - time.Since(j.queue.waiting[0].queuedAt), true
 }
 
-// batch is the content of one append.
+// batch holds the entries of one append.
 type batch struct {
 	pendings []*pending
-	// before tells which of them might have been written earlier.
-	before []bool
-	data   []byte
+	// wasMaybeWritten holds the entries' maybeWritten before this append.
+	wasMaybeWritten []bool
+	data            []byte
 }
 
-// takeBatch takes the next entries, or returns nil. It marks them as perhaps
-// written under the same lock, before any byte goes out: an Append that gives
-// up in between must not call its entry unsent.
+// takeBatch dequeues the entries of the next append, or returns nil. It sets
+// maybeWritten under the same lock, before any byte is sent, so that an Append
+// cancelled in between doesn't report its entry as never sent.
 func (j *Journal) takeBatch() *batch {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	b := &batch{pendings: j.queue.next(j.cfg.MaxBatchBytes, j.cfg.MaxBatchEntries)}
+	b := &batch{pendings: j.queue.dequeue(j.cfg.MaxBatchBytes, j.cfg.MaxBatchEntries)}
 	if len(b.pendings) == 0 {
 		return nil
 	}
 	entries := make([]Entry, len(b.pendings))
 	for i, p := range b.pendings {
 		entries[i] = p.entry
-		b.before = append(b.before, p.maybeWritten)
+		b.wasMaybeWritten = append(b.wasMaybeWritten, p.maybeWritten)
 		p.maybeWritten = true
 	}
 	data, err := EncodeRecord(j.cfg.Writer, entries)
@@ -131,45 +131,46 @@
 	return b
 }
 
-// send does one append and deals with its outcome.
+// send performs one append and handles its outcome.
 func (j *Journal) send(ctx context.Context, b *batch) {
 	actx, cancel := context.WithTimeout(ctx, j.cfg.AppendTimeout)
 	_, err := j.log.Append(actx, b.data)
 	cancel()
 	if err == nil {
-		j.confirmed(len(b.pendings))
+		j.appendConfirmed(len(b.pendings))
 		return
 	}
-	// After a lost reply the record may be there. The own reader then settles
-	// the entries; sending them again is harmless, as an ID counts once.
-	sleep(ctx, j.failed(b, errors.Is(err, infra.ErrNotWritten)))
+	// After a lost reply the record may be in the log. The local reader then
+	// completes the entries; sending them again is harmless, since readers skip
+	// duplicate IDs.
+	sleep(ctx, j.appendFailed(b, errors.Is(err, infra.ErrNotWritten)))
 	j.mu.Lock()
-	j.queue.giveBack(b.pendings)
+	j.queue.requeue(b.pendings)
 	j.mu.Unlock()
 }
 
-// failed notes a failed append and returns how long to wait before its
-// entries are queued again. If the log has said that the record will never be
-// there, the mark of takeBatch is taken back.
-func (j *Journal) failed(b *batch, notWritten bool) time.Duration {
+// appendFailed records a failed append and returns how long to wait before its
+// entries are queued again. If the log reported that the record will never be
+// written, it restores maybeWritten as it was before takeBatch.
+func (j *Journal) appendFailed(b *batch, notWritten bool) time.Duration {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.stats.FailedAppends++
-	j.failedInRow++
-	wait := min(minBackoff<<min(j.failedInRow-1, maxBackoffDoublings), maxBackoff)
+	j.consecutiveFailures++
+	wait := min(minBackoff<<min(j.consecutiveFailures-1, maxBackoffDoublings), maxBackoff)
 	if !notWritten {
-		return max(wait, settleWait)
+		return max(wait, unknownOutcomeDelay)
 	}
 	for i, p := range b.pendings {
-		p.maybeWritten = b.before[i]
+		p.maybeWritten = b.wasMaybeWritten[i]
 	}
 	return wait
 }
 
-func (j *Journal) confirmed(entries int) {
+func (j *Journal) appendConfirmed(entries int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.failedInRow = 0
+	j.consecutiveFailures = 0
 	j.stats.Appends++
 	j.stats.Entries += int64(entries)
 	j.health.LastContact = time.Now()
