--- a/orders/doc.go
+++ b/orders/doc.go
@@ -1,15 +1,14 @@
-// Package orders carries one change to an engine (a role, a model, a version
-// or an adapter) from its plan to its confirmation, so that whoever leads next
-// can finish it or undo it from the journal.
+// Package orders records each change to an engine (of its role, model, version
+// or adapter) in the journal, from plan to confirmation, so that the next leader
+// can complete or undo it.
 //
-// A change goes through recorded phases: draining, drained, ordered, then
-// confirmed or undone. The fold accepts a record only from the scope's current
-// leader, only after the engine's last accepted record, and only as a step
-// that the phases allow; so there is at most one open change per engine,
-// whoever leads. The intent to order is recorded before the order is sent:
-// from there on its fate is open until the engine's state has been read back.
+// A change goes through recorded phases: draining, drained, ordered, and then
+// confirmed or undone. A record is accepted only if it comes from the scope's
+// current leader, follows the engine's last accepted record and is an allowed
+// phase transition. So an engine has at most one open change, also when the
+// leader changes. The intent to send an order is recorded before the order is
+// sent; its outcome is unknown until the engine's state has been read back.
 //
-// View shows entries which engines to leave alone. Next is the pure decision
-// of a leader about one engine; the runtime that carries it out lives in the
-// controller.
+// View tells entry instances which engines must not get new work. Next is the
+// leader's decision about one engine, without I/O; the controller executes it.
 package orders
--- a/orders/example_test.go
+++ b/orders/example_test.go
@@ -9,7 +9,8 @@
 	"tamarackchute/upstream"
 )
 
-// An entry follows which engines take work: not one that is being drained.
+// An entry instance observes which engines take work; one that is being drained
+// doesn't.
 func ExampleView() {
 	leases := lease.NewView()
 	view := orders.NewView(leases)
--- a/orders/next.go
+++ b/orders/next.go
@@ -8,66 +8,68 @@
 	"tamarackchute/upstream"
 )
 
-// Want is a change that the role policy asks for.
+// ChangeRequest is a change that a policy of the controller requests.
 type ChangeRequest struct {
-	// ID becomes the change's, if the change is begun.
+	// ID becomes the ID of the change if it is started.
 	ID     string
 	Kind   upstream.OrderKind
 	Target Settings
 	Reason string
-	// Reserve is set if the engine will read the weight store.
+	// Reservation is set if the engine will read the weight store.
 	Reservation *Reservation
 }
 
-// Limits bounds the waiting of a leader.
+// Limits holds the timeouts and intervals of a leader.
 type Limits struct {
-	// Drain is the longest that a drain may take before it is undone.
+	// DrainTimeout is the maximum duration of a drain; then the change is undone.
 	DrainTimeout time.Duration
-	// Order is the longest that a leader tries, beyond that, to get an order
-	// taken.
+	// OrderTimeout is the time added to DrainTimeout within which the engine must
+	// have accepted the order.
 	OrderTimeout time.Duration
-	// Settle is the time within which an engine that doesn't check fencing
-	// numbers, once it answers, has worked off whatever was sent to it before.
+	// SettleTime is the time within which a responsive engine that doesn't enforce
+	// fencing has processed everything that was sent to it before.
 	SettleTime time.Duration
-	// Read is the time between two reads of a state, Fresh the age up to which
-	// a state is good for a decision.
+	// ReadInterval is the time between two reads of the engine's state,
+	// MaxStateAge the age up to which a state may be used to decide on an order.
 	ReadInterval time.Duration
 	MaxStateAge  time.Duration
-	// Retry is waited after a failure, and before an order without reply is
-	// taken for lost.
+	// RetryDelay is the wait after a failure, and before a leader acts on an order
+	// without a reply.
 	RetryDelay time.Duration
 }
 
-// whole is the longest that a change may be in one leader's hand before it is
-// given up, unless the engine is carrying it out.
-func (l Limits) whole() time.Duration { return l.DrainTimeout + l.OrderTimeout }
+// maxChangeTime is how long one leader works on a change before it abandons the
+// change, unless the engine is executing it.
+func (l Limits) maxChangeTime() time.Duration { return l.DrainTimeout + l.OrderTimeout }
 
-// Situation is all that a decision about one engine rests on, beside Contact.
+// Input is the input of a decision about one engine, together with a Session.
 type Input struct {
 	Now       time.Time
 	Authority lease.Authority
-	// Engine is the fold's state.
+	// Engine is the engine's state according to the journal.
 	Engine Engine
-	// Checked says that the engine refuses outdated fencing numbers.
+	// EnforcesFencing reports whether the engine rejects outdated fencing tokens.
 	EnforcesFencing bool
-	// Drained says that every listed entry instance has applied the open
-	// change's drain and reported nothing in flight; else Waiting says who.
+	// Drained reports whether every listed entry instance has applied the open
+	// change's drain and reported nothing in flight; if not, WaitReason names the
+	// instance that is awaited.
 	Drained    bool
 	WaitReason string
-	// Want is the change asked for, Cancel the reason to give up the open one
-	// if it can still be given up; each may be empty.
+	// Requested is the requested change, CancelReason the reason to abandon the
+	// open one if that is still possible; either may be empty.
 	Requested    *ChangeRequest
 	CancelReason string
 	Limits       Limits
 }
 
-// ActionKind says what a leader does next about an engine.
+// ActionKind is the kind of step that a leader takes next.
 type ActionKind uint8
 
-// The kinds of action.
+// The kinds of actions.
 const (
+	// ActionWait does nothing for now.
 	ActionWait ActionKind = iota
-	// ActionRaise sends Order, which only raises the fencing number.
+	// ActionRaiseToken sends Order, which only raises the engine's fencing token.
 	ActionRaiseToken
 	// ActionRead reads the engine's state.
 	ActionRead
@@ -75,7 +77,7 @@
 	ActionAppend
 	// ActionSend sends Order.
 	ActionSend
-	// ActionRenumber asks the lease for a higher fencing number.
+	// ActionRenumber requests a higher fencing token from the lease.
 	ActionRenumber
 )
 
@@ -84,254 +86,258 @@
 	Kind   ActionKind
 	Record *Record
 	Order  upstream.Order
-	// Change is what Order belongs to.
+	// Change is the change that Order belongs to.
 	Change Change
-	// Reason is for the audit trail and the status page.
+	// Reason is shown in the audit trail and on the status page.
 	Reason string
 }
 
-// Next decides the next step about one engine. It must only be called with an
-// authority that is valid now, and its action be finished before the next call.
-func Next(s Input, c *Session) Action {
-	c.under(s.Authority.FencingToken)
-	if s.Now.Before(c.retryAt) {
-		return wait("after a failure")
+// Next decides a leader's next step for one engine. The authority must be valid
+// at the time of the call, and the action must end before the next call.
+func Next(in Input, sess *Session) Action {
+	sess.bindToken(in.Authority.FencingToken)
+	if in.Now.Before(sess.retryAt) {
+		return waitAction("after a failure")
 	}
-	if s.EnforcesFencing && !c.raised {
-		return raise(s)
+	if in.EnforcesFencing && !sess.tokenRaised {
+		return raiseAction(in)
 	}
-	open := s.Engine.Open()
+	open := in.Engine.Open()
 	if open == nil {
-		return idle(s, c)
+		return nextIdle(in, sess)
 	}
-	inHand := c.inHand(open.ID, s.Now)
+	elapsed := sess.timeOnChange(open.ID, in.Now)
 	switch open.Phase {
 	case PhaseDraining:
-		return drain(s, *open, inHand)
+		return nextDraining(in, *open, elapsed)
 	case PhaseDrained:
-		return order(s, c, *open, inHand)
+		return nextDrained(in, sess, *open, elapsed)
 	default:
-		return settle(s, c, *open, inHand)
+		return nextOrdered(in, sess, *open, elapsed)
 	}
 }
 
-func wait(reason string) Action { return Action{Kind: ActionWait, Reason: reason} }
+func waitAction(reason string) Action { return Action{Kind: ActionWait, Reason: reason} }
 
-func read(reason string) Action { return Action{Kind: ActionRead, Reason: reason} }
+func readAction(reason string) Action { return Action{Kind: ActionRead, Reason: reason} }
 
-func raise(s Input) Action {
-	id := fmt.Sprintf("fence-%s-%d", s.Engine.Name, s.Authority.FencingToken)
-	o := upstream.Order{ID: id, Kind: upstream.OrderFence, FencingToken: s.Authority.FencingToken}
+func raiseAction(in Input) Action {
+	id := fmt.Sprintf("fence-%s-%d", in.Engine.Name, in.Authority.FencingToken)
+	o := upstream.Order{ID: id, Kind: upstream.OrderFence, FencingToken: in.Authority.FencingToken}
 	return Action{Kind: ActionRaiseToken, Order: o, Reason: "new leader"}
 }
 
-// idle begins a change if one is wanted, and keeps the believed settings up.
-func idle(s Input, c *Session) Action {
-	if !c.fresh(s.Now, s.Limits.ReadInterval) {
-		return read("state is outdated")
+// nextIdle starts a requested change, or records the engine's settings if they
+// differ from the recorded ones.
+func nextIdle(in Input, sess *Session) Action {
+	if !sess.hasFreshState(in.Now, in.Limits.ReadInterval) {
+		return readAction("state is outdated")
 	}
-	seen := SettingsOf(c.state)
-	if c.state.Busy {
-		return wait("engine is busy")
+	observed := SettingsOf(sess.state)
+	if sess.state.Busy {
+		return waitAction("engine is busy")
 	}
-	if s.Requested != nil && !wanted(*s.Requested).SatisfiedBy(seen) {
-		return plan(s, seen)
+	if in.Requested != nil && !requestedChange(*in.Requested).SatisfiedBy(observed) {
+		return planChange(in, observed)
 	}
-	if seen != s.Engine.Observed {
-		return appendRecord(s, nil, seen, "settings read back")
+	if observed != in.Engine.Observed {
+		return appendRecord(in, nil, observed, "settings read back")
 	}
-	return wait("nothing to do")
+	return waitAction("nothing to do")
 }
 
-func wanted(w ChangeRequest) Change { return Change{Kind: w.Kind, Target: w.Target} }
+func requestedChange(r ChangeRequest) Change { return Change{Kind: r.Kind, Target: r.Target} }
 
-func plan(s Input, seen Settings) Action {
+func planChange(in Input, observed Settings) Action {
 	ch := Change{
-		ID: s.Requested.ID, Engine: s.Engine.Name, Kind: s.Requested.Kind, Target: s.Requested.Target,
-		Phase: PhaseDraining, Reason: s.Requested.Reason, Reservation: s.Requested.Reservation,
+		ID: in.Requested.ID, Engine: in.Engine.Name, Kind: in.Requested.Kind, Target: in.Requested.Target,
+		Phase: PhaseDraining, Reason: in.Requested.Reason, Reservation: in.Requested.Reservation,
 	}
-	return appendRecord(s, &ch, seen, s.Requested.Reason)
+	return appendRecord(in, &ch, observed, in.Requested.Reason)
 }
 
-// appendRecord makes the record of a step under the leader's authority.
-func appendRecord(s Input, ch *Change, seen Settings, reason string) Action {
+// appendRecord returns the action that appends a step's record under the leader's
+// authority.
+func appendRecord(in Input, ch *Change, observed Settings, reason string) Action {
 	r := Record{
-		Engine: s.Engine.Name, After: s.Engine.LastPosition,
-		Scope: s.Authority.Scope, FencingToken: s.Authority.FencingToken, Observed: seen,
+		Engine: in.Engine.Name, After: in.Engine.LastPosition,
+		Scope: in.Authority.Scope, FencingToken: in.Authority.FencingToken, Observed: observed,
 	}
 	if ch != nil {
-		ch.Scope = s.Authority.Scope
-		ch.FencingToken = s.Authority.FencingToken
+		ch.Scope = in.Authority.Scope
+		ch.FencingToken = in.Authority.FencingToken
 		r.Change = ch
 	}
 	return Action{Kind: ActionAppend, Record: &r, Reason: reason}
 }
 
-// end closes a change.
-func end(s Input, open Change, p Phase, seen Settings, outcome string) Action {
+// endChange ends a change in the given phase.
+func endChange(in Input, open Change, p Phase, observed Settings, outcome string) Action {
 	open.Phase = p
 	open.Outcome = outcome
-	return appendRecord(s, &open, seen, outcome)
+	return appendRecord(in, &open, observed, outcome)
 }
 
-func drain(s Input, open Change, inHand time.Duration) Action {
-	if a, ok := giveUp(s, open, inHand); ok {
+func nextDraining(in Input, open Change, elapsed time.Duration) Action {
+	if a, ok := undoIfDue(in, open, elapsed); ok {
 		return a
 	}
-	if !s.Drained {
-		return wait(s.WaitReason)
+	if !in.Drained {
+		return waitAction(in.WaitReason)
 	}
 	open.Phase = PhaseDrained
-	return appendRecord(s, &open, s.Engine.Observed, "every listed instance has nothing in flight there")
+	return appendRecord(in, &open, in.Engine.Observed, "every listed instance has nothing in flight there")
 }
 
-// giveUp undoes a change of which no order has been sent.
-func giveUp(s Input, open Change, inHand time.Duration) (Action, bool) {
-	if s.CancelReason != "" {
-		return end(s, open, PhaseUndone, s.Engine.Observed, s.CancelReason), true
+// undoIfDue undoes a change that was cancelled or whose drain timed out. It must
+// only be used before an order of the change has been sent.
+func undoIfDue(in Input, open Change, elapsed time.Duration) (Action, bool) {
+	if in.CancelReason != "" {
+		return endChange(in, open, PhaseUndone, in.Engine.Observed, in.CancelReason), true
 	}
-	if !s.Drained && inHand > s.Limits.DrainTimeout {
-		return end(s, open, PhaseUndone, s.Engine.Observed, "drain took too long: "+s.WaitReason), true
+	if !in.Drained && elapsed > in.Limits.DrainTimeout {
+		return endChange(in, open, PhaseUndone, in.Engine.Observed, "drain took too long: "+in.WaitReason), true
 	}
 	return Action{}, false
 }
 
-// order records the intent to order, once the engine itself says that nothing
-// runs on it. An instance not in the list yet could still have work there.
-func order(s Input, c *Session, open Change, inHand time.Duration) Action {
-	if a, ok := giveUp(s, open, inHand); ok {
+// nextDrained records the intent to send the order once the engine itself reports
+// that it runs no requests. The reports of entry instances don't suffice: an
+// instance that isn't listed yet could have requests there.
+func nextDrained(in Input, sess *Session, open Change, elapsed time.Duration) Action {
+	if a, ok := undoIfDue(in, open, elapsed); ok {
 		return a
 	}
-	if inHand > s.Limits.whole() {
-		return end(s, open, PhaseUndone, s.Engine.Observed, "engine did not become free")
+	if elapsed > in.Limits.maxChangeTime() {
+		return endChange(in, open, PhaseUndone, in.Engine.Observed, "engine did not become free")
 	}
-	if !c.fresh(s.Now, s.Limits.MaxStateAge) {
-		return read("before the order")
+	if !sess.hasFreshState(in.Now, in.Limits.MaxStateAge) {
+		return readAction("before the order")
 	}
-	seen := SettingsOf(c.state)
-	if open.SatisfiedBy(seen) && !c.state.Busy {
-		return end(s, open, PhaseConfirmed, seen, "engine already shows the change")
+	observed := SettingsOf(sess.state)
+	if open.SatisfiedBy(observed) && !sess.state.Busy {
+		return endChange(in, open, PhaseConfirmed, observed, "engine already shows the change")
 	}
-	if reason, ok := free(s, c); !ok {
-		return pace(s, c, reason)
+	if reason, ok := readyForOrder(in, sess); !ok {
+		return waitOrRead(in, sess, reason)
 	}
-	return intend(s, c, open)
+	return recordAttempt(in, sess, open)
 }
 
-// free reports whether the engine may get an order now.
-func free(s Input, c *Session) (string, bool) {
+// readyForOrder reports whether the order may be sent now, and if not why.
+func readyForOrder(in Input, sess *Session) (string, bool) {
 	switch {
-	case c.state.Busy:
+	case sess.state.Busy:
 		return "engine is busy", false
-	case c.state.Running > 0:
+	case sess.state.Running > 0:
 		return "engine still runs requests", false
-	case !s.Drained:
-		return s.WaitReason, false
+	case !in.Drained:
+		return in.WaitReason, false
 	}
 	return "", true
 }
 
-// pace waits, and reads the state again when it is time.
-func pace(s Input, c *Session, reason string) Action {
-	if c.fresh(s.Now, s.Limits.ReadInterval) {
-		return wait(reason)
+// waitOrRead waits, or reads the engine's state again if ReadInterval has passed.
+func waitOrRead(in Input, sess *Session, reason string) Action {
+	if sess.hasFreshState(in.Now, in.Limits.ReadInterval) {
+		return waitAction(reason)
 	}
-	return read(reason)
+	return readAction(reason)
 }
 
-func intend(s Input, c *Session, open Change) Action {
+func recordAttempt(in Input, sess *Session, open Change) Action {
 	open.Phase = PhaseOrdered
 	open.Attempt++
-	open.Incarnation = c.state.Incarnation
-	return appendRecord(s, &open, SettingsOf(c.state), fmt.Sprintf("attempt %d", open.Attempt))
+	open.Incarnation = sess.state.Incarnation
+	return appendRecord(in, &open, SettingsOf(sess.state), fmt.Sprintf("attempt %d", open.Attempt))
 }
 
-// settle sends the order whose intent is recorded, or finds out what became
-// of it.
-func settle(s Input, c *Session, open Change, inHand time.Duration) Action {
-	own := open.FencingToken == s.Authority.FencingToken
-	unsent := own && !mayBeTaken(c, open)
-	if unsent && inHand > s.Limits.whole() {
-		return end(s, open, PhaseUndone, s.Engine.Observed, "order could not be sent in time")
+// nextOrdered sends the order whose intent is recorded, or determines the outcome
+// of an order that may have been sent.
+func nextOrdered(in Input, sess *Session, open Change, elapsed time.Duration) Action {
+	ownToken := open.FencingToken == in.Authority.FencingToken
+	unsent := ownToken && !mayHaveBeenAccepted(sess, open)
+	if unsent && elapsed > in.Limits.maxChangeTime() {
+		return endChange(in, open, PhaseUndone, in.Engine.Observed, "order could not be sent in time")
 	}
-	if !c.fresh(s.Now, s.Limits.ReadInterval) {
-		return read("to see what became of the order")
+	if !sess.hasFreshState(in.Now, in.Limits.ReadInterval) {
+		return readAction("to see what became of the order")
 	}
-	if c.state.Busy {
-		return wait("engine carries an order out")
+	if sess.state.Busy {
+		return waitAction("engine carries an order out")
 	}
-	if c.state.LastOrder == open.ID {
-		return finish(s, c, open)
+	if sess.state.LastOrder == open.ID {
+		return finish(in, sess, open)
 	}
 	if !unsent {
-		return lost(s, c, open, own, inHand)
+		return resolveMissing(in, sess, open, ownToken, elapsed)
 	}
-	if reason, ok := free(s, c); !ok {
-		return wait(reason)
+	if reason, ok := readyForOrder(in, sess); !ok {
+		return waitAction(reason)
 	}
 	return Action{Kind: ActionSend, Order: open.Order(), Change: open, Reason: open.Reason}
 }
 
-// mayBeTaken reports whether this attempt has gone out and may take effect.
-func mayBeTaken(c *Session, open Change) bool {
-	o := c.outcome(open)
+// mayHaveBeenAccepted reports whether this process sent the attempt's order and
+// the order may take effect.
+func mayHaveBeenAccepted(sess *Session, open Change) bool {
+	o := sess.attemptOutcome(open)
 	return o != OutcomeNotSent && o != OutcomeRejected
 }
 
-// finish ends a change whose order was the engine's last one.
-func finish(s Input, c *Session, open Change) Action {
-	seen := SettingsOf(c.state)
-	if open.SatisfiedBy(seen) {
-		return end(s, open, PhaseConfirmed, seen, "read back")
+// finish ends a change whose order is the last one that the engine accepted.
+func finish(in Input, sess *Session, open Change) Action {
+	observed := SettingsOf(sess.state)
+	if open.SatisfiedBy(observed) {
+		return endChange(in, open, PhaseConfirmed, observed, "read back")
 	}
-	return end(s, open, PhaseUndone, seen, "engine took the order but doesn't show the change")
+	return endChange(in, open, PhaseUndone, observed, "engine took the order but doesn't show the change")
 }
 
-// lost deals with an order that the engine doesn't show. It counts as lost
-// only once it can't take effect any more.
-func lost(s Input, c *Session, open Change, own bool, inHand time.Duration) Action {
-	seen := SettingsOf(c.state)
+// resolveMissing handles an order that the engine's state doesn't show. It ends or
+// repeats the change only once the order can no longer take effect.
+func resolveMissing(in Input, sess *Session, open Change, ownToken bool, elapsed time.Duration) Action {
+	observed := SettingsOf(sess.state)
 	switch {
-	case !closed(s, c, own):
-		return pursue(s, c, own)
-	case open.SatisfiedBy(seen):
-		return end(s, open, PhaseConfirmed, seen, "engine shows the change")
-	case own && c.sent == OutcomeAccepted:
-		return end(s, open, PhaseUndone, seen, "engine gave the change up, or restarted during it")
-	case inHand > s.Limits.whole():
-		return end(s, open, PhaseUndone, seen, "order was not taken in time")
-	}
-	if reason, ok := free(s, c); !ok {
-		return wait(reason)
-	}
-	return intend(s, c, open)
+	case !canNoLongerApply(in, sess, ownToken):
+		return awaitOutcome(in, sess, ownToken)
+	case open.SatisfiedBy(observed):
+		return endChange(in, open, PhaseConfirmed, observed, "engine shows the change")
+	case ownToken && sess.sendOutcome == OutcomeAccepted:
+		return endChange(in, open, PhaseUndone, observed, "engine gave the change up, or restarted during it")
+	case elapsed > in.Limits.maxChangeTime():
+		return endChange(in, open, PhaseUndone, observed, "order was not taken in time")
+	}
+	if reason, ok := readyForOrder(in, sess); !ok {
+		return waitAction(reason)
+	}
+	return recordAttempt(in, sess, open)
 }
 
-// closed reports whether the order, which the engine doesn't show, can't take
-// effect any more.
+// canNoLongerApply reports whether an order that the engine's state doesn't show
+// can no longer take effect.
 //
-// After a reply the one copy that was sent has arrived, and the engine has
-// given it up or restarted since. Without one, and for a predecessor's order, a
-// copy may lie in a buffer or in a paused sender. An engine that checks fencing
-// numbers refuses it once the number has been raised above the order's. For
-// one that doesn't, the sender is dead or is this process, whose connection is
-// closed, and the engine has answered reads for the settle time, in which it
-// works off what it had received.
-func closed(s Input, c *Session, own bool) bool {
-	if own && c.sent == OutcomeAccepted {
+// After a reply the only copy has arrived, and the engine has since abandoned the
+// order or restarted. Otherwise, and for an order of a former leader, a copy may
+// still be in a buffer or in a paused sender. An engine that enforces fencing
+// rejects it once the token was raised above the order's. For other engines the
+// sender has died or is this process, whose connection is closed, and the engine
+// has answered reads for SettleTime, in which it processes what it had received.
+func canNoLongerApply(in Input, sess *Session, ownToken bool) bool {
+	if ownToken && sess.sendOutcome == OutcomeAccepted {
 		return true
 	}
-	if s.EnforcesFencing {
-		return !own
+	if in.EnforcesFencing {
+		return !ownToken
 	}
-	return !c.answeringSince.IsZero() && c.readAt.Sub(c.answeringSince) >= s.Limits.SettleTime
+	return !sess.responsiveSince.IsZero() && sess.readAt.Sub(sess.responsiveSince) >= in.Limits.SettleTime
 }
 
-// pursue waits for an order's fate, or forces it: a higher fencing number
-// outdates a copy still under way.
-func pursue(s Input, c *Session, own bool) Action {
-	if !s.EnforcesFencing || !own || s.Now.Sub(c.sentAt) < s.Limits.RetryDelay {
-		return wait("the order's fate is open")
+// awaitOutcome waits for the outcome of an order, or forces it with a higher
+// fencing token, which makes a copy still in flight outdated.
+func awaitOutcome(in Input, sess *Session, ownToken bool) Action {
+	if !in.EnforcesFencing || !ownToken || in.Now.Sub(sess.sentAt) < in.Limits.RetryDelay {
+		return waitAction("the order's fate is open")
 	}
 	return Action{Kind: ActionRenumber, Reason: "outdate an order without reply"}
 }
--- a/orders/record.go
+++ b/orders/record.go
@@ -11,25 +11,25 @@
 	"tamarackchute/upstream"
 )
 
-// Phase is how far a change has come.
+// Phase is the progress of a change.
 type Phase uint8
 
-// The phases. Their numbers stand in the log: never reuse one.
+// The phases. Their numbers are stored in the log: never reuse one.
 const (
-	// PhaseDraining: entries give the engine no new work.
+	// PhaseDraining: entry instances send the engine no new work.
 	PhaseDraining Phase = 1
-	// PhaseDrained: every listed entry instance has applied that and reported
-	// nothing in flight on the engine.
+	// PhaseDrained: every listed entry instance has applied PhaseDraining and
+	// reported nothing in flight on the engine.
 	PhaseDrained Phase = 2
-	// PhaseOrdered: the order may have been sent; its fate is open.
+	// PhaseOrdered: the order may have been sent; its outcome is unknown.
 	PhaseOrdered Phase = 3
 	// PhaseConfirmed: the engine's state, read back, shows the change.
 	PhaseConfirmed Phase = 4
-	// PhaseUndone: the change was given up, and no order of it is under way.
+	// PhaseUndone: the change was abandoned, and none of its orders is in flight.
 	PhaseUndone Phase = 5
 )
 
-// String names the phase for status pages, logs and the audit trail.
+// String returns the name used on status pages, in logs and in the audit trail.
 func (p Phase) String() string {
 	names := [...]string{"none", "draining", "drained", "ordered", "confirmed", "undone"}
 	if int(p) < len(names) {
@@ -38,13 +38,13 @@
 	return "unknown"
 }
 
-// Open reports whether a change in this phase still stands in the way of
-// another one.
+// Open reports whether a change in this phase is unfinished and so blocks other
+// changes to the engine.
 func (p Phase) Open() bool {
 	return p == PhaseDraining || p == PhaseDrained || p == PhaseOrdered
 }
 
-// Settings is what an order can change about an engine.
+// Settings are the properties of an engine that an order can change.
 type Settings struct {
 	Role    upstream.Role `msgpack:"r,omitempty" json:"role,omitempty"`
 	Model   string        `msgpack:"m,omitempty" json:"model,omitempty"`
@@ -57,47 +57,46 @@
 	return Settings{Role: s.Role, Model: s.Model, Version: s.Version, Adapter: s.Adapter}
 }
 
-// Reservation is a share of the weight store's rate, which loads in all data
-// centres have in common.
+// Reservation is a share of the weight store's read rate, which all data centres'
+// loads share.
 type Reservation struct {
 	Bytes int64 `msgpack:"b" json:"bytes"`
-	// BytesPerSec is the share, LimitPerSec the store's whole rate.
+	// BytesPerSec is the reserved rate, LimitPerSec the store's total rate.
 	BytesPerSec float64 `msgpack:"s" json:"bytes_per_s"`
 	LimitPerSec float64 `msgpack:"l" json:"limit_per_s"`
 }
 
 // Change is one change to an engine.
 type Change struct {
-	// ID is unique to the change and is the ID of its order, however often
-	// that is sent.
+	// ID is unique to the change. It is also the ID of its order in each attempt.
 	ID     string             `msgpack:"id" json:"id"`
 	Engine string             `msgpack:"e" json:"engine"`
 	Kind   upstream.OrderKind `msgpack:"k" json:"kind"`
 	Target Settings           `msgpack:"t" json:"target"`
 	Phase  Phase              `msgpack:"p" json:"phase"`
-	// Scope and Fence are those of the leader that recorded this phase.
+	// Scope and FencingToken are those of the leader that recorded this phase.
 	Scope        string `msgpack:"s" json:"scope"`
 	FencingToken uint64 `msgpack:"f" json:"fence"`
-	// Drain is the position of the record that began the drain. It is zero in
-	// that record itself; the fold fills it in.
+	// DrainStart is the position of the record that started the drain. It is zero
+	// in that record itself; State.Apply sets it.
 	DrainStart journal.Position `msgpack:"d" json:"drain"`
-	// Attempt counts how often the order was about to be sent.
+	// Attempt counts the recorded intents to send the order.
 	Attempt int `msgpack:"n" json:"attempt"`
-	// Incarnation is the engine's when the order was about to be sent.
+	// Incarnation is the engine's incarnation when the latest intent was recorded.
 	Incarnation string `msgpack:"i" json:"incarnation"`
-	// Reason says why the change was planned, Outcome why it was ended.
+	// Reason says why the change was planned, Outcome why it ended.
 	Reason  string `msgpack:"w" json:"reason"`
 	Outcome string `msgpack:"o" json:"outcome"`
-	// Reserve is set from PhaseOrdered on if the order makes the engine read
-	// the weight store.
+	// Reservation is set if the order makes the engine read the weight store. It
+	// takes effect in PhaseOrdered.
 	Reservation *Reservation `msgpack:"b" json:"reserve,omitempty"`
-	// PlannedAt and PhaseAt are the log's wall clock at the first and at the
-	// last record of the change; the fold fills them in.
+	// PlannedAt and PhaseAt are the log's wall-clock times of the change's first
+	// and latest records; State.Apply sets them.
 	PlannedAt time.Time `msgpack:"pa" json:"planned_at"`
 	PhaseAt   time.Time `msgpack:"ca" json:"phase_at"`
 }
 
-// Order returns the order that carries the change out.
+// Order returns the order that executes the change.
 func (c Change) Order() upstream.Order {
 	return upstream.Order{
 		ID: c.ID, Kind: c.Kind, FencingToken: c.FencingToken, Role: c.Target.Role,
@@ -105,7 +104,7 @@
 	}
 }
 
-// Reached reports whether an engine's settings show the change.
+// SatisfiedBy reports whether an engine with the given settings shows the change.
 func (c Change) SatisfiedBy(s Settings) bool {
 	switch c.Kind {
 	case upstream.OrderRole:
@@ -119,28 +118,29 @@
 	}
 }
 
-// Record is the body of a journal entry of kind KindOrder: the whole state of
-// one engine after the step, so that a reader can start at any record.
+// Record is the body of a journal entry of kind KindOrder. It holds the complete
+// state of one engine after a step, so that a reader can start at any record.
 type Record struct {
 	Engine string `msgpack:"e"`
-	// After is the engine's last accepted record as the writer knew it.
+	// After is the position of the engine's last accepted record as the writer
+	// knew it.
 	After journal.Position `msgpack:"a"`
-	// Scope and Fence show the writer's authority.
+	// Scope and FencingToken prove the writer's authority.
 	Scope        string `msgpack:"s"`
 	FencingToken uint64 `msgpack:"f"`
 	// Checkpoint marks a record that repeats the engine's state unchanged, so
-	// that the log's retention doesn't take the only record of it. Any process
-	// may write one.
+	// that the state isn't lost when its last record expires. Any process may
+	// write one.
 	Checkpoint bool `msgpack:"k,omitempty"`
-	// Change is the change after the step; nil for a record that only tells
+	// Change is the change after the step; nil for a record that only updates
 	// the engine's settings.
 	Change *Change `msgpack:"c"`
-	// Believed is what the engine was last seen to be.
+	// Observed holds the engine's settings as last read.
 	Observed Settings `msgpack:"b"`
 }
 
-// CheckpointOf returns the record that repeats what is known of an engine,
-// under the scope and number of its last change.
+// CheckpointOf returns the record that repeats an engine's state, with the scope
+// and fencing token of its last change.
 func CheckpointOf(e Engine) Record {
 	r := Record{Engine: e.Name, After: e.LastPosition, Checkpoint: true, Change: e.Change, Observed: e.Observed}
 	if e.Change != nil {
@@ -158,8 +158,8 @@
 	return b
 }
 
-// DecodeRecord reads the body of a journal entry. Its error means that the
-// entry is no record of this package and changes nothing.
+// DecodeRecord decodes the body of a journal entry. An error means that the entry
+// is not a record of this package and must be ignored.
 func DecodeRecord(body []byte) (Record, error) {
 	var r Record
 	if err := codec.Unmarshal(body, &r); err != nil {
--- a/orders/state.go
+++ b/orders/state.go
@@ -7,18 +7,18 @@
 	"tamarackchute/lease"
 )
 
-// Engine is what the accepted records say about an engine.
+// Engine is the state of an engine according to the accepted records.
 type Engine struct {
 	Name string
 	// Known is false until a record of the engine has been accepted.
 	Known bool
-	// Believed is what the engine was last seen to be; its fields are empty
-	// if no record told.
+	// Observed holds the engine's settings as last recorded; its fields are empty
+	// if no record holds them.
 	Observed Settings
-	// Change is the last change; Phase.Open tells whether it still runs.
+	// Change is the last change; Phase.Open reports whether it is unfinished.
 	Change *Change
-	// Last is the position of the last accepted record, LastReadAt this
-	// process's own clock just after it read that record.
+	// LastPosition is the position of the last accepted record, LastReadAt the
+	// local time just after this process read it.
 	LastPosition journal.Position
 	LastReadAt   time.Time
 
@@ -33,23 +33,23 @@
 	return e.Change
 }
 
-// TakesWork reports whether new work may go to the engine: it isn't being
-// drained or changed.
+// TakesWork reports whether new work may be sent to the engine, that is whether
+// it isn't being drained or changed.
 //
-// A router that asks must first count the request as in flight on the engine,
-// and only then take the snapshot and ask; if the answer is no it uncounts and
-// picks again. Otherwise it could report nothing in flight for a position and
-// then send a request that it had picked before that position.
+// A router must count the request as in flight on the engine before it takes the
+// snapshot that it calls TakesWork on; if the result is false, it must undo the
+// count and pick another engine. Otherwise it could report nothing in flight at a
+// position and then send a request that it had routed before that position.
 func (e Engine) TakesWork() bool { return e.Open() == nil }
 
-// Leases tells who led a scope at the place of the journal that is being
-// folded. A lease.State or lease.View does, if it is given each journal entry
-// no later than the State that asks it.
+// Leases returns who leads a scope at the journal position being applied. A
+// lease.State or lease.View implements it if each journal entry is applied to it
+// no later than to the State that uses it.
 type Leases interface {
 	Scope(name string) lease.ScopeState
 }
 
-// State is the pure fold over all engines.
+// State is the state of all engines, built by applying the journal's records.
 type State struct {
 	leases  Leases
 	engines map[string]Engine
@@ -58,8 +58,8 @@
 // NewState returns the state of an empty journal.
 func NewState(leases Leases) *State { return &State{leases: leases} }
 
-// Apply folds one journal entry and reports whether it was an accepted record
-// of an order.
+// Apply applies one journal entry and reports whether it was an accepted order
+// record.
 func (s *State) Apply(p journal.LogEntry) (Engine, bool) {
 	if p.Entry.Kind != journal.KindOrder {
 		return Engine{}, false
@@ -77,13 +77,13 @@
 	if link == lease.LinkStale || !s.authorized(r) {
 		return Engine{}, false
 	}
-	if link == lease.LinkFollows && r.Checkpoint && !prev.repeatedBy(r) {
+	if link == lease.LinkFollows && r.Checkpoint && !prev.matchesCheckpoint(r) {
 		return Engine{}, false
 	}
-	if link == lease.LinkFollows && !r.Checkpoint && !s.allows(prev, r) {
+	if link == lease.LinkFollows && !r.Checkpoint && !s.allowsStep(prev, r) {
 		return Engine{}, false
 	}
-	next := prev.with(p, r)
+	next := prev.withRecord(p, r)
 	next.chain.Accept(link, r.After, p.Position)
 	if s.engines == nil {
 		s.engines = make(map[string]Engine)
@@ -92,10 +92,10 @@
 	return next, true
 }
 
-// authorized reports whether the writer led the scope at this place of the
-// log. A record of a former leader that lands late fails here, in every
-// process alike. A reader that starts on a trimmed log knows a scope from its
-// first renewal on, seconds later; it takes no record of an engine before.
+// authorized reports whether the writer led the scope at this position of the
+// log. A late record of a former leader is rejected here by every process alike.
+// A reader that starts on a trimmed log learns of a scope's leader from the first
+// renewal, within seconds, and until then accepts only checkpoints.
 func (s *State) authorized(r Record) bool {
 	if r.Checkpoint {
 		return true
@@ -104,8 +104,8 @@
 	return l.Held && l.FencingToken == r.FencingToken
 }
 
-// repeatedBy reports whether a checkpoint tells this very state.
-func (e Engine) repeatedBy(r Record) bool {
+// matchesCheckpoint reports whether a checkpoint holds exactly this state.
+func (e Engine) matchesCheckpoint(r Record) bool {
 	if e.Observed != r.Observed || (e.Change == nil) != (r.Change == nil) {
 		return false
 	}
@@ -116,8 +116,8 @@
 	return c.ID == d.ID && c.Phase == d.Phase && c.FencingToken == d.FencingToken && c.Attempt == d.Attempt
 }
 
-// allows reports whether a record is a step that may follow the engine's state.
-func (s *State) allows(prev Engine, r Record) bool {
+// allowsStep reports whether a record is an allowed step from the engine's state.
+func (s *State) allowsStep(prev Engine, r Record) bool {
 	open, next := prev.Open(), r.Change
 	if next == nil {
 		return open == nil
@@ -136,8 +136,8 @@
 
 type step struct{ from, to Phase }
 
-// allowedSteps lists the steps within one change. Ordered may follow ordered:
-// a new attempt, after the former one's fate is known.
+// allowedSteps lists the phase transitions within one change. Ordered may follow
+// ordered: a new attempt, after the outcome of the previous one is known.
 var allowedSteps = map[step]bool{
 	{PhaseDraining, PhaseDrained}:  true,
 	{PhaseDraining, PhaseUndone}:   true,
@@ -149,8 +149,9 @@
 	{PhaseDrained, PhaseConfirmed}: true,
 }
 
-// withinBudget reports whether a load fits beside those already under way.
-// The reservation ends with the change, whoever ends it.
+// withinBudget reports whether a load's reservation fits into the weight store's
+// rate together with those of the loads in progress. A reservation ends with its
+// change, whichever leader ends that.
 func (s *State) withinBudget(r Record) bool {
 	if r.Change.Phase != PhaseOrdered || r.Change.Reservation == nil {
 		return true
@@ -158,13 +159,13 @@
 	sum := r.Change.Reservation.BytesPerSec
 	for name, e := range s.engines {
 		if name != r.Engine {
-			sum += e.reserved()
+			sum += e.reservedRate()
 		}
 	}
 	return sum <= r.Change.Reservation.LimitPerSec
 }
 
-func (e Engine) reserved() float64 {
+func (e Engine) reservedRate() float64 {
 	c := e.Open()
 	if c == nil || c.Phase != PhaseOrdered || c.Reservation == nil {
 		return 0
@@ -172,7 +173,7 @@
 	return c.Reservation.BytesPerSec
 }
 
-func (e Engine) with(p journal.LogEntry, r Record) Engine {
+func (e Engine) withRecord(p journal.LogEntry, r Record) Engine {
 	e.Name = r.Engine
 	e.Known = true
 	e.Observed = r.Observed
@@ -194,9 +195,8 @@
 	return e
 }
 
-// Gap takes note that records have expired before they were read. What was
-// known is kept, but the next record of an engine may follow one that was
-// missed.
+// Trimmed notes that records expired before they were read. The known state is
+// kept, but the next record of an engine may follow one that was missed.
 func (s *State) Trimmed() {
 	for name, e := range s.engines {
 		e.chain.Reset()
@@ -204,7 +204,8 @@
 	}
 }
 
-// Engine returns what is known of an engine; its Known is false if nothing is.
+// Engine returns the state of an engine; its Known is false if there is no record
+// of the engine.
 func (s *State) Engine(name string) Engine {
 	e, ok := s.engines[name]
 	if !ok {
--- a/orders/state_test.go
+++ b/orders/state_test.go
@@ -13,24 +13,24 @@
 	"tamarackchute/upstream"
 )
 
-// leaders is the authority at the place being folded: scope to number.
+// leaders maps each scope that has a leader to the leader's fencing token.
 type leaders map[string]uint64
 
 // Scope implements Leases.
 func (l leaders) Scope(name string) lease.ScopeState {
-	fence, ok := l[name]
-	return lease.ScopeState{Known: ok, Held: ok, FencingToken: fence}
+	token, ok := l[name]
+	return lease.ScopeState{Known: ok, Held: ok, FencingToken: token}
 }
 
-// book folds records one after the other.
-type book struct {
+// stateFixture applies records at increasing offsets.
+type stateFixture struct {
 	*State
 	next infra.Offset
 }
 
-func newBook(l leaders) *book { return &book{State: NewState(l), next: 100} }
+func newStateFixture(l leaders) *stateFixture { return &stateFixture{State: NewState(l), next: 100} }
 
-func (b *book) apply(r Record) bool {
+func (b *stateFixture) apply(r Record) bool {
 	b.next++
 	p := journal.LogEntry{
 		Position: journal.Position{Offset: b.next},
@@ -40,18 +40,19 @@
 	return ok
 }
 
-// step makes the record of a phase of a change after the engine's last one.
-func (b *book) step(engine, id, scope string, fence uint64, p Phase, reserve *Reservation) Record {
+// step returns a record that moves a change to a phase and follows the engine's
+// last record.
+func (b *stateFixture) step(engine, id, scope string, token uint64, p Phase, reserve *Reservation) Record {
 	e := b.Engine(engine)
-	return Record{Engine: engine, After: e.LastPosition, Scope: scope, FencingToken: fence, Change: &Change{
-		ID: id, Engine: engine, Kind: upstream.OrderRole, Phase: p, Scope: scope, FencingToken: fence, Reservation: reserve,
+	return Record{Engine: engine, After: e.LastPosition, Scope: scope, FencingToken: token, Change: &Change{
+		ID: id, Engine: engine, Kind: upstream.OrderRole, Phase: p, Scope: scope, FencingToken: token, Reservation: reserve,
 		Target: Settings{Role: upstream.RoleDecode},
 	}}
 }
 
-func TestOneOpenChangeWhoeverLeads(t *testing.T) {
+func TestOneOpenChangePerEngineAcrossLeaders(t *testing.T) {
 	l := leaders{"a": 7}
-	b := newBook(l)
+	b := newStateFixture(l)
 	require.True(t, b.apply(b.step("e", "c1", "a", 7, PhaseDraining, nil)))
 	assert.False(t, b.Engine("e").TakesWork())
 	assert.False(t, b.apply(b.step("e", "c2", "a", 7, PhaseDraining, nil)), "a second change")
@@ -72,18 +73,17 @@
 	require.True(t, b.apply(b.step("e", "c2", "a", 9, PhaseDraining, nil)))
 }
 
-// Leaders of two data centres load models at the same time. Together they must
-// not read the weight store faster than its limit, and neither knows of the
-// other but by the journal.
+// Leaders of two data centres load models at the same time and know of each other
+// only through the journal. Together they must not exceed the weight store's rate.
 func TestLoadsShareOneBudget(t *testing.T) {
-	b := newBook(leaders{"a": 1, "b": 2})
+	b := newStateFixture(leaders{"a": 1, "b": 2})
 	most := &Reservation{Bytes: 100, BytesPerSec: 60, LimitPerSec: 100}
 	for _, x := range []struct {
 		engine, scope string
-		fence         uint64
+		token         uint64
 	}{{"ea", "a", 1}, {"eb", "b", 2}} {
-		require.True(t, b.apply(b.step(x.engine, x.engine, x.scope, x.fence, PhaseDraining, nil)))
-		require.True(t, b.apply(b.step(x.engine, x.engine, x.scope, x.fence, PhaseDrained, nil)))
+		require.True(t, b.apply(b.step(x.engine, x.engine, x.scope, x.token, PhaseDraining, nil)))
+		require.True(t, b.apply(b.step(x.engine, x.engine, x.scope, x.token, PhaseDrained, nil)))
 	}
 	require.True(t, b.apply(b.step("ea", "ea", "a", 1, PhaseOrdered, most)))
 	assert.False(t, b.apply(b.step("eb", "eb", "b", 2, PhaseOrdered, most)))
@@ -94,11 +94,11 @@
 }
 
 func TestReaderOfATrimmedLogStartsAtACheckpoint(t *testing.T) {
-	b := newBook(leaders{"a": 1})
+	b := newStateFixture(leaders{"a": 1})
 	require.True(t, b.apply(b.step("e", "c", "a", 1, PhaseDraining, nil)))
 	e := b.Engine("e")
 	again := CheckpointOf(e)
-	late := newBook(leaders{}) // knows of no leader yet
+	late := newStateFixture(leaders{}) // knows no leader yet
 	late.next = b.next
 	require.True(t, b.apply(again))
 	require.True(t, late.apply(again))
@@ -110,7 +110,8 @@
 	assert.False(t, b.apply(other), "a checkpoint changes nothing")
 }
 
-// situation is one of a leader with number 5 over a checked engine.
+// situation returns the input of a leader with fencing token 5 for an engine that
+// enforces fencing.
 func situation(c *Change, now time.Time) Input {
 	return Input{
 		Now: now, EnforcesFencing: true, Drained: true,
@@ -123,10 +124,9 @@
 	}
 }
 
-// An engine restarts and has forgotten the fencing number. An outdated order
-// that is still under way would now be obeyed; the leader must see that the
-// number is gone and raise it again.
-func TestNumberIsRaisedAgainAfterARestart(t *testing.T) {
+// An engine that restarted has lost its fencing token and would accept an outdated
+// order still in flight. The leader must detect that and raise the token again.
+func TestTokenIsRaisedAgainAfterRestart(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	var c Session
 	s := situation(nil, now)
@@ -134,32 +134,33 @@
 	c.RaiseDone(nil, now, s.Limits.RetryDelay)
 	require.Equal(t, ActionRead, Next(s, &c).Kind)
 	c.ReadDone(upstream.EngineState{FencingToken: 5, Role: "mixed"}, nil, now, now, s.Limits)
-	require.Equal(t, ActionAppend, Next(s, &c).Kind, "believed settings")
+	require.Equal(t, ActionAppend, Next(s, &c).Kind, "observed settings")
 	c.ReadDone(upstream.EngineState{Role: "mixed"}, nil, now, now, s.Limits)
 	assert.Equal(t, ActionRaiseToken, Next(s, &c).Kind)
 }
 
-// The reply to an order is lost, and the engine doesn't show the order. It may
-// still arrive, so nothing else may be ordered until it can't: a checked engine
-// needs a higher number first, another one must have answered for a while.
+// The reply to an order is lost and the engine doesn't show the order, which may
+// still arrive. No other order may be sent until that is impossible: an engine
+// that enforces fencing first needs a higher token, any other engine must have
+// answered for SettleTime.
 func TestOrderWithoutReply(t *testing.T) {
 	start := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	ch := &Change{
 		ID: "c", Engine: "e", Kind: upstream.OrderRole, Target: Settings{Role: upstream.RoleDecode},
 		Phase: PhaseOrdered, Scope: "a", FencingToken: 5, Attempt: 1, Incarnation: "1",
 	}
-	seen := upstream.EngineState{Role: upstream.RoleMixed, FencingToken: 5, Incarnation: "1"}
-	for _, checked := range []bool{true, false} {
+	state := upstream.EngineState{Role: upstream.RoleMixed, FencingToken: 5, Incarnation: "1"}
+	for _, enforces := range []bool{true, false} {
 		var c Session
 		at := func(d time.Duration) Input {
 			s := situation(ch, start.Add(d))
-			s.EnforcesFencing = checked
+			s.EnforcesFencing = enforces
 			return s
 		}
 		readAt := func(d time.Duration) {
-			c.ReadDone(seen, nil, start.Add(d), start.Add(d), at(d).Limits)
+			c.ReadDone(state, nil, start.Add(d), start.Add(d), at(d).Limits)
 		}
-		Next(at(0), &c) // takes note of the number
+		Next(at(0), &c) // binds the session to the token
 		c.RaiseDone(nil, start, 0)
 		readAt(0)
 		require.Equal(t, ActionSend, Next(at(0), &c).Kind)
@@ -167,7 +168,7 @@
 		require.Equal(t, ActionWait, Next(at(100*time.Millisecond), &c).Kind)
 		require.Equal(t, ActionRead, Next(at(time.Second), &c).Kind)
 		readAt(time.Second)
-		if checked {
+		if enforces {
 			assert.Equal(t, ActionRenumber, Next(at(time.Second), &c).Kind)
 			continue
 		}
--- a/orders/view.go
+++ b/orders/view.go
@@ -9,20 +9,19 @@
 	"tamarackchute/journal"
 )
 
-// Snapshot is a state of all engines that doesn't change any more.
+// Snapshot is an immutable state of all engines.
 type Snapshot struct {
-	// Position is the last order record that was folded. An entry instance
-	// that reports how far it obeys the journal must read the position (this
-	// one, or the whole journal's) before its counts of work in flight: counted
-	// first, a request could be missing from the counts and yet have been
-	// picked before the position.
+	// Position is the last order entry that was applied. An entry instance that
+	// reports how far it has applied the journal must read the position (this one
+	// or that of the whole journal) before its counts of requests in flight.
+	// Otherwise a request routed before the position could be missing in them.
 	Position journal.Position
 	// Engines is read-only.
 	Engines map[string]Engine
 }
 
-// Engine returns what is known of an engine; its Known is false, and it takes
-// work, if there is no record of it.
+// Engine returns the state of an engine. If there is no record of the engine, its
+// Known is false and it takes work.
 func (s *Snapshot) Engine(name string) Engine {
 	e, ok := s.Engines[name]
 	if !ok {
@@ -31,16 +30,16 @@
 	return e
 }
 
-// View folds the journal's order records. It implements journal.StateMachine and
-// journal.TrimListener; its other methods may be called from anywhere.
+// View applies the journal's order records. It implements journal.StateMachine
+// and journal.TrimListener; its other methods may be called from any goroutine.
 type View struct {
 	state   *State
 	current atomic.Pointer[Snapshot]
 	changes notify.Changes
 }
 
-// NewView returns a view of an empty journal. Register it for KindOrder with
-// the same journal as leases for KindLease.
+// NewView returns a view of an empty journal. Register it for journal.KindOrder
+// on the journal on which leases is registered for journal.KindLease.
 func NewView(leases Leases) *View {
 	v := &View{state: NewState(leases)}
 	v.current.Store(&Snapshot{Engines: map[string]Engine{}})
@@ -66,6 +65,6 @@
 // Snapshot returns the current state.
 func (v *View) Snapshot() *Snapshot { return v.current.Load() }
 
-// Changed returns a channel that closes with the next accepted record. Take
-// the channel before the snapshot, so that no change falls between the two.
+// Changed returns a channel that is closed at the next accepted record. Get the
+// channel before the snapshot, so that no change is missed in between.
 func (v *View) Changed() <-chan struct{} { return v.changes.Changed() }
