--- a/membership/config.go
+++ b/membership/config.go
@@ -2,35 +2,36 @@
 
 import "time"
 
-// Peer is an instance that may exist, by the settings.
+// Peer is an instance named in the settings, which may or may not be running.
 type Peer struct {
 	Name       string
 	DataCentre string
 }
 
-// Config is what a Machine needs to know. Zero durations stand for defaults.
+// Config configures a Machine. Zero durations select the defaults.
 type Config struct {
 	Self Peer
-	// Peers holds every instance of the settings, Self too.
+	// Peers holds every instance of the settings, including Self.
 	Peers []Peer
-	// Incarnation tells this start of the instance from earlier ones and should
-	// grow, such as the wall clock in milliseconds. One that didn't grow, since
-	// the clock was set back, costs some seconds: see Machine.ReceiveHeartbeat.
+	// Incarnation distinguishes this start of the instance from earlier ones. It
+	// should grow with each start, as the wall clock in milliseconds does. If it
+	// doesn't, because the clock was set back, the others ignore the instance for
+	// some seconds: see Machine.ReceiveHeartbeat.
 	Incarnation uint64
-	// Nearest orders all data centres by their distance from one, that one
-	// first.
+	// Nearest returns all data centres by their distance from the given one, which
+	// comes first.
 	Nearest func(dataCentre string) []string
 
-	// Beat is the time between heartbeats, SuspectAfter the silence after which
-	// an instance is suspected, GoneAfter the silence after which it counts as
-	// gone unless another instance vouches for it.
+	// HeartbeatInterval is the time between heartbeats. An instance without
+	// heartbeats is suspected after SuspectAfter and gone after GoneAfter, unless
+	// another instance vouches for it.
 	HeartbeatInterval, SuspectAfter, GoneAfter time.Duration
-	// SummaryEvery is the time between summaries, SummaryFresh how long one
-	// counts.
+	// SummaryInterval is the time between summaries, SummaryTTL how long a summary
+	// is used.
 	SummaryInterval, SummaryTTL time.Duration
 }
 
-// The default times.
+// The defaults of Config.
 const (
 	DefaultHeartbeatInterval = 500 * time.Millisecond
 	DefaultSuspectAfter      = 1500 * time.Millisecond
@@ -39,24 +40,24 @@
 	DefaultSummaryTTL        = 4 * time.Second
 )
 
-// Bounds on what one message or one data centre may take.
+// Bounds on the size of a message and on the state kept for a data centre.
 const (
-	// maxUnheard bounds Heartbeat.Unheard.
-	maxUnheard = 32
-	// maxSenders bounds the senders of one data centre whose summaries are kept.
+	// maxSilentPeers bounds Heartbeat.Silent.
+	maxSilentPeers = 32
+	// maxSenders bounds the senders per data centre whose summaries are kept.
 	maxSenders = 4
 )
 
 func (c Config) withDefaults() Config {
-	orElse(&c.HeartbeatInterval, DefaultHeartbeatInterval)
-	orElse(&c.SuspectAfter, DefaultSuspectAfter)
-	orElse(&c.GoneAfter, DefaultGoneAfter)
-	orElse(&c.SummaryInterval, DefaultSummaryInterval)
-	orElse(&c.SummaryTTL, DefaultSummaryTTL)
+	setDefault(&c.HeartbeatInterval, DefaultHeartbeatInterval)
+	setDefault(&c.SuspectAfter, DefaultSuspectAfter)
+	setDefault(&c.GoneAfter, DefaultGoneAfter)
+	setDefault(&c.SummaryInterval, DefaultSummaryInterval)
+	setDefault(&c.SummaryTTL, DefaultSummaryTTL)
 	return c
 }
 
-func orElse(d *time.Duration, fallback time.Duration) {
+func setDefault(d *time.Duration, fallback time.Duration) {
 	if *d == 0 {
 		*d = fallback
 	}
--- a/membership/doc.go
+++ b/membership/doc.go
@@ -1,14 +1,15 @@
-// Package membership tells which entry instances are live, suspected, leaving
-// or gone. It starts from the platform's list, which lags by seconds, and
-// corrects it by what instances tell each other: heartbeats to everybody within
-// a data centre, and between data centres one summary a second from one sender
-// of each. Nothing goes from all to all beyond a data centre.
+// Package membership determines which entry instances are live, suspected,
+// leaving or gone. It starts from the platform's instance list, which lags by
+// seconds, and corrects it with messages between instances: heartbeats to all
+// others within a data centre, and one summary a second from one sender of each
+// data centre to each other data centre. There is no all-to-all traffic between
+// data centres.
 //
-// What it says is a hint and may be wrong at any time, in both directions. A
-// caller sent to an instance that has gone wastes a connect; one that isn't
-// sent to a live instance goes to another. No promise of the system rests on
-// it: authority, at most once, rules and orders are settled by the log alone.
+// The result is a hint and may be wrong at any time, in both directions. A caller
+// sent to an instance that is gone wastes one connection attempt; a caller not
+// sent to a live instance uses another one. No guarantee of the system depends on
+// it: leadership, at-most-once execution, rules and orders depend on the log alone.
 //
-// Machine is the pure part: messages, list and time in, messages and a View
-// out. Runner runs it over a Transport.
+// Machine is a state machine without I/O: its inputs are messages, the list and
+// the time, its outputs messages and a View. Runner runs it over a Transport.
 package membership
--- a/membership/example_test.go
+++ b/membership/example_test.go
@@ -7,8 +7,8 @@
 	"tamarackchute/membership"
 )
 
-// Two instances of one data centre. The embedder carries messages and passes
-// the time; here the second instance falls silent after a while.
+// Two instances of one data centre. The program that embeds a Machine delivers the
+// messages and supplies the time; here the second instance stops sending.
 func ExampleMachine() {
 	now := time.Unix(0, 0)
 	peers := []membership.Peer{{Name: "a1", DataCentre: "a"}, {Name: "a2", DataCentre: "a"}}
--- a/membership/machine.go
+++ b/membership/machine.go
@@ -8,48 +8,48 @@
 	"tamarackchute/infra"
 )
 
-// Outgoing is a message to be sent to an instance.
+// Outgoing is a message to send to an instance.
 type Outgoing struct {
 	To      string
 	Message Message
 }
 
-// Machine is the state of one instance's membership. It does no I/O and reads
-// no clock; one goroutine uses it.
+// Machine is the membership state machine of one instance. It does no I/O and
+// reads no clock. It isn't safe for concurrent use.
 type Machine struct {
 	cfg     Config
 	started time.Time
-	// members holds every instance, in order of data centre and name; local
-	// those of the machine's own data centre but itself.
+	// members holds every instance, ordered by data centre and name; local holds
+	// the other instances of self's data centre.
 	members []*member
-	places  *places
+	index   *memberIndex
 	self    *member
 	local   []*member
-	// remote holds the other data centres in order of name.
-	remote   []*otherDataCentre
-	listRead bool
-	leaving  bool
-
-	beatSeq, summarySeq   uint64
-	nextBeat, nextSummary time.Time
-	view                  *View
+	// remote holds the other data centres, ordered by name.
+	remote       []*remoteDC
+	listReceived bool
+	leaving      bool
+
+	heartbeatSeq, summarySeq   uint64
+	nextHeartbeat, nextSummary time.Time
+	view                       *View
 }
 
-// otherDataCentre is what a machine knows of another data centre.
-type otherDataCentre struct {
+// remoteDC is what a Machine knows about another data centre.
+type remoteDC struct {
 	name    string
 	members []*member
 	summaries
-	// turn is the index of the member that summaries are sent to.
-	turn int
+	// receiverIndex is the index of the member that summaries are sent to.
+	receiverIndex int
 }
 
-// New returns the machine of an instance that starts now.
+// New returns the Machine of an instance that starts now.
 func New(cfg Config, now time.Time) *Machine {
 	cfg = cfg.withDefaults()
-	m := &Machine{cfg: cfg, started: now, nextBeat: now, nextSummary: now}
+	m := &Machine{cfg: cfg, started: now, nextHeartbeat: now, nextSummary: now}
 	for _, p := range cfg.Peers {
-		// Until the list has been read, everybody of the settings may run.
+		// Until the list has been received, every instance of the settings may run.
 		mem := &member{Peer: p, listed: true}
 		m.members = append(m.members, mem)
 	}
@@ -60,53 +60,53 @@
 		}
 		return a.Name < b.Name
 	})
-	m.place()
+	m.buildIndex()
 	m.self = m.member(cfg.Self.Name)
 	if m.self == nil {
 		panic("membership: Self isn't one of Peers")
 	}
 	m.self.incarnation = cfg.Incarnation
-	m.group()
-	m.refresh(now)
+	m.groupMembers()
+	m.updateView(now)
 	return m
 }
 
-func (m *Machine) place() {
-	p := &places{
-		nearest:  m.cfg.Nearest,
-		instance: map[string]int{},
-		first:    map[string]int{},
-		past:     map[string]int{},
+func (m *Machine) buildIndex() {
+	index := &memberIndex{
+		nearest: m.cfg.Nearest,
+		byName:  map[string]int{},
+		first:   map[string]int{},
+		end:     map[string]int{},
 	}
 	for i, mem := range m.members {
-		p.instance[mem.Name] = i
-		if _, ok := p.first[mem.DataCentre]; !ok {
-			p.first[mem.DataCentre] = i
+		index.byName[mem.Name] = i
+		if _, ok := index.first[mem.DataCentre]; !ok {
+			index.first[mem.DataCentre] = i
 		}
-		p.past[mem.DataCentre] = i + 1
+		index.end[mem.DataCentre] = i + 1
 	}
-	m.places = p
+	m.index = index
 }
 
-// member returns the instance of a name, or nil.
+// member returns the instance with the given name, or nil.
 func (m *Machine) member(name string) *member {
-	i, ok := m.places.instance[name]
+	i, ok := m.index.byName[name]
 	if !ok {
 		return nil
 	}
 	return m.members[i]
 }
 
-func (m *Machine) group() {
+func (m *Machine) groupMembers() {
 	for _, mem := range m.members {
 		switch {
 		case mem == m.self:
 		case mem.DataCentre == m.self.DataCentre:
 			m.local = append(m.local, mem)
 		default:
-			dc := m.other(mem.DataCentre)
+			dc := m.remoteDataCentre(mem.DataCentre)
 			if dc == nil {
-				dc = &otherDataCentre{name: mem.DataCentre}
+				dc = &remoteDC{name: mem.DataCentre}
 				m.remote = append(m.remote, dc)
 			}
 			dc.members = append(dc.members, mem)
@@ -114,7 +114,7 @@
 	}
 }
 
-func (m *Machine) other(dataCentre string) *otherDataCentre {
+func (m *Machine) remoteDataCentre(dataCentre string) *remoteDC {
 	for _, dc := range m.remote {
 		if dc.name == dataCentre {
 			return dc
@@ -123,18 +123,19 @@
 	return nil
 }
 
-// View returns what is believed as of the last call.
+// View returns the view as of the last call of another method.
 func (m *Machine) View() *View { return m.view }
 
-// Tick lets time pass. It should be called several times a Beat.
+// Tick advances the time. It should be called several times per
+// HeartbeatInterval.
 func (m *Machine) Tick(now time.Time) []Outgoing {
 	for _, dc := range m.remote {
 		dc.prune(now, m.cfg.SummaryTTL)
 	}
-	m.refresh(now)
+	m.updateView(now)
 	var out []Outgoing
-	if !now.Before(m.nextBeat) {
-		m.nextBeat = now.Add(m.cfg.HeartbeatInterval)
+	if !now.Before(m.nextHeartbeat) {
+		m.nextHeartbeat = now.Add(m.cfg.HeartbeatInterval)
 		out = m.heartbeats(now)
 	}
 	if !now.Before(m.nextSummary) {
@@ -144,17 +145,17 @@
 	return out
 }
 
-// Leave says that this instance has begun to stop. The messages tell the others
-// at once.
+// Leave marks this instance as shutting down. The returned messages announce that
+// to the others at once.
 func (m *Machine) Leave(now time.Time) []Outgoing {
 	m.leaving = true
-	m.refresh(now)
+	m.updateView(now)
 	return append(m.heartbeats(now), m.sendSummaries()...)
 }
 
-// ReadList takes the platform's list; rows of other kinds are skipped.
+// ApplyList applies the platform's list; rows of other kinds are skipped.
 func (m *Machine) ApplyList(rows []infra.Instance, now time.Time) {
-	m.listRead = true
+	m.listReceived = true
 	byName := make(map[string]infra.Instance, len(rows))
 	for _, r := range rows {
 		if r.Kind == infra.KindEntry {
@@ -163,17 +164,17 @@
 	}
 	for _, mem := range m.members {
 		row, listed := byName[mem.Name]
-		mem.list(listed, row.Terminating, now)
+		mem.updateListing(listed, row.Terminating, now)
 	}
-	m.refresh(now)
+	m.updateView(now)
 }
 
-// ReceiveHeartbeat takes a heartbeat of an instance of this data centre.
+// ReceiveHeartbeat applies a heartbeat of an instance of this data centre.
 //
-// One of an earlier incarnation doesn't count: it comes late, from a process
-// that has been replaced. Should the replacement have the lower number, since
-// its clock was set back, then everybody tells it in Unheard which number they
-// know, and it goes on with a higher one.
+// A heartbeat of an earlier incarnation is ignored: it arrives late from a process
+// that has been replaced. If the replacement has the lower incarnation, because its
+// clock was set back, the others report the one they know in Heartbeat.Silent, and
+// the replacement continues with a higher one.
 func (m *Machine) ReceiveHeartbeat(h Heartbeat, now time.Time) {
 	for _, s := range h.Silent {
 		if s.Name == m.self.Name && s.Incarnation > m.self.incarnation {
@@ -181,39 +182,39 @@
 		}
 	}
 	mem := m.member(h.From)
-	if mem == nil || mem == m.self || mem.DataCentre != m.self.DataCentre || len(h.Silent) > maxUnheard {
+	if mem == nil || mem == m.self || mem.DataCentre != m.self.DataCentre || len(h.Silent) > maxSilentPeers {
 		return
 	}
-	before := m.believe(mem, now)
-	if mem.beat(h, now) && m.believe(mem, now) != before {
-		m.refresh(now)
+	before := m.evaluate(mem, now)
+	if mem.acceptHeartbeat(h, now) && m.evaluate(mem, now) != before {
+		m.updateView(now)
 	}
 }
 
-// ReceiveSummary takes a summary of another data centre. One that came straight
-// from there is handed on to everybody of this data centre.
+// ReceiveSummary applies a summary of another data centre. If the summary came
+// directly from there, it is relayed to the other instances of this data centre.
 func (m *Machine) ReceiveSummary(s Summary, now time.Time) []Outgoing {
-	dc := m.other(s.DataCentre)
-	if dc == nil || !dc.knows(s.From) || len(s.Members) > len(dc.members) || len(s.ReceivesFrom) > len(m.remote) {
+	dc := m.remoteDataCentre(s.DataCentre)
+	if dc == nil || !dc.hasMember(s.From) || len(s.Members) > len(dc.members) || len(s.ReceivesFrom) > len(m.remote) {
 		return nil
 	}
 	if !dc.add(s, now) {
 		return nil
 	}
-	m.refresh(now)
+	m.updateView(now)
 	if s.Relayed {
 		return nil
 	}
 	s.Relayed = true
 	var out []Outgoing
 	for _, mem := range m.local {
-		if m.believeLocal(mem, now) != Gone {
+		if m.localState(mem, now) != Gone {
 			out = append(out, Outgoing{mem.Name, s})
 		}
 	}
 	return out
 }
 
-func (dc *otherDataCentre) knows(name string) bool {
+func (dc *remoteDC) hasMember(name string) bool {
 	return slices.ContainsFunc(dc.members, func(m *member) bool { return m.Name == name })
 }
--- a/membership/message.go
+++ b/membership/message.go
@@ -1,18 +1,18 @@
 package membership
 
-// State is what an observer believes about an instance.
+// State is the state of an instance as seen by an observer.
 type State uint8
 
-// The states. Their numbers go over the wire: never reuse one.
+// The states. Their numbers are sent over the network: never reuse one.
 const (
-	// Gone: silent for long, or not in the platform's list any more.
+	// Gone: without heartbeats for long, or removed from the platform's list.
 	Gone State = 0
-	// Suspected: silent for a while, or known by the platform's list alone.
+	// Suspected: without recent heartbeats, or known only from the platform's list.
 	Suspected State = 1
-	// Live: heard of lately.
+	// Live: running according to recent messages.
 	Live State = 2
-	// Leaving: says so itself, or the platform does. It still serves, but no
-	// caller is sent there any more.
+	// Leaving: shutting down according to its own messages or the platform. It
+	// still serves, but callers are no longer sent there.
 	Leaving State = 3
 )
 
@@ -39,42 +39,42 @@
 func (Heartbeat) membershipMessage() {}
 func (Summary) membershipMessage()   {}
 
-// Heartbeat goes from each instance to every other of its data centre.
+// Heartbeat is sent by each instance to every other instance of its data centre.
 type Heartbeat struct {
 	From string `msgpack:"f"`
-	// Incarnation tells the starts of an instance apart: messages of an earlier
-	// start don't count any more.
+	// Incarnation distinguishes the starts of an instance: messages of an earlier
+	// start are ignored.
 	Incarnation uint64 `msgpack:"i"`
-	// Seq counts the heartbeats of an incarnation.
+	// Seq numbers the heartbeats of an incarnation.
 	Seq     uint64 `msgpack:"q"`
 	Leaving bool   `msgpack:"l,omitempty"`
-	// Unheard names those of the data centre whom the sender doesn't hear. An
-	// instance that isn't named there is vouched for by the sender.
+	// Silent lists the instances of the data centre from which the sender receives
+	// no heartbeats. The sender vouches for all others.
 	Silent []SilentPeer `msgpack:"u,omitempty"`
-	// Truncated says that Unheard was too long to be sent whole.
+	// Truncated means that Silent is incomplete, since it would be too long.
 	Truncated bool `msgpack:"t,omitempty"`
 }
 
-// Suspect names an instance that the sender of a heartbeat doesn't hear, with
-// the highest incarnation that the sender knows of it.
+// SilentPeer is an instance from which the sender of a heartbeat receives no
+// heartbeats, with the highest incarnation that the sender knows of it.
 type SilentPeer struct {
 	Name        string `msgpack:"n"`
 	Incarnation uint64 `msgpack:"i"`
 }
 
-// Summary is what one instance believes about its own data centre. It goes to
-// one instance of each other data centre, which hands it on within its own.
+// Summary is one instance's view of its own data centre. It is sent to one
+// instance of each other data centre, which relays it within its data centre.
 type Summary struct {
 	DataCentre  string `msgpack:"d"`
 	From        string `msgpack:"f"`
 	Incarnation uint64 `msgpack:"i"`
-	// Seq counts the summaries of an incarnation of From.
+	// Seq numbers the summaries of an incarnation of From.
 	Seq     uint64   `msgpack:"q"`
 	Members []Member `msgpack:"m"`
-	// Hears names the data centres of which From has a recent summary.
+	// ReceivesFrom lists the data centres of which From has a recent summary.
 	ReceivesFrom []string `msgpack:"h,omitempty"`
-	// Relayed says that the summary was handed on within a data centre; it goes
-	// no further.
+	// Relayed means that the summary was relayed within the receiving data centre
+	// and must not be relayed again.
 	Relayed bool `msgpack:"r,omitempty"`
 }
 
--- a/membership/runner.go
+++ b/membership/runner.go
@@ -9,18 +9,19 @@
 	"tamarackchute/infra"
 )
 
-// Transport sends messages to other instances. Send must not block, and may
-// lose messages.
+// Transport sends messages to other instances. Send must not block; it may lose
+// messages.
 type Transport interface {
 	Send(to string, m Message)
 }
 
-// tickEvery is well below a beat, so that silence is noticed in time.
-const tickEvery = 100 * time.Millisecond
+// tickInterval is well below DefaultHeartbeatInterval, so that missing heartbeats
+// are detected promptly.
+const tickInterval = 100 * time.Millisecond
 
-// Runner runs a Machine: it passes it time, messages and the platform's list,
-// and hands its messages to a transport. All its methods may be called from
-// several goroutines.
+// Runner runs a Machine: it passes the time, received messages and the platform's
+// list to the Machine and sends the Machine's messages over a Transport. It is
+// safe for concurrent use.
 type Runner struct {
 	transport Transport
 
@@ -31,7 +32,7 @@
 	changed atomic.Pointer[chan struct{}]
 }
 
-// NewRunner returns a runner; Serve runs it. Its view is usable at once.
+// NewRunner returns a Runner. Its view is valid before Serve is called.
 func NewRunner(cfg Config, t Transport) *Runner {
 	r := &Runner{transport: t, machine: New(cfg, time.Now())}
 	first := make(chan struct{})
@@ -40,19 +41,19 @@
 	return r
 }
 
-// String names the service for the supervisor.
+// String returns the service name that the supervisor logs.
 func (r *Runner) String() string { return "membership" }
 
-// View returns what is believed now.
+// View returns the current view.
 func (r *Runner) View() *View { return r.view.Load() }
 
-// Changed returns a channel that is closed at the next change of the view. Take
-// it before View, so that no change is missed in between.
+// Changed returns a channel that is closed at the next change of the view. Get it
+// before calling View, so that no change is missed in between.
 func (r *Runner) Changed() <-chan struct{} { return *r.changed.Load() }
 
-// Serve runs until the context ends.
+// Serve runs the Machine until the context ends.
 func (r *Runner) Serve(ctx context.Context) error {
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
 		r.step(func(m *Machine, now time.Time) []Outgoing { return m.Tick(now) })
@@ -64,7 +65,7 @@
 	}
 }
 
-// Receive takes a message that another instance sent.
+// Receive applies a message that another instance sent.
 func (r *Runner) Receive(msg Message) {
 	r.step(func(m *Machine, now time.Time) []Outgoing {
 		switch msg := msg.(type) {
@@ -79,8 +80,8 @@
 	})
 }
 
-// TakeList takes an answer of the platform's list. While it can't be read, the
-// last one counts on.
+// ApplyList applies a response of the platform's list. While the list can't be
+// read, the last response stays in effect.
 func (r *Runner) ApplyList(rows []infra.Instance) {
 	r.step(func(m *Machine, now time.Time) []Outgoing {
 		m.ApplyList(rows, now)
@@ -88,8 +89,8 @@
 	})
 }
 
-// Leave tells the others that this instance has begun to stop. Serve must go on
-// running until the end, or the others take it for dead.
+// Leave announces to the others that this instance is shutting down. Serve must
+// keep running until the process exits, or the others consider it gone.
 func (r *Runner) Leave() {
 	r.step(func(m *Machine, now time.Time) []Outgoing { return m.Leave(now) })
 }
--- a/membership/send.go
+++ b/membership/send.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// heartbeats returns one for each other instance of the data centre, also for
-// those that are silent: they may only be silent to this one.
+// heartbeats returns one heartbeat for each other instance of the data centre,
+// including the silent ones: those may run and be unable to reach this instance.
 func (m *Machine) heartbeats(now time.Time) []Outgoing {
-	m.beatSeq++
+	m.heartbeatSeq++
 	h := Heartbeat{
 		From:        m.self.Name,
 		Incarnation: m.self.incarnation,
-		Seq:         m.beatSeq,
+		Seq:         m.heartbeatSeq,
 		Leaving:     m.leaving,
 	}
 	for _, mem := range m.local {
-		if !mem.silent(now, m.cfg.SuspectAfter) {
+		if !mem.silentFor(now, m.cfg.SuspectAfter) {
 			continue
 		}
-		if len(h.Silent) == maxUnheard {
+		if len(h.Silent) == maxSilentPeers {
 			h.Truncated = true
 			break
 		}
@@ -30,7 +30,7 @@
 }
 
 // sendSummaries returns one summary for each other data centre if this instance
-// is the sender of its own.
+// is the summary sender of its data centre.
 func (m *Machine) sendSummaries() []Outgoing {
 	if m.sender() != m.self {
 		return nil
@@ -54,14 +54,14 @@
 	}
 	out := make([]Outgoing, 0, len(m.remote))
 	for _, dc := range m.remote {
-		out = append(out, Outgoing{dc.receiver(m.self.DataCentre), s})
+		out = append(out, Outgoing{dc.summaryReceiver(m.self.DataCentre), s})
 	}
 	return out
 }
 
-// sender is the instance that sends the data centre's summaries: the first live
-// one by name, else the first that is leaving. Two may both believe that they
-// are it, or for some seconds none; receivers cope with both.
+// sender returns the instance that sends the data centre's summaries: the first
+// live one by name, or else the first that is leaving. For some seconds two
+// instances may consider themselves the sender, or none; receivers tolerate both.
 func (m *Machine) sender() *member {
 	for _, want := range []State{Live, Leaving} {
 		for _, v := range m.view.Members {
@@ -73,32 +73,32 @@
 	panic("membership: this instance is neither live nor leaving")
 }
 
-// receiver names the instance that takes summaries of the data centre from. It
-// is the same one as long as the other side says that summaries arrive and that
-// the instance runs. Without that, each summary goes to the next in turn: this is
-// what gets two data centres back together after both their senders were
-// replaced at once, and past one broken way between two instances.
-func (dc *otherDataCentre) receiver(from string) string {
-	if !dc.hears(from) {
-		dc.turn = (dc.turn + 1) % len(dc.members)
-	} else if !dc.runs(dc.turn) {
-		dc.turn = dc.firstRunning(dc.turn)
+// summaryReceiver returns the instance to which the summaries of the data centre
+// from are sent. It changes only if that instance is no longer running or if the
+// remote data centre doesn't confirm that summaries arrive. Then each summary goes
+// to the next instance, which reconnects two data centres after both their senders
+// were replaced at once and avoids a broken link between two instances.
+func (dc *remoteDC) summaryReceiver(from string) string {
+	if !dc.receivesFrom(from) {
+		dc.receiverIndex = (dc.receiverIndex + 1) % len(dc.members)
+	} else if !dc.isRunning(dc.receiverIndex) {
+		dc.receiverIndex = dc.firstRunning(dc.receiverIndex)
 	}
-	return dc.members[dc.turn].Name
+	return dc.members[dc.receiverIndex].Name
 }
 
-// runs tells whether a member is believed live or leaving; one that is leaving
-// may be the last.
-func (dc *otherDataCentre) runs(i int) bool {
-	told, _ := dc.believed(dc.members[i].Name)
-	return told.State == Live || told.State == Leaving
+// isRunning reports whether a member is live or leaving; a leaving member may be
+// the last one of its data centre.
+func (dc *remoteDC) isRunning(i int) bool {
+	reported, _ := dc.merged(dc.members[i].Name)
+	return reported.State == Live || reported.State == Leaving
 }
 
-func (dc *otherDataCentre) firstRunning(otherwise int) int {
+func (dc *remoteDC) firstRunning(fallback int) int {
 	for i := range dc.members {
-		if dc.runs(i) {
+		if dc.isRunning(i) {
 			return i
 		}
 	}
-	return otherwise
+	return fallback
 }
--- a/membership/sim_test.go
+++ b/membership/sim_test.go
@@ -22,8 +22,8 @@
 	settleFor = 15 * time.Second
 )
 
-// sim runs the machines of several instances over a network that delays, loses
-// and cuts, beside a platform list that lags.
+// sim runs the Machines of several instances with a simulated network that delays
+// messages and breaks links, and a platform list that lags.
 type sim struct {
 	t       require.TestingT
 	rng     *rand.Rand
@@ -32,11 +32,11 @@
 	running map[string]*Machine
 	leaving map[string]bool
 	starts  uint64
-	cut     map[string]bool // "from>to", of instances or data centres
+	cut     map[string]bool // broken links "from>to", of instances or data centres
 	transit []inTransit
 	lists   []listed
-	// crossing counts messages between data centres.
-	crossing int
+	// crossDataCentre counts messages between data centres.
+	crossDataCentre int
 }
 
 type inTransit struct {
@@ -90,7 +90,7 @@
 func (s *sim) post(from string, out []Outgoing) {
 	for _, o := range out {
 		if from[:1] != o.To[:1] {
-			s.crossing++
+			s.crossDataCentre++
 		}
 		delay := time.Duration(s.rng.IntN(4)) * simStep
 		s.transit = append(s.transit, inTransit{s.now.Add(delay), o, from})
@@ -144,7 +144,7 @@
 	}
 }
 
-// recordList notes what the list will show after its lag.
+// recordList records what the platform's list shows after its lag.
 func (s *sim) recordList() {
 	var rows []infra.Instance
 	for _, name := range s.names() {
@@ -156,8 +156,8 @@
 	}
 }
 
-// requireTruth checks that every running instance believes what is so.
-func (s *sim) requireTruth() {
+// requireConverged checks that every running instance's view is correct.
+func (s *sim) requireConverged() {
 	for _, observer := range s.names() {
 		v := s.running[observer].View()
 		for _, p := range s.peers {
@@ -175,32 +175,32 @@
 
 func (s *sim) state(observer, name string) State { return s.running[observer].View().State(name) }
 
-// An instance restarts, others are killed, cut off from each other one way or
-// both, whole data centres too, some leave, and messages overtake each other
-// and a list that lags. While that lasts, callers may be sent to the wrong
-// places; some seconds after it ends every instance must see the truth again.
-func TestViewsConvergeAfterAnyTrouble(t *testing.T) {
+// Instances restart, are killed or shut down, links between instances and between
+// data centres break in one or both directions, messages are reordered, and the
+// list lags. During such faults callers may be sent to the wrong instances; some
+// seconds after the last fault every view must be correct.
+func TestViewsConvergeAfterFaults(t *testing.T) {
 	for seed := range uint64(150) {
 		s := newSim(t, seed, 3, 2, 2)
 		for range 25 {
-			s.trouble()
+			s.injectFault()
 			s.run(time.Duration(s.rng.IntN(20)) * simStep)
 			for _, name := range s.names() {
-				// The list may still show a former process as leaving.
+				// The list may still show a previous process as terminating.
 				want := []State{Live, Leaving}
 				if s.leaving[name] {
 					want = []State{Leaving}
 				}
-				require.Contains(t, want, s.state(name, name), "an instance knows that it runs")
+				require.Contains(t, want, s.state(name, name), "an instance must consider itself running")
 			}
 		}
 		clear(s.cut)
 		s.run(settleFor)
-		s.requireTruth()
+		s.requireConverged()
 	}
 }
 
-func (s *sim) trouble() {
+func (s *sim) injectFault() {
 	p, q := s.peers[s.rng.IntN(len(s.peers))], s.peers[s.rng.IntN(len(s.peers))]
 	switch s.rng.IntN(8) {
 	case 0, 1:
@@ -220,54 +220,55 @@
 	}
 }
 
-// One message a second goes from each data centre to each other, however many
-// instances there are.
+// Each data centre sends one message a second to each other data centre,
+// regardless of the number of instances.
 func TestOnlySendersCrossDataCentres(t *testing.T) {
 	s := newSim(t, 1, 20, 20, 20)
 	s.run(settleFor)
-	s.crossing = 0
+	s.crossDataCentre = 0
 	s.run(10 * time.Second)
-	require.Equal(t, 10*3*2, s.crossing)
+	require.Equal(t, 10*3*2, s.crossDataCentre)
 }
 
-// Both senders are replaced at the same moment. Each side's new sender only
-// knows the other's former one, so without trying others in turn the two data
-// centres would never hear of each other again.
-func TestBothSendersDieAtOnce(t *testing.T) {
+// The senders of two data centres stop at once. Each side's new sender knows only
+// the other side's former one, so without rotating receivers the two data centres
+// would never exchange summaries again.
+func TestBothSendersReplacedAtOnce(t *testing.T) {
 	s := newSim(t, 1, 3, 3)
 	s.run(settleFor)
 	s.kill("a000")
 	s.kill("b000")
 	s.run(settleFor)
-	s.requireTruth()
+	s.requireConverged()
 }
 
-// One way between two instances of different data centres is broken for good.
-// Summaries must find another way in and stay on it, not come and go.
-func TestSummariesGoAroundABrokenWay(t *testing.T) {
+// The link from one instance to another in a different data centre is permanently
+// broken. Summaries must switch to another receiver and keep it; otherwise the
+// views would flap.
+func TestSummariesAvoidBrokenLink(t *testing.T) {
 	s := newSim(t, 1, 3, 3)
 	s.cut["a000>b000"] = true
 	s.run(settleFor)
 	for range 100 {
 		s.run(simStep)
-		s.requireTruth()
+		s.requireConverged()
 	}
 }
 
-// An instance is restarted with its clock set back. Its heartbeats look like
-// those of a former process until it learns which number the others know.
+// An instance is restarted with its clock set back. Its heartbeats look like those
+// of an earlier process until the others report the incarnation that they know.
 func TestClockSetBack(t *testing.T) {
 	s := newSim(t, 1, 3, 2)
 	s.run(settleFor)
 	s.kill("a001")
 	s.startAs("a001", 0)
 	s.run(settleFor)
-	s.requireTruth()
+	s.requireConverged()
 }
 
-// A way is broken between two instances only. Callers of the one that hears
-// nothing must still be sent to the other once it is the only one left, and it
-// must not count as gone, since a third instance hears it.
+// Only the link from one instance to another is broken. While a third instance
+// vouches for the silent one, it must be suspected and not gone, so that callers
+// can still be sent there as a last resort.
 func TestVouchedForIsOnlySuspected(t *testing.T) {
 	s := newSim(t, 1, 3, 1)
 	s.run(settleFor)
@@ -280,8 +281,8 @@
 	require.Equal(t, Gone, s.state("a000", "a001"))
 }
 
-// A replaced instance is up while the list still shows its predecessor as
-// leaving. Callers must be sent there as soon as it is heard.
+// A replacement is running while the list still shows the previous process as
+// terminating. Callers must be sent there as soon as its heartbeats arrive.
 func TestListLagsBehindAReplacement(t *testing.T) {
 	s := newSim(t, 1, 2, 1)
 	s.run(settleFor)
@@ -290,17 +291,17 @@
 	s.kill("a001")
 	s.start("a001")
 	s.run(time.Second)
-	require.True(t, strings.Contains(fmt.Sprint(s.lists[0].rows), "true"), "the list still shows it leaving")
+	require.True(t, strings.Contains(fmt.Sprint(s.lists[0].rows), "true"), "the list must still show it as terminating")
 	require.Equal(t, Live, s.state("a000", "a001"))
 	require.Equal(t, []string{"a000", "a001", "b000"}, s.running["a000"].View().Entries("a"))
 
-	// A message that the former process sent comes late.
+	// A message of the previous process arrives late.
 	s.running["a000"].ReceiveHeartbeat(Heartbeat{From: "a001", Incarnation: 2, Seq: 1000, Leaving: true}, s.now)
 	require.Equal(t, Live, s.state("a000", "a001"))
 }
 
-// An instance that the list lets go of doesn't run any more, so callers aren't
-// sent there as a last resort either.
+// An instance that was removed from the list is no longer running, so callers must
+// not be sent there even as a last resort.
 func TestDroppedFromTheListIsGone(t *testing.T) {
 	s := newSim(t, 1, 2, 1)
 	s.run(settleFor)
@@ -310,28 +311,29 @@
 	require.Equal(t, Gone, s.state("a000", "a001"))
 }
 
-// In a changeover two senders tell different things of the same instance, and a
-// stranger or an oversized summary tells nonsense.
-func TestSummariesThatDiffer(t *testing.T) {
+// While the sender changes, two senders report different states of the same
+// instance. Summaries from an unknown sender and oversized ones must be ignored.
+func TestConflictingSummaries(t *testing.T) {
 	s := newSim(t, 1, 1, 3)
 	m := s.running["a000"]
-	told := func(from string, members ...Member) {
+	receive := func(from string, members ...Member) {
 		m.ReceiveSummary(Summary{DataCentre: "b", From: from, Incarnation: 9, Seq: 1, Members: members}, s.now)
 	}
-	told("b000", Member{"b000", 9, Live}, Member{"b001", 5, Leaving}, Member{"b002", 5, Suspected})
-	told("b001", Member{"b000", 9, Gone}, Member{"b001", 6, Live}, Member{"b002", 5, Live})
-	told("stranger", Member{"b000", 10, Gone})
-	told("b002", Member{"b000", 10, Gone}, Member{}, Member{}, Member{})
+	receive("b000", Member{"b000", 9, Live}, Member{"b001", 5, Leaving}, Member{"b002", 5, Suspected})
+	receive("b001", Member{"b000", 9, Gone}, Member{"b001", 6, Live}, Member{"b002", 5, Live})
+	receive("stranger", Member{"b000", 10, Gone})
+	receive("b002", Member{"b000", 10, Gone}, Member{}, Member{}, Member{})
 	require.Equal(t, []string{"a000", "b000", "b001", "b002"}, m.View().Entries("a"))
 }
 
-// No promise may rest on this package: those that keep the promises don't know
-// of it. A view that is wrong can then only cost a connect or a detour.
-func TestNoPromiseRestsOnMembership(t *testing.T) {
-	for _, keeper := range []string{"journal", "lease", "claim", "rules", "orders", "quarantine"} {
-		files, err := filepath.Glob("../" + keeper + "/*.go")
+// No guarantee may depend on this package, so the packages that provide the
+// guarantees must not import it. Then a wrong view costs at most a failed
+// connection attempt or a detour.
+func TestNoGuaranteeDependsOnMembership(t *testing.T) {
+	for _, pkg := range []string{"journal", "lease", "claim", "rules", "orders", "quarantine"} {
+		files, err := filepath.Glob("../" + pkg + "/*.go")
 		require.NoError(t, err)
-		require.NotEmpty(t, files, keeper)
+		require.NotEmpty(t, files, pkg)
 		for _, file := range files {
 			parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.ImportsOnly)
 			require.NoError(t, err)
--- a/membership/size_test.go
+++ b/membership/size_test.go
@@ -37,7 +37,7 @@
 	return len(data)
 }
 
-// Messages stay small at the target size, also when everybody is silent.
+// Messages stay small at the target size, even if all other instances are silent.
 func TestMessageSizeAtTargetSize(t *testing.T) {
 	now := time.Now()
 	m := targetMachine(now)
--- a/membership/summaries.go
+++ b/membership/summaries.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// summaries keeps the last summary of each sender of one other data centre. In
-// a changeover two may send at once, with views that differ.
+// summaries holds the last summary of each sender of one remote data centre. While
+// the sender changes, two may send at once with different views.
 type summaries struct {
-	bySender map[string]received
+	bySender map[string]receivedSummary
 }
 
-type received struct {
+type receivedSummary struct {
 	summary Summary
 	at      time.Time
 	members map[string]Member
 }
 
-// add takes a summary and reports whether it was newer than what was there.
+// add stores a summary and reports whether it is newer than the sender's last one.
 func (ss *summaries) add(s Summary, now time.Time) bool {
 	old, ok := ss.bySender[s.From]
 	if ok && (s.Incarnation < old.summary.Incarnation ||
@@ -26,9 +26,9 @@
 		return false
 	}
 	if ss.bySender == nil {
-		ss.bySender = map[string]received{}
+		ss.bySender = map[string]receivedSummary{}
 	}
-	ss.bySender[s.From] = received{summary: s, at: now, members: byName(s.Members)}
+	ss.bySender[s.From] = receivedSummary{summary: s, at: now, members: byName(s.Members)}
 	if len(ss.bySender) > maxSenders {
 		ss.dropOldest()
 	}
@@ -50,15 +50,15 @@
 	delete(ss.bySender, oldest)
 }
 
-func (ss *summaries) prune(now time.Time, fresh time.Duration) {
-	maps.DeleteFunc(ss.bySender, func(_ string, r received) bool { return now.Sub(r.at) >= fresh })
+func (ss *summaries) prune(now time.Time, ttl time.Duration) {
+	maps.DeleteFunc(ss.bySender, func(_ string, r receivedSummary) bool { return now.Sub(r.at) >= ttl })
 }
 
-// believed merges what the senders say about an instance: a higher incarnation
-// wins; within one, whoever says that it leaves, else whoever hears it. A sender
-// may be cut off from an instance that others reach, so hearing outweighs
-// silence.
-func (ss *summaries) believed(name string) (Member, bool) {
+// merged returns an instance's entry merged from all summaries. The highest
+// incarnation wins, and within it the highest State: leaving before live before
+// suspected before gone. A sender may be unable to reach an instance that others
+// reach, so a report that it runs outweighs a report that it is silent.
+func (ss *summaries) merged(name string) (Member, bool) {
 	var best Member
 	found := false
 	for _, r := range ss.bySender {
@@ -75,8 +75,8 @@
 	return best, found
 }
 
-// hears tells whether some sender has recent summaries of a data centre.
-func (ss *summaries) hears(dataCentre string) bool {
+// receivesFrom reports whether some sender has recent summaries of a data centre.
+func (ss *summaries) receivesFrom(dataCentre string) bool {
 	for _, r := range ss.bySender {
 		if slices.Contains(r.summary.ReceivesFrom, dataCentre) {
 			return true
