--- a/journal/journal.go
+++ b/journal/journal.go
@@ -69,7 +69,7 @@
 // StateMachine builds state from entries. Apply is called from one goroutine,
 // in order of position, once per entry ID.
 type StateMachine interface {
-	Apply(p LogEntry)
+	Apply(e LogEntry)
 }
 
 // Writer appends entries.
--- a/journal/journal_test.go
+++ b/journal/journal_test.go
@@ -22,10 +22,10 @@
 	trimmed infra.Offset
 }
 
-func (b *recordingStateMachine) Apply(p journal.LogEntry) {
-	b.applied = append(b.applied, string(p.Entry.Body))
+func (m *recordingStateMachine) Apply(e journal.LogEntry) {
+	m.applied = append(m.applied, string(e.Entry.Body))
 }
-func (b *recordingStateMachine) Trimmed(oldest infra.Offset) { b.trimmed = oldest }
+func (m *recordingStateMachine) Trimmed(oldest infra.Offset) { m.trimmed = oldest }
 func entry(id string) journal.Entry {
 	return journal.Entry{Kind: journal.KindAudit, ID: id, Body: []byte(id)}
 }
@@ -37,13 +37,13 @@
 // startJournal runs a journal within a synctest bubble until the test ends.
 func startJournal(t *testing.T, log infra.Log, cfg journal.Config) (*journal.Journal, *recordingStateMachine) {
 	cfg.Writer, cfg.Logger = "test", discardLogger()
-	j, f := journal.New(log, cfg), &recordingStateMachine{}
-	j.Register(journal.KindAudit, f)
+	j, sm := journal.New(log, cfg), &recordingStateMachine{}
+	j.Register(journal.KindAudit, sm)
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg conc.WaitGroup
 	wg.Go(func() { _ = j.Serve(ctx) })
 	t.Cleanup(func() { cancel(); wg.Wait() })
-	return j, f
+	return j, sm
 }
 
 func TestEntriesShareAppends(t *testing.T) {
@@ -58,7 +58,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				log := journaltest.NewLog()
-				j, f := startJournal(t, log, c.cfg)
+				j, sm := startJournal(t, log, c.cfg)
 				var wg conc.WaitGroup
 				for i := range 50 {
 					wg.Go(func() {
@@ -68,7 +68,7 @@
 					})
 				}
 				wg.Wait()
-				require.Len(t, f.applied, 50)
+				require.Len(t, sm.applied, 50)
 				require.Equal(t, c.appends, log.Appends())
 			})
 		})
@@ -90,12 +90,12 @@
 			synctest.Test(t, func(t *testing.T) {
 				log := journaltest.NewLog()
 				log.Fail(faults...)
-				j, f := startJournal(t, log, journal.Config{})
+				j, sm := startJournal(t, log, journal.Config{})
 				_, err := j.Append(t.Context(), entry("a"))
 				require.NoError(t, err)
 				time.Sleep(10 * time.Second)
 				synctest.Wait()
-				require.Equal(t, []string{"a"}, f.applied)
+				require.Equal(t, []string{"a"}, sm.applied)
 			})
 		})
 	}
@@ -107,7 +107,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		log := journaltest.NewLog()
 		log.Fail(journaltest.FaultHang)
-		j, f := startJournal(t, log, journal.Config{MaxInFlight: 1})
+		j, sm := startJournal(t, log, journal.Config{MaxInFlight: 1})
 		var wg conc.WaitGroup
 		wg.Go(func() {
 			ctx, cancel := withTimeout(500 * time.Millisecond)
@@ -124,7 +124,7 @@
 		wg.Wait()
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
-		require.Equal(t, []string{"sent"}, f.applied)
+		require.Equal(t, []string{"sent"}, sm.applied)
 	})
 }
 
@@ -136,7 +136,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		log := journaltest.NewLog()
 		log.Outage(true)
-		j, f := startJournal(t, log, journal.Config{MaxPending: 10})
+		j, sm := startJournal(t, log, journal.Config{MaxPending: 10})
 		var wg conc.WaitGroup
 		for i := range 10 {
 			wg.Go(func() {
@@ -158,7 +158,7 @@
 		require.True(t, j.Health().LogUp)
 		_, err = j.Append(t.Context(), entry("after"))
 		require.NoError(t, err)
-		require.Equal(t, []string{"after"}, f.applied)
+		require.Equal(t, []string{"after"}, sm.applied)
 	})
 }
 
@@ -175,10 +175,10 @@
 		}
 		log.Put([]byte("not ours"))
 		log.Trim(3)
-		j, f := startJournal(t, log, journal.Config{})
+		j, sm := startJournal(t, log, journal.Config{})
 		<-j.CaughtUp()
-		require.Equal(t, infra.Offset(3), f.trimmed)
-		require.Equal(t, []string{"2"}, f.applied)
+		require.Equal(t, infra.Offset(3), sm.trimmed)
+		require.Equal(t, []string{"2"}, sm.applied)
 		require.Equal(t, infra.Offset(4), j.Applied().Offset)
 		require.Equal(t, int64(1), j.Stats().Corrupt)
 	})
--- a/journal/journaltest/log.go
+++ b/journal/journaltest/log.go
@@ -137,7 +137,7 @@
 	if err := sleep(ctx, l.countAppend()/2); err != nil {
 		return 0, infra.ErrNotWritten
 	}
-	off, late, err := l.applyFault(data)
+	off, late, err := l.appendNow(data)
 	if late > 0 {
 		time.AfterFunc(late, func() { l.Put(data) })
 	}
@@ -187,9 +187,10 @@
 
 func (e hangError) Error() string { return string(e) }
 
-// applyFault decides the outcome of one append: it writes the record unless an
-// outage, the rate limit or the next queued fault prevents that.
-func (l *Log) applyFault(data []byte) (off infra.Offset, late time.Duration, err error) {
+// appendNow performs one append without latency. It writes the record unless an
+// outage, the rate limit or the next queued fault prevents that; late is the delay
+// after which the caller must write it.
+func (l *Log) appendNow(data []byte) (off infra.Offset, late time.Duration, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.outage {
--- a/journal/queue.go
+++ b/journal/queue.go
@@ -91,7 +91,7 @@
 }
 
 // dequeue removes the entries of the next append: the oldest ones, at least one
-// and up to maxBytes in total.
+// and at most maxEntries, with up to maxBytes in total.
 func (q *queue) dequeue(maxBytes, maxEntries int) []*pending {
 	size, n := 0, 0
 	for n < len(q.waiting) && n < maxEntries {
--- a/journal/reader.go
+++ b/journal/reader.go
@@ -107,12 +107,12 @@
 			continue
 		}
 		applied++
-		f, ok := j.stateMachines[e.Kind]
+		sm, ok := j.stateMachines[e.Kind]
 		if !ok {
 			continue
 		}
 		at := Position{Offset: r.Offset, Index: uint16(i)}
-		f.Apply(LogEntry{Position: at, At: r.At, ReadAt: readAt, Entry: e})
+		sm.Apply(LogEntry{Position: at, At: r.At, ReadAt: readAt, Entry: e})
 	}
 
 	j.mu.Lock()
@@ -130,8 +130,8 @@
 // skipTrimmed continues after records that expired before they were read.
 func (j *Journal) skipTrimmed(oldest infra.Offset) {
 	j.cfg.Logger.Warn("records expired before they were read", "next", oldest)
-	for _, f := range j.stateMachines {
-		if t, ok := f.(TrimListener); ok {
+	for _, sm := range j.stateMachines {
+		if t, ok := sm.(TrimListener); ok {
 			t.Trimmed(oldest)
 		}
 	}
@@ -144,8 +144,8 @@
 func (j *Journal) handleRestore(oldest infra.Offset) {
 	j.cfg.Logger.Warn("the log was restored from an older copy", "next", oldest, "era", oldest.Era())
 	j.dedupe = newDeduper(j.cfg.Retention, defaultMaxIDs)
-	for _, f := range j.stateMachines {
-		if r, ok := f.(RestoreListener); ok {
+	for _, sm := range j.stateMachines {
+		if r, ok := sm.(RestoreListener); ok {
 			r.Restored(oldest)
 		}
 	}
--- a/journal/restore_test.go
+++ b/journal/restore_test.go
@@ -59,23 +59,23 @@
 	restored int
 }
 
-func (f *appliedIDs) Apply(p LogEntry) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.ids = append(f.ids, p.Entry.ID)
+func (a *appliedIDs) Apply(e LogEntry) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.ids = append(a.ids, e.Entry.ID)
 }
 
-func (f *appliedIDs) Restored(infra.Offset) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.ids = nil
-	f.restored++
+func (a *appliedIDs) Restored(infra.Offset) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.ids = nil
+	a.restored++
 }
 
-func (f *appliedIDs) snapshot() []string {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return append([]string{}, f.ids...)
+func (a *appliedIDs) snapshot() []string {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return append([]string{}, a.ids...)
 }
 
 // A replica that had read records lost by a restore must end up in the same state
@@ -84,31 +84,31 @@
 	synctest.Test(t, func(t *testing.T) {
 		log := &restorableLog{}
 		join := func(ctx context.Context) (*Journal, *appliedIDs) {
-			j, f := New(log, Config{Writer: "w", Logger: slog.New(slog.DiscardHandler)}), &appliedIDs{}
-			j.Register(KindLease, f)
+			j, ids := New(log, Config{Writer: "w", Logger: slog.New(slog.DiscardHandler)}), &appliedIDs{}
+			j.Register(KindLease, ids)
 			go func() { _ = j.Serve(ctx) }()
-			return j, f
+			return j, ids
 		}
 		ctx, cancel := context.WithCancel(t.Context())
-		before, seen := join(ctx)
+		earlyJournal, early := join(ctx)
 		write := func(id string) {
-			_, err := before.Append(ctx, Entry{Kind: KindLease, ID: id})
+			_, err := earlyJournal.Append(ctx, Entry{Kind: KindLease, ID: id})
 			require.NoError(t, err)
 		}
 		write("kept")
 		write("lost")
-		require.Equal(t, []string{"kept", "lost"}, seen.snapshot())
+		require.Equal(t, []string{"kept", "lost"}, early.snapshot())
 
 		log.restore(1)
 		time.Sleep(time.Second)
-		require.Equal(t, []string{"kept"}, seen.snapshot())
-		require.Equal(t, 1, seen.restored)
+		require.Equal(t, []string{"kept"}, early.snapshot())
+		require.Equal(t, 1, early.restored)
 		write("lost") // appended again with the same ID
 		write("new")
 		_, late := join(ctx)
 		time.Sleep(time.Second)
-		require.Equal(t, []string{"kept", "lost", "new"}, seen.snapshot())
-		require.Equal(t, seen.snapshot(), late.snapshot())
+		require.Equal(t, []string{"kept", "lost", "new"}, early.snapshot())
+		require.Equal(t, early.snapshot(), late.snapshot())
 		cancel()
 		synctest.Wait()
 	})
--- a/journal/runtime.go
+++ b/journal/runtime.go
@@ -161,11 +161,11 @@
 
 // Register sets the state machine for a kind of entries. It must not be called
 // after Serve, nor twice for one kind.
-func (j *Journal) Register(k Kind, f StateMachine) {
+func (j *Journal) Register(k Kind, sm StateMachine) {
 	if _, ok := j.stateMachines[k]; ok {
 		panic("journal: two state machines registered for one kind of entry")
 	}
-	j.stateMachines[k] = f
+	j.stateMachines[k] = sm
 }
 
 // Serve runs the reader and the writer until ctx ends. It may be called again
--- a/orders/state_test.go
+++ b/orders/state_test.go
@@ -30,84 +30,84 @@
 
 func newStateFixture(l leaders) *stateFixture { return &stateFixture{State: NewState(l), next: 100} }
 
-func (b *stateFixture) apply(r Record) bool {
-	b.next++
+func (f *stateFixture) apply(r Record) bool {
+	f.next++
 	p := journal.LogEntry{
-		Position: journal.Position{Offset: b.next},
+		Position: journal.Position{Offset: f.next},
 		Entry:    journal.Entry{Kind: journal.KindOrder, Body: r.Encode()},
 	}
-	_, ok := b.Apply(p)
+	_, ok := f.Apply(p)
 	return ok
 }
 
 // step returns a record that moves a change to a phase and follows the engine's
 // last record.
-func (b *stateFixture) step(engine, id, scope string, token uint64, p Phase, reserve *Reservation) Record {
-	e := b.Engine(engine)
+func (f *stateFixture) step(engine, id, scope string, token uint64, p Phase, reservation *Reservation) Record {
+	e := f.Engine(engine)
 	return Record{Engine: engine, After: e.LastPosition, Scope: scope, FencingToken: token, Change: &Change{
-		ID: id, Engine: engine, Kind: upstream.OrderRole, Phase: p, Scope: scope, FencingToken: token, Reservation: reserve,
+		ID: id, Engine: engine, Kind: upstream.OrderRole, Phase: p, Scope: scope, FencingToken: token, Reservation: reservation,
 		Target: Settings{Role: upstream.RoleDecode},
 	}}
 }
 
 func TestOneOpenChangePerEngineAcrossLeaders(t *testing.T) {
 	l := leaders{"a": 7}
-	b := newStateFixture(l)
-	require.True(t, b.apply(b.step("e", "c1", "a", 7, PhaseDraining, nil)))
-	assert.False(t, b.Engine("e").TakesWork())
-	assert.False(t, b.apply(b.step("e", "c2", "a", 7, PhaseDraining, nil)), "a second change")
-	assert.False(t, b.apply(b.step("e", "c1", "a", 7, PhaseOrdered, nil)), "ordered before drained")
-	stale := b.step("e", "c1", "a", 7, PhaseDrained, nil)
-	late := b.step("e", "c1", "a", 7, PhaseUndone, nil)
+	f := newStateFixture(l)
+	require.True(t, f.apply(f.step("e", "c1", "a", 7, PhaseDraining, nil)))
+	assert.False(t, f.Engine("e").TakesWork())
+	assert.False(t, f.apply(f.step("e", "c2", "a", 7, PhaseDraining, nil)), "a second change")
+	assert.False(t, f.apply(f.step("e", "c1", "a", 7, PhaseOrdered, nil)), "ordered before drained")
+	stale := f.step("e", "c1", "a", 7, PhaseDrained, nil)
+	late := f.step("e", "c1", "a", 7, PhaseUndone, nil)
 
 	l["a"] = 9 // another leader
-	assert.False(t, b.apply(stale), "a former leader's record lands late")
-	require.True(t, b.apply(b.step("e", "c1", "a", 9, PhaseDrained, nil)))
+	assert.False(t, f.apply(stale), "a former leader's record lands late")
+	require.True(t, f.apply(f.step("e", "c1", "a", 9, PhaseDrained, nil)))
 	l["a"] = 7
-	assert.False(t, b.apply(late), "names a record that isn't the last")
+	assert.False(t, f.apply(late), "names a record that isn't the last")
 	l["a"] = 9
-	require.True(t, b.apply(b.step("e", "c1", "a", 9, PhaseOrdered, nil)))
-	require.True(t, b.apply(b.step("e", "c1", "a", 9, PhaseConfirmed, nil)))
-	assert.True(t, b.Engine("e").TakesWork())
-	assert.False(t, b.apply(b.step("e", "c1", "a", 9, PhaseUndone, nil)), "ended already")
-	require.True(t, b.apply(b.step("e", "c2", "a", 9, PhaseDraining, nil)))
+	require.True(t, f.apply(f.step("e", "c1", "a", 9, PhaseOrdered, nil)))
+	require.True(t, f.apply(f.step("e", "c1", "a", 9, PhaseConfirmed, nil)))
+	assert.True(t, f.Engine("e").TakesWork())
+	assert.False(t, f.apply(f.step("e", "c1", "a", 9, PhaseUndone, nil)), "ended already")
+	require.True(t, f.apply(f.step("e", "c2", "a", 9, PhaseDraining, nil)))
 }
 
 // Leaders of two data centres load models at the same time and know of each other
 // only through the journal. Together they must not exceed the weight store's rate.
 func TestLoadsShareOneBudget(t *testing.T) {
-	b := newStateFixture(leaders{"a": 1, "b": 2})
+	f := newStateFixture(leaders{"a": 1, "b": 2})
 	most := &Reservation{Bytes: 100, BytesPerSec: 60, LimitPerSec: 100}
 	for _, x := range []struct {
 		engine, scope string
 		token         uint64
 	}{{"ea", "a", 1}, {"eb", "b", 2}} {
-		require.True(t, b.apply(b.step(x.engine, x.engine, x.scope, x.token, PhaseDraining, nil)))
-		require.True(t, b.apply(b.step(x.engine, x.engine, x.scope, x.token, PhaseDrained, nil)))
+		require.True(t, f.apply(f.step(x.engine, x.engine, x.scope, x.token, PhaseDraining, nil)))
+		require.True(t, f.apply(f.step(x.engine, x.engine, x.scope, x.token, PhaseDrained, nil)))
 	}
-	require.True(t, b.apply(b.step("ea", "ea", "a", 1, PhaseOrdered, most)))
-	assert.False(t, b.apply(b.step("eb", "eb", "b", 2, PhaseOrdered, most)))
+	require.True(t, f.apply(f.step("ea", "ea", "a", 1, PhaseOrdered, most)))
+	assert.False(t, f.apply(f.step("eb", "eb", "b", 2, PhaseOrdered, most)))
 	little := &Reservation{Bytes: 100, BytesPerSec: 40, LimitPerSec: 100}
-	assert.True(t, b.apply(b.step("eb", "eb", "b", 2, PhaseOrdered, little)))
-	require.True(t, b.apply(b.step("ea", "ea", "a", 1, PhaseConfirmed, nil)))
-	assert.True(t, b.apply(b.step("eb", "eb", "b", 2, PhaseOrdered, most)))
+	assert.True(t, f.apply(f.step("eb", "eb", "b", 2, PhaseOrdered, little)))
+	require.True(t, f.apply(f.step("ea", "ea", "a", 1, PhaseConfirmed, nil)))
+	assert.True(t, f.apply(f.step("eb", "eb", "b", 2, PhaseOrdered, most)))
 }
 
 func TestReaderOfATrimmedLogStartsAtACheckpoint(t *testing.T) {
-	b := newStateFixture(leaders{"a": 1})
-	require.True(t, b.apply(b.step("e", "c", "a", 1, PhaseDraining, nil)))
-	e := b.Engine("e")
+	f := newStateFixture(leaders{"a": 1})
+	require.True(t, f.apply(f.step("e", "c", "a", 1, PhaseDraining, nil)))
+	e := f.Engine("e")
 	again := CheckpointOf(e)
 	late := newStateFixture(leaders{}) // knows no leader yet
-	late.next = b.next
-	require.True(t, b.apply(again))
+	late.next = f.next
+	require.True(t, f.apply(again))
 	require.True(t, late.apply(again))
 	assert.Equal(t, e.Change.DrainStart, late.Engine("e").Change.DrainStart)
-	assert.Equal(t, b.Engine("e").LastPosition, late.Engine("e").LastPosition)
+	assert.Equal(t, f.Engine("e").LastPosition, late.Engine("e").LastPosition)
 	other := again
 	other.Change = &Change{ID: "c", Engine: "e", Phase: PhaseUndone, Scope: "a", FencingToken: 1}
-	other.After = b.Engine("e").LastPosition
-	assert.False(t, b.apply(other), "a checkpoint changes nothing")
+	other.After = f.Engine("e").LastPosition
+	assert.False(t, f.apply(other), "a checkpoint changes nothing")
 }
 
 // situation returns the input of a leader with fencing token 5 for an engine that
@@ -128,15 +128,15 @@
 // order still in flight. The leader must detect that and raise the token again.
 func TestTokenIsRaisedAgainAfterRestart(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-	var c Session
+	var sess Session
 	s := situation(nil, now)
-	require.Equal(t, ActionRaiseToken, Next(s, &c).Kind)
-	c.RaiseDone(nil, now, s.Limits.RetryDelay)
-	require.Equal(t, ActionRead, Next(s, &c).Kind)
-	c.ReadDone(upstream.EngineState{FencingToken: 5, Role: "mixed"}, nil, now, now, s.Limits)
-	require.Equal(t, ActionAppend, Next(s, &c).Kind, "observed settings")
-	c.ReadDone(upstream.EngineState{Role: "mixed"}, nil, now, now, s.Limits)
-	assert.Equal(t, ActionRaiseToken, Next(s, &c).Kind)
+	require.Equal(t, ActionRaiseToken, Next(s, &sess).Kind)
+	sess.RaiseDone(nil, now, s.Limits.RetryDelay)
+	require.Equal(t, ActionRead, Next(s, &sess).Kind)
+	sess.ReadDone(upstream.EngineState{FencingToken: 5, Role: "mixed"}, nil, now, now, s.Limits)
+	require.Equal(t, ActionAppend, Next(s, &sess).Kind, "observed settings")
+	sess.ReadDone(upstream.EngineState{Role: "mixed"}, nil, now, now, s.Limits)
+	assert.Equal(t, ActionRaiseToken, Next(s, &sess).Kind)
 }
 
 // The reply to an order is lost and the engine doesn't show the order, which may
@@ -151,32 +151,32 @@
 	}
 	state := upstream.EngineState{Role: upstream.RoleMixed, FencingToken: 5, Incarnation: "1"}
 	for _, enforces := range []bool{true, false} {
-		var c Session
+		var sess Session
 		at := func(d time.Duration) Input {
 			s := situation(ch, start.Add(d))
 			s.EnforcesFencing = enforces
 			return s
 		}
 		readAt := func(d time.Duration) {
-			c.ReadDone(state, nil, start.Add(d), start.Add(d), at(d).Limits)
+			sess.ReadDone(state, nil, start.Add(d), start.Add(d), at(d).Limits)
 		}
-		Next(at(0), &c) // binds the session to the token
-		c.RaiseDone(nil, start, 0)
+		Next(at(0), &sess) // binds the session to the token
+		sess.RaiseDone(nil, start, 0)
 		readAt(0)
-		require.Equal(t, ActionSend, Next(at(0), &c).Kind)
-		c.SendDone(*ch, upstream.ErrBroken, start, start, time.Second/2)
-		require.Equal(t, ActionWait, Next(at(100*time.Millisecond), &c).Kind)
-		require.Equal(t, ActionRead, Next(at(time.Second), &c).Kind)
+		require.Equal(t, ActionSend, Next(at(0), &sess).Kind)
+		sess.SendDone(*ch, upstream.ErrBroken, start, start, time.Second/2)
+		require.Equal(t, ActionWait, Next(at(100*time.Millisecond), &sess).Kind)
+		require.Equal(t, ActionRead, Next(at(time.Second), &sess).Kind)
 		readAt(time.Second)
 		if enforces {
-			assert.Equal(t, ActionRenumber, Next(at(time.Second), &c).Kind)
+			assert.Equal(t, ActionRenumber, Next(at(time.Second), &sess).Kind)
 			continue
 		}
-		assert.Equal(t, ActionWait, Next(at(time.Second), &c).Kind)
+		assert.Equal(t, ActionWait, Next(at(time.Second), &sess).Kind)
 		readAt(1900 * time.Millisecond)
-		assert.Equal(t, ActionWait, Next(at(1900*time.Millisecond), &c).Kind)
+		assert.Equal(t, ActionWait, Next(at(1900*time.Millisecond), &sess).Kind)
 		readAt(2 * time.Second)
-		next := Next(at(2*time.Second), &c)
+		next := Next(at(2*time.Second), &sess)
 		require.Equal(t, ActionAppend, next.Kind)
 		assert.Equal(t, 2, next.Record.Change.Attempt)
 	}
