--- a/internal/controller/chooser.go
+++ b/internal/controller/chooser.go
@@ -75,7 +75,7 @@
 			continue
 		}
 		c.log.Info("role change wanted", "engine", d.Engine, "from", d.From, "to", d.To, "reason", d.Reason)
-		x.Request(orders.Want{
+		x.Request(orders.ChangeRequest{
 			ID: uuid.NewString(), Kind: upstream.OrderRole,
 			Target: orders.Settings{Role: d.To}, Reason: d.Reason,
 		})
@@ -109,8 +109,8 @@
 		out.Running, out.Waiting = load.report.Running, load.report.Waiting
 		out.QueuedPrompt, out.MaxBatch = load.report.QueuedPrompt, load.report.MaxBatch
 	}
-	if known.Believed.Role != "" {
-		out.Role = known.Believed.Role
+	if known.Observed.Role != "" {
+		out.Role = known.Observed.Role
 	}
 	if change := known.Change; change != nil {
 		out.Changing = change.Phase.Open()
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -168,9 +168,9 @@
 	change := seconds(c.cfg.Deployment.Roles.ChangeSeconds)
 	read := min(maxReadInterval, max(minReadInterval, change/readsPerChange))
 	return orders.Limits{
-		Drain: drainTimeoutFactor * change, Order: orderTimeoutFactor * change,
-		Settle: seconds(c.cfg.Deployment.Lease.SettleSeconds),
-		Read:   read, Fresh: 2 * read, Retry: read,
+		DrainTimeout: drainTimeoutFactor * change, OrderTimeout: orderTimeoutFactor * change,
+		SettleTime:   seconds(c.cfg.Deployment.Lease.SettleSeconds),
+		ReadInterval: read, MaxStateAge: 2 * read, RetryDelay: read,
 	}
 }
 
--- a/internal/controller/executor.go
+++ b/internal/controller/executor.go
@@ -44,10 +44,10 @@
 	recorder      EventRecorder
 	log           *slog.Logger
 
-	contact orders.Contact
+	contact orders.Session
 
 	mu       sync.Mutex
-	want     *orders.Want
+	want     *orders.ChangeRequest
 	wantAt   time.Time
 	activity string
 	state    upstream.EngineState
@@ -96,22 +96,22 @@
 	return x.execute(ctx, a, action)
 }
 
-func (x *Executor) situation(a lease.Authority) orders.Situation {
+func (x *Executor) situation(a lease.Authority) orders.Input {
 	now := time.Now()
-	s := orders.Situation{
-		Now: now, Authority: a, Checked: x.checksFencing, Limits: x.limits,
+	s := orders.Input{
+		Now: now, Authority: a, EnforcesFencing: x.checksFencing, Limits: x.limits,
 		Engine: x.view.Snapshot().Engine(x.engine),
 	}
 	unavailable := x.instances.TerminatingOrGone(x.engine)
 	if unavailable {
-		s.Cancel = "the engine is leaving"
+		s.CancelReason = "the engine is leaving"
 	}
 	if open := s.Engine.Open(); open != nil {
-		s.Drained, s.Waiting = x.drained(open.Drain, now)
+		s.Drained, s.WaitReason = x.drained(open.DrainStart, now)
 		return s
 	}
 	if !unavailable {
-		s.Want = x.currentWant(now)
+		s.Requested = x.currentWant(now)
 	}
 	return s
 }
@@ -126,7 +126,7 @@
 
 func (x *Executor) execute(ctx context.Context, a lease.Authority, action orders.Action) bool {
 	switch action.Kind {
-	case orders.ActionRaise:
+	case orders.ActionRaiseToken:
 		return x.raise(ctx, a, action)
 	case orders.ActionRead:
 		return x.read(ctx)
@@ -149,7 +149,7 @@
 		return false
 	}
 	err := x.control.Order(callCtx, action.Order)
-	x.contact.RaiseDone(err, time.Now(), x.limits.Retry)
+	x.contact.RaiseDone(err, time.Now(), x.limits.RetryDelay)
 	if err != nil {
 		x.log.Warn("fencing token not raised", "fence", a.FencingToken, "error", err)
 	}
@@ -171,13 +171,13 @@
 }
 
 func (x *Executor) append(ctx context.Context, action orders.Action) bool {
-	previous := x.view.Snapshot().Engine(x.engine).Believed
+	previous := x.view.Snapshot().Engine(x.engine).Observed
 	p, err := x.journal.Append(ctx, journal.Entry{
 		Kind: journal.KindOrder, ID: uuid.NewString(), Writer: x.writer, Body: action.Record.Encode(),
 	})
 	engine := x.view.Snapshot().Engine(x.engine)
-	accepted := err == nil && engine.Last == p
-	x.contact.AppendDone(accepted, time.Now(), x.limits.Retry)
+	accepted := err == nil && engine.LastPosition == p
+	x.contact.AppendDone(accepted, time.Now(), x.limits.RetryDelay)
 	if !accepted {
 		x.log.Warn("step not accepted by the journal", "step", action.Reason, "error", err)
 		return false
@@ -197,7 +197,7 @@
 	}
 	x.mu.Unlock()
 	x.log.Info("change", "id", c.ID, "phase", c.Phase.String(), "kind", c.Kind,
-		"role", c.Target.Role, "fence", c.Fence, "reason", reason)
+		"role", c.Target.Role, "fence", c.FencingToken, "reason", reason)
 	x.recorder.RecordChange(c, previous, reason)
 }
 
@@ -212,7 +212,7 @@
 		return false
 	}
 	err := x.control.Order(callCtx, action.Order)
-	x.contact.SendDone(action.Change, err, started, time.Now(), x.limits.Retry)
+	x.contact.SendDone(action.Change, err, started, time.Now(), x.limits.RetryDelay)
 	x.log.Info("order sent", "order", action.Order.ID, "fence", action.Order.FencingToken,
 		"attempt", action.Change.Attempt, "error", err)
 	x.recorder.RecordOrder(err)
@@ -220,14 +220,14 @@
 }
 
 // Request submits a decision of the role policy. A later request replaces it.
-func (x *Executor) Request(w orders.Want) {
+func (x *Executor) Request(w orders.ChangeRequest) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.want = &w
 	x.wantAt = time.Now()
 }
 
-func (x *Executor) currentWant(now time.Time) *orders.Want {
+func (x *Executor) currentWant(now time.Time) *orders.ChangeRequest {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.want != nil && now.Sub(x.wantAt) > maxWantAge {
--- a/internal/controller/interleave/engine.go
+++ b/internal/controller/interleave/engine.go
@@ -180,7 +180,7 @@
 		return fmt.Sprintf("%s accepted %s with fencing token %d after %d at %v", e.name, o.ID, o.FencingToken, e.highestToken, w.now)
 	})
 	open := w.reference.changes.Engine(e.name).Open()
-	ordered := open != nil && open.ID == o.ID && open.Phase == orders.PhaseOrdered && open.Fence == o.FencingToken
+	ordered := open != nil && open.ID == o.ID && open.Phase == orders.PhaseOrdered && open.FencingToken == o.FencingToken
 	w.report.Check(invariantIntended, ordered, func() string {
 		return fmt.Sprintf("%s accepted %s with fencing token %d at %v, open change is %+v", e.name, o.ID, o.FencingToken, w.now, open)
 	})
--- a/internal/controller/interleave/log.go
+++ b/internal/controller/interleave/log.go
@@ -11,7 +11,7 @@
 // simLog simulates the platform's log and its faults.
 type simLog struct {
 	w       *world
-	records []journal.Placed
+	records []journal.LogEntry
 	// written holds the IDs of entries already in the log: an entry counts once, however
 	// often it was appended.
 	written map[string]bool
@@ -71,7 +71,7 @@
 	if w.mutant == mutantUncomparedClaim && e.Kind == journal.KindLease {
 		e.Body = w.forgePredecessor(e.Body)
 	}
-	l.records = append(l.records, journal.Placed{Position: at, At: epoch.Add(w.now), Entry: e})
+	l.records = append(l.records, journal.LogEntry{Position: at, At: epoch.Add(w.now), Entry: e})
 	w.catchUp(&w.reference, &w.referenceRead, epoch.Add(w.now))
 	return at
 }
--- a/internal/controller/interleave/scenario.go
+++ b/internal/controller/interleave/scenario.go
@@ -108,6 +108,6 @@
 	}
 	for _, name := range w.engineNames {
 		a, b := p.state.changes.Engine(name), w.reference.changes.Engine(name)
-		w.report.Check(invariantStatesAgree, a.Last == b.Last, func() string { return fmt.Sprintf("%s: %s differs", m.name, name) })
+		w.report.Check(invariantStatesAgree, a.LastPosition == b.LastPosition, func() string { return fmt.Sprintf("%s: %s differs", m.name, name) })
 	}
 }
--- a/internal/controller/loader.go
+++ b/internal/controller/loader.go
@@ -101,21 +101,21 @@
 }
 
 // wantModel returns a request to load the newest version of a model.
-func (l *ModelLoader) wantModel(ctx context.Context, model string) (orders.Want, error) {
+func (l *ModelLoader) wantModel(ctx context.Context, model string) (orders.ChangeRequest, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	versions, err := l.weights.Versions(ctx, model)
 	if err != nil {
-		return orders.Want{}, err
+		return orders.ChangeRequest{}, err
 	}
 	if len(versions) == 0 {
-		return orders.Want{}, fmt.Errorf("the weight store has no version of %q", model)
+		return orders.ChangeRequest{}, fmt.Errorf("the weight store has no version of %q", model)
 	}
 	newest := versions[len(versions)-1]
-	return orders.Want{
+	return orders.ChangeRequest{
 		ID: uuid.NewString(), Kind: upstream.OrderModel,
-		Target:  orders.Settings{Model: model, Version: newest.Version},
-		Reason:  "the engine should serve the model and doesn't have it",
-		Reserve: &orders.Reservation{Bytes: newest.Bytes, BytesPerSec: l.bytesPerSec / maxConcurrentLoads, LimitPerSec: l.bytesPerSec},
+		Target:      orders.Settings{Model: model, Version: newest.Version},
+		Reason:      "the engine should serve the model and doesn't have it",
+		Reservation: &orders.Reservation{Bytes: newest.Bytes, BytesPerSec: l.bytesPerSec / maxConcurrentLoads, LimitPerSec: l.bytesPerSec},
 	}, nil
 }
--- a/internal/entry/callerwatch/watch.go
+++ b/internal/entry/callerwatch/watch.go
@@ -1,11 +1,7 @@
-// Package callerwatch notices callers that have gone.
-//
-// fasthttp reads a connection only between requests and its request context
-// never ends when the caller closes, so a handler that waits for a silent
-// engine would wait for nobody. The watch asks the kernel instead: a poll for
-// POLLRDHUP tells a connection that the far end has closed, or closed for
-// sending, and consumes nothing, so bytes of a pipelined request stay where
-// they are.
+// Package callerwatch detects callers that have closed their connection. fasthttp reads
+// a connection only between requests and doesn't end the request's context on a close,
+// so a handler would keep an engine busy. The watcher polls the sockets for POLLRDHUP,
+// which reports a close or half-close and leaves bytes of a pipelined request unread.
 package callerwatch
 
 import (
@@ -19,61 +15,59 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrGone is the cause of a context that ended because its caller has gone. A
-// caller that closes only its sending side counts as gone too, as it does for
-// net/http.
+// ErrGone is the cause of a context that ended because its caller has closed the
+// connection. Closing only the sending side counts too, as with net/http.
 var ErrGone = errors.New("the caller has closed its connection")
 
-// Interval is how often connections are looked at: a caller's going is noticed
-// after at most twice this time.
+// Interval is the time between two polls. A closed connection is detected after at
+// most twice this time.
 const Interval = 200 * time.Millisecond
 
-// Watch looks at the connections of requests in progress. A request that ends
-// within an interval costs no system call.
-type Watch struct {
+// Watcher polls the connections of requests in progress. A request that ends within
+// an interval costs no system call.
+type Watcher struct {
 	mu     sync.Mutex
-	active map[*Watched]struct{}
+	active map[*Registration]struct{}
 }
 
-// New returns an empty watch. It notices nothing until Serve runs.
-func New() *Watch { return &Watch{active: map[*Watched]struct{}{}} }
+// New returns a watcher without connections. It detects nothing until Serve runs.
+func New() *Watcher { return &Watcher{active: map[*Registration]struct{}{}} }
 
-// Watched is one request under watch.
-type Watched struct {
-	watch  *Watch
-	conn   syscall.RawConn
-	cancel context.CancelCauseFunc
-	// seen is set once a sweep has passed over the request: only those older
-	// than that are looked at.
-	seen bool
+// Registration is one request whose connection is watched.
+type Registration struct {
+	watcher *Watcher
+	conn    syscall.RawConn
+	cancel  context.CancelCauseFunc
+	// swept is set by the first sweep after Add; only later sweeps poll the connection.
+	swept bool
 }
 
-// Add watches a connection until Remove, and calls cancel with ErrGone if its
-// caller goes. A connection of a kind that can't be asked is not watched.
-func (w *Watch) Add(conn net.Conn, cancel context.CancelCauseFunc) *Watched {
+// Add watches a connection until Remove and calls cancel with ErrGone if the caller
+// closes it. It returns nil for a connection that has no pollable socket.
+func (w *Watcher) Add(conn net.Conn, cancel context.CancelCauseFunc) *Registration {
 	raw := rawConn(conn)
 	if raw == nil {
 		return nil
 	}
-	one := &Watched{watch: w, conn: raw, cancel: cancel}
+	r := &Registration{watcher: w, conn: raw, cancel: cancel}
 	w.mu.Lock()
-	w.active[one] = struct{}{}
+	w.active[r] = struct{}{}
 	w.mu.Unlock()
-	return one
+	return r
 }
 
-// Remove ends the watch of a request. It may be called on nil.
-func (one *Watched) Remove() {
-	if one == nil {
+// Remove stops watching the connection. It may be called on nil.
+func (r *Registration) Remove() {
+	if r == nil {
 		return
 	}
-	one.watch.mu.Lock()
-	delete(one.watch.active, one)
-	one.watch.mu.Unlock()
+	r.watcher.mu.Lock()
+	delete(r.watcher.active, r)
+	r.watcher.mu.Unlock()
 }
 
-// Serve looks at the connections at each interval until ctx ends.
-func (w *Watch) Serve(ctx context.Context) error {
+// Serve polls the connections at each interval until ctx ends.
+func (w *Watcher) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(Interval)
 	defer ticker.Stop()
 	for {
@@ -86,29 +80,29 @@
 	}
 }
 
-func (w *Watch) sweep() {
-	for _, one := range w.due() {
-		if gone(one.conn) {
-			one.cancel(ErrGone)
-			one.Remove()
+func (w *Watcher) sweep() {
+	for _, r := range w.due() {
+		if peerClosed(r.conn) {
+			r.cancel(ErrGone)
+			r.Remove()
 		}
 	}
 }
 
-func (w *Watch) due() []*Watched {
+func (w *Watcher) due() []*Registration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var due []*Watched
-	for one := range w.active {
-		if one.seen {
-			due = append(due, one)
+	var due []*Registration
+	for r := range w.active {
+		if r.swept {
+			due = append(due, r)
 		}
-		one.seen = true
+		r.swept = true
 	}
 	return due
 }
 
-// netConner is a connection around another, as a TLS connection is.
+// netConner is a connection that wraps another one, such as a TLS connection.
 type netConner interface{ NetConn() net.Conn }
 
 func rawConn(conn net.Conn) syscall.RawConn {
@@ -130,9 +124,9 @@
 	return raw
 }
 
-// gone reports whether the far end has closed or reset the connection. The
-// descriptor can't be closed and given to another file while Control runs.
-func gone(conn syscall.RawConn) bool {
+// peerClosed reports whether the peer has closed, half-closed or reset the connection.
+// Control keeps the descriptor from being closed and reused meanwhile.
+func peerClosed(conn syscall.RawConn) bool {
 	closed := false
 	err := conn.Control(func(fd uintptr) {
 		fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
--- a/internal/entry/gateway/metrics.go
+++ b/internal/entry/gateway/metrics.go
@@ -9,7 +9,7 @@
 	"tamarackchute/internal/entry/outcome"
 )
 
-// metrics are the gateway's figures.
+// metrics are the gateway's metrics.
 type metrics struct {
 	scope      tally.Scope
 	answered   tally.Counter
@@ -18,7 +18,7 @@
 	continued  tally.Counter
 	tokens     tally.Counter
 	firstToken tally.Histogram
-	whole      tally.Histogram
+	complete   tally.Histogram
 
 	mu       sync.Mutex
 	failures map[failureKey]tally.Counter
@@ -26,7 +26,7 @@
 
 type failureKey struct {
 	code outcome.Code
-	ran  outcome.Ran
+	ran  outcome.Execution
 }
 
 func newMetrics(s tally.Scope) *metrics {
@@ -39,14 +39,14 @@
 		continued:  s.Counter("answers_continued_elsewhere"),
 		tokens:     s.Counter("output_tokens"),
 		firstToken: s.Histogram("first_token", buckets),
-		whole:      s.Histogram("whole_answer", buckets),
+		complete:   s.Histogram("whole_answer", buckets),
 		failures:   map[failureKey]tally.Counter{},
 	}
 }
 
-// failed counts a failure by its reason and outcome.
+// failed counts a failure by its code and execution.
 func (m *metrics) failed(f *outcome.Failure) {
-	m.failure(failureKey{f.Code, f.Ran}).Inc(1)
+	m.failure(failureKey{f.Code, f.Execution}).Inc(1)
 }
 
 func (m *metrics) failure(key failureKey) tally.Counter {
--- a/internal/entry/gateway/stream_test.go
+++ b/internal/entry/gateway/stream_test.go
@@ -23,53 +23,53 @@
 )
 
 func TestAnswersPlainAndStreamed(t *testing.T) {
-	r := newRig(t, &parts{engines: map[string]*fakeEngine{"e1": newEngine(5)}})
+	r := newHarness(t, &fakeDeps{engines: map[string]*fakeEngine{"e1": newEngine(5)}})
 	plain := r.post(t, path, plainBody)
 	require.Equal(t, 200, plain.StatusCode)
-	require.Equal(t, string(outcome.RanWhole), plain.Header.Get(outcome.Header))
-	require.Contains(t, read(t, plain), `"text":"`+whole(5)+`"`)
+	require.Equal(t, string(outcome.Completed), plain.Header.Get(outcome.Header))
+	require.Contains(t, readBody(t, plain), `"text":"`+fullText(5)+`"`)
 
 	streamed := r.post(t, path, streamBody)
-	body := read(t, streamed)
+	body := readBody(t, streamed)
 	require.Equal(t, "text/event-stream", streamed.Header.Get("Content-Type"))
 	require.Equal(t, 5, strings.Count(body, "id: "))
 	require.Contains(t, body, `"usage":{"prompt_tokens":4,"completion_tokens":5,"total_tokens":9}`)
 	require.True(t, strings.HasSuffix(body, "data: [DONE]\n\n"))
 }
 
-// A driver reads an answer as it comes, and its engine dies in the middle. The
-// caller must get every token once and in order, from another engine that was
-// given the text so far, and the usual end.
-func TestStreamGoesOnAfterEngineDeath(t *testing.T) {
-	spent := new(atomic.Bool)
+// An engine crashes in the middle of a stream. The caller must get every token once
+// and in order from another engine, which continues from the text so far, and the
+// usual end.
+func TestStreamContinuesAfterEngineCrash(t *testing.T) {
+	crashedOnce := new(atomic.Bool)
 	engines := map[string]*fakeEngine{"e1": newEngine(12), "e2": newEngine(12)}
 	for _, e := range engines {
-		e.dieAt, e.spent = 5, spent
+		e.crashAt, e.crashedOnce = 5, crashedOnce
 	}
-	r := newRig(t, &parts{engines: engines})
+	r := newHarness(t, &fakeDeps{engines: engines})
 	got, _, last := events(r.post(t, path, streamBody)).tokens(t, -1)
-	require.Equal(t, whole(12), got)
+	require.Equal(t, fullText(12), got)
 	require.Equal(t, "[DONE]", last.data)
 
 	first, second := engines["e1"].seen(), engines["e2"].seen()
-	if engines["e2"].dead.Load() {
+	if engines["e2"].crashed.Load() {
 		first, second = second, first
 	}
 	require.Len(t, first, 1)
 	require.Len(t, second, 1)
 	require.Equal(t, 5, second[0].PriorTokens)
-	require.Equal(t, whole(5), second[0].Prior)
+	require.Equal(t, fullText(5), second[0].Prior)
 	require.NotEqual(t, first[0].AttemptID, second[0].AttemptID)
 }
 
-// The engine of a long stream dies when the stream has outgrown the text that
-// is kept of it, or there is no other engine. The caller must see an error
-// event and no [DONE], so that it can't take the part for the whole.
-func TestStreamThatCannotGoOnSaysSo(t *testing.T) {
+// An engine crashes after its stream has exceeded the buffered text, or when no other
+// engine exists. The caller must see an error event and no [DONE], so that it can't
+// take the partial answer for a complete one.
+func TestInterruptedStreamEndsWithError(t *testing.T) {
 	for name, tc := range map[string]struct {
-		dieAt  int
-		others int
-		code   outcome.Code
+		crashAt int
+		others  int
+		code    outcome.Code
 	}{
 		"outgrown":        {800, 1, outcome.CodeStreamLost},
 		"no other engine": {5, 0, outcome.CodeNoUpstream},
@@ -78,10 +78,10 @@
 			engines := map[string]*fakeEngine{}
 			for _, n := range []string{"e1", "e2"}[:tc.others+1] {
 				engines[n] = newEngine(1000)
-				engines[n].dieAt = tc.dieAt
+				engines[n].crashAt = tc.crashAt
 			}
-			got, _, last := events(newRig(t, &parts{engines: engines}).post(t, path, streamBody)).tokens(t, -1)
-			require.Equal(t, whole(tc.dieAt), got)
+			got, _, last := events(newHarness(t, &fakeDeps{engines: engines}).post(t, path, streamBody)).tokens(t, -1)
+			require.Equal(t, fullText(tc.crashAt), got)
 			require.Equal(t, "error", last.name)
 			require.Contains(t, last.data, `"code":"`+string(tc.code)+`"`)
 			require.Contains(t, last.data, `"outcome":"may-have-run"`)
@@ -89,41 +89,40 @@
 	}
 }
 
-// An entry instance is killed while it streams. Its caller comes to another
-// instance with the last event's id and the same body, and must get exactly the
-// rest; the engine dies then too, and the answer must still go on, for the
-// second instance has the text from the engine. A stranger with the id gets
-// nothing.
+// An entry instance is killed while it streams, and the caller repeats its request at
+// another instance with the last event's id. It must get exactly the remaining tokens,
+// even if the engine crashes then too, as the second instance has the text from the
+// engine. Another organisation with the same id must be refused.
 func TestResumeAtAnotherInstance(t *testing.T) {
 	engine := newEngine(20)
-	engine.silentAt = 8
-	first := newRig(t, &parts{engines: map[string]*fakeEngine{"e1": engine}})
+	engine.stallAt = 8
+	first := newHarness(t, &fakeDeps{engines: map[string]*fakeEngine{"e1": engine}})
 	head, id, _ := events(first.post(t, path, streamBody)).tokens(t, 7)
-	require.Equal(t, whole(7), head)
+	require.Equal(t, fullText(7), head)
 
-	dying := newEngine(20)
-	dying.dieAt = 12
-	second := newRig(t, &parts{engines: map[string]*fakeEngine{"e1": dying, "e2": newEngine(20)}})
+	crashing := newEngine(20)
+	crashing.crashAt = 12
+	second := newHarness(t, &fakeDeps{engines: map[string]*fakeEngine{"e1": crashing, "e2": newEngine(20)}})
 	tail, _, last := events(second.post(t, path, streamBody, "Last-Event-ID", id)).tokens(t, -1)
-	require.Equal(t, whole(20), head+tail)
+	require.Equal(t, fullText(20), head+tail)
 	require.Equal(t, "[DONE]", last.data)
 
-	stranger := second.post(t, path, streamBody, "Last-Event-ID", id, "OpenAI-Organization", "other")
-	require.Equal(t, 400, stranger.StatusCode)
-	require.Contains(t, read(t, stranger), outcome.CodeNotPermitted)
+	otherCaller := second.post(t, path, streamBody, "Last-Event-ID", id, "OpenAI-Organization", "other")
+	require.Equal(t, 400, otherCaller.StatusCode)
+	require.Contains(t, readBody(t, otherCaller), outcome.CodeInvalidEventID)
 
 	gone := second.post(t, path, streamBody, "Last-Event-ID", id)
 	require.Equal(t, 410, gone.StatusCode)
 	require.Equal(t, string(outcome.MayHaveRun), gone.Header.Get(outcome.Header))
 }
 
-// An instance is stopped for good while a stream still runs beyond the grace.
-// Its caller must be told, and the engine must not be told to drop the work:
-// the caller takes the stream up again elsewhere.
-func TestAbortLeavesStreamsToOtherInstances(t *testing.T) {
+// A stream is still open when the grace period of a shutdown ends. The caller must get
+// an error, and the stream must not be cancelled at the engine, so that the caller can
+// resume it at another instance.
+func TestAbortKeepsEngineStreams(t *testing.T) {
 	engine := newEngine(20)
-	engine.silentAt = 4
-	r := newRig(t, &parts{engines: map[string]*fakeEngine{"e1": engine}})
+	engine.stallAt = 4
+	r := newHarness(t, &fakeDeps{engines: map[string]*fakeEngine{"e1": engine}})
 	s := events(r.post(t, path, streamBody))
 	s.tokens(t, 4)
 	r.gateway.Abort()
@@ -134,16 +133,16 @@
 	require.Empty(t, engine.cancelled)
 }
 
-// A driver closes the app while the engine still works through a long prompt.
-// Nothing is written then, so no write fails, and fasthttp doesn't read the
-// connection: without a look at it the engine would work on for nobody.
+// A caller closes its connection during a long prefill. Nothing is written then, so no
+// write fails, and fasthttp doesn't read the connection. Guards against an engine that
+// keeps working for a closed connection.
 func TestCallerGoneWhileEngineIsSilent(t *testing.T) {
 	for name, body := range map[string]string{"plain": plainBody, "streamed": streamBody} {
 		t.Run(name, func(t *testing.T) {
 			engine := newEngine(20)
-			engine.silentAt = 0
-			r := newRig(t, &parts{engines: map[string]*fakeEngine{"e1": engine}}, func(o *gateway.Options) {
-				o.Heartbeat = time.Hour // no write may give the caller's going away
+			engine.stallAt = 0
+			r := newHarness(t, &fakeDeps{engines: map[string]*fakeEngine{"e1": engine}}, func(o *gateway.Options) {
+				o.Heartbeat = time.Hour // so that no failed write reveals the closed connection
 			})
 			conn, err := net.Dial("tcp", r.address)
 			require.NoError(t, err)
@@ -165,12 +164,12 @@
 	return "POST " + path + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + itoa(len(body)) + "\r\n\r\n" + body
 }
 
-// A caller of a streamed answer hears nothing for the time of a long prefill
-// and gives up. It must get the headers and heartbeats meanwhile.
+// Guards against callers that time out during a long prefill: they must get the
+// headers and heartbeats meanwhile.
 func TestHeartbeatsWhileEngineIsSilent(t *testing.T) {
 	engine := newEngine(20)
-	engine.silentAt = 2
-	r := newRig(t, &parts{engines: map[string]*fakeEngine{"e1": engine}})
+	engine.stallAt = 2
+	r := newHarness(t, &fakeDeps{engines: map[string]*fakeEngine{"e1": engine}})
 	s := events(r.post(t, path, streamBody))
 	s.tokens(t, 2)
 	for range 3 {
@@ -180,16 +179,16 @@
 	}
 }
 
-// An engine refuses, or can't be reached: the request certainly did not run and
-// may go elsewhere in every class but never. One that broke off may have run
-// and goes elsewhere only if it is repeatable.
+// A request that an engine refused, or that couldn't be sent, certainly did not run
+// and may be retried in every class except never. One that broke off may have run and
+// is retried only if it is repeatable.
 func TestRetryClasses(t *testing.T) {
 	for _, tc := range []struct {
 		retry   rules.RetryClass
 		failure error
 		engines int
 		status  int
-		ran     outcome.Ran
+		ran     outcome.Execution
 	}{
 		{rules.RetryUnsent, upstream.ErrRefused, 3, 503, outcome.NotRun},
 		{rules.RetryUnsent, upstream.ErrNotSent, 3, 503, outcome.NotRun},
@@ -202,7 +201,7 @@
 			engines[n] = newEngine(3)
 			engines[n].refuse = tc.failure
 		}
-		r := newRig(t, &parts{engines: engines, then: rules.Then{Retry: tc.retry}})
+		r := newHarness(t, &fakeDeps{engines: engines, then: rules.Then{Retry: tc.retry}})
 		response := r.post(t, path, plainBody)
 		require.Equal(t, tc.status, response.StatusCode, tc)
 		require.Equal(t, string(tc.ran), response.Header.Get(outcome.Header))
@@ -214,12 +213,12 @@
 	}
 }
 
-// A deadline passes while the engine is silent. The caller must be told at that
-// moment, and told that the request may have run.
+// The deadline passes while the engine is silent. The caller must get an error at that
+// moment which says that the request may have run.
 func TestDeadline(t *testing.T) {
 	engine := newEngine(3)
-	engine.silentAt = 1
-	r := newRig(t, &parts{engines: map[string]*fakeEngine{"e1": engine}})
+	engine.stallAt = 1
+	r := newHarness(t, &fakeDeps{engines: map[string]*fakeEngine{"e1": engine}})
 	short := strings.Replace(plainBody, ":50", ":3", 1) // admission lets it in
 	response := r.post(t, path, short, "X-Request-Timeout-Ms", "300")
 	require.Equal(t, 504, response.StatusCode)
--- a/internal/entry/openai/answer.go
+++ b/internal/entry/openai/answer.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// Usage counts the tokens of one answer.
+// Usage counts the tokens of one response.
 type Usage struct {
 	PromptTokens     int           `json:"prompt_tokens"`
 	CompletionTokens int           `json:"completion_tokens"`
@@ -13,12 +13,12 @@
 	Details          *UsageDetails `json:"prompt_tokens_details,omitempty"`
 }
 
-// UsageDetails says how much of the prompt was not worked through again.
+// UsageDetails says how many prompt tokens came from the prefix cache.
 type UsageDetails struct {
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// NewUsage returns the usage of an answer.
+// NewUsage returns the usage of a response.
 func NewUsage(prompt, cached, completion int) Usage {
 	u := Usage{
 		PromptTokens:     prompt,
@@ -31,8 +31,8 @@
 	return u
 }
 
-// Answer is a whole answer to a completion or a chat request.
-type Answer struct {
+// Response is the complete response to a completion or a chat request.
+type Response struct {
 	Kind      Kind
 	ID, Model string
 	// Created is in Unix seconds.
@@ -41,25 +41,25 @@
 	Usage        Usage
 }
 
-// AppendAnswer appends a whole answer.
-func AppendAnswer(dst []byte, a Answer) []byte {
-	object, before, after := "text_completion", `"text":`, ""
-	if a.Kind == Chat {
-		object, before, after = "chat.completion", `"message":{"role":"assistant","content":`, "}"
+// AppendResponse appends a response as JSON.
+func AppendResponse(dst []byte, r Response) []byte {
+	object, textPrefix, textSuffix := "text_completion", `"text":`, ""
+	if r.Kind == Chat {
+		object, textPrefix, textSuffix = "chat.completion", `"message":{"role":"assistant","content":`, "}"
 	}
-	dst = appendHead(dst, a.ID, object, a.Created, a.Model)
+	dst = appendHead(dst, r.ID, object, r.Created, r.Model)
 	dst = append(dst, `{"index":0,`...)
-	dst = append(dst, before...)
-	dst = AppendString(dst, a.Text)
-	dst = append(dst, after...)
+	dst = append(dst, textPrefix...)
+	dst = AppendString(dst, r.Text)
+	dst = append(dst, textSuffix...)
 	dst = append(dst, `,"finish_reason":`...)
-	dst = AppendString(dst, a.Finish)
+	dst = AppendString(dst, r.Finish)
 	dst = append(dst, `}],"usage":`...)
-	dst = appendUsage(dst, a.Usage)
+	dst = appendUsage(dst, r.Usage)
 	return append(dst, '}')
 }
 
-// appendHead appends what answers and chunks begin with, up to their choices.
+// appendHead appends the common start of responses and chunks, up to their choices.
 func appendHead(dst []byte, id, object string, created int64, model string) []byte {
 	dst = append(dst, `{"id":`...)
 	dst = AppendString(dst, id)
@@ -80,31 +80,31 @@
 	return append(dst, text...)
 }
 
-// Chunks writes the streamed chunks of one answer. The parts that all chunks
-// share are made once, as a chunk goes out for each token.
-type Chunks struct {
-	head   string
-	before string
-	after  string
+// ChunkEncoder encodes the chunks of one streamed response. The parts that all chunks
+// share are encoded once, as each token is a chunk.
+type ChunkEncoder struct {
+	head       string
+	textPrefix string
+	textSuffix string
 }
 
-// NewChunks returns the writer for an answer. Created is in Unix seconds.
-func NewChunks(kind Kind, id, model string, created int64) *Chunks {
-	object, before, after := "text_completion", `{"index":0,"text":`, `,"finish_reason":`
+// NewChunkEncoder returns the encoder for one response. created is in Unix seconds.
+func NewChunkEncoder(kind Kind, id, model string, created int64) *ChunkEncoder {
+	object, textPrefix, textSuffix := "text_completion", `{"index":0,"text":`, `,"finish_reason":`
 	if kind == Chat {
 		object = "chat.completion.chunk"
-		before, after = `{"index":0,"delta":{"content":`, `},"finish_reason":`
+		textPrefix, textSuffix = `{"index":0,"delta":{"content":`, `},"finish_reason":`
 	}
 	head := appendHead(nil, id, object, created, model)
-	return &Chunks{head: string(head), before: before, after: after}
+	return &ChunkEncoder{head: string(head), textPrefix: textPrefix, textSuffix: textSuffix}
 }
 
-// AppendToken appends the chunk of one token; finish is "" but for the last.
-func (c *Chunks) AppendToken(dst []byte, text, finish string) []byte {
+// AppendToken appends the chunk of one token; finish is "" except for the last one.
+func (c *ChunkEncoder) AppendToken(dst []byte, text, finish string) []byte {
 	dst = append(dst, c.head...)
-	dst = append(dst, c.before...)
+	dst = append(dst, c.textPrefix...)
 	dst = AppendString(dst, text)
-	dst = append(dst, c.after...)
+	dst = append(dst, c.textSuffix...)
 	if finish == "" {
 		dst = append(dst, "null"...)
 	} else {
@@ -113,18 +113,17 @@
 	return append(dst, "}]}"...)
 }
 
-// AppendUsage appends the last chunk, which has no choice but the usage.
-func (c *Chunks) AppendUsage(dst []byte, u Usage) []byte {
+// AppendUsage appends the last chunk, which has the usage and no choices.
+func (c *ChunkEncoder) AppendUsage(dst []byte, u Usage) []byte {
 	dst = append(dst, c.head...)
 	dst = append(dst, `],"usage":`...)
 	dst = appendUsage(dst, u)
 	return append(dst, '}')
 }
 
-// AppendString appends a JSON string. Bytes that are no UTF-8 become U+FFFD,
-// so that the result is always valid.
+// AppendString appends a JSON string. Bytes that aren't valid UTF-8 become U+FFFD.
 func AppendString(dst []byte, s string) []byte {
-	if isPlain(s) {
+	if needsNoEscape(s) {
 		dst = append(dst, '"')
 		dst = append(dst, s...)
 		return append(dst, '"')
@@ -132,9 +131,9 @@
 	return append(dst, quoted(s)...)
 }
 
-// isPlain reports whether a string is its own JSON form, which holds for
-// nearly every token.
-func isPlain(s string) bool {
+// needsNoEscape reports whether a string can be quoted as it is, which is the fast
+// path for nearly every token.
+func needsNoEscape(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if c := s[i]; c < ' ' || c >= 0x7f || c == '"' || c == '\\' {
 			return false
@@ -151,7 +150,7 @@
 	return string(text)
 }
 
-// Model is one row of the list of models.
+// Model is one entry of the list of models.
 type Model struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
@@ -159,13 +158,13 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// ModelList is the answer to GET /v1/models.
+// ModelList is the response to GET /v1/models.
 type ModelList struct {
 	Object string  `json:"object"`
 	Data   []Model `json:"data"`
 }
 
-// NewModelList returns the list of the models named.
+// NewModelList returns the list of the named models.
 func NewModelList(names []string) ModelList {
 	list := ModelList{Object: "list", Data: make([]Model, len(names))}
 	for i, name := range names {
--- a/internal/member/large_test.go
+++ b/internal/member/large_test.go
@@ -13,222 +13,216 @@
 	"tamarackchute/placement"
 )
 
-// daemonRig is a daemon's exchange with the others over loopback.
-type daemonRig struct {
-	*peersRig
-	// start begins the exchange, kill ends it and the server.
+// daemonHarness is a daemon's peer exchange over loopback.
+type daemonHarness struct {
+	*peersHarness
+	// start starts the exchange, kill ends it and the server.
 	start, kill func()
 }
 
-// largeSite starts more daemons than tell each other all, in three data centres.
-func largeSite(t *testing.T, n int) []*daemonRig {
+// largeSite starts n daemons in three data centres, too many for a full mesh.
+func largeSite(t *testing.T, n int) []*daemonHarness {
 	t.Helper()
-	rigs := make([]*daemonRig, n)
+	daemons := make([]*daemonHarness, n)
 	var addresses []wire.MemberAddress
-	for i := range rigs {
+	for i := range daemons {
 		cfg := wire.Config{Name: fmt.Sprint("i", i), Secret: []byte("s"), Limits: wire.Limits{RetryMax: 100 * time.Millisecond}}
-		r := &daemonRig{}
+		h := &daemonHarness{}
 		self := wire.MemberAddress{Instance: fmt.Sprint("i", i), DataCentre: fmt.Sprint("d", i%3)}
-		server := wire.NewServer(cfg, "127.0.0.1:0", wireHandler{r}, quiet)
+		server := wire.NewServer(cfg, "127.0.0.1:0", wireHandler{h}, discardLogger)
 		require.NoError(t, server.Bind())
 		self.Peers = server.Addr().String()
-		r.peersRig = newPeersRigOf(self, cfg)
+		h.peersHarness = newPeersHarnessAt(self, cfg)
 		ctx, kill := context.WithCancel(t.Context())
-		r.kill = kill
-		r.start = func() { go func() { _ = r.Serve(ctx) }() }
+		h.kill = kill
+		h.start = func() { go func() { _ = h.Serve(ctx) }() }
 		go func() { _ = server.Serve(ctx) }()
-		rigs[i] = r
+		daemons[i] = h
 		addresses = append(addresses, self)
 		t.Cleanup(kill)
 	}
-	for _, r := range rigs {
-		r.Learn(addresses...)
-		r.start()
+	for _, h := range daemons {
+		h.Add(addresses...)
+		h.start()
 	}
-	return rigs
+	return daemons
 }
 
-// wireHandler hands messages to a daemon that is made after the server's address is
-// known.
-type wireHandler struct{ to *daemonRig }
+// wireHandler passes messages to a daemon created after the server's address is known.
+type wireHandler struct{ to *daemonHarness }
 
 func (h wireHandler) Handle(from string, m wire.Message, reply func(wire.Message)) {
 	h.to.Handle(from, m, reply)
 }
 
-// kept is what the engine is believed to keep of a prompt of one part.
-func (r *daemonRig) kept(part placement.Part) int {
-	return r.books.Engines([]string{"e"})[0].Cached([]placement.Part{part}).Ready
+// cachedTokens returns the tokens of a prompt of one part that are assumed to be cached.
+func (h *daemonHarness) cachedTokens(part placement.Part) int {
+	return h.tracker.Engines([]string{"e"})[0].Cached([]placement.Part{part}).Ready
 }
 
-// The daemon that adds up for all dies, and one that adds up for its data centre.
-// Their own work must be forgotten, and every daemon must go on to hear of what the
-// others begin and of the prompts that were read for them.
-func TestLargeSiteOutlivesItsCollectors(t *testing.T) {
-	rigs := largeSite(t, meshLimit+5)
-	live := rigs
-	begun := 0
-	all := func(holds func(r *daemonRig) bool) {
+// The root of the site and the aggregator of another data centre fail. Their load must be
+// removed, and every daemon must go on receiving the load and the prefill events of the others.
+func TestLargeSiteSurvivesAggregatorFailures(t *testing.T) {
+	daemons := largeSite(t, maxFullMesh+5)
+	live := daemons
+	started := 0
+	eventually := func(holds func(h *daemonHarness) bool) {
 		t.Helper()
 		require.Eventually(t, func() bool {
-			for _, r := range live {
-				if !holds(r) {
+			for _, h := range live {
+				if !holds(h) {
 					return false
 				}
 			}
 			return true
 		}, 20*time.Second, 20*time.Millisecond)
 	}
-	share := func(part placement.Part) {
+	prefillOnce := func(part placement.Part) {
 		t.Helper()
-		for _, r := range live {
-			r.books.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
+		for _, h := range live {
+			h.tracker.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
 		}
-		begun++
-		all(func(r *daemonRig) bool { return r.running() == begun*len(live) })
-		ticket := live[0].books.Begin("e", placement.Work{Parts: []placement.Part{part, {ID: 1, Tokens: 1}}})
+		started++
+		eventually(func(h *daemonHarness) bool { return h.running() == started*len(live) })
+		ticket := live[0].tracker.Begin("e", placement.Work{Parts: []placement.Part{part, {ID: 1, Tokens: 1}}})
 		ticket.PrefillDone()
 		ticket.End(placement.Done)
-		all(func(r *daemonRig) bool { return r.kept(part) == part.Tokens }) // most only hear of it
+		eventually(func(h *daemonHarness) bool { return h.cachedTokens(part) == part.Tokens }) // most only receive the event
 	}
-	share(placement.Part{ID: 10, Tokens: 100})
+	prefillOnce(placement.Part{ID: 10, Tokens: 100})
 
-	site := make([]wire.MemberAddress, len(rigs))
-	for i, r := range rigs {
-		site[i] = r.self
+	site := make([]wire.MemberAddress, len(daemons))
+	for i, h := range daemons {
+		site[i] = h.self
 	}
-	line := ranked(site)
-	second := line[1:]
-	for second[0].DataCentre == line[0].DataCentre {
+	ranking := rankAggregators(site)
+	second := ranking[1:]
+	for second[0].DataCentre == ranking[0].DataCentre {
 		second = second[1:]
 	}
 	live = nil
-	for _, r := range rigs {
-		if r.self == line[0] || r.self == second[0] {
-			r.kill()
+	for _, h := range daemons {
+		if h.self == ranking[0] || h.self == second[0] {
+			h.kill()
 			continue
 		}
-		live = append(live, r)
+		live = append(live, h)
 	}
-	share(placement.Part{ID: 11, Tokens: 200})
+	prefillOnce(placement.Part{ID: 11, Tokens: 200})
 }
 
-// Each daemon of a large site hears sixteen others, and took part in what one should do for
-// all if it came first among these: eleven of 95 tried to lead the changes of roles, and
-// read and wrote the store for it. There must be one that comes first and one second, and
-// another first when that one dies.
-func TestOneDaemonComesFirstInALargeSite(t *testing.T) {
-	rigs := largeSite(t, meshLimit+5)
-	dead := make(map[*daemonRig]bool)
-	ranked := func(rank int) (found []*daemonRig) {
-		for _, r := range rigs {
-			if !dead[r] && r.Rank() == rank {
-				found = append(found, r)
+// Guards against several daemons of a large site, 11 of 95 at one, that act as the first, as each
+// ranks only the sixteen that it receives states from, and all read and write the journal.
+// Exactly one must have rank 0 and one rank 1, also after the first has failed.
+func TestRanksAreUniqueInLargeSite(t *testing.T) {
+	daemons := largeSite(t, maxFullMesh+5)
+	dead := make(map[*daemonHarness]bool)
+	withRank := func(rank int) (found []*daemonHarness) {
+		for _, h := range daemons {
+			if !dead[h] && h.Rank() == rank {
+				found = append(found, h)
 			}
 		}
 		return found
 	}
-	settled := func() bool { return len(ranked(0)) == 1 && len(ranked(1)) <= 1 }
-	require.Eventually(t, func() bool { return settled() && len(ranked(1)) == 1 }, 20*time.Second, 20*time.Millisecond)
-	first := ranked(0)[0]
+	settled := func() bool { return len(withRank(0)) == 1 && len(withRank(1)) <= 1 }
+	require.Eventually(t, func() bool { return settled() && len(withRank(1)) == 1 }, 20*time.Second, 20*time.Millisecond)
+	first := withRank(0)[0]
 	first.kill()
 	dead[first] = true
 	require.Eventually(t, settled, 20*time.Second, 20*time.Millisecond)
 }
 
-// The daemon that comes first is dead, and the second has taken its place. It asks the dead
-// one again now and then, in case it is back: meanwhile it must stay first, or nobody leads
-// for half a second of each three. Once the other answers, it is second again.
-func TestAskingTheDeadAgainChangesNoRank(t *testing.T) {
-	r := newPeersRig("a")
-	others := site(meshLimit + 1)
+// Guards against a gap in leadership each time the second daemon retries its failed first
+// candidate, which takes half a second of each three. It must keep rank 0 until the other
+// answers.
+func TestRetryingFailedParentKeepsRank(t *testing.T) {
+	h := newPeersHarness("a")
+	others := testSite(maxFullMesh + 1)
 	for i := range others {
 		others[i].Capacity = -1
 	}
 	others[3].Capacity = 1
-	r.Learn(others...)
-	require.Equal(t, 1, r.Rank())
-	ask := func(now time.Time) {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		r.collector(now)
+	h.Add(others...)
+	require.Equal(t, 1, h.Rank())
+	checkParent := func(now time.Time) {
+		h.mu.Lock()
+		defer h.mu.Unlock()
+		h.parentLink(now)
 	}
-	now := r.collect.heard.Add(2 * collectorSilent)
-	ask(now)
-	require.Zero(t, r.Rank())
-	ask(now.Add(2 * collectorRetry))
-	to, asks := r.collect.to()
-	require.True(t, asks)
+	now := h.parent.lastAnswer.Add(2 * aggregatorTimeout)
+	checkParent(now)
+	require.Zero(t, h.Rank())
+	checkParent(now.Add(2 * aggregatorRetry))
+	to, hasParent := h.parent.candidate()
+	require.True(t, hasParent)
 	require.Equal(t, others[3].Peers, to.Peers)
-	require.Zero(t, r.Rank(), "it hasn't answered")
-	r.takeTotals(to.Peers, wire.LoadTotals{})
-	require.Equal(t, 1, r.Rank())
+	require.Zero(t, h.Rank(), "the first parent hasn't answered")
+	h.applyTotals(to.Peers, wire.LoadTotals{})
+	require.Equal(t, 1, h.Rank())
 }
 
-// A site grows beyond the number up to which each daemon tells all others its work.
-// From then on that work comes with the totals. Booked from before as well, it would
-// count twice for as long as its daemon lives, and engines would stand idle.
-func TestWorkIsNotCountedTwiceInAGrownSite(t *testing.T) {
-	a, b := newPeersRig("a"), newPeersRig("b")
+// Guards against load that is counted twice, and engines left idle, after a site has grown
+// beyond a full mesh: from then on the load of a peer comes with the totals.
+func TestNoDoubleCountingAfterSiteGrowth(t *testing.T) {
+	a, b := newPeersHarness("a"), newPeersHarness("b")
 	now := time.Now()
-	a.books.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
-	b.Handle("", a.state(now), nil)
+	a.tracker.Begin("e", placement.Work{Prefill: enginemodel.Prompt{Tokens: 10}})
+	b.Handle("", a.heartbeatState(now), nil)
 	require.Equal(t, 1, b.running())
 
-	for _, r := range []*peersRig{a, b} {
-		r.full = false // others have come
+	for _, h := range []*peersHarness{a, b} {
+		h.fullMesh = false // the site has grown
 	}
-	b.Handle("", a.state(now), nil)
-	require.Zero(t, b.running(), "told with the totals from now on")
-	b.noteTotals(wire.LoadTotals{Loads: a.books.LocalLoads(true)})
+	b.Handle("", a.heartbeatState(now), nil)
+	require.Zero(t, b.running(), "part of the totals from now on")
+	b.recordTotals(wire.LoadTotals{Loads: a.tracker.LocalLoads(true)})
 	require.Equal(t, 1, b.running())
 }
 
-// A request comes to a daemon of a large site that has had nothing to decide for a while, and
-// goes to an engine which others have filled since. Before it is placed the totals must be
-// asked for once, however many requests come, and those that wait must see what they say;
-// totals that have just come do.
-func TestTotalsAreAskedForBeforeADecision(t *testing.T) {
-	r := newPeersRig("a")
-	for _, other := range site(meshLimit + 1) {
-		other.Capacity = 1 // stands before this one
-		r.Learn(other)
+// Guards against a daemon of a large site that places a request by old totals after an idle
+// time. They must be queried once before, however many requests come, and waiting requests must
+// see the answer; recent totals need no query.
+func TestTotalsAreQueriedBeforeDecision(t *testing.T) {
+	h := newPeersHarness("a")
+	for _, other := range testSite(maxFullMesh + 1) {
+		other.Capacity = 1 // ranked before this one
+		h.Add(other)
 	}
-	above, reports := r.collect.to()
-	require.True(t, reports)
-	now := r.collect.heard.Add(2 * freshFor)
-	answered := r.askTotals(now)
+	parent, hasParent := h.parent.candidate()
+	require.True(t, hasParent)
+	now := h.parent.lastAnswer.Add(2 * maxTotalsAge)
+	answered := h.queryTotals(now)
 	require.NotNil(t, answered)
-	require.Equal(t, answered, r.askTotals(now.Add(askLimit/2)), "asked for already")
+	require.Equal(t, answered, h.queryTotals(now.Add(totalsTimeout/2)), "already queried")
 	select {
 	case <-answered:
-		t.Fatal("nothing has come yet")
+		t.Fatal("closed before the answer")
 	default:
 	}
-	r.takeTotals(above.Peers, wire.LoadTotals{Loads: []placement.UpstreamLoad{{Upstream: r.books.KeyOf("e"), Load: placement.Load{Running: 3}}}})
+	h.applyTotals(parent.Peers, wire.LoadTotals{Loads: []placement.UpstreamLoad{{Upstream: h.tracker.KeyOf("e"), Load: placement.Load{Running: 3}}}})
 	<-answered
-	require.Equal(t, 3, r.running())
-	require.Nil(t, r.askTotals(r.collect.heard.Add(freshFor/2)), "fresh")
-	require.NotNil(t, r.askTotals(r.collect.heard.Add(2*freshFor)))
+	require.Equal(t, 3, h.running())
+	require.Nil(t, h.queryTotals(h.parent.lastAnswer.Add(maxTotalsAge/2)), "recent")
+	require.NotNil(t, h.queryTotals(h.parent.lastAnswer.Add(2*maxTotalsAge)))
 }
 
-// A site shrinks to the number up to which each daemon tells all others its work. The
-// totals must not count any more.
-func TestTotalsEndInAShrunkSite(t *testing.T) {
-	r := newPeersRig("a")
-	for _, other := range site(meshLimit + 1) {
-		r.Learn(other)
+// Guards against totals that still count after a site has shrunk to a full mesh.
+func TestTotalsAreDroppedAfterSiteShrinks(t *testing.T) {
+	h := newPeersHarness("a")
+	for _, other := range testSite(maxFullMesh + 1) {
+		h.Add(other)
 	}
-	require.False(t, r.meshed())
-	r.noteTotals(wire.LoadTotals{Loads: []placement.UpstreamLoad{{Upstream: r.books.KeyOf("e"), Load: placement.Load{Running: 3}}}})
-	require.Equal(t, 3, r.running())
-	for address, other := range r.peers {
-		other.named = time.Now().Add(-2 * forgetAfter)
-		r.checkSilence(time.Now())
-		require.NotContains(t, r.peers, address)
+	require.False(t, h.isFullMesh())
+	h.recordTotals(wire.LoadTotals{Loads: []placement.UpstreamLoad{{Upstream: h.tracker.KeyOf("e"), Load: placement.Load{Running: 3}}}})
+	require.Equal(t, 3, h.running())
+	for address, other := range h.peers {
+		other.lastNamed = time.Now().Add(-2 * forgetPeerAfter)
+		h.checkSilence(time.Now())
+		require.NotContains(t, h.peers, address)
 		break
 	}
-	require.True(t, r.meshed())
-	require.Zero(t, r.running())
-	require.Nil(t, r.collect.link)
+	require.True(t, h.isFullMesh())
+	require.Zero(t, h.running())
+	require.Nil(t, h.parent.link)
 }
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -22,39 +22,36 @@
 )
 
 const (
-	// keepAnswer is how long callers may keep an answer of where to connect.
-	// Short, so that a daemon that falls silent is soon left alone; each answer
-	// costs little.
-	keepAnswer = time.Second
-	// keepFactor covers callers that keep an answer longer than they are told.
-	keepFactor = 3
-	// stopMargin is the part of the grace kept back for the end of the process.
+	// directoryTTL is how long callers may cache a directory answer. It is short so that a
+	// failed daemon soon gets no new callers; an answer costs little.
+	directoryTTL = time.Second
+	// directoryTTLFactor allows for callers that cache an answer longer than its TTL.
+	directoryTTLFactor = 3
+	// stopMargin is the part of the grace period reserved for the exit of the process.
 	stopMargin = 450 * time.Millisecond
-	// expectedDaemons is the least number by which what all daemons share is
-	// divided: one that has just started knows too few peers, and would take too
-	// large a part.
-	expectedDaemons = 10
-	// peerSecret isn't secret: the platform's network is closed, and its
-	// settings hold nothing that only the system's processes know. It keeps
-	// other protocols apart.
+	// minAssumedDaemons is the minimum divisor for limits that all daemons share: a daemon that
+	// has just started knows too few peers and would take too large a share.
+	minAssumedDaemons = 10
+	// peerSecret isn't confidential: the platform's network is closed, and its settings hold
+	// nothing known only to the system's processes. It rejects other protocols.
 	peerSecret = "tamarackchute member exchange, protocol 3"
-	// replacedFor is how long all daemons leave an upstream alone whose address
-	// belongs to another one: its entry lapses after three heartbeats.
-	replacedFor = 3 * time.Second
-	// minRetryAfter is the time to come back that a refusal names at least.
+	// replacedTimeout is how long all daemons avoid an upstream whose address now belongs to
+	// another one: its store entry expires after three missed heartbeats.
+	replacedTimeout = 3 * time.Second
+	// minRetryAfter is the minimum retry delay that a refusal names.
 	minRetryAfter = 400 * time.Millisecond
 )
 
-// Config is what a Member is built of.
+// Config holds the dependencies of a Member.
 type Config struct {
 	Settings Settings
 	Store    Store
-	Formats  Formats
+	Decoder  Decoder
 	Dialect  relay.Dialect
-	// Log and Engines are for the changes of roles.
+	// Log and Engines are used for role changes.
 	Log     infra.Log
 	Engines Engines
-	// DirectoryHandler and ReadyHandler make the outer interfaces.
+	// DirectoryHandler and ReadyHandler create the platform's HTTP handlers.
 	DirectoryHandler func(*Member) http.Handler
 	ReadyHandler     func(ready func() bool) http.Handler
 	Logger           *slog.Logger
@@ -63,56 +60,57 @@
 
 // Member is the daemon.
 type Member struct {
-	cfg   Config
-	log   *slog.Logger
-	state *fleet.State
-	books *placement.Tracker
-	relay *relay.Relay
-	// callers are connections to the callers' address, pages those to the others.
-	callers, pages *graceful.Connections
-	peers          *Peers
-	upstreams      *upstreamFeed
-	readers        []*topicReader
-	budget         *relay.RetryBudget
-	self           wire.MemberAddress
-	leaving        atomic.Bool
-	// settings are those in force, lease is this daemon's part in it.
+	cfg     Config
+	log     *slog.Logger
+	state   *fleet.State
+	tracker *placement.Tracker
+	relay   *relay.Relay
+	// callerConns are the connections to the callers' address, otherConns those to all other
+	// addresses.
+	callerConns, otherConns *graceful.Connections
+	peers                   *Peers
+	upstreams               *upstreamFeed
+	readers                 []*topicReader
+	budget                  *relay.RetryBudget
+	self                    wire.MemberAddress
+	draining                atomic.Bool
+	// settings are the current ones, lease is this daemon's lease status.
 	settings atomic.Pointer[Settings]
 	lease    atomic.Pointer[daemonstatus.Lease]
-	// backoff is of calls to the store.
+	// backoff applies to all calls to the store.
 	backoff *backoff
 }
 
-// New builds a daemon.
+// New returns a daemon; Run starts it.
 func New(cfg Config) *Member {
 	s := cfg.Settings
-	m := &Member{cfg: cfg, log: cfg.Logger, state: fleet.NewState(), books: placement.NewTracker(nil), callers: graceful.New(cfg.Logger), pages: graceful.New(cfg.Logger)}
+	m := &Member{cfg: cfg, log: cfg.Logger, state: fleet.NewState(), tracker: placement.NewTracker(nil), callerConns: graceful.New(cfg.Logger), otherConns: graceful.New(cfg.Logger)}
 	m.self = wire.MemberAddress{Instance: s.Instance, DataCentre: s.DataCentre, Callers: s.Callers, Peers: s.PeerAddress, Capacity: s.Capacity}
-	cfg.Store.Eras().LogTo(m.log)
+	cfg.Store.Eras().SetLogger(m.log)
 	m.settings.Store(&s)
 	m.budget = relay.NewRetryBudget(s.RetryRatio, m.retrySlack, s.RetryWindow, nil)
 	m.relay = relay.New(relay.Config{
 		DataCentre:    s.DataCentre,
 		Dialect:       cfg.Dialect,
 		State:         m.state,
-		Tracker:       m.books,
+		Tracker:       m.tracker,
 		RetryBudget:   m.budget,
 		Logger:        m.log,
 		Metrics:       cfg.Metrics.Scope,
 		Refresh:       func(ctx context.Context) { m.peers.Refresh(ctx) },
-		OnReplaced:    func(id string) { m.peers.SendAway(id, "", replacedFor) },
+		OnReplaced:    func(id string) { m.peers.MarkUnavailable(id, "", replacedTimeout) },
 		MinRetryAfter: minRetryAfter,
 	})
-	m.peers = newPeers(m.self, m.wireConfig(), m.books, m.log)
-	m.peers.demand = m.demand
-	m.peers.waiting = m.relay.HasWaiting
-	m.peers.sameList = m.readSame
-	m.peers.about, m.peers.view, m.peers.change = m.about, m.view, m.relay.WakeWaiting
+	m.peers = newPeers(m.self, m.wireConfig(), m.tracker, m.log)
+	m.peers.localDemand = m.localDemand
+	m.peers.requestsWaiting = m.relay.HasWaiting
+	m.peers.onPeerList = m.confirmList
+	m.peers.summary, m.peers.view, m.peers.onUpdate = m.summary, m.view, m.relay.WakeWaiting
 	m.buildFeeds()
 	return m
 }
 
-func (m *Member) demand() map[string]wire.MemberDemand {
+func (m *Member) localDemand() map[string]wire.MemberDemand {
 	all := make(map[string]wire.MemberDemand)
 	for pool, d := range m.relay.Demand() {
 		all[pool] = wire.MemberDemand{Readers: d.PrefillEngines}
@@ -120,26 +118,25 @@
 	return all
 }
 
-// readSame takes over that a peer has read the list of upstreams that this daemon
-// has. Where entries are doubted it has to read for itself: a peer says that the list is
-// the same, not that they were written again.
-func (m *Member) readSame(at Position, digest uint64, age time.Duration) {
-	if at == 0 || !m.cfg.Store.Eras().Note(at.Era(), "another daemon") {
+// confirmList records that a peer has read the same list of upstreams as this daemon. It is
+// ignored while entries are lapsed: the peer confirms that the list is unchanged, not that those
+// entries were renewed.
+func (m *Member) confirmList(position Position, digest uint64, age time.Duration) {
+	if position == 0 || !m.cfg.Store.Eras().Observe(position.Era(), "another daemon") {
 		return
 	}
-	if m.upstreams.doubts() {
+	if m.upstreams.hasLapsed() {
 		return
 	}
-	age += transit
-	if digest == m.upstreams.digest.Load() && digest != 0 && age+youngerBy < m.readers[0].age() {
-		m.readers[0].heard(at, age)
+	age += transitAllowance
+	if digest == m.upstreams.digest.Load() && digest != 0 && age+minAgeGain < m.readers[0].age() {
+		m.readers[0].adopt(position, age)
 	}
 }
 
-// retrySlack is this daemon's part of the repeats that all may make beyond their
-// share of requests.
+// retrySlack returns this daemon's share of the retries allowed in addition to the ratio.
 func (m *Member) retrySlack() float64 {
-	return m.settings.Load().RetrySlack / float64(max(expectedDaemons, m.peers.Known()))
+	return m.settings.Load().RetrySlack / float64(max(minAssumedDaemons, m.peers.KnownCount()))
 }
 
 func (m *Member) wireConfig() wire.Config {
@@ -150,47 +147,47 @@
 }
 
 func (m *Member) buildFeeds() {
-	store, formats := m.cfg.Store, m.cfg.Formats
-	m.backoff = newBackoff(m.peers.Known)
-	configs := &configFeed{formats: formats, state: m.state, log: m.log}
-	m.upstreams = newUpstreamFeed(formats, m.state, m.cfg.Settings.ReturnWithin, m.log)
-	members := &memberFeed{peers: m.peers, log: m.log}
+	store, decoder := m.cfg.Store, m.cfg.Decoder
+	m.backoff = newBackoff(m.peers.KnownCount)
+	configs := &configFeed{decoder: decoder, state: m.state, log: m.log}
+	m.upstreams = newUpstreamFeed(decoder, m.state, m.cfg.Settings.LapsedEntryGrace, m.log)
+	daemons := &memberFeed{peers: m.peers, log: m.log}
 	upstreams := &topicReader{
-		store: store, topic: TopicUpstreams, name: "upstreams", every: upstreamsEvery, spread: upstreamsSpread, first: m.peers.Collects,
-		reset: m.upstreams.reset, resetCopy: m.upstreams.resetCopy, apply: m.upstreams.apply, backoff: m.backoff, log: m.log,
+		store: store, topic: TopicUpstreams, name: "upstreams", interval: upstreamsInterval, jitter: upstreamsJitter, readsFirst: m.peers.IsRoot,
+		applyAll: m.upstreams.reset, applyRestored: m.upstreams.resetRestored, applyChanges: m.upstreams.apply, backoff: m.backoff, log: m.log,
 	}
 	m.upstreams.age = upstreams.age
-	upstreams.returned = func() {
+	upstreams.onRecovered = func() {
 		for _, r := range m.readers[1:] {
-			r.restart()
+			r.restartRead()
 		}
 	}
 	m.readers = []*topicReader{
 		upstreams,
-		{store: store, topic: TopicConfig, name: "configuration", wait: longWait, reset: configs.take, apply: configs.take, backoff: m.backoff, log: m.log},
+		{store: store, topic: TopicConfig, name: "configuration", longPoll: longPollTimeout, applyAll: configs.apply, applyChanges: configs.apply, backoff: m.backoff, log: m.log},
 		{
-			store: store, topic: TopicMembers, name: "daemons", wait: longWait, every: time.Second, rests: m.peers.ReportsNearby,
-			reset: members.take, apply: members.take, backoff: m.backoff, log: m.log,
+			store: store, topic: TopicMembers, name: "daemons", longPoll: longPollTimeout, interval: time.Second, peersNotify: m.peers.ReportsInDataCentre,
+			applyAll: daemons.apply, applyChanges: daemons.apply, backoff: m.backoff, log: m.log,
 		},
 	}
 }
 
-// Ready reports whether callers may be sent here.
+// Ready reports whether the daemon accepts callers.
 func (m *Member) Ready() bool {
-	return !m.leaving.Load() && m.state.Snapshot().Config != nil
+	return !m.draining.Load() && m.state.Snapshot().Config != nil
 }
 
-func (m *Member) about() About {
-	s := m.state.Snapshot()
-	a := About{
-		Serving: m.Ready(), ReadAge: m.readers[0].age(),
+func (m *Member) summary() Summary {
+	snapshot := m.state.Snapshot()
+	summary := Summary{
+		Serving: m.Ready(), ListAge: m.readers[0].age(),
 		ListPosition: m.readers[0].position(), ListDigest: m.upstreams.digest.Load(),
-		ListSize: len(s.Upstreams),
+		ListSize: len(snapshot.Upstreams),
 	}
-	if c := s.Config; c != nil {
-		a.Config = c.Version
+	if c := snapshot.Config; c != nil {
+		summary.Config = c.Version
 	}
-	return a
+	return summary
 }
 
 func (m *Member) view(configOnly bool) wire.ViewReply {
@@ -204,36 +201,36 @@
 	return v
 }
 
-// Where returns where callers of a data centre may connect: to the daemons
-// there if there are two or more, since each crossing costs time and bytes, and
-// to all otherwise.
+// Where returns the addresses that callers of a data centre may connect to: the daemons there if
+// there are at least two, since traffic between data centres adds latency and cost, and all
+// daemons otherwise.
 func (m *Member) Where(dataCentre string) ([]string, time.Duration) {
-	up := m.peers.Up()
+	serving := m.peers.Serving()
 	if m.Ready() {
-		up = append(up, m.self)
+		serving = append(serving, m.self)
 	}
-	var near, all []string
-	for _, a := range up {
+	var local, all []string
+	for _, a := range serving {
 		all = append(all, a.Callers)
 		if a.DataCentre == dataCentre {
-			near = append(near, a.Callers)
+			local = append(local, a.Callers)
 		}
 	}
-	keep := keepAnswer
+	ttl := directoryTTL
 	if limit := m.settings.Load().DirectoryTTL; limit > 0 {
-		keep = min(keep, limit)
+		ttl = min(ttl, limit)
 	}
-	if len(near) >= minNear {
-		return near, keep
+	if len(local) >= minLocalDaemons {
+		return local, ttl
 	}
-	return all, keep
+	return all, ttl
 }
 
-// minNear is the number of daemons in a data centre from which its callers are
-// sent nowhere else: with one, its loss would leave them without any.
-const minNear = 2
+// minLocalDaemons is the number of daemons from which the callers of a data centre get only
+// those addresses. With one, its failure would leave them without any.
+const minLocalDaemons = 2
 
-// Run serves until the context ends, and then until a graceful stop is done.
+// Run serves until the context ends, then stops gracefully.
 func (m *Member) Run(ctx context.Context) error {
 	m.applySettings(m.settings.Load())
 	servers, err := m.listen()
@@ -242,7 +239,7 @@
 	}
 	work, stopWork := context.WithCancel(context.Background())
 	defer stopWork()
-	done := m.tree(servers).ServeBackground(work)
+	done := m.supervisorTree(servers).ServeBackground(work)
 	m.log.Info("started", "instance", m.self.Instance, "data_centre", m.self.DataCentre, "callers", m.self.Callers)
 	select {
 	case err := <-done:
@@ -255,35 +252,35 @@
 	return nil
 }
 
-// tree is the supervisor tree:
+// supervisorTree builds the supervisor tree:
 //
 //	member
 //	├── learning
-//	│   ├── feed of upstreams, configuration, daemons
-//	│   ├── eras of the store
-//	│   ├── view of peers, while the store can't be reached
-//	│   ├── catching up on what is known of the engines
-//	│   ├── figures of the engines, for operators, and their memory in the store
+//	│   ├── readers of upstreams, configuration, daemons
+//	│   ├── restarts of the readers in a new era of the store
+//	│   ├── updates from peers that have newer data
+//	│   ├── initial cache state of the engines
+//	│   ├── engine parameters, for operators, and their copy in the store
 //	│   └── announcer
 //	├── exchange
 //	│   ├── wire server
 //	│   └── peers
 //	├── directing
-//	│   └── director of roles, with journal and lease where it is a candidate
+//	│   └── director of roles, with journal and lease while it is a candidate
 //	└── serving
 //	    └── callers, directory, ready, metrics
-func (m *Member) tree(servers []*httpService) *suture.Supervisor {
-	spec := suture.Spec{EventHook: m.hook, FailureBackoff: time.Second, Timeout: 2 * time.Second}
+func (m *Member) supervisorTree(servers []*httpService) *suture.Supervisor {
+	spec := suture.Spec{EventHook: m.logEvent, FailureBackoff: time.Second, Timeout: 2 * time.Second}
 	learning := suture.New("learning", spec)
 	for _, r := range m.readers {
 		learning.Add(r)
 	}
-	learning.Add(&eraFollower{eras: m.cfg.Store.Eras(), readers: m.readers, daemons: m.peers.Known})
+	learning.Add(&eraFollower{eras: m.cfg.Store.Eras(), readers: m.readers, daemons: m.peers.KnownCount})
 	learning.Add(&peerView{member: m})
 	learning.Add(&catchUp{member: m, log: m.log})
-	learning.Add(&engineMemory{store: m.cfg.Store, books: m.books, peers: m.peers, backoff: m.backoff, log: m.log})
-	learning.Add(&figuresTeller{books: m.books, scope: m.cfg.Metrics.Scope, log: m.log})
-	learning.Add(&announcer{store: m.cfg.Store, self: m.self, backoff: m.backoff, daemons: m.peers.Known, log: m.log})
+	learning.Add(&observationSync{store: m.cfg.Store, tracker: m.tracker, peers: m.peers, backoff: m.backoff, log: m.log})
+	learning.Add(&parametersReporter{tracker: m.tracker, scope: m.cfg.Metrics.Scope, log: m.log})
+	learning.Add(&announcer{store: m.cfg.Store, self: m.self, backoff: m.backoff, daemons: m.peers.KnownCount, log: m.log})
 	exchange := suture.New("exchange", spec)
 	exchange.Add(wire.NewServer(m.wireConfig(), m.self.Peers, m.peers, m.log))
 	exchange.Add(m.peers)
@@ -294,8 +291,8 @@
 	directing := suture.New("directing", spec)
 	directing.Add(&director{
 		member: m, log: m.cfg.Log, engines: m.cfg.Engines, logger: m.log,
-		policy: make(map[string]*rolepolicy.Balancer), changes: make(map[string]roleChange),
-		logged: make(map[string]time.Time),
+		balancers: make(map[string]*rolepolicy.Balancer), changes: make(map[string]roleChange),
+		lastLogged: make(map[string]time.Time),
 	})
 	root := suture.New("member", spec)
 	root.Add(directing)
@@ -305,20 +302,20 @@
 	return root
 }
 
-func (m *Member) hook(e suture.Event) {
+func (m *Member) logEvent(e suture.Event) {
 	m.log.Warn("supervisor", "event", e.String())
 }
 
-// drain stops taking callers and returns when the process may exit.
+// drain stops accepting callers and returns once the process may exit.
 func (m *Member) drain() {
-	m.leaving.Store(true)
+	m.draining.Store(true)
 	stop := shutdown.State{
-		Keep: keepFactor * keepAnswer, Grace: m.settings.Load().Grace - keepFactor*keepAnswer - stopMargin,
-		CloseIdle: m.callers.CloseIdle,
+		DiscoveryTTL: directoryTTLFactor * directoryTTL, Grace: m.settings.Load().Grace - directoryTTLFactor*directoryTTL - stopMargin,
+		CloseIdle: m.callerConns.CloseIdle,
 	}
-	known := time.Now().Add(stop.Keep)
-	m.relay.BeginShutdown(known, known.Add(stop.Grace), func() bool { return len(m.peers.Up()) > 0 })
-	stop.Drain(nil, m.callers.Active, m.log)
-	m.pages.CloseIdle()
-	m.callers.Wait()
+	directoriesExpired := time.Now().Add(stop.DiscoveryTTL)
+	m.relay.BeginShutdown(directoriesExpired, directoriesExpired.Add(stop.Grace), func() bool { return len(m.peers.Serving()) > 0 })
+	stop.Drain(nil, m.callerConns.Active, m.log)
+	m.otherConns.CloseIdle()
+	m.callerConns.Wait()
 }
--- a/internal/member/neighbours.go
+++ b/internal/member/neighbours.go
@@ -10,42 +10,41 @@
 )
 
 const (
-	// meshLimit is the number of other daemons up to which each tells all of
-	// them its state. Beyond it the traffic of a full mesh would grow with the
-	// square of their number.
-	meshLimit = 16
-	// nearNeighbours and farNeighbours are how many a daemon tells otherwise, on
-	// each side of it on a ring: of its data centre, and of the whole site.
-	nearNeighbours = 6
-	farNeighbours  = 2
+	// maxFullMesh is the number of other daemons up to which each sends all of them its state.
+	// Beyond it the traffic of a full mesh would grow with the square of their number.
+	maxFullMesh = 16
+	// localNeighbours and siteNeighbours are the numbers of receivers in a larger site, on each
+	// side of the daemon on a hash ring: of its data centre, and of the whole site.
+	localNeighbours = 6
+	siteNeighbours  = 2
 )
 
-// neighbours returns the peer addresses that a daemon tells its state. The
-// choice is symmetric: who is told by another tells it as well, and all daemons
-// that know the same others agree.
+// neighbours returns the peer addresses to which a daemon sends its state. The choice is
+// symmetric: each of them sends its state back, and all daemons that know the same addresses
+// agree on it.
 func neighbours(self wire.MemberAddress, others []wire.MemberAddress) map[string]bool {
 	wanted := make(map[string]bool)
-	if len(others) <= meshLimit {
+	if len(others) <= maxFullMesh {
 		for _, a := range others {
 			wanted[a.Peers] = true
 		}
 		return wanted
 	}
-	var near []wire.MemberAddress
+	var local []wire.MemberAddress
 	for _, a := range others {
-		// One whose data centre isn't known yet is only an address.
+		// While the data centre is unknown, a daemon is only an address.
 		if a.DataCentre == self.DataCentre || a.DataCentre == "" {
-			near = append(near, a)
+			local = append(local, a)
 		}
 	}
-	aroundOnRing(wanted, self, near, nearNeighbours)
-	aroundOnRing(wanted, self, others, farNeighbours)
+	addRingNeighbours(wanted, self, local, localNeighbours)
+	addRingNeighbours(wanted, self, others, siteNeighbours)
 	return wanted
 }
 
-// aroundOnRing marks the n daemons on each side of self on the ring of their
-// addresses' hashes.
-func aroundOnRing(wanted map[string]bool, self wire.MemberAddress, others []wire.MemberAddress, n int) {
+// addRingNeighbours adds the n daemons on each side of self on the ring of the hashes of their
+// addresses.
+func addRingNeighbours(wanted map[string]bool, self wire.MemberAddress, others []wire.MemberAddress, n int) {
 	ring := append(slices.Clone(others), self)
 	slices.SortFunc(ring, func(a, b wire.MemberAddress) int {
 		return cmp.Compare(xxhash.Sum64String(a.Peers), xxhash.Sum64String(b.Peers))
--- a/internal/member/peerlinks.go
+++ b/internal/member/peerlinks.go
@@ -8,48 +8,47 @@
 	"tamarackchute/internal/wire"
 )
 
-// relink opens and closes connections after a change of the known peers.
-func (p *Peers) relink() {
+// updateLinks opens and closes links after a change of the known peers.
+func (p *Peers) updateLinks() {
 	addresses := make([]wire.MemberAddress, 0, len(p.peers))
 	for _, other := range p.peers {
 		addresses = append(addresses, other.MemberAddress)
 	}
 	wanted := neighbours(p.self, addresses)
-	p.full = len(wanted) == len(addresses)
-	if p.full {
-		p.endCollecting()
+	p.fullMesh = len(wanted) == len(addresses)
+	if p.fullMesh {
+		p.stopAggregation()
 	} else {
-		p.relineCollectors(addresses, time.Now())
+		p.updateCandidates(addresses, time.Now())
 	}
 	for address, other := range p.peers {
 		switch {
 		case wanted[address] && other.link == nil:
-			other.outgoing = p.open(address, nil)
+			other.outgoingLink = p.openLink(address, nil)
 		case !wanted[address]:
-			p.shut(&other.outgoing)
+			p.closeLink(&other.outgoingLink)
 		}
 	}
 }
 
-// outgoing is a connection to another daemon that is kept up; link is nil if there is
-// none.
-type outgoing struct {
+// outgoingLink is a permanent link to another daemon; link is nil if there is none.
+type outgoingLink struct {
 	link  *wire.Link
 	token suture.ServiceToken
 }
 
-// open begins to keep up a connection; handle takes what comes back, if anything.
-func (p *Peers) open(address string, handle func(wire.Message)) outgoing {
+// openLink opens a permanent link; handle processes the replies and may be nil.
+func (p *Peers) openLink(address string, handle func(wire.Message)) outgoingLink {
 	link := wire.NewLink(p.cfg, address, handle, p.log)
-	return outgoing{link: link, token: p.links.Add(link)}
+	return outgoingLink{link: link, token: p.links.Add(link)}
 }
 
-func (p *Peers) shut(o *outgoing) {
+func (p *Peers) closeLink(o *outgoingLink) {
 	if o.link == nil {
 		return
 	}
 	if err := p.links.Remove(o.token); err != nil {
-		p.log.Warn("peer's link not removed", "link", o.link.String(), "err", err)
+		p.log.Warn("removing a peer's link failed", "link", o.link.String(), "err", err)
 	}
 	o.link = nil
 }
--- a/internal/member/reload.go
+++ b/internal/member/reload.go
@@ -6,13 +6,13 @@
 	"tamarackchute/internal/wire"
 )
 
-// settingsField is a setting by its name in messages.
+// settingsField describes a setting; name is used in messages.
 type settingsField struct {
 	name string
-	of   func(*Settings) any
-	// take takes a new value over in a running daemon; nil for what its sockets
-	// and its part in the lease are built on.
-	take func(now, next *Settings)
+	get  func(*Settings) any
+	// apply copies a new value into the current settings; nil for settings on which sockets or
+	// the lease depend, which need a restart.
+	apply func(now, next *Settings)
 }
 
 var settingsFields = []settingsField{
@@ -28,26 +28,26 @@
 	{"capacity", func(s *Settings) any { return s.Capacity }, nil},
 	{"retry window", func(s *Settings) any { return s.RetryWindow }, nil},
 	{"lease term", func(s *Settings) any { return s.LeaseTerm }, nil},
-	{"store's retention", func(s *Settings) any { return s.StoreKeeps }, nil},
-	{"return of lapsed entries", func(s *Settings) any { return s.ReturnWithin }, nil},
+	{"store's retention", func(s *Settings) any { return s.StoreRetention }, nil},
+	{"grace for lapsed entries", func(s *Settings) any { return s.LapsedEntryGrace }, nil},
 	{"seeds", func(s *Settings) any { return s.Seeds }, func(now, next *Settings) { now.Seeds = next.Seeds }},
 	{"memory", func(s *Settings) any { return s.MemoryBytes }, func(now, next *Settings) { now.MemoryBytes = next.MemoryBytes }},
 	{"grace", func(s *Settings) any { return s.Grace }, func(now, next *Settings) { now.Grace = next.Grace }},
 	{"retry ratio", func(s *Settings) any { return s.RetryRatio }, func(now, next *Settings) { now.RetryRatio = next.RetryRatio }},
 	{"retry slack", func(s *Settings) any { return s.RetrySlack }, func(now, next *Settings) { now.RetrySlack = next.RetrySlack }},
-	{"directory's time to keep", func(s *Settings) any { return s.DirectoryTTL }, func(now, next *Settings) { now.DirectoryTTL = next.DirectoryTTL }},
+	{"directory TTL", func(s *Settings) any { return s.DirectoryTTL }, func(now, next *Settings) { now.DirectoryTTL = next.DirectoryTTL }},
 }
 
-// Reload takes over the settings that may change while the daemon runs. It
-// returns the names of those that it has taken over and of those that count from
-// the next start only. It must not be called twice at a time.
+// Reload applies the settings that may change while the daemon runs. It returns the names of
+// those applied and of those that take effect at the next start. It must not be called
+// concurrently.
 func (m *Member) Reload(next Settings) (applied, pending []string) {
 	now := *m.settings.Load()
 	for _, f := range settingsFields {
 		switch {
-		case reflect.DeepEqual(f.of(&now), f.of(&next)):
-		case f.take != nil:
-			f.take(&now, &next)
+		case reflect.DeepEqual(f.get(&now), f.get(&next)):
+		case f.apply != nil:
+			f.apply(&now, &next)
 			applied = append(applied, f.name)
 		default:
 			pending = append(pending, f.name)
@@ -58,11 +58,11 @@
 	return applied, pending
 }
 
-// applySettings hands the live settings to the parts that keep them.
+// applySettings passes the current settings to the components that keep a copy.
 func (m *Member) applySettings(s *Settings) {
 	m.budget.SetRatio(s.RetryRatio)
 	limitMemory(s.MemoryBytes)
 	for _, seed := range s.Seeds {
-		m.peers.Learn(wire.MemberAddress{Peers: seed})
+		m.peers.Add(wire.MemberAddress{Peers: seed})
 	}
 }
--- a/internal/prove/claims/process.go
+++ b/internal/prove/claims/process.go
@@ -112,7 +112,7 @@
 	w := p.world
 	for i, e := range r.entries {
 		at := journal.Position{Offset: p.nextOffset, Index: uint16(i)}
-		p.core.Apply(journal.Placed{Position: at, At: r.at, ReadAt: w.now, Entry: e})
+		p.core.Apply(journal.LogEntry{Position: at, At: r.at, ReadAt: w.now, Entry: e})
 		for _, a := range p.appends {
 			a.applied = a.applied || a.entry.ID == e.ID
 		}
--- a/internal/status/node.go
+++ b/internal/status/node.go
@@ -123,7 +123,7 @@
 func (n *Node) State(instance string) membership.State { return n.View().State(instance) }
 
 // TakeList applies a response of the platform's instance list.
-func (n *Node) TakeList(rows []infra.Instance) { n.members.TakeList(rows) }
+func (n *Node) TakeList(rows []infra.Instance) { n.members.ApplyList(rows) }
 
 // Leave announces to the other instances that this one has begun to shut down. Serve must
 // keep running until the end.
