--- a/internal/entry/exchange.go
+++ b/internal/entry/exchange.go
@@ -75,5 +75,5 @@
 
 // listConsumers returns the functions that receive each version of the instance list.
 func (e *Entry) listConsumers() []func([]infra.Instance) {
-	return []func([]infra.Instance){e.tracker.SetInstances, e.node.TakeList}
+	return []func([]infra.Instance){e.tracker.SetInstances, e.node.ApplyList}
 }
--- a/internal/status/node.go
+++ b/internal/status/node.go
@@ -122,8 +122,8 @@
 // State returns the membership state of one instance. It is only a hint.
 func (n *Node) State(instance string) membership.State { return n.View().State(instance) }
 
-// TakeList applies a response of the platform's instance list.
-func (n *Node) TakeList(rows []infra.Instance) { n.members.ApplyList(rows) }
+// ApplyList applies a response of the platform's instance list.
+func (n *Node) ApplyList(rows []infra.Instance) { n.members.ApplyList(rows) }
 
 // Leave announces to the other instances that this one has begun to shut down. Serve must
 // keep running until the end.
