--- a/internal/controller/chooser.go
+++ b/internal/controller/chooser.go
@@ -74,7 +74,7 @@
 			c.log.Warn("role decision ignored: the engine is in another data centre", "engine", d.Engine)
 			continue
 		}
-		c.log.Info("role change wanted", "engine", d.Engine, "from", d.From, "to", d.To, "reason", d.Reason)
+		c.log.Info("role change requested", "engine", d.Engine, "from", d.From, "to", d.To, "reason", d.Reason)
 		x.Request(orders.ChangeRequest{
 			ID: uuid.NewString(), Kind: upstream.OrderRole,
 			Target: orders.Settings{Role: d.To}, Reason: d.Reason,
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -156,7 +156,7 @@
 
 func (c *Controller) newExecutor(u settings.Upstream) *Executor {
 	return &Executor{
-		engine: u.Name, checksFencing: u.Fencing == settings.FencingChecked,
+		engine: u.Name, enforcesFencing: u.Fencing == settings.FencingChecked,
 		control: c.cfg.Engines[u.Name], keeper: c.keeper(u),
 		journal: c.journal, writer: c.writerName(), view: c.changes,
 		instances: c.instances, entryStatuses: c.entryStatuses, limits: c.limits(),
--- a/internal/controller/executor.go
+++ b/internal/controller/executor.go
@@ -24,34 +24,34 @@
 	// unlistedEntryTimeout is how long a status of an entry that isn't listed yet still
 	// holds up a drain.
 	unlistedEntryTimeout = 5 * time.Second
-	// maxWantAge is how long a decision of the policy remains valid.
-	maxWantAge = 3 * time.Second
+	// maxRequestAge is how long a decision of the policy remains valid.
+	maxRequestAge = 3 * time.Second
 )
 
 // Executor carries the changes of one engine through their steps while this process leads
 // the engine's scope. It is a suture service.
 type Executor struct {
-	engine        string
-	checksFencing bool
-	control       upstream.Controlled
-	keeper        *lease.Keeper
-	journal       journal.Writer
-	writer        string
-	view          *orders.View
-	instances     *Presence
-	entryStatuses *StatusTracker
-	limits        orders.Limits
-	recorder      EventRecorder
-	log           *slog.Logger
-
-	contact orders.Session
-
-	mu       sync.Mutex
-	want     *orders.ChangeRequest
-	wantAt   time.Time
-	activity string
-	state    upstream.EngineState
-	stateAt  time.Time
+	engine          string
+	enforcesFencing bool
+	control         upstream.Controlled
+	keeper          *lease.Keeper
+	journal         journal.Writer
+	writer          string
+	view            *orders.View
+	instances       *Presence
+	entryStatuses   *StatusTracker
+	limits          orders.Limits
+	recorder        EventRecorder
+	log             *slog.Logger
+
+	session orders.Session
+
+	mu          sync.Mutex
+	requested   *orders.ChangeRequest
+	requestedAt time.Time
+	activity    string
+	state       upstream.EngineState
+	stateAt     time.Time
 }
 
 // String names the service for the supervisor's log.
@@ -87,7 +87,7 @@
 		return false
 	}
 	defer done()
-	action := orders.Next(x.situation(a), &x.contact)
+	action := orders.Next(x.input(a), &x.session)
 	x.setActivity(action)
 	// The step in progress is finished even if the program is being stopped; the end of the
 	// authority bounds it.
@@ -96,24 +96,24 @@
 	return x.execute(ctx, a, action)
 }
 
-func (x *Executor) situation(a lease.Authority) orders.Input {
+func (x *Executor) input(a lease.Authority) orders.Input {
 	now := time.Now()
-	s := orders.Input{
-		Now: now, Authority: a, EnforcesFencing: x.checksFencing, Limits: x.limits,
+	in := orders.Input{
+		Now: now, Authority: a, EnforcesFencing: x.enforcesFencing, Limits: x.limits,
 		Engine: x.view.Snapshot().Engine(x.engine),
 	}
 	unavailable := x.instances.TerminatingOrGone(x.engine)
 	if unavailable {
-		s.CancelReason = "the engine is leaving"
+		in.CancelReason = "the engine is leaving"
 	}
-	if open := s.Engine.Open(); open != nil {
-		s.Drained, s.WaitReason = x.drained(open.DrainStart, now)
-		return s
+	if open := in.Engine.Open(); open != nil {
+		in.Drained, in.WaitReason = x.drained(open.DrainStart, now)
+		return in
 	}
 	if !unavailable {
-		s.Requested = x.currentWant(now)
+		in.Requested = x.currentRequest(now)
 	}
-	return s
+	return in
 }
 
 func (x *Executor) drained(drain journal.Position, now time.Time) (bool, string) {
@@ -149,7 +149,7 @@
 		return false
 	}
 	err := x.control.Order(callCtx, action.Order)
-	x.contact.RaiseDone(err, time.Now(), x.limits.RetryDelay)
+	x.session.RaiseDone(err, time.Now(), x.limits.RetryDelay)
 	if err != nil {
 		x.log.Warn("fencing token not raised", "fence", a.FencingToken, "error", err)
 	}
@@ -161,7 +161,7 @@
 	defer cancel()
 	started := time.Now()
 	state, err := x.control.State(callCtx)
-	x.contact.ReadDone(state, err, started, time.Now(), x.limits)
+	x.session.ReadDone(state, err, started, time.Now(), x.limits)
 	if err == nil {
 		x.mu.Lock()
 		x.state, x.stateAt = state, started
@@ -177,7 +177,7 @@
 	})
 	engine := x.view.Snapshot().Engine(x.engine)
 	accepted := err == nil && engine.LastPosition == p
-	x.contact.AppendDone(accepted, time.Now(), x.limits.RetryDelay)
+	x.session.AppendDone(accepted, time.Now(), x.limits.RetryDelay)
 	if !accepted {
 		x.log.Warn("step not accepted by the journal", "step", action.Reason, "error", err)
 		return false
@@ -192,8 +192,8 @@
 // it.
 func (x *Executor) recordAccepted(c orders.Change, previous orders.Settings, reason string) {
 	x.mu.Lock()
-	if x.want != nil && x.want.ID == c.ID {
-		x.want = nil
+	if x.requested != nil && x.requested.ID == c.ID {
+		x.requested = nil
 	}
 	x.mu.Unlock()
 	x.log.Info("change", "id", c.ID, "phase", c.Phase.String(), "kind", c.Kind,
@@ -212,7 +212,7 @@
 		return false
 	}
 	err := x.control.Order(callCtx, action.Order)
-	x.contact.SendDone(action.Change, err, started, time.Now(), x.limits.RetryDelay)
+	x.session.SendDone(action.Change, err, started, time.Now(), x.limits.RetryDelay)
 	x.log.Info("order sent", "order", action.Order.ID, "fence", action.Order.FencingToken,
 		"attempt", action.Change.Attempt, "error", err)
 	x.recorder.RecordOrder(err)
@@ -220,20 +220,20 @@
 }
 
 // Request submits a decision of the role policy. A later request replaces it.
-func (x *Executor) Request(w orders.ChangeRequest) {
+func (x *Executor) Request(r orders.ChangeRequest) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.want = &w
-	x.wantAt = time.Now()
+	x.requested = &r
+	x.requestedAt = time.Now()
 }
 
-func (x *Executor) currentWant(now time.Time) *orders.ChangeRequest {
+func (x *Executor) currentRequest(now time.Time) *orders.ChangeRequest {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.want != nil && now.Sub(x.wantAt) > maxWantAge {
-		x.want = nil
+	if x.requested != nil && now.Sub(x.requestedAt) > maxRequestAge {
+		x.requested = nil
 	}
-	return x.want
+	return x.requested
 }
 
 func (x *Executor) setActivity(a orders.Action) {
--- a/internal/controller/interleave/engine.go
+++ b/internal/controller/interleave/engine.go
@@ -11,15 +11,15 @@
 // engine simulates a model engine. It executes an order again that it receives twice, which
 // is a harder case for the sender than an engine that recognises repeats by their ID.
 type engine struct {
-	w             *world
-	name          string
-	checksFencing bool
-	incarnation   string
-	role          upstream.Role
-	busy          bool
-	lastOrder     string
-	fencingToken  uint64
-	running       int
+	w               *world
+	name            string
+	enforcesFencing bool
+	incarnation     string
+	role            upstream.Role
+	busy            bool
+	lastOrder       string
+	fencingToken    uint64
+	running         int
 	// changeSeq rises with each accepted order and crash, which voids scheduled
 	// completions.
 	changeSeq   int
@@ -121,7 +121,7 @@
 }
 
 func (e *engine) isFenced(o upstream.Order) bool {
-	if e.w.mutant == mutantNoFencing || !e.checksFencing || o.FencingToken >= e.fencingToken {
+	if e.w.mutant == mutantNoFencing || !e.enforcesFencing || o.FencingToken >= e.fencingToken {
 		return false
 	}
 	e.w.report.Event("order rejected by its fencing token")
@@ -154,7 +154,7 @@
 		Role: e.role, Busy: e.busy, Running: e.running,
 		LastOrder: e.lastOrder, Incarnation: e.incarnation,
 	}
-	if e.checksFencing {
+	if e.enforcesFencing {
 		s.FencingToken = max(e.fencingToken, e.reportedToken)
 	}
 	return s
--- a/internal/controller/interleave/executor.go
+++ b/internal/controller/interleave/executor.go
@@ -14,12 +14,12 @@
 	p       *process
 	engine  *engine
 	keeper  *keeper
-	contact orders.Session
+	session orders.Session
 }
 
 func (p *process) newExecutor(e *engine) {
 	scope := scopeUnfenced
-	if e.checksFencing {
+	if e.enforcesFencing {
 		scope = scopeFenced
 	}
 	x := &executor{p: p, engine: e, keeper: p.keepers[scope]}
@@ -46,15 +46,15 @@
 	}
 	x.p.w.checkSingleLeader(x.p, x.keeper.scope)
 	x.keeper.openSteps++
-	action := orders.Next(x.situation(a), &x.contact)
+	action := orders.Next(x.input(a), &x.session)
 	switch action.Kind {
 	case orders.ActionRaiseToken:
 		x.send(a, action, func(err error, _ time.Time) {
-			x.contact.RaiseDone(err, x.p.clock(), x.limits().RetryDelay)
+			x.session.RaiseDone(err, x.p.clock(), x.limits().RetryDelay)
 		})
 	case orders.ActionSend:
 		x.send(a, action, func(err error, started time.Time) {
-			x.contact.SendDone(action.Change, err, started, x.p.clock(), x.limits().RetryDelay)
+			x.session.SendDone(action.Change, err, started, x.p.clock(), x.limits().RetryDelay)
 		})
 	case orders.ActionRead:
 		x.readState()
@@ -76,29 +76,29 @@
 	x.p.schedule(100*time.Millisecond, x.tick)
 }
 
-func (x *executor) situation(a lease.Authority) orders.Input {
-	s := orders.Input{
-		Now: x.p.clock(), Authority: a, EnforcesFencing: x.engine.checksFencing, Limits: x.limits(),
+func (x *executor) input(a lease.Authority) orders.Input {
+	in := orders.Input{
+		Now: x.p.clock(), Authority: a, EnforcesFencing: x.engine.enforcesFencing, Limits: x.limits(),
 		Engine: x.p.state.changes.Engine(x.engine.name),
 	}
-	if open := s.Engine.Open(); open != nil {
-		s.Drained, s.WaitReason = x.p.drained(x.engine.name, open.DrainStart)
-		return s
+	if open := in.Engine.Open(); open != nil {
+		in.Drained, in.WaitReason = x.p.drained(x.engine.name, open.DrainStart)
+		return in
 	}
 	if !x.p.w.faultsEnded && x.p.w.chance(0.3) {
 		roles := []upstream.Role{upstream.RolePrefill, upstream.RoleDecode, upstream.RoleMixed}
-		s.Requested = &orders.ChangeRequest{
+		in.Requested = &orders.ChangeRequest{
 			ID: x.p.w.id("change"), Kind: upstream.OrderRole,
 			Target: orders.Settings{Role: roles[x.p.w.rng.IntN(len(roles))]}, Reason: "trial",
 		}
 	}
-	return s
+	return in
 }
 
 func (x *executor) append(action orders.Action) {
 	x.p.append(journal.KindOrder, x.p.w.id("entry"), action.Record.Encode(), func(at journal.Position, err error) {
 		e := x.p.state.changes.Engine(x.engine.name)
-		x.contact.AppendDone(err == nil && e.LastPosition == at, x.p.clock(), x.limits().RetryDelay)
+		x.session.AppendDone(err == nil && e.LastPosition == at, x.p.clock(), x.limits().RetryDelay)
 		x.finishStep()
 	})
 }
@@ -115,7 +115,7 @@
 			return
 		}
 		finished = true
-		x.contact.ReadDone(s, err, started, x.p.clock(), x.limits())
+		x.session.ReadDone(s, err, started, x.p.clock(), x.limits())
 		x.finishStep()
 	}
 	fail := x.p.whenRunning(func() { finish(upstream.EngineState{}, upstream.ErrBroken) })
--- a/internal/controller/interleave/world.go
+++ b/internal/controller/interleave/world.go
@@ -119,8 +119,8 @@
 	return w
 }
 
-func (w *world) addEngine(name string, checks bool) {
-	w.engines[name] = &engine{w: w, name: name, checksFencing: checks, incarnation: w.id("engine"), role: "mixed"}
+func (w *world) addEngine(name string, enforcesFencing bool) {
+	w.engines[name] = &engine{w: w, name: name, enforcesFencing: enforcesFencing, incarnation: w.id("engine"), role: "mixed"}
 	w.engineNames = append(w.engineNames, name)
 	w.engines[name].scheduleFaults()
 }
--- a/internal/controller/loader.go
+++ b/internal/controller/loader.go
@@ -69,12 +69,12 @@
 	if !missing {
 		return
 	}
-	w, err := l.wantModel(ctx, model)
+	request, err := l.modelRequest(ctx, model)
 	if err != nil {
 		l.log.Warn("model version lookup failed", "engine", u.Name, "model", model, "error", err)
 		return
 	}
-	x.Request(w)
+	x.Request(request)
 }
 
 // changedRecently reports whether a change of the engine is open or its last model load
@@ -100,8 +100,8 @@
 	return "", false
 }
 
-// wantModel returns a request to load the newest version of a model.
-func (l *ModelLoader) wantModel(ctx context.Context, model string) (orders.ChangeRequest, error) {
+// modelRequest returns a request to load the newest version of a model.
+func (l *ModelLoader) modelRequest(ctx context.Context, model string) (orders.ChangeRequest, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	versions, err := l.weights.Versions(ctx, model)
--- a/internal/controller/page.go
+++ b/internal/controller/page.go
@@ -65,7 +65,7 @@
 type EngineStatus struct {
 	Engine   string          `json:"engine"`
 	Scope    string          `json:"scope"`
-	Believed orders.Settings `json:"believed"`
+	Observed orders.Settings `json:"believed"`
 	// Change is the last change, whether open or ended.
 	Change *orders.Change `json:"change,omitempty"`
 	Phase  string         `json:"phase,omitempty"`
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -66,7 +66,7 @@
 	known := c.changes.Snapshot().Engine(u.Name)
 	activity, state, _ := x.lastSeen()
 	out := EngineStatus{
-		Engine: u.Name, Scope: ScopeOf(u), Believed: known.Observed, Change: known.Change,
+		Engine: u.Name, Scope: ScopeOf(u), Observed: known.Observed, Change: known.Change,
 		Open: known.Open() != nil, Activity: activity, Busy: state.Busy, Running: state.Running,
 		FencingToken: state.FencingToken, LastOrder: state.LastOrder, Incarnation: state.Incarnation,
 	}
