--- a/internal/controller/executor.go
+++ b/internal/controller/executor.go
@@ -179,7 +179,7 @@
 	accepted := err == nil && engine.LastPosition == p
 	x.session.AppendDone(accepted, time.Now(), x.limits.RetryDelay)
 	if !accepted {
-		x.log.Warn("step not accepted by the journal", "step", action.Reason, "error", err)
+		x.log.Warn("step not confirmed by the journal", "step", action.Reason, "error", err)
 		return false
 	}
 	if action.Record.Change != nil {
