--- a/internal/controller/page_test.go
+++ b/internal/controller/page_test.go
@@ -17,13 +17,12 @@
 	"tamarackchute/internal/telemetry"
 )
 
-const pageToken = "spring-lime-4711"
+const testToken = "spring-lime-4711"
 
-// Whoever reached a controller's address could read which engine is about to
-// change and who leads, while the entry's status of the same needed a token.
+// The status shows who leads and which engine is about to change, so it needs a token.
 // Probes and scrapers have none, so health and metrics stay open.
-func TestStatusNeedsAnOperatorsToken(t *testing.T) {
-	hash := sha256.Sum256([]byte(pageToken))
+func TestStatusRequiresOperatorToken(t *testing.T) {
+	hash := sha256.Sum256([]byte(testToken))
 	var lines bytes.Buffer
 	c := &Controller{cfg: Config{
 		Deployment: &settings.Deployment{Security: settings.Security{
@@ -31,7 +30,7 @@
 		}},
 		Metrics: &telemetry.Metrics{Page: telemetry.NewPage()},
 	}, log: slog.New(slog.NewTextHandler(&lines, nil))}
-	p := c.page()
+	p := c.operatorServer()
 	p.status = func() Status { return Status{Instance: "i1"} }
 	p.ready = func() bool { return true }
 	app := p.app()
@@ -41,9 +40,9 @@
 		want                string
 	}{
 		{"/status", "", 401, "a valid operator's token is needed"},
-		{"/status", "Bearer " + pageToken + "x", 401, "a valid operator's token is needed"},
-		{"/status", "Basic " + pageToken, 401, "a valid operator's token is needed"},
-		{"/status", "Bearer " + pageToken, 200, `"instance":"i1"`},
+		{"/status", "Bearer " + testToken + "x", 401, "a valid operator's token is needed"},
+		{"/status", "Basic " + testToken, 401, "a valid operator's token is needed"},
+		{"/status", "Bearer " + testToken, 200, `"instance":"i1"`},
 		{"/healthz", "", 200, "ok"},
 		{"/readyz", "", 200, "ok"},
 		{"/metrics", "", 200, ""},
@@ -59,5 +58,5 @@
 		assert.Contains(t, string(body), step.want)
 	}
 	assert.Contains(t, lines.String(), "without a valid token")
-	assert.NotContains(t, lines.String(), pageToken)
+	assert.NotContains(t, lines.String(), testToken)
 }
--- a/internal/operator/operatortest/instance.go
+++ b/internal/operator/operatortest/instance.go
@@ -1,5 +1,5 @@
-// Package operatortest runs the operators' interface of an instance over any
-// log, for tests of the interface and of chutectl.
+// Package operatortest runs an instance's operators' interface on any log, for tests of the
+// interface and of chutectl.
 package operatortest
 
 import (
@@ -23,57 +23,57 @@
 	"tamarackchute/rules"
 )
 
-// Token is the token of the operator anna.
+// Token is the token of the operator "anna".
 const Token = "spring-lime-4711"
 
-// Known lists the names that rules may use.
-var Known = rules.KnownNames{
+// KnownNames lists the names that rules may refer to.
+var KnownNames = rules.KnownNames{
 	Pools:       []string{"agronomy", "booking"},
 	Models:      []string{"soil"},
 	DataCentres: []string{"cesis-a"},
 }
 
-// Instance is an entry's part that serves operators.
+// Instance is the part of an entry that serves operators.
 type Instance struct {
 	App     *fiber.App
 	Journal *journal.Journal
-	Book    *rules.Replica
+	Replica *rules.Replica
 	Trail   *audit.Trail
 	Guard   *quarantine.Guard
 	Claims  *claim.Guard
-	// Stop ends the instance's journal.
+	// Stop stops the instance's journal.
 	Stop func()
 }
 
-// Start runs an instance over a log and waits until it has read it, if the log
-// answers.
+// Start runs an instance on a log and waits until it has read the log, for at most a second
+// if the log doesn't answer.
 func Start(log infra.Log, name string, logger *slog.Logger) *Instance {
 	i := &Instance{App: fiber.New(fiber.Config{DisableStartupMessage: true})}
 	i.Journal = journal.New(log, journal.Config{Writer: name + "/entry/1", Logger: logger})
 	i.Trail = audit.NewTrail(0, logger)
-	i.Book = rules.NewReplica(rules.ReplicaOptions{Logger: logger, Observe: i.Trail.ObserveRules})
+	i.Replica = rules.NewReplica(rules.ReplicaOptions{Logger: logger, Observe: i.Trail.ObserveRules})
 	i.Guard = quarantine.NewGuard(quarantine.DefaultConfig(), i.Journal, name, nil)
-	i.Journal.Register(journal.KindRules, i.Book)
+	i.Journal.Register(journal.KindRules, i.Replica)
 	i.Journal.Register(journal.KindAudit, i.Trail)
 	i.Journal.Register(journal.KindQuarantine, i.Guard)
 	claims, err := claim.NewGuard(i.Journal, claim.Config{Writer: name + "/entry/1"})
 	if err != nil {
-		panic(err) // the defaults fit together
+		panic(err) // the default configuration is valid
 	}
 	i.Claims = claims
 	i.Journal.Register(journal.KindClaim, i.Claims)
 	operator.Register(i.App, operator.Deps{
 		Operators:  []settings.Operator{{Name: "anna", TokenSHA256: hashOf(Token)}},
-		Publisher:  rules.NewPublisher(i.Journal, i.Book, Known),
-		Book:       i.Book,
-		Known:      Known,
+		Publisher:  rules.NewPublisher(i.Journal, i.Replica, KnownNames),
+		Replica:    i.Replica,
+		KnownNames: KnownNames,
 		Trail:      i.Trail,
 		Journal:    i.Journal,
 		Quarantine: i.Guard,
 		Claims:     i.Claims,
 		Status:     func() api.Status { return i.status(name) },
 		Logger:     logger,
-		// Long against a loopback, short for a test of an outage.
+		// Long for a loopback connection, but short enough to test an outage.
 		WriteTimeout: 500 * time.Millisecond,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -96,12 +96,12 @@
 	return api.Status{
 		Instance: name, DataCentre: "cesis-a", Ready: true, LogUp: i.Journal.Health().LogUp, Requests: 3,
 		Claims:    api.ClaimStatus{Complete: i.Claims.Stats().Complete, Keys: i.Claims.Stats().Keys},
-		Rules:     i.Book.Status(),
+		Rules:     i.Replica.Status(),
 		Instances: []api.InstanceStatus{{Name: "c1", DataCentre: "cesis-a", State: "live"}},
 		Upstreams: []api.UpstreamStatus{
 			{Name: "e1", Kind: "engine", DataCentre: "cesis-a", Pool: "agronomy", Role: "decode", Usable: true, InFlight: 2},
 			{Name: "e2", Kind: "engine", DataCentre: "cesis-a", Pool: "agronomy", Role: "mixed", Change: "draining for prefill"},
 		},
-		Leaders: []api.LeaderStatus{{Scope: "cesis-a/checked", Holder: "c1/controller", Fence: 12, Since: time.Unix(0, 0).UTC()}},
+		Leaders: []api.LeaderStatus{{Scope: "cesis-a/checked", Holder: "c1/controller", FencingToken: 12, Since: time.Unix(0, 0).UTC()}},
 	}
 }
--- a/journal/restore_test.go
+++ b/journal/restore_test.go
@@ -13,21 +13,21 @@
 	"tamarackchute/infra"
 )
 
-// copyLog is a log in memory that can come back from an older copy.
-type copyLog struct {
+// restorableLog is an in-memory log that can be restored from an older copy.
+type restorableLog struct {
 	mu      sync.Mutex
 	era     uint64
 	records [][]byte
 }
 
-func (l *copyLog) Append(_ context.Context, data []byte) (infra.Offset, error) {
+func (l *restorableLog) Append(_ context.Context, data []byte) (infra.Offset, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.records = append(l.records, data)
 	return infra.NewOffset(l.era, uint64(len(l.records))), nil
 }
 
-func (l *copyLog) Read(ctx context.Context, from infra.Offset, _ int, wait time.Duration) (infra.ReadResult, error) {
+func (l *restorableLog) Read(ctx context.Context, from infra.Offset, _ int, wait time.Duration) (infra.ReadResult, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if from > 1 && from.Era() != l.era {
@@ -45,70 +45,70 @@
 	return result, nil
 }
 
-func (l *copyLog) restore(kept int) {
+func (l *restorableLog) restore(kept int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.era++
 	l.records = l.records[:kept]
 }
 
-// folded is a folder that keeps what was applied since the last restore.
-type folded struct {
+// appliedIDs records the IDs of the entries applied since the last restore.
+type appliedIDs struct {
 	mu       sync.Mutex
 	ids      []string
 	restored int
 }
 
-func (f *folded) Apply(p Placed) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.ids = append(f.ids, p.Entry.ID)
+func (a *appliedIDs) Apply(e LogEntry) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.ids = append(a.ids, e.Entry.ID)
 }
 
-func (f *folded) Restored(infra.Offset) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.ids = nil
-	f.restored++
+func (a *appliedIDs) Restored(infra.Offset) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.ids = nil
+	a.restored++
 }
 
-func (f *folded) now() []string {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return append([]string{}, f.ids...)
+func (a *appliedIDs) snapshot() []string {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return append([]string{}, a.ids...)
 }
 
-// Guards against two replicas with two states: one that had read what a restore lost, and one
-// that begins after it.
+// A replica that had read records lost by a restore must end up in the same state
+// as one that starts after the restore.
 func TestReplicasAgreeAfterARestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		log := &copyLog{}
-		join := func(ctx context.Context) (*Journal, *folded) {
-			j, f := New(log, Config{Writer: "w", Logger: slog.New(slog.DiscardHandler)}), &folded{}
-			j.Register(KindLease, f)
+		log := &restorableLog{}
+		join := func(ctx context.Context) (*Journal, *appliedIDs) {
+			j, ids := New(log, Config{Writer: "w", Logger: slog.New(slog.DiscardHandler)}), &appliedIDs{}
+			j.Register(KindLease, ids)
 			go func() { _ = j.Serve(ctx) }()
-			return j, f
+			return j, ids
 		}
 		ctx, cancel := context.WithCancel(t.Context())
-		before, seen := join(ctx)
+		earlyJournal, early := join(ctx)
 		write := func(id string) {
-			_, err := before.Append(ctx, Entry{Kind: KindLease, ID: id})
+			_, err := earlyJournal.Append(ctx, Entry{Kind: KindLease, ID: id})
 			require.NoError(t, err)
 		}
 		write("kept")
 		write("lost")
-		require.Equal(t, []string{"kept", "lost"}, seen.now())
+		require.Equal(t, []string{"kept", "lost"}, early.snapshot())
 
 		log.restore(1)
 		time.Sleep(time.Second)
-		require.Equal(t, []string{"kept"}, seen.now())
-		require.Equal(t, 1, seen.restored)
-		write("lost") // appended once more under its ID
+		require.Equal(t, []string{"kept"}, early.snapshot())
+		require.Equal(t, 1, early.restored)
+		write("lost") // appended again with the same ID
 		write("new")
 		_, late := join(ctx)
 		time.Sleep(time.Second)
-		require.Equal(t, []string{"kept", "lost", "new"}, seen.now())
-		require.Equal(t, seen.now(), late.now())
+		require.Equal(t, []string{"kept", "lost", "new"}, early.snapshot())
+		require.Equal(t, early.snapshot(), late.snapshot())
 		cancel()
 		synctest.Wait()
 	})
