--- a/internal/adapters/httpx/client.go
+++ b/internal/adapters/httpx/client.go
@@ -30,7 +30,7 @@
 	c.host = &fasthttp.HostClient{
 		Addr:                addr,
 		MaxConns:            o.MaxConns,
-		MaxIdleConnDuration: DefaultIdle,
+		MaxIdleConnDuration: DefaultIdleTimeout,
 		ConnPoolStrategy:    fasthttp.LIFO,
 		ReadBufferSize:      readBuffer,
 		WriteBufferSize:     writeBuffer,
--- a/internal/adapters/httpx/errors.go
+++ b/internal/adapters/httpx/errors.go
@@ -82,7 +82,7 @@
 const maxDetail = 200
 
 // StatusOf makes the error for a response with an unwanted status.
-func StatusOf(resp *fasthttp.Response) error {
+func NewStatusError(resp *fasthttp.Response) error {
 	body := resp.Body()
 	if len(body) > maxDetail {
 		body = body[:maxDetail]
--- a/internal/adapters/httpx/json.go
+++ b/internal/adapters/httpx/json.go
@@ -32,7 +32,7 @@
 		return out, err
 	}
 	if !IsSuccess(resp.StatusCode()) {
-		return out, StatusOf(resp)
+		return out, NewStatusError(resp)
 	}
 	if _, none := any(out).(NoBody); none {
 		return out, nil
--- a/internal/adapters/httpx/options.go
+++ b/internal/adapters/httpx/options.go
@@ -21,7 +21,7 @@
 	DefaultMaxConns    = 16384
 	// DefaultIdle is shorter than the idle timeout of usual servers, so that
 	// a kept connection is seldom closed by its far end.
-	DefaultIdle = 8 * time.Second
+	DefaultIdleTimeout = 8 * time.Second
 	// DefaultMaxBody bounds a buffered response body, in bytes.
 	DefaultMaxBody = 64 << 20
 )
--- a/internal/adapters/logclient/logclient.go
+++ b/internal/adapters/logclient/logclient.go
@@ -74,7 +74,7 @@
 		return 0, appendError(err)
 	}
 	if resp.StatusCode() != fasthttp.StatusOK {
-		return 0, appendError(httpx.StatusOf(resp))
+		return 0, appendError(httpx.NewStatusError(resp))
 	}
 	offset, err := strconv.ParseUint(string(resp.Header.Peek(HeaderOffset)), 10, 64)
 	if err != nil {
@@ -115,7 +115,7 @@
 	}
 	status := resp.StatusCode()
 	if status != fasthttp.StatusOK && status != fasthttp.StatusGone {
-		return infra.ReadResult{}, unreadable(httpx.StatusOf(resp))
+		return infra.ReadResult{}, unreadable(httpx.NewStatusError(resp))
 	}
 	var reply ReadReply
 	if err := msgpack.Unmarshal(resp.Body(), &reply); err != nil {
--- a/internal/adapters/serviceclient/serviceclient.go
+++ b/internal/adapters/serviceclient/serviceclient.go
@@ -34,7 +34,7 @@
 		return upstream.ServiceResponse{}, err
 	}
 	if httpx.Refused(&resp.Header) {
-		return upstream.ServiceResponse{}, httpx.StatusOf(resp)
+		return upstream.ServiceResponse{}, httpx.NewStatusError(resp)
 	}
 	if got := resp.Header.Peek(httpx.HeaderAttempt); len(got) > 0 && string(got) != r.AttemptID {
 		return upstream.ServiceResponse{}, httpx.Broken(
--- a/internal/controller/executor.go
+++ b/internal/controller/executor.go
@@ -120,7 +120,7 @@
 	if !known {
 		return false, "the instance list has not been read"
 	}
-	return x.statuses.Drained(x.engine, drain, listed, now, wire.StatusFresh, heardFresh)
+	return x.statuses.Drained(x.engine, drain, listed, now, wire.MaxStatusAge, heardFresh)
 }
 
 func (x *Executor) carryOut(ctx context.Context, a lease.Authority, action orders.Action) bool {
--- a/internal/entry/listen.go
+++ b/internal/entry/listen.go
@@ -52,7 +52,7 @@
 	if l.tls != nil {
 		ln = tls.NewListener(ln, l.tls)
 	}
-	l.app.Server().ConnState = func(c net.Conn, s fasthttp.ConnState) { l.conns.Note(c, http.ConnState(s)) }
+	l.app.Server().ConnState = func(c net.Conn, s fasthttp.ConnState) { l.conns.ConnState(c, http.ConnState(s)) }
 	l.bound = ln
 	return nil
 }
--- a/internal/graceful/connections.go
+++ b/internal/graceful/connections.go
@@ -56,7 +56,7 @@
 }
 
 // Note is the server's ConnState hook.
-func (c *Connections) Note(of net.Conn, s http.ConnState) {
+func (c *Connections) ConnState(of net.Conn, s http.ConnState) {
 	for {
 		outer, ok := of.(interface{ NetConn() net.Conn })
 		if !ok {
--- a/internal/graceful/graceful_test.go
+++ b/internal/graceful/graceful_test.go
@@ -37,7 +37,7 @@
 		handle(w, q)
 	}))
 	r.server.Config.ConnState = func(c net.Conn, s http.ConnState) {
-		r.conns.Note(c, s)
+		r.conns.ConnState(c, s)
 		if s == http.StateIdle && idle != nil {
 			<-idle
 		}
@@ -248,7 +248,7 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	conns := New(slog.New(slog.DiscardHandler))
-	server := &http.Server{Handler: http.HandlerFunc(answer), ConnState: conns.Note}
+	server := &http.Server{Handler: http.HandlerFunc(answer), ConnState: conns.ConnState}
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(conns.Listen(l)) }()
 	require.Eventually(t, func() bool { return conns.listening() == 1 }, time.Minute, time.Millisecond)
--- a/internal/member/catchup.go
+++ b/internal/member/catchup.go
@@ -112,17 +112,17 @@
 func (c *catchUp) fromPeer(ctx context.Context, peer string, missing []placement.Key) {
 	ctx, cancel := context.WithTimeout(ctx, viewTimeout)
 	defer cancel()
-	answer, err := wire.Ask(ctx, c.member.wireConfig(), peer, wire.BeliefsRequest{Of: missing})
+	answer, err := wire.Request(ctx, c.member.wireConfig(), peer, wire.SnapshotRequest{Engines: missing})
 	if err != nil {
 		c.log.Warn("peer's beliefs not had", "peer", peer, "err", err)
 		return
 	}
-	reply, ok := answer.(wire.BeliefsReply)
+	reply, ok := answer.(wire.SnapshotReply)
 	if !ok {
 		return
 	}
-	c.member.books.Restore(peer, reply.Beliefs)
-	c.log.Info("beliefs of a peer", "peer", peer, "missing", len(missing), "engines", len(reply.Beliefs.Cached))
+	c.member.books.Restore(peer, reply.Snapshot)
+	c.log.Info("beliefs of a peer", "peer", peer, "missing", len(missing), "engines", len(reply.Snapshot.Cached))
 }
 
 // fromEngines asks the engines that are still missing what they keep: this daemon's
--- a/internal/member/collector.go
+++ b/internal/member/collector.go
@@ -56,7 +56,7 @@
 	}
 	away := p.awayNow()
 	p.mu.Unlock()
-	own := wire.LoadReport{Peers: p.self.Peers, Full: full, Loads: p.books.LocalLoads(full), Daemons: 1, Away: away, Reads: p.books.PrefillEvents()}
+	own := wire.LoadReport{PeerAddress: p.self.Peers, Full: full, Loads: p.books.LocalLoads(full), Daemons: 1, Unavailable: away, Prefills: p.books.PrefillEvents()}
 	if full {
 		own.Demands = p.demand()
 	}
@@ -67,8 +67,8 @@
 		return
 	}
 	m := p.tally.reportAbove(p.self.Peers, full, now)
-	m.Unanswered = !ask
-	if ask || m.HasNews() {
+	m.NoReply = !ask
+	if ask || m.HasUpdates() {
 		link.Send(m)
 	}
 }
@@ -121,14 +121,14 @@
 func (p *Peers) answerReport(m wire.LoadReport, reply func(wire.Message)) {
 	totals, ok := p.tally.take(m, time.Now())
 	if !ok {
-		p.log.Warn("loads reported in a circle", "from", m.Peers, "depth", m.Depth)
+		p.log.Warn("loads reported in a circle", "from", m.PeerAddress, "depth", m.Depth)
 		return
 	}
-	if m.Unanswered {
+	if m.NoReply {
 		return
 	}
 	own := p.about()
-	totals.Config, totals.ReadAge = own.Config, own.ReadAge
+	totals.Config, totals.ListAge = own.Config, own.ReadAge
 	totals.ListPosition, totals.ListDigest, totals.ListSize = uint64(own.ListPosition), own.ListDigest, own.ListSize
 	reply(totals)
 }
@@ -220,16 +220,16 @@
 	answered := c.answered
 	c.answered = nil
 	if above := p.peers[from]; above != nil {
-		above.about.Config, above.about.ReadAge = totals.Config, totals.ReadAge
+		above.about.Config, above.about.ReadAge = totals.Config, totals.ListAge
 		above.about.ListPosition, above.about.ListDigest, above.about.ListSize = Position(totals.ListPosition), totals.ListDigest, totals.ListSize
 		above.told = now
 	}
-	if totals.Senders != c.senders && now.Sub(c.logged) > totalsLogged {
-		c.senders, c.logged = totals.Senders, now
-		p.log.Info("totals of loads", "collector", from, "senders", totals.Senders)
+	if totals.Daemons != c.senders && now.Sub(c.logged) > totalsLogged {
+		c.senders, c.logged = totals.Daemons, now
+		p.log.Info("totals of loads", "collector", from, "senders", totals.Daemons)
 	}
 	p.mu.Unlock()
-	p.sameList(Position(totals.ListPosition), totals.ListDigest, totals.ReadAge)
+	p.sameList(Position(totals.ListPosition), totals.ListDigest, totals.ListAge)
 	p.tally.takeAbove(totals, now)
 	p.noteTotals(p.tally.totalsFor(p.self.Peers, now))
 	if answered != nil {
@@ -241,6 +241,6 @@
 // waits, as a peer's word does: those look every 10 ms by themselves, and totals come about
 // as often.
 func (p *Peers) noteTotals(totals wire.LoadTotals) {
-	p.noteAway(totals.Away)
-	p.books.ApplyPeerUpdate(totalsFrom, totals.Loads, totals.Reads)
+	p.noteAway(totals.Unavailable)
+	p.books.ApplyPeerUpdate(totalsFrom, totals.Loads, totals.Prefills)
 }
--- a/internal/member/collector_test.go
+++ b/internal/member/collector_test.go
@@ -13,8 +13,8 @@
 	"tamarackchute/placement"
 )
 
-func loadsOf(running int, sent uint32) wire.Loads {
-	return wire.Loads{{Upstream: 1, Load: placement.Load{Running: running, PrefillSent: sent}}}
+func loadsOf(running int, sent uint32) wire.UpstreamLoads {
+	return wire.UpstreamLoads{{Upstream: 1, Load: placement.Load{Running: running, PrefillSent: sent}}}
 }
 
 // reported books a report and returns the totals in the answer.
@@ -30,19 +30,19 @@
 func TestTotalsOfTheOthers(t *testing.T) {
 	c := newTally()
 	now := time.Unix(1000, 0)
-	require.Equal(t, loadsOf(0, 0), reported(t, c, wire.LoadReport{Peers: "a", Loads: loadsOf(1, 10)}, now).Loads)
-	require.Equal(t, loadsOf(1, 10), reported(t, c, wire.LoadReport{Peers: "b", Loads: loadsOf(2, 20)}, now).Loads)
-	totals := reported(t, c, wire.LoadReport{Peers: "c"}, now)
+	require.Equal(t, loadsOf(0, 0), reported(t, c, wire.LoadReport{PeerAddress: "a", Loads: loadsOf(1, 10)}, now).Loads)
+	require.Equal(t, loadsOf(1, 10), reported(t, c, wire.LoadReport{PeerAddress: "b", Loads: loadsOf(2, 20)}, now).Loads)
+	totals := reported(t, c, wire.LoadReport{PeerAddress: "c"}, now)
 	require.Equal(t, loadsOf(3, 30), totals.Loads)
-	require.Equal(t, 2, totals.Senders)
+	require.Equal(t, 2, totals.Daemons)
 
-	reported(t, c, wire.LoadReport{Peers: "a", Full: true}, now)
-	require.Equal(t, loadsOf(2, 20), reported(t, c, wire.LoadReport{Peers: "c"}, now).Loads)
+	reported(t, c, wire.LoadReport{PeerAddress: "a", Full: true}, now)
+	require.Equal(t, loadsOf(2, 20), reported(t, c, wire.LoadReport{PeerAddress: "c"}, now).Loads)
 
 	now = now.Add(2 * silentAfter)
-	totals = reported(t, c, wire.LoadReport{Peers: "c"}, now)
+	totals = reported(t, c, wire.LoadReport{PeerAddress: "c"}, now)
 	require.Equal(t, loadsOf(0, 0), totals.Loads, "all are told that nobody has work there")
-	require.Zero(t, totals.Senders)
+	require.Zero(t, totals.Daemons)
 }
 
 // A daemon dies with a long stream at an engine that nobody else uses. If the
@@ -51,11 +51,11 @@
 func TestWorkOfTheDeadIsTakenBack(t *testing.T) {
 	c := newTally()
 	now := time.Unix(1000, 0)
-	reported(t, c, wire.LoadReport{Peers: "dead", Loads: loadsOf(5, 10)}, now)
-	require.Equal(t, loadsOf(5, 10), reported(t, c, wire.LoadReport{Peers: "a"}, now).Loads)
+	reported(t, c, wire.LoadReport{PeerAddress: "dead", Loads: loadsOf(5, 10)}, now)
+	require.Equal(t, loadsOf(5, 10), reported(t, c, wire.LoadReport{PeerAddress: "a"}, now).Loads)
 	for range 40 {
 		now = now.Add(silentAfter / 20)
-		for _, l := range reported(t, c, wire.LoadReport{Peers: "a"}, now).Loads {
+		for _, l := range reported(t, c, wire.LoadReport{PeerAddress: "a"}, now).Loads {
 			if l.Load == (placement.Load{}) {
 				return
 			}
@@ -82,7 +82,7 @@
 			at := placement.Key(rapid.IntRange(1, 3).Draw(t, "at"))
 			l := placement.Load{Running: rapid.IntRange(0, 5).Draw(t, "running"), PrefillSent: rapid.Uint32Range(0, 9).Draw(t, "sent")}
 			have[from][at] = l
-			m := wire.LoadReport{Peers: from, Loads: []placement.UpstreamLoad{{Upstream: at, Load: l}}, Full: rapid.IntRange(0, 4).Draw(t, "full") == 0}
+			m := wire.LoadReport{PeerAddress: from, Loads: []placement.UpstreamLoad{{Upstream: at, Load: l}}, Full: rapid.IntRange(0, 4).Draw(t, "full") == 0}
 			if m.Full {
 				m.Loads = nil
 				for at, l := range have[from] {
@@ -99,7 +99,7 @@
 				known[l.Upstream] = l.Load
 			}
 		}
-		m := wire.LoadReport{Peers: "me", Full: true}
+		m := wire.LoadReport{PeerAddress: "me", Full: true}
 		for at, l := range have["me"] {
 			m.Loads = append(m.Loads, placement.UpstreamLoad{Upstream: at, Load: l})
 		}
@@ -150,7 +150,7 @@
 			now := time.Now()
 			reports := make([]wire.LoadReport, size.daemons)
 			for i := range reports {
-				reports[i] = wire.LoadReport{Peers: fmt.Sprint("daemon ", i), Full: true}
+				reports[i] = wire.LoadReport{PeerAddress: fmt.Sprint("daemon ", i), Full: true}
 				for j := range 20 {
 					at := placement.KeyOf(fmt.Sprint((i*7+j*13)%size.upstreams), time.Time{})
 					reports[i].Loads = append(reports[i].Loads, placement.UpstreamLoad{Upstream: at, Load: placement.Load{Running: 1, PrefillSent: uint32(i + j)}})
@@ -210,7 +210,7 @@
 			continue
 		}
 		c := s.tallies[a.Peers]
-		own := wire.LoadReport{Peers: a.Peers, Full: full, Daemons: 1}
+		own := wire.LoadReport{PeerAddress: a.Peers, Full: full, Daemons: 1}
 		for at, l := range s.have[a.Peers] {
 			own.Loads = append(own.Loads, placement.UpstreamLoad{Upstream: at, Load: l})
 		}
@@ -317,7 +317,7 @@
 func TestReportsInACircleEnd(t *testing.T) {
 	a, b := newTally(), newTally()
 	now := time.Unix(1000, 0)
-	reported(t, a, wire.LoadReport{Peers: "a", Loads: loadsOf(1, 0), Daemons: 1}, now)
+	reported(t, a, wire.LoadReport{PeerAddress: "a", Loads: loadsOf(1, 0), Daemons: 1}, now)
 	for range 100 {
 		now = now.Add(10 * time.Millisecond)
 		if _, ok := b.take(a.reportAbove("a", true, now), now); !ok {
@@ -340,7 +340,7 @@
 		s.round(t, all, false)
 	}
 	leader := s.tallies[all[17].Peers]
-	_, ok := leader.take(wire.LoadReport{Peers: all[17].Peers, Daemons: 1, Away: []wire.AwayEngine{{At: 7, To: "prefill", Left: changeLimit}}}, s.now)
+	_, ok := leader.take(wire.LoadReport{PeerAddress: all[17].Peers, Daemons: 1, Unavailable: []wire.UnavailableEngine{{Engine: 7, TargetRole: "prefill", Remaining: changeLimit}}}, s.now)
 	require.True(t, ok)
 	for range 40 {
 		s.round(t, all, false)
@@ -348,7 +348,7 @@
 	for i, a := range all {
 		heard := 0
 		for _, told := range s.told[a.Peers] {
-			heard += len(told.Away)
+			heard += len(told.Unavailable)
 		}
 		if i != 17 {
 			require.Equal(t, 1, heard, "told once")
@@ -366,16 +366,16 @@
 		s.round(t, all, false)
 	}
 	read := placement.PrefillEvent{Engine: 3, State: placement.PrefillFinished, LastShared: placement.Part{ID: 9, Tokens: 100}}
-	answer, ok := s.tallies[all[17].Peers].take(wire.LoadReport{Peers: all[17].Peers, Daemons: 1, Reads: []placement.PrefillEvent{read}}, s.now)
+	answer, ok := s.tallies[all[17].Peers].take(wire.LoadReport{PeerAddress: all[17].Peers, Daemons: 1, Prefills: []placement.PrefillEvent{read}}, s.now)
 	require.True(t, ok)
-	require.Empty(t, answer.Reads)
+	require.Empty(t, answer.Prefills)
 	for range 10 {
 		s.round(t, all, false)
 	}
 	for i, a := range all {
 		var heard []placement.PrefillEvent
 		for _, told := range s.told[a.Peers] {
-			heard = append(heard, told.Reads...)
+			heard = append(heard, told.Prefills...)
 		}
 		if i == 17 {
 			require.Empty(t, heard, "its own")
@@ -392,7 +392,7 @@
 func TestDemandIsAddedUpOverTheSite(t *testing.T) {
 	now := time.Unix(1000, 0)
 	asked := func(name string, readers float64) wire.LoadReport {
-		return wire.LoadReport{Peers: name, Full: true, Daemons: 1, Demands: map[string]wire.MemberDemand{"p": {Readers: readers}}}
+		return wire.LoadReport{PeerAddress: name, Full: true, Daemons: 1, Demands: map[string]wire.MemberDemand{"p": {PrefillEngines: readers}}}
 	}
 	leaf, near, first := newTally(), newTally(), newTally()
 	reported(t, leaf, asked("leaf", 2), now)
@@ -400,12 +400,12 @@
 	reported(t, near, leaf.reportAbove("leaf", true, now), now)
 	reported(t, first, asked("first", 1), now)
 	reported(t, first, near.reportAbove("near", true, now), now)
-	require.Equal(t, wire.MemberDemand{Readers: 6}, first.demand("p"))
+	require.Equal(t, wire.MemberDemand{PrefillEngines: 6}, first.demand("p"))
 	reported(t, first, near.reportAbove("near", false, now), now)
-	require.Equal(t, wire.MemberDemand{Readers: 6}, first.demand("p"))
+	require.Equal(t, wire.MemberDemand{PrefillEngines: 6}, first.demand("p"))
 	now = now.Add(2 * silentAfter)
 	reported(t, first, asked("first", 1), now)
-	require.Equal(t, wire.MemberDemand{Readers: 1}, first.demand("p"), "the others have fallen silent")
+	require.Equal(t, wire.MemberDemand{PrefillEngines: 1}, first.demand("p"), "the others have fallen silent")
 }
 
 // A daemon tells its work and wants no answer, as nothing is to be decided there. What others
@@ -413,14 +413,14 @@
 func TestWhatWasNotAnsweredIsToldLater(t *testing.T) {
 	c := newTally()
 	now := time.Unix(1000, 0)
-	reported(t, c, wire.LoadReport{Peers: "a"}, now)
-	reported(t, c, wire.LoadReport{Peers: "b", Loads: loadsOf(2, 20), Reads: []placement.PrefillEvent{{Engine: 3}}}, now)
-	require.Empty(t, reported(t, c, wire.LoadReport{Peers: "a", Loads: loadsOf(1, 10), Unanswered: true}, now))
-	totals := reported(t, c, wire.LoadReport{Peers: "a"}, now)
+	reported(t, c, wire.LoadReport{PeerAddress: "a"}, now)
+	reported(t, c, wire.LoadReport{PeerAddress: "b", Loads: loadsOf(2, 20), Prefills: []placement.PrefillEvent{{Engine: 3}}}, now)
+	require.Empty(t, reported(t, c, wire.LoadReport{PeerAddress: "a", Loads: loadsOf(1, 10), NoReply: true}, now))
+	totals := reported(t, c, wire.LoadReport{PeerAddress: "a"}, now)
 	require.Equal(t, loadsOf(2, 20), totals.Loads)
-	require.Len(t, totals.Reads, 1)
-	require.True(t, c.reportAbove("a", false, now).HasNews())
-	require.False(t, c.reportAbove("a", false, now).HasNews())
+	require.Len(t, totals.Prefills, 1)
+	require.True(t, c.reportAbove("a", false, now).HasUpdates())
+	require.False(t, c.reportAbove("a", false, now).HasUpdates())
 }
 
 // What a daemon is told of the others it must not report back: at a site with much to
@@ -428,11 +428,11 @@
 func TestWhatComesFromAboveIsntReportedBack(t *testing.T) {
 	c := newTally()
 	now := time.Unix(1000, 0)
-	reported(t, c, wire.LoadReport{Peers: "a", Loads: loadsOf(1, 10), Daemons: 1}, now)
+	reported(t, c, wire.LoadReport{PeerAddress: "a", Loads: loadsOf(1, 10), Daemons: 1}, now)
 	require.Equal(t, loadsOf(1, 10), c.reportAbove("a", false, now).Loads)
 	c.takeAbove(wire.LoadTotals{Loads: append(loadsOf(7, 70), placement.UpstreamLoad{Upstream: 2, Load: placement.Load{Running: 5}})}, now)
 	require.Empty(t, c.reportAbove("a", false, now).Loads)
 	require.Equal(t, loadsOf(1, 10), c.reportAbove("a", true, now).Loads, "in full only its own")
-	reported(t, c, wire.LoadReport{Peers: "a", Loads: loadsOf(2, 20), Daemons: 1}, now)
+	reported(t, c, wire.LoadReport{PeerAddress: "a", Loads: loadsOf(2, 20), Daemons: 1}, now)
 	require.Equal(t, loadsOf(2, 20), c.reportAbove("a", false, now).Loads)
 }
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -115,7 +115,7 @@
 func (m *Member) demand() map[string]wire.MemberDemand {
 	all := make(map[string]wire.MemberDemand)
 	for pool, d := range m.relay.Demand() {
-		all[pool] = wire.MemberDemand{Readers: d.PrefillEngines}
+		all[pool] = wire.MemberDemand{PrefillEngines: d.PrefillEngines}
 	}
 	return all
 }
--- a/internal/member/peers.go
+++ b/internal/member/peers.go
@@ -168,8 +168,8 @@
 		p.takeLoads(m)
 	case wire.ViewRequest:
 		reply(p.view(m.ConfigOnly))
-	case wire.BeliefsRequest:
-		reply(wire.BeliefsReply{Beliefs: p.books.Snapshot(m.Of)})
+	case wire.SnapshotRequest:
+		reply(wire.SnapshotReply{Snapshot: p.books.Snapshot(m.Engines)})
 	case wire.LoadReport:
 		p.answerReport(m, reply)
 	}
@@ -182,7 +182,7 @@
 		p.mu.Unlock()
 		return
 	}
-	for _, a := range m.Known {
+	for _, a := range m.KnownPeers {
 		p.learn(a)
 	}
 	if m.Incarnation == from.incarnation && m.Seq <= from.seq {
@@ -191,12 +191,12 @@
 	}
 	// What it told of its work doesn't hold any more if its former process is gone, or
 	// if that work comes with the totals from now on.
-	forget := m.Incarnation != from.incarnation || (from.meshed && !m.Meshed)
-	from.meshed = m.Meshed
+	forget := m.Incarnation != from.incarnation || (from.meshed && !m.FullMesh)
+	from.meshed = m.FullMesh
 	from.incarnation, from.seq = m.Incarnation, m.Seq
 	from.about = About{
 		Serving: m.Serving, Config: m.Config,
-		ListPosition: Position(m.ListPosition), ListDigest: m.ListDigest, ListSize: m.ListSize, ReadAge: m.ReadAge,
+		ListPosition: Position(m.ListPosition), ListDigest: m.ListDigest, ListSize: m.ListSize, ReadAge: m.ListAge,
 	}
 	if m.Demands != nil {
 		from.demands = m.Demands
@@ -212,10 +212,10 @@
 	if forget {
 		p.books.ForgetPeer(m.Peers)
 	}
-	p.sameList(Position(m.ListPosition), m.ListDigest, m.ReadAge)
-	p.noteAway(m.Away)
-	p.books.ApplyPeerUpdate(m.Peers, m.Loads, m.Reads)
-	p.books.Merge(m.Peers, m.Learnt)
+	p.sameList(Position(m.ListPosition), m.ListDigest, m.ListAge)
+	p.noteAway(m.Unavailable)
+	p.books.ApplyPeerUpdate(m.Peers, m.Loads, m.Prefills)
+	p.books.Merge(m.Peers, m.Observations)
 	p.change()
 }
 
@@ -232,7 +232,7 @@
 	from.heard = time.Now()
 	address := from.Peers
 	p.mu.Unlock()
-	p.books.ApplyPeerUpdate(address, m.Loads, m.Reads)
+	p.books.ApplyPeerUpdate(address, m.Loads, m.Prefills)
 	p.change()
 }
 
--- a/internal/member/peerview.go
+++ b/internal/member/peerview.go
@@ -28,21 +28,21 @@
 }
 
 // noteAway takes another daemon's word of engines that take no work.
-func (p *Peers) noteAway(engines []wire.AwayEngine) {
+func (p *Peers) noteAway(engines []wire.UnavailableEngine) {
 	for _, a := range engines {
-		p.books.MarkUnavailable(a.At, a.To, a.Left)
+		p.books.MarkUnavailable(a.Engine, a.TargetRole, a.Remaining)
 	}
 }
 
-func (p *Peers) awayNow() []wire.AwayEngine {
-	var list []wire.AwayEngine
+func (p *Peers) awayNow() []wire.UnavailableEngine {
+	var list []wire.UnavailableEngine
 	for at, e := range p.away {
 		left := time.Until(e.until)
 		if left <= 0 {
 			delete(p.away, at)
 			continue
 		}
-		list = append(list, wire.AwayEngine{At: at, To: e.to, Left: left})
+		list = append(list, wire.UnavailableEngine{Engine: at, TargetRole: e.to, Remaining: left})
 	}
 	return list
 }
@@ -60,10 +60,10 @@
 	var others wire.MemberDemand
 	for _, other := range p.peers {
 		if other.up {
-			others = others.Plus(other.demands[pool])
+			others = others.Add(other.demands[pool])
 		}
 	}
-	sum.Readers += (1 + p.unheard()) * others.Readers
+	sum.PrefillEngines += (1 + p.unheard()) * others.PrefillEngines
 	return sum
 }
 
--- a/internal/member/rolepicture.go
+++ b/internal/member/rolepicture.go
@@ -17,7 +17,7 @@
 func (d *director) picture(s *fleet.Snapshot, name string, pool *fleet.Pool) (rolepolicy.Pool, []placement.Engine) {
 	books := d.member.books
 	demand := d.member.peers.Demand(name)
-	p := rolepolicy.Pool{PrefillDemand: demand.Readers, SwitchTime: pool.Engine.RoleSwitchTime}
+	p := rolepolicy.Pool{PrefillDemand: demand.PrefillEngines, SwitchTime: pool.Engine.RoleSwitchTime}
 	var ids []string
 	for _, u := range s.Pools[name] {
 		switch {
--- a/internal/member/serve.go
+++ b/internal/member/serve.go
@@ -75,7 +75,7 @@
 			conns = m.callers
 		}
 		server := newServer(h.handler)
-		server.ConnState = conns.Note
+		server.ConnState = conns.ConnState
 		services = append(services, &httpService{name: h.name, listener: conns.Listen(l), server: server})
 	}
 	return services, nil
--- a/internal/member/tally.go
+++ b/internal/member/tally.go
@@ -89,10 +89,10 @@
 		return wire.LoadTotals{}, false
 	}
 	t.forgetSilent(now)
-	r := t.reports[m.Peers]
+	r := t.reports[m.PeerAddress]
 	if r == nil {
 		r = newReport()
-		t.reports[m.Peers] = r
+		t.reports[m.PeerAddress] = r
 	}
 	if m.Full {
 		r.told = 0 // its answers may have been lost as well
@@ -100,9 +100,9 @@
 	}
 	r.daemons, r.depth = max(m.Daemons, 1), m.Depth
 	t.book(r, m.Loads, m.Full, now)
-	t.noteAway(m.Away, now)
-	t.passOn(r, m.Reads)
-	if m.Unanswered {
+	t.noteAway(m.Unavailable, now)
+	t.passOn(r, m.Prefills)
+	if m.NoReply {
 		return wire.LoadTotals{}, true
 	}
 	return t.totals(r, now), true
@@ -124,10 +124,10 @@
 func (t *tally) takeAbove(m wire.LoadTotals, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.above.daemons = m.Senders
+	t.above.daemons = m.Daemons
 	t.book(t.above, m.Loads, m.Full, now)
-	t.noteAway(m.Away, now)
-	t.passOn(t.above, m.Reads)
+	t.noteAway(m.Unavailable, now)
+	t.passOn(t.above, m.Prefills)
 }
 
 // totalsFor returns what has changed at the others since the sender of a report was
@@ -150,7 +150,7 @@
 	if full {
 		t.above.told = 0
 	}
-	m := wire.LoadReport{Peers: self, Full: full, Away: t.awaySince(t.above.told, now), Reads: t.above.takeReads()}
+	m := wire.LoadReport{PeerAddress: self, Full: full, Unavailable: t.awaySince(t.above.told, now), Prefills: t.above.takeReads()}
 	for _, sum := range t.order {
 		if sum.below <= t.above.told {
 			continue
@@ -175,7 +175,7 @@
 	sum := make(map[string]wire.MemberDemand)
 	for _, r := range t.reports {
 		for pool, d := range r.demands {
-			sum[pool] = sum[pool].Plus(d)
+			sum[pool] = sum[pool].Add(d)
 		}
 	}
 	return sum
@@ -281,9 +281,9 @@
 // totals returns what all have but the sender of a report, where that has changed
 // since its last answer. Its own changes are told as well; they change nothing.
 func (t *tally) totals(to *report, now time.Time) wire.LoadTotals {
-	totals := wire.LoadTotals{Full: to.told == 0, Senders: t.above.daemons - to.daemons, Away: t.awaySince(to.told, now), Reads: to.takeReads()}
+	totals := wire.LoadTotals{Full: to.told == 0, Daemons: t.above.daemons - to.daemons, Unavailable: t.awaySince(to.told, now), Prefills: to.takeReads()}
 	for _, r := range t.reports {
-		totals.Senders += r.daemons
+		totals.Daemons += r.daemons
 	}
 	totals.Loads = t.others(to)
 	return totals
--- a/internal/member/tallynews.go
+++ b/internal/member/tallynews.go
@@ -19,25 +19,25 @@
 const awaySlack = 200 * time.Millisecond
 
 // noteAway takes word of engines that take no work. Of two times the later one holds.
-func (t *tally) noteAway(engines []wire.AwayEngine, now time.Time) {
+func (t *tally) noteAway(engines []wire.UnavailableEngine, now time.Time) {
 	for _, e := range engines {
-		until := now.Add(e.Left)
-		if known := t.away[e.At]; known.to == e.To && !until.After(known.until.Add(awaySlack)) {
+		until := now.Add(e.Remaining)
+		if known := t.away[e.Engine]; known.to == e.TargetRole && !until.After(known.until.Add(awaySlack)) {
 			continue
 		}
-		t.away[e.At] = awayWord{awayEngine{to: e.To, until: until}, t.version}
+		t.away[e.Engine] = awayWord{awayEngine{to: e.TargetRole, until: until}, t.version}
 	}
 }
 
 // awaySince returns the engines that take no work, where that is news since a version.
-func (t *tally) awaySince(version uint64, now time.Time) []wire.AwayEngine {
-	var list []wire.AwayEngine
+func (t *tally) awaySince(version uint64, now time.Time) []wire.UnavailableEngine {
+	var list []wire.UnavailableEngine
 	for at, e := range t.away {
 		switch {
 		case !now.Before(e.until):
 			delete(t.away, at)
 		case e.changed > version:
-			list = append(list, wire.AwayEngine{At: at, To: e.to, Left: e.until.Sub(now)})
+			list = append(list, wire.UnavailableEngine{Engine: at, TargetRole: e.to, Remaining: e.until.Sub(now)})
 		}
 	}
 	return list
--- a/internal/member/telling.go
+++ b/internal/member/telling.go
@@ -21,7 +21,7 @@
 		return p.stateOf(about, loads, p.books.PrefillEvents(), now)
 	}
 	p.seq++
-	return wire.MemberLoads{Incarnation: p.incarnation, Seq: p.seq, Loads: loads, Reads: p.books.PrefillEvents()}
+	return wire.MemberLoads{Incarnation: p.incarnation, Seq: p.seq, Loads: loads, Prefills: p.books.PrefillEvents()}
 }
 
 // toldAbout is what the last state said of this daemon, and when.
@@ -48,9 +48,9 @@
 	p.toldAbout = toldAbout{about, now}
 	return wire.MemberState{
 		MemberAddress: p.self, Incarnation: p.incarnation, Seq: p.seq,
-		Serving: about.Serving, Config: about.Config, ReadAge: about.ReadAge,
+		Serving: about.Serving, Config: about.Config, ListAge: about.ReadAge,
 		ListPosition: uint64(about.ListPosition), ListDigest: about.ListDigest, ListSize: about.ListSize,
-		Meshed: p.full, Loads: loads, Reads: reads, Away: p.awayNow(),
+		FullMesh: p.full, Loads: loads, Prefills: reads, Unavailable: p.awayNow(),
 	}
 }
 
@@ -69,14 +69,14 @@
 	s.Demands = p.demand()
 	p.beats++
 	if p.beats%learntEvery == 0 {
-		s.Learnt = p.books.LocalObservations()
+		s.Observations = p.books.LocalObservations()
 	}
 	if p.beats%knownEvery != 1 {
 		return s
 	}
 	for _, other := range p.peers {
 		if other.up {
-			s.Known = append(s.Known, other.MemberAddress)
+			s.KnownPeers = append(s.KnownPeers, other.MemberAddress)
 		}
 	}
 	return s
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -85,7 +85,7 @@
 	ctx, cancel := context.WithTimeout(ctx, viewTimeout)
 	defer cancel()
 	asked := time.Now()
-	answer, err := wire.Ask(ctx, m.wireConfig(), peer, request)
+	answer, err := wire.Request(ctx, m.wireConfig(), peer, request)
 	if err != nil {
 		m.log.Warn("peer's view not had", "peer", peer, "err", err)
 		return
--- a/internal/status/fetch.go
+++ b/internal/status/fetch.go
@@ -21,7 +21,7 @@
 	// for a while a leader still counts the acknowledgement. Once it doesn't any
 	// more, no drain is complete without this instance, but those that every
 	// peer has applied already; the peer's answer names these.
-	askAfter = wire.StatusFresh + 100*time.Millisecond
+	askAfter = wire.MaxStatusAge + 100*time.Millisecond
 	// askAtOnce bounds how many peers are asked at the same time.
 	askAtOnce = 8
 	// askTimeout bounds one question, well within the two seconds in which an
@@ -70,7 +70,7 @@
 func (n *Node) askRules(ctx context.Context, in settings.Instance) bool {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
-	answer, err := wire.Ask(ctx, n.cfg, in.Peers, wire.RulesRequest{})
+	answer, err := wire.Request(ctx, n.cfg, in.Peers, wire.RulesRequest{})
 	if err != nil {
 		n.log.Debug("peer gave no rules", "peer", in.Name, "err", err)
 		return false
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -123,7 +123,7 @@
 
 // Ask makes a connection, sends one message and returns the first message that
 // comes back and isn't a ping.
-func Ask(ctx context.Context, cfg Config, address string, m Message) (Message, error) {
+func Request(ctx context.Context, cfg Config, address string, m Message) (Message, error) {
 	cfg.Limits = cfg.Limits.withDefaults()
 	c, err := dial(ctx, cfg, address)
 	if err != nil {
--- a/internal/wire/errors.go
+++ b/internal/wire/errors.go
@@ -8,7 +8,7 @@
 // The ways in which a peer is turned away.
 var (
 	// ErrNotAuthentic says that the peer can't prove the shared secret.
-	ErrNotAuthentic = errors.New("wire: peer doesn't prove the shared secret")
+	ErrNotAuthenticated = errors.New("wire: peer doesn't prove the shared secret")
 	// ErrVersion says that the peer speaks another version of the protocol.
 	ErrVersion = errors.New("wire: peer speaks another protocol version")
 	// ErrTampered says that a frame was altered, repeated or left out on the way.
--- a/internal/wire/handshake.go
+++ b/internal/wire/handshake.go
@@ -141,13 +141,13 @@
 func checkProof(r io.Reader, want []byte) error {
 	got, err := readRaw(r, maxHandshakeBytes)
 	if err == io.EOF {
-		return eris.Wrap(ErrNotAuthentic, "peer hung up before its proof")
+		return eris.Wrap(ErrNotAuthenticated, "peer hung up before its proof")
 	}
 	if err != nil {
 		return err
 	}
 	if !hmac.Equal(got, want) {
-		return ErrNotAuthentic
+		return ErrNotAuthenticated
 	}
 	return nil
 }
--- a/internal/wire/loads.go
+++ b/internal/wire/loads.go
@@ -9,10 +9,10 @@
 
 // Loads are daemons' work at upstreams. They make up most of what daemons tell each other,
 // and are written out here: by reflection each takes five times as long (BenchmarkLoads).
-type Loads []placement.UpstreamLoad
+type UpstreamLoads []placement.UpstreamLoad
 
 // Reads are what became of prompts.
-type Reads []placement.PrefillEvent
+type PrefillEvents []placement.PrefillEvent
 
 // The number of fields of each form.
 const (
@@ -23,7 +23,7 @@
 )
 
 // EncodeMsgpack implements msgpack.CustomEncoder.
-func (l Loads) EncodeMsgpack(e *msgpack.Encoder) error {
+func (l UpstreamLoads) EncodeMsgpack(e *msgpack.Encoder) error {
 	w := writer{e: e}
 	w.array(len(l))
 	for _, at := range l {
@@ -44,10 +44,10 @@
 }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
-func (l *Loads) DecodeMsgpack(d *msgpack.Decoder) error {
+func (l *UpstreamLoads) DecodeMsgpack(d *msgpack.Decoder) error {
 	r := reader{d: d}
 	n := r.length()
-	*l = make(Loads, 0, n)
+	*l = make(UpstreamLoads, 0, n)
 	for range n {
 		var at placement.UpstreamLoad
 		r.array(loadAtFields)
@@ -68,7 +68,7 @@
 }
 
 // EncodeMsgpack implements msgpack.CustomEncoder.
-func (l Reads) EncodeMsgpack(e *msgpack.Encoder) error {
+func (l PrefillEvents) EncodeMsgpack(e *msgpack.Encoder) error {
 	w := writer{e: e}
 	w.array(len(l))
 	for _, read := range l {
@@ -84,10 +84,10 @@
 }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
-func (l *Reads) DecodeMsgpack(d *msgpack.Decoder) error {
+func (l *PrefillEvents) DecodeMsgpack(d *msgpack.Decoder) error {
 	r := reader{d: d}
 	n := r.length()
-	*l = make(Reads, 0, n)
+	*l = make(PrefillEvents, 0, n)
 	for range n {
 		var read placement.PrefillEvent
 		r.array(readFields)
--- a/internal/wire/member.go
+++ b/internal/wire/member.go
@@ -39,24 +39,24 @@
 	// time since the list was read, by it or by a daemon that it heard.
 	ListPosition uint64
 	ListDigest   uint64
-	ReadAge      time.Duration
+	ListAge      time.Duration
 	// ListSize is the number of upstreams in that list.
 	ListSize int
 	// Meshed says that it tells all others its work itself; if not, it comes with the
 	// totals of the site.
-	Meshed bool
+	FullMesh bool
 	// Loads are what has changed of its work at upstreams, Reads the prompts read
 	// lately for it.
-	Loads Loads
-	Reads Reads
+	Loads    UpstreamLoads
+	Prefills PrefillEvents
 	// Learnt is what it has observed of the engines, by pool; now and then.
-	Learnt map[string]enginemodel.Observations
+	Observations map[string]enginemodel.Observations
 	// Demands is what callers ask of it, by pool.
 	Demands map[string]MemberDemand
 	// Away are engines that have been ordered to change.
-	Away []AwayEngine
+	Unavailable []UnavailableEngine
 	// Known are other daemons that it hears from.
-	Known []MemberAddress
+	KnownPeers []MemberAddress
 }
 
 // MemberLoads is what has changed of a daemon's work since its last state, told
@@ -66,8 +66,8 @@
 	_msgpack struct{} `msgpack:",as_array"`
 	// Incarnation and Seq are as in a MemberState, and tell whose it is.
 	Incarnation, Seq uint64
-	Loads            Loads
-	Reads            Reads
+	Loads            UpstreamLoads
+	Prefills         PrefillEvents
 }
 
 // Kind implements Message.
@@ -76,22 +76,22 @@
 // MemberDemand is what callers ask of one pool at one daemon, a second.
 type MemberDemand struct {
 	// Readers are the engines that the prompts keep busy.
-	Readers float64 `msgpack:"t"`
+	PrefillEngines float64 `msgpack:"t"`
 }
 
 // Plus returns the sum of what two daemons are asked.
-func (d MemberDemand) Plus(o MemberDemand) MemberDemand {
-	return MemberDemand{Readers: d.Readers + o.Readers}
+func (d MemberDemand) Add(o MemberDemand) MemberDemand {
+	return MemberDemand{PrefillEngines: d.PrefillEngines + o.PrefillEngines}
 }
 
 // AwayEngine is an engine that takes no work for a while.
-type AwayEngine struct {
+type UnavailableEngine struct {
 	//lint:ignore U1000 msgpack reads it: the fields go without their names.
 	_msgpack struct{} `msgpack:",as_array"`
-	At       placement.Key
+	Engine   placement.Key
 	// To is the role that it changes to, empty if it doesn't.
-	To   upstream.Role
-	Left time.Duration
+	TargetRole upstream.Role
+	Remaining  time.Duration
 }
 
 // Kind implements Message.
@@ -127,25 +127,25 @@
 	//lint:ignore U1000 msgpack reads it: the fields go without their names.
 	_msgpack struct{} `msgpack:",as_array"`
 	// Peers is the sender's address.
-	Peers string
+	PeerAddress string
 	// Full says that upstreams that aren't listed have nothing in flight.
 	Full  bool
-	Loads Loads
+	Loads UpstreamLoads
 	// Daemons is how many it is of, Depth how many of them stand below each other.
 	Daemons int
 	Depth   int
 	// Away is news of engines that take no work, Reads of prompts that were read.
-	Away  []AwayEngine
-	Reads Reads
+	Unavailable []UnavailableEngine
+	Prefills    PrefillEvents
 	// Unanswered says that the sender doesn't need the totals now.
-	Unanswered bool
+	NoReply bool
 	// Demands is what callers ask of these daemons, by pool; in full reports only.
 	Demands map[string]MemberDemand
 }
 
 // HasNews reports whether the report says anything that its receiver may not know.
-func (m LoadReport) HasNews() bool {
-	return len(m.Loads)+len(m.Away)+len(m.Reads) > 0
+func (m LoadReport) HasUpdates() bool {
+	return len(m.Loads)+len(m.Unavailable)+len(m.Prefills) > 0
 }
 
 // Kind implements Message.
@@ -158,37 +158,37 @@
 	_msgpack struct{} `msgpack:",as_array"`
 	// Full says that upstreams that aren't listed have nothing in flight.
 	Full  bool
-	Loads Loads
+	Loads UpstreamLoads
 	// Senders is the number of daemons in it.
-	Senders int
+	Daemons int
 	// Away is news of engines that take no work, Reads of prompts that were read.
-	Away  []AwayEngine
-	Reads Reads
+	Unavailable []UnavailableEngine
+	Prefills    PrefillEvents
 	// Config, ListPosition, ListDigest, ListSize and ReadAge are the collector's,
 	// as in a MemberState: it reads the store for all.
 	Config       uint64
 	ListPosition uint64
 	ListDigest   uint64
 	ListSize     int
-	ReadAge      time.Duration
+	ListAge      time.Duration
 }
 
 // Kind implements Message.
 func (LoadTotals) Kind() Kind { return KindLoadTotals }
 
 // BeliefsRequest asks a peer for what it has learnt of the engines.
-type BeliefsRequest struct {
+type SnapshotRequest struct {
 	// Of are the engines of which the sender doesn't know what they keep.
-	Of []placement.Key `msgpack:"o"`
+	Engines []placement.Key `msgpack:"o"`
 }
 
 // Kind implements Message.
-func (BeliefsRequest) Kind() Kind { return KindBeliefsRequest }
+func (SnapshotRequest) Kind() Kind { return KindSnapshotRequest }
 
 // BeliefsReply is the answer.
-type BeliefsReply struct {
-	Beliefs placement.Snapshot `msgpack:"b"`
+type SnapshotReply struct {
+	Snapshot placement.Snapshot `msgpack:"b"`
 }
 
 // Kind implements Message.
-func (BeliefsReply) Kind() Kind { return KindBeliefsReply }
+func (SnapshotReply) Kind() Kind { return KindSnapshotReply }
--- a/internal/wire/member_test.go
+++ b/internal/wire/member_test.go
@@ -20,25 +20,25 @@
 	for _, m := range []Message{
 		MemberState{
 			MemberAddress: address, Incarnation: 1, Seq: 2, Serving: true, Config: 3,
-			ListPosition: 4, ListDigest: 5, ListSize: 6, ReadAge: time.Second, Loads: loads,
-			Reads:   []placement.PrefillEvent{{Engine: at, LastShared: placement.Part{ID: 6, Tokens: 7}}},
-			Demands: map[string]MemberDemand{"pool": {Readers: 8}},
-			Away:    []AwayEngine{{At: at, To: "prefill", Left: time.Minute}},
-			Known:   []MemberAddress{address},
+			ListPosition: 4, ListDigest: 5, ListSize: 6, ListAge: time.Second, Loads: loads,
+			Prefills:    []placement.PrefillEvent{{Engine: at, LastShared: placement.Part{ID: 6, Tokens: 7}}},
+			Demands:     map[string]MemberDemand{"pool": {PrefillEngines: 8}},
+			Unavailable: []UnavailableEngine{{Engine: at, TargetRole: "prefill", Remaining: time.Minute}},
+			KnownPeers:  []MemberAddress{address},
 		},
-		MemberLoads{Incarnation: 1, Seq: 2, Loads: loads, Reads: []placement.PrefillEvent{{Engine: at, LastShared: placement.Part{ID: 6, Tokens: 7}}}},
+		MemberLoads{Incarnation: 1, Seq: 2, Loads: loads, Prefills: []placement.PrefillEvent{{Engine: at, LastShared: placement.Part{ID: 6, Tokens: 7}}}},
 		ViewRequest{},
 		ViewRequest{ConfigOnly: true},
 		ViewReply{Config: []byte("c"), Upstreams: map[string][]byte{"u": []byte("x")}, Position: 1, Age: 2},
 		LoadReport{
-			Peers: "p", Full: true, Loads: loads, Daemons: 3, Depth: 2, Unanswered: true,
-			Away: []AwayEngine{{At: at, To: "prefill", Left: time.Minute}}, Reads: reads,
-			Demands: map[string]MemberDemand{"pool": {Readers: 8}},
+			PeerAddress: "p", Full: true, Loads: loads, Daemons: 3, Depth: 2, NoReply: true,
+			Unavailable: []UnavailableEngine{{Engine: at, TargetRole: "prefill", Remaining: time.Minute}}, Prefills: reads,
+			Demands: map[string]MemberDemand{"pool": {PrefillEngines: 8}},
 		},
-		LoadReport{Peers: "p", Loads: Loads{}, Reads: Reads{}},
+		LoadReport{PeerAddress: "p", Loads: UpstreamLoads{}, Prefills: PrefillEvents{}},
 		LoadTotals{
-			Full: true, Loads: loads, Senders: 2, Config: 3, ListPosition: 4, ListDigest: 5, ListSize: 7, ReadAge: 6,
-			Away: []AwayEngine{{At: at, Left: time.Second}}, Reads: reads,
+			Full: true, Loads: loads, Daemons: 2, Config: 3, ListPosition: 4, ListDigest: 5, ListSize: 7, ListAge: 6,
+			Unavailable: []UnavailableEngine{{Engine: at, Remaining: time.Second}}, Prefills: reads,
 		},
 	} {
 		body, err := encode(m)
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -32,8 +32,8 @@
 	KindLoadTotals   Kind = 12
 	KindMemberLoads  Kind = 13
 
-	KindBeliefsRequest Kind = 14
-	KindBeliefsReply   Kind = 15
+	KindSnapshotRequest Kind = 14
+	KindSnapshotReply   Kind = 15
 )
 
 // Message is a typed message between two processes of the system.
@@ -59,7 +59,7 @@
 // its acknowledgement of a drain. An entry that was killed since is replaced by
 // one with empty memory, which knows of no drain before it has read the log.
 // Therefore it serves on nothing but the log for longer than this.
-const StatusFresh = time.Second
+const MaxStatusAge = time.Second
 
 // EntryStatus is what an entry tells the leading controllers of itself.
 type EntryStatus struct {
@@ -187,10 +187,10 @@
 		return decodeAs[LoadReport](body)
 	case KindMemberLoads:
 		return decodeAs[MemberLoads](body)
-	case KindBeliefsRequest:
-		return decodeAs[BeliefsRequest](body)
-	case KindBeliefsReply:
-		return decodeAs[BeliefsReply](body)
+	case KindSnapshotRequest:
+		return decodeAs[SnapshotRequest](body)
+	case KindSnapshotReply:
+		return decodeAs[SnapshotReply](body)
 	case KindLoadTotals:
 		return decodeAs[LoadTotals](body)
 	default:
--- a/internal/wire/size_test.go
+++ b/internal/wire/size_test.go
@@ -18,7 +18,7 @@
 	require.Less(t, len(body), 50)
 	state, err := encode(MemberState{
 		MemberAddress: MemberAddress{Instance: "frontend-cesis-a-1", DataCentre: "cesis-a", Callers: "10.1.0.35:8144", Peers: "10.1.0.35:7660"},
-		Incarnation:   1 << 62, Seq: 100_000, ListPosition: 100_000, ListDigest: 1 << 62, ReadAge: 1 << 29, Loads: loads,
+		Incarnation:   1 << 62, Seq: 100_000, ListPosition: 100_000, ListDigest: 1 << 62, ListAge: 1 << 29, Loads: loads,
 	})
 	require.NoError(t, err)
 	t.Logf("loads %d bytes, state %d bytes", len(body), len(state))
@@ -32,7 +32,7 @@
 		m.Loads = append(m.Loads, placement.UpstreamLoad{Upstream: placement.Key(i << 20), Load: placement.Load{Running: i, ReservedKVTokens: i << 10, PrefillSent: uint32(i) << 20, PrefillDone: uint32(i) << 19}})
 	}
 	for i := range 30 {
-		m.Reads = append(m.Reads, placement.PrefillEvent{Engine: placement.Key(i << 20), State: placement.PrefillFinished, LastShared: placement.Part{ID: uint64(i) << 50, Tokens: 6300}, UnsharedTokens: 2890})
+		m.Prefills = append(m.Prefills, placement.PrefillEvent{Engine: placement.Key(i << 20), State: placement.PrefillFinished, LastShared: placement.Part{ID: uint64(i) << 50, Tokens: 6300}, UnsharedTokens: 2890})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -71,7 +71,7 @@
 func TestHandshakeTurnsAwayAWrongSecret(t *testing.T) {
 	wrong := bytes.Repeat([]byte("x"), len(testSecret))
 	_, serverErr := handshakes(asClient(wrong), asServer(testSecret))
-	require.ErrorIs(t, serverErr, ErrNotAuthentic)
+	require.ErrorIs(t, serverErr, ErrNotAuthenticated)
 
 	// A server that lets everybody in still can't pass for one of ours.
 	lax := func(rw io.ReadWriter) error {
@@ -81,7 +81,7 @@
 		return writeRaw(rw, make([]byte, 32))
 	}
 	clientErr, _ := handshakes(asClient(testSecret), lax)
-	require.ErrorIs(t, clientErr, ErrNotAuthentic)
+	require.ErrorIs(t, clientErr, ErrNotAuthenticated)
 }
 
 // Somebody on the way records a client's side of a good handshake and plays it
@@ -107,7 +107,7 @@
 		return err
 	}
 	_, serverErr = handshakes(replay, asServer(testSecret))
-	require.ErrorIs(t, serverErr, ErrNotAuthentic)
+	require.ErrorIs(t, serverErr, ErrNotAuthenticated)
 
 	reflect := func(rw io.ReadWriter) error {
 		_, _, _ = receiveHello(rw)
@@ -116,7 +116,7 @@
 		return writeRaw(rw, proof)
 	}
 	clientErr, _ = handshakes(asClient(testSecret), reflect)
-	require.ErrorIs(t, clientErr, ErrNotAuthentic)
+	require.ErrorIs(t, clientErr, ErrNotAuthenticated)
 }
 
 func TestFramesAreRefused(t *testing.T) {
@@ -195,11 +195,11 @@
 	cfg.ServerTLS = &tls.Config{Certificates: certs.TLS.Certificates}
 	cfg.ClientTLS = &tls.Config{RootCAs: authorities}
 	s, _ := startServer(t, cfg, "127.0.0.1:0", echo)
-	answer, err := Ask(t.Context(), cfg, s.Addr().String(), RulesRequest{})
+	answer, err := Request(t.Context(), cfg, s.Addr().String(), RulesRequest{})
 	require.NoError(t, err)
 	require.Equal(t, rulesReply("i1/entry"), answer)
 
-	_, err = Ask(t.Context(), testConfig, s.Addr().String(), RulesRequest{})
+	_, err = Request(t.Context(), testConfig, s.Addr().String(), RulesRequest{})
 	require.Error(t, err, "a listener with TLS takes no plain peer")
 }
 
