--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -95,7 +95,7 @@
 	client, life := c.client, d.lifeNow()
 	if c.loyal != nil {
 		c.loyal.close()
-		client = standin.NewLoyalCaller()
+		client = standin.NewSingleConnectionCaller()
 		*c.loyal = loyalty{client: client, address: address, life: life}
 	}
 	c.request(client, address, life)
@@ -139,7 +139,7 @@
 	if c.rng.IntN(closeOneIn) == 0 {
 		event = c.giveUp(id, s, cancel)
 	}
-	reply := client.Ask(ctx, address, s.name, id, s.deadline, s.stream, event)
+	reply := client.Send(ctx, address, s.name, id, s.deadline, s.stream, event)
 	c.site.oracle.answered(id, life, reply)
 	if reply.Err != nil && !neverConnected(reply.Err) {
 		c.site.checkCut(d, life, id, reply)
--- a/internal/soak/checks.go
+++ b/internal/soak/checks.go
@@ -12,7 +12,7 @@
 
 // checkPool looks at requests that run: until an entry lapses, one that is meant for
 // a server that has crashed may reach its successor, which turns it away.
-func (o *oracle) checkPool(v standin.Visit, q *request) {
+func (o *oracle) checkPool(v standin.RequestInfo, q *request) {
 	pool := o.pools[v.Server]
 	if q.service.name == serviceMark && strings.HasPrefix(pool, serviceMark) {
 		return
@@ -22,7 +22,7 @@
 	}
 }
 
-func (o *oracle) checkLeaving(v standin.Visit, q *request, now time.Time) {
+func (o *oracle) checkLeaving(v standin.RequestInfo, q *request, now time.Time) {
 	since, leaving := o.leaving[v.Server]
 	from := now.Add(-leaveWithin)
 	if !leaving || since.After(from) {
@@ -35,14 +35,14 @@
 
 // checkGone looks for requests that are meant for a server whose entry was taken
 // out long ago.
-func (o *oracle) checkGone(v standin.Visit, q *request, now time.Time) {
-	since, gone := o.gone[v.MeantFor]
+func (o *oracle) checkGone(v standin.RequestInfo, q *request, now time.Time) {
+	since, gone := o.gone[v.ExpectedServer]
 	from := now.Add(-goneWithin)
 	if !gone || since.After(from) {
 		return
 	}
 	if o.troubles.quiet(from, now, subjectMachine, subjectStore, daemonSubject(q.daemon), storeLinkSubject(q.daemon)) {
-		o.violate(LeavingIsSpared, "%s was meant for %s, %v after its entry was taken out, by daemon %d", v.ID, v.MeantFor, now.Sub(since), q.daemon)
+		o.violate(LeavingIsSpared, "%s was meant for %s, %v after its entry was taken out, by daemon %d", v.ID, v.ExpectedServer, now.Sub(since), q.daemon)
 	}
 }
 
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -139,7 +139,7 @@
 }
 
 // Arrived implements standin.Watcher.
-func (o *oracle) Arrived(v standin.Visit) {
+func (o *oracle) Arrived(v standin.RequestInfo) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	q := o.requests[v.ID]
@@ -165,7 +165,7 @@
 }
 
 // Ran implements standin.Watcher.
-func (o *oracle) Ran(v standin.Visit) {
+func (o *oracle) Ran(v standin.RequestInfo) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	q := o.requests[v.ID]
@@ -183,7 +183,7 @@
 }
 
 // Ended implements standin.Watcher.
-func (o *oracle) Ended(v standin.Visit) {
+func (o *oracle) Ended(v standin.RequestInfo) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if q := o.requests[v.ID]; q != nil {
--- a/internal/soak/oracle_test.go
+++ b/internal/soak/oracle_test.go
@@ -19,7 +19,7 @@
 )
 
 // ask lets a caller send a request and some servers get it.
-func ask(o *oracle, s service, visits ...standin.Visit) {
+func ask(o *oracle, s service, visits ...standin.RequestInfo) {
 	o.sent("1-1", s, 0)
 	for _, v := range visits {
 		v.ID = "1-1"
@@ -29,7 +29,7 @@
 	}
 }
 
-func at(server string) standin.Visit { return standin.Visit{Server: server} }
+func at(server string) standin.RequestInfo { return standin.RequestInfo{Server: server} }
 
 func good(o *oracle) standin.Reply {
 	return standin.Reply{Status: http.StatusOK, ID: "1-1", Signed: true, Body: "answer of once-1 to 1-1"}
@@ -65,8 +65,8 @@
 		{"refused and runs later", func(o *oracle) {
 			ask(o, once)
 			o.answered("1-1", 1, standin.Reply{Status: http.StatusServiceUnavailable})
-			o.Arrived(standin.Visit{Server: "once-1", ID: "1-1"})
-			o.Ran(standin.Visit{Server: "once-1", ID: "1-1"})
+			o.Arrived(standin.RequestInfo{Server: "once-1", ID: "1-1"})
+			o.Ran(standin.RequestInfo{Server: "once-1", ID: "1-1"})
 		}, []Promise{TrueRefusal}},
 		{"failed and has run", func(o *oracle) {
 			ask(o, once, at("once-1"))
@@ -90,7 +90,7 @@
 			r.Signed = false
 			o.answered("1-1", 1, r)
 		}, []Promise{OwnAnswer}},
-		{"unknown request", func(o *oracle) { o.Arrived(standin.Visit{Server: "once-1", ID: "9-9"}) }, []Promise{OwnAnswer}},
+		{"unknown request", func(o *oracle) { o.Arrived(standin.RequestInfo{Server: "once-1", ID: "9-9"}) }, []Promise{OwnAnswer}},
 		{"whole stream", func(o *oracle) { ask(o, stream); o.answered("1-1", 1, whole()) }, nil},
 		{"short stream", func(o *oracle) { ask(o, stream); o.answered("1-1", 1, events(1, 2)) }, []Promise{WholeStream}},
 		{"cut stream", func(o *oracle) {
@@ -102,7 +102,7 @@
 		{"repeated event", func(o *oracle) { ask(o, stream); o.answered("1-1", 1, events(1, 1, 2)) }, []Promise{WholeStream}},
 		{"missing event", func(o *oracle) { ask(o, stream); o.answered("1-1", 1, events(1, 3)) }, []Promise{WholeStream}},
 		{"other pool", func(o *oracle) { ask(o, once, at("repeat-1")) }, []Promise{RightPool}},
-		{"forged header", func(o *oracle) { ask(o, once, standin.Visit{Server: "once-1", Forged: true}) }, []Promise{NoForgery}},
+		{"forged header", func(o *oracle) { ask(o, once, standin.RequestInfo{Server: "once-1", Forged: true}) }, []Promise{NoForgery}},
 		{"too many repeats", func(o *oracle) {
 			for range siteBudget.slack + 2 {
 				ask(o, repeat, at("repeat-1"), at("repeat-1"))
@@ -116,7 +116,7 @@
 		}, nil},
 		{"closes passed on", func(o *oracle) { closes(o, o.Ended) }, nil},
 		{"closes not passed on", func(o *oracle) {
-			closes(o, func(standin.Visit) {})
+			closes(o, func(standin.RequestInfo) {})
 		}, []Promise{CloseIsPassed}},
 		{"leaving for long", func(o *oracle) {
 			o.serverLeaves("once-1")
@@ -131,16 +131,16 @@
 		}, nil},
 		{"gone for long", func(o *oracle) {
 			o.gone["once-0"] = time.Now().Add(-2 * goneWithin)
-			ask(o, once, standin.Visit{Server: "once-1", MeantFor: "once-0"})
+			ask(o, once, standin.RequestInfo{Server: "once-1", ExpectedServer: "once-0"})
 		}, []Promise{LeavingIsSpared}},
 		{"just gone", func(o *oracle) {
 			o.serverGone("once-0")
-			ask(o, once, standin.Visit{Server: "once-1", MeantFor: "once-0"})
+			ask(o, once, standin.RequestInfo{Server: "once-1", ExpectedServer: "once-0"})
 		}, nil},
 		{"turned away by another pool's server", func(o *oracle) {
 			o.sent("1-1", once, 0)
-			o.Arrived(standin.Visit{Server: "repeat-1", MeantFor: "once-0", ID: "1-1"})
-			o.Ended(standin.Visit{Server: "repeat-1", MeantFor: "once-0", ID: "1-1"})
+			o.Arrived(standin.RequestInfo{Server: "repeat-1", ExpectedServer: "once-0", ID: "1-1"})
+			o.Ended(standin.RequestInfo{Server: "repeat-1", ExpectedServer: "once-0", ID: "1-1"})
 		}, nil},
 		{"just left", func(o *oracle) { o.serverLeaves("once-1"); ask(o, once, at("once-1")) }, nil},
 		{"old configuration", func(o *oracle) {
@@ -221,12 +221,12 @@
 }
 
 // closes lets some callers close while a server works; after is what it does then.
-func closes(o *oracle, after func(v standin.Visit)) {
+func closes(o *oracle, after func(v standin.RequestInfo)) {
 	for range 2 * fewLate {
 		ask(o, repeat)
-		o.Arrived(standin.Visit{Server: "repeat-1", ID: "1-1"})
+		o.Arrived(standin.RequestInfo{Server: "repeat-1", ID: "1-1"})
 		o.closed("1-1")
-		after(standin.Visit{Server: "repeat-1", ID: "1-1"})
+		after(standin.RequestInfo{Server: "repeat-1", ID: "1-1"})
 		q := o.requests["1-1"]
 		delete(o.requests, "1-1")
 		o.requests[time.Now().String()] = q
--- a/internal/soak/places.go
+++ b/internal/soak/places.go
@@ -91,10 +91,10 @@
 	}
 	server := standin.NewServerOn(id, l)
 	server.Born = time.Now().UnixMilli()
-	server.Watcher = s.oracle
+	server.Observer = s.oracle
 	server.SlowEvery, server.SlowFor = slowEvery, slowFor
 	if p.role != "" {
-		server.Events, server.Pause = streamEvents, streamPause
+		server.Events, server.EventGap = streamEvents, streamPause
 		server.SetStage(p.role)
 	}
 	link.SetTarget(server.Address())
@@ -102,7 +102,7 @@
 	p.mu.Lock()
 	p.server, p.link, p.listedRole = server, link, p.role
 	p.mu.Unlock()
-	s.store.List(server, p.pool, link.Address(), false)
+	s.store.Register(server, p.pool, link.Address(), false)
 	return nil
 }
 
@@ -155,7 +155,7 @@
 	defer p.change.Unlock()
 	server, link := p.current()
 	if role := server.Stage(); anyway || role != p.listedRole {
-		store.List(server, p.pool, link.Address(), false)
+		store.Register(server, p.pool, link.Address(), false)
 		p.listedRole = role
 	}
 }
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -53,10 +53,10 @@
 // services are the kinds of request of a run. The answers of the last tell which
 // configuration is in force.
 var services = []service{
-	{name: "once", once: true, kind: standin.OnceOnly, servers: 2, deadline: 3 * time.Second},
-	{name: "repeat", kind: standin.Repeatable, servers: 2, deadline: 3 * time.Second},
-	{name: "llm", stream: true, kind: standin.Streams, servers: 4, deadline: 6 * time.Second},
-	{name: serviceMark, kind: standin.Repeatable, deadline: 3 * time.Second},
+	{name: "once", once: true, kind: standin.NonIdempotent, servers: 2, deadline: 3 * time.Second},
+	{name: "repeat", kind: standin.Idempotent, servers: 2, deadline: 3 * time.Second},
+	{name: "llm", stream: true, kind: standin.Streaming, servers: 4, deadline: 6 * time.Second},
+	{name: serviceMark, kind: standin.Idempotent, deadline: 3 * time.Second},
 }
 
 // markPools are the pools that the rule of serviceMark leads to, by version.
@@ -144,12 +144,12 @@
 	for _, v := range services {
 		rule := standin.Service{Name: v.name, Kind: v.kind, Attempts: 3, Timeout: v.deadline}
 		if v.name == serviceMark {
-			rule.Serves = markPools[s.versions-1]
+			rule.Pool = markPools[s.versions-1]
 		}
 		rules = append(rules, rule)
 	}
 	for _, pool := range markPools {
-		rules = append(rules, standin.Service{Name: pool, Kind: standin.Repeatable, Attempts: 3, Timeout: time.Second})
+		rules = append(rules, standin.Service{Name: pool, Kind: standin.Idempotent, Attempts: 3, Timeout: time.Second})
 	}
 	s.store.PutConfig(s.versions, rules)
 	s.oracle.versionPublished()
--- a/internal/soak/steps.go
+++ b/internal/soak/steps.go
@@ -27,11 +27,11 @@
 )
 
 var (
-	storeFaults  = []standin.StoreFault{standin.StoreBusy, standin.StoreSilent, standin.StoreReset, standin.StoreLosesReplies}
+	storeFaults  = []standin.StoreFault{standin.StoreUnavailable, standin.StoreSilent, standin.StoreReset, standin.StoreDropsReplies}
 	linkModes    = []Mode{Delays, Silences, CutsReplies, Resets}
 	serverFaults = []standin.Fault{
-		standin.Shed, standin.Errs, standin.Busy, standin.ResetBefore, standin.LosesAnswer, standin.CutsAnswer,
-		standin.Unsigned, standin.Foreign, standin.Repeats, standin.Hangs,
+		standin.Shed, standin.InternalError, standin.UnmarkedUnavailable, standin.ResetBeforeRun, standin.DropsResponse, standin.TruncatesResponse,
+		standin.Unsigned, standin.WrongRequestID, standin.RepeatsEvent, standin.Hangs,
 	}
 )
 
@@ -123,7 +123,7 @@
 	end := s.troubles.begin(subjectStore)
 	s.store.Fail(fault)
 	time.Sleep(length)
-	s.store.Fail(standin.StoreWell)
+	s.store.Fail(standin.StoreHealthy)
 	time.AfterFunc(settleTime, end)
 }
 
@@ -135,7 +135,7 @@
 	age := time.Duration(1+step.Variant%copyOldest) * time.Second
 	rewriteAfter := time.Duration(step.Target%rewriteLatest) * time.Millisecond
 	s.store.Restore(age, rewriteAfter)
-	s.store.Fail(standin.StoreWell)
+	s.store.Fail(standin.StoreHealthy)
 	time.AfterFunc(rewriteAfter+settleTime, end)
 }
 
@@ -156,7 +156,7 @@
 	server, _ := p.current()
 	server.FailAll(serverFaults[step.Variant%len(serverFaults)])
 	time.Sleep(step.For)
-	server.FailAll(standin.Well)
+	server.FailAll(standin.NoFault)
 	time.AfterFunc(settleTime, end)
 }
 
@@ -218,7 +218,7 @@
 }
 
 func (s *site) unlist(id string) {
-	s.store.Unlist(id)
+	s.store.Deregister(id)
 	s.oracle.serverGone(id)
 }
 
@@ -251,7 +251,7 @@
 // leave lets a server announce its end, and replaces it.
 func (s *site) leave(p *place) {
 	old, link := p.current()
-	s.store.List(old, p.pool, link.Address(), true)
+	s.store.Register(old, p.pool, link.Address(), true)
 	s.oracle.serverLeaves(old.ID)
 	time.Sleep(leaveTime)
 	end := s.troubles.begin(serversSubject(p.pool))
