--- a/internal/adapters/engineclient/engineclient.go
+++ b/internal/adapters/engineclient/engineclient.go
@@ -48,7 +48,7 @@
 func (c *Client) Generate(ctx context.Context, r upstream.GenerateRequest) (upstream.TokenStream, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
-	if err := httpx.FillJSON(req, fasthttp.MethodPost, PathGenerate, message(r)); err != nil {
+	if err := httpx.FillJSON(req, fasthttp.MethodPost, PathGenerate, generateMessage(r)); err != nil {
 		return nil, err
 	}
 	return c.open(ctx, req, r.AttemptID)
@@ -95,7 +95,7 @@
 
 // Prefill implements upstream.Engine.
 func (c *Client) Prefill(ctx context.Context, r upstream.GenerateRequest) (upstream.KVHandle, error) {
-	return httpx.CallJSON[GenerateMessage, upstream.KVHandle](ctx, c.http, fasthttp.MethodPost, PathPrefill, message(r))
+	return httpx.CallJSON[GenerateMessage, upstream.KVHandle](ctx, c.http, fasthttp.MethodPost, PathPrefill, generateMessage(r))
 }
 
 // Cancel implements upstream.Engine.
@@ -141,7 +141,7 @@
 
 func streamPath(attemptID string) string { return PathStreams + url.PathEscape(attemptID) }
 
-func message(r upstream.GenerateRequest) GenerateMessage {
+func generateMessage(r upstream.GenerateRequest) GenerateMessage {
 	return GenerateMessage{
 		AttemptID:   r.AttemptID,
 		Model:       r.Model,
--- a/internal/adapters/engineclient/engineclient_test.go
+++ b/internal/adapters/engineclient/engineclient_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestGenerateWholeAnswer(t *testing.T) {
+func TestGenerate(t *testing.T) {
 	e := standintest.Engine(t, standin.EngineConfig{})
 	c := client(t, e)
 	want := oracle.For(model, prompt, 40)
@@ -115,7 +115,7 @@
 
 // A driver's answer stops halfway, or has a word twice, because the engine
 // died and another one took up the answer from prompt and tokens sent.
-func TestAnswerGoesOnElsewhere(t *testing.T) {
+func TestResponseContinuesOnAnotherEngine(t *testing.T) {
 	first, second := standintest.Engine(t, standin.EngineConfig{}), standintest.Engine(t, standin.EngineConfig{})
 	standintest.Faults(t, first, `{"break_stream":{"next":1},"break_at":7}`)
 	s, err := client(t, first).Generate(t.Context(), request("a"))
@@ -156,7 +156,7 @@
 
 // An engine goes on working for a driver who has gone away, and those who
 // still wait get their answers late.
-func TestCloseCancelsTheWork(t *testing.T) {
+func TestCloseCancelsGeneration(t *testing.T) {
 	e := standintest.Engine(t, standin.EngineConfig{})
 	standintest.Faults(t, e, `{"slow_factor":50}`)
 	c := client(t, e)
@@ -182,7 +182,7 @@
 // A caller reads slowly, and the entry's memory grows by all that the engine
 // has made meanwhile. What isn't read must stay with the engine: its writes
 // stop once the sockets' buffers are full.
-func TestSlowReaderHoldsUpTheEngine(t *testing.T) {
+func TestSlowReaderAppliesBackpressure(t *testing.T) {
 	const enough = 64 << 20 // bytes; far more than sockets hold
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -217,7 +217,7 @@
 	assert.Less(t, <-written, enough)
 }
 
-func TestPrefillAndHandOver(t *testing.T) {
+func TestPrefillAndHandoff(t *testing.T) {
 	for name, tc := range map[string]struct {
 		faults  string
 		imports int64
@@ -297,7 +297,7 @@
 	}
 }
 
-func TestReports(t *testing.T) {
+func TestLoadAndCacheEvents(t *testing.T) {
 	speed := standin.DefaultSpeed()
 	speed.Scale, speed.EventLag, speed.EventLoss = 20, 0, 0
 	e := standintest.Engine(t, standin.EngineConfig{Speed: speed})
--- a/internal/adapters/engineclient/stream.go
+++ b/internal/adapters/engineclient/stream.go
@@ -61,7 +61,7 @@
 	s.watch(ctx)
 	line, err := s.readLine()
 	if err != nil {
-		return upstream.Token{}, httpx.Broken(reason(ctx, err))
+		return upstream.Token{}, httpx.Broken(contextCause(ctx, err))
 	}
 	var t TokenLine
 	if err := json.Unmarshal(line, &t); err != nil {
@@ -92,7 +92,7 @@
 		return line, nil
 	}
 	if !errors.Is(err, bufio.ErrBufferFull) {
-		return nil, truncated(err)
+		return nil, unexpectedEOF(err)
 	}
 	long := append([]byte(nil), line...)
 	for errors.Is(err, bufio.ErrBufferFull) {
@@ -102,12 +102,12 @@
 		line, err = s.lines.ReadSlice('\n')
 		long = append(long, line...)
 	}
-	return long, truncated(err)
+	return long, unexpectedEOF(err)
 }
 
 // truncated turns the body's end, which must not come before the last token,
 // into an error that can't be taken for a whole answer.
-func truncated(err error) error {
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
@@ -145,7 +145,7 @@
 	return s.body.Close()
 }
 
-func reason(ctx context.Context, err error) error {
+func contextCause(ctx context.Context, err error) error {
 	if ctxErr := ctx.Err(); ctxErr != nil {
 		return ctxErr
 	}
--- a/internal/adapters/httpx/client.go
+++ b/internal/adapters/httpx/client.go
@@ -96,11 +96,11 @@
 	resp.SkipBody = req.Header.IsHead()
 	if err := x.send(req); err != nil {
 		x.end(false)
-		return Broken(cause(ctx, err))
+		return Broken(contextCause(ctx, err))
 	}
 	if err := x.receive(resp, c.opts.MaxBody); err != nil {
 		x.end(false)
-		return Broken(cause(ctx, err))
+		return Broken(contextCause(ctx, err))
 	}
 	x.end(!resp.ConnectionClose())
 	return nil
@@ -114,7 +114,7 @@
 	c.prepare(req)
 	x, err := c.connect(ctx)
 	if err != nil {
-		return nil, notSent(cause(ctx, err))
+		return nil, notSent(contextCause(ctx, err))
 	}
 	return x, nil
 }
@@ -132,12 +132,12 @@
 // "may have run" that never ran, the second would give it another's answer.
 func (c *Client) connect(ctx context.Context) (*exchange, error) {
 	for {
-		cc, err := c.host.AcquireConn(timeLeft(ctx), false)
+		cc, err := c.host.AcquireConn(timeRemaining(ctx), false)
 		if err != nil {
 			return nil, err
 		}
 		kept := !cc.LastUseTime().IsZero()
-		if kept && !quiet(cc.Conn()) {
+		if kept && !isIdle(cc.Conn()) {
 			c.host.CloseConn(cc)
 			continue
 		}
@@ -148,11 +148,11 @@
 			}
 			c.host.CloseConn(cc)
 		}
-		return &exchange{conn: cc.Conn(), host: c.host, giveBack: giveBack}, nil
+		return &exchange{conn: cc.Conn(), host: c.host, release: giveBack}, nil
 	}
 }
 
-func timeLeft(ctx context.Context) time.Duration {
+func timeRemaining(ctx context.Context) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return 0
--- a/internal/adapters/httpx/client_test.go
+++ b/internal/adapters/httpx/client_test.go
@@ -61,7 +61,7 @@
 // closed already when the request was written to it. The same look at a kept
 // connection finds a response that came for nobody, and drops it with the
 // connection.
-func TestKeptConnectionIsLookedAtBeforeUse(t *testing.T) {
+func TestIdleConnectionIsCheckedBeforeReuse(t *testing.T) {
 	cases := map[string]func(c net.Conn){
 		"closed by its far end": func(c net.Conn) { _ = c.Close() },
 		"stray response":        func(c net.Conn) { _, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray")) },
@@ -90,7 +90,7 @@
 			require.NoError(t, err)
 			require.Equal(t, "first", body)
 			close(spoilNow)
-			require.Eventually(t, func() bool { return !quiet(first) }, 5*time.Second, time.Millisecond)
+			require.Eventually(t, func() bool { return !isIdle(first) }, 5*time.Second, time.Millisecond)
 
 			body, err = get(t.Context(), client)
 			require.NoError(t, err)
@@ -149,7 +149,7 @@
 	}
 }
 
-func TestTrustedCertificateIsTaken(t *testing.T) {
+func TestTrustedCertificateIsAccepted(t *testing.T) {
 	s := httptest.NewTLSServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("safe")) }))
 	t.Cleanup(s.Close)
 	roots := s.Client().Transport.(*http.Transport).TLSClientConfig
--- a/internal/adapters/httpx/exchange.go
+++ b/internal/adapters/httpx/exchange.go
@@ -17,10 +17,10 @@
 	reader *bufio.Reader
 	host   *fasthttp.HostClient
 	// giveBack returns the connection to the pool, or closes it.
-	giveBack func(reuse bool)
+	release func(reuse bool)
 
 	mu      sync.Mutex
-	over    bool
+	ended   bool
 	aborted bool
 }
 
@@ -29,7 +29,7 @@
 func (e *exchange) abort() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.over || e.aborted {
+	if e.ended || e.aborted {
 		return
 	}
 	e.aborted = true
@@ -40,16 +40,16 @@
 func (e *exchange) end(reuse bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.over {
+	if e.ended {
 		return
 	}
-	e.over = true
+	e.ended = true
 	clean := reuse && !e.aborted && e.reader != nil && e.reader.Buffered() == 0
 	if e.reader != nil {
 		e.host.ReleaseReader(e.reader)
 		e.reader = nil
 	}
-	e.giveBack(clean)
+	e.release(clean)
 }
 
 // send writes the request.
@@ -70,7 +70,7 @@
 
 // cause prefers the context's error to the I/O error that its end brought
 // about.
-func cause(ctx context.Context, err error) error {
+func contextCause(ctx context.Context, err error) error {
 	if ctxErr := ctx.Err(); ctxErr != nil {
 		return ctxErr
 	}
--- a/internal/adapters/httpx/quiet.go
+++ b/internal/adapters/httpx/idle.go
@@ -8,7 +8,7 @@
 // quiet reports whether a kept connection is open with no byte waiting to be
 // read. It looks without waiting. A connection of unknown type counts as
 // quiet.
-func quiet(conn net.Conn) bool {
+func isIdle(conn net.Conn) bool {
 	if wrapped, ok := conn.(interface{ NetConn() net.Conn }); ok {
 		conn = wrapped.NetConn()
 	}
--- a/internal/adapters/httpx/serve_test.go
+++ b/internal/adapters/httpx/serve_test.go
@@ -14,7 +14,7 @@
 // A daemon is told to stop while it starts and never ends: its HTTP server is shut
 // down before it has begun to accept, takes no notice, and begins afterwards. A
 // server whose context has ended must end, and refuse connections from then on.
-func TestServeEndsThoughStoppedBeforeItBegan(t *testing.T) {
+func TestServeStoppedBeforeAccepting(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -35,7 +35,7 @@
 }
 
 // A server that fails by itself says so, not that it was told to stop.
-func TestServeReturnsTheServersError(t *testing.T) {
+func TestServeReturnsServerError(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	broken := &brokenListener{Listener: ln}
--- a/internal/adapters/httpx/stream.go
+++ b/internal/adapters/httpx/stream.go
@@ -15,7 +15,7 @@
 	resp     *fasthttp.Response
 	// reading is held while Read is in progress.
 	reading sync.Mutex
-	over    bool
+	ended   bool
 }
 
 // Stream sends a request and returns once the response header has come. The
@@ -41,7 +41,7 @@
 	if err != nil {
 		stop()
 		x.end(false)
-		return nil, Broken(cause(ctx, err))
+		return nil, Broken(contextCause(ctx, err))
 	}
 	return s, nil
 }
@@ -54,7 +54,7 @@
 func (s *Stream) Read(p []byte) (int, error) {
 	s.reading.Lock()
 	defer s.reading.Unlock()
-	if s.over {
+	if s.ended {
 		return 0, io.EOF
 	}
 	n, err := s.resp.BodyStream().Read(p)
@@ -74,14 +74,14 @@
 	s.Abort()
 	s.reading.Lock()
 	defer s.reading.Unlock()
-	if !s.over {
+	if !s.ended {
 		s.finish(false)
 	}
 	return nil
 }
 
 func (s *Stream) finish(reuse bool) {
-	s.over = true
+	s.ended = true
 	_ = s.resp.CloseBodyStream()
 	s.exchange.end(reuse)
 }
--- a/internal/adapters/logclient/logclient.go
+++ b/internal/adapters/logclient/logclient.go
@@ -111,15 +111,15 @@
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
 	if err := c.reads.Do(ctx, req, resp); err != nil {
-		return infra.ReadResult{}, unreadable(err)
+		return infra.ReadResult{}, readError(err)
 	}
 	status := resp.StatusCode()
 	if status != fasthttp.StatusOK && status != fasthttp.StatusGone {
-		return infra.ReadResult{}, unreadable(httpx.NewStatusError(resp))
+		return infra.ReadResult{}, readError(httpx.NewStatusError(resp))
 	}
 	var reply ReadReply
 	if err := msgpack.Unmarshal(resp.Body(), &reply); err != nil {
-		return infra.ReadResult{}, unreadable(err)
+		return infra.ReadResult{}, readError(err)
 	}
 	if status == fasthttp.StatusGone {
 		return infra.ReadResult{}, &infra.TrimmedError{Oldest: infra.Offset(reply.Oldest)}
@@ -127,7 +127,7 @@
 	return reply.result(), nil
 }
 
-func unreadable(err error) error {
+func readError(err error) error {
 	return fmt.Errorf("%w: read: %w", infra.ErrUnavailable, err)
 }
 
--- a/internal/adapters/logclient/logclient_test.go
+++ b/internal/adapters/logclient/logclient_test.go
@@ -109,7 +109,7 @@
 	}
 }
 
-func TestCertainlyNotWritten(t *testing.T) {
+func TestAppendNotWritten(t *testing.T) {
 	t.Run("rate limit", func(t *testing.T) {
 		l := standintest.Log(t, config(0.001))
 		c := logclient.New(l.Addr(), httpx.Options{})
--- a/internal/adapters/serviceclient/serviceclient.go
+++ b/internal/adapters/serviceclient/serviceclient.go
@@ -27,7 +27,7 @@
 func (c *Client) Call(ctx context.Context, r upstream.ServiceRequest) (upstream.ServiceResponse, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
-	fill(req, r)
+	fillRequest(req, r)
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
 	if err := c.http.Do(ctx, req, resp); err != nil {
@@ -40,14 +40,14 @@
 		return upstream.ServiceResponse{}, httpx.Broken(
 			fmt.Errorf("response is for attempt %q, wanted %q", got, r.AttemptID))
 	}
-	return response(resp), nil
+	return toResponse(resp), nil
 }
 
-func fill(req *fasthttp.Request, r upstream.ServiceRequest) {
+func fillRequest(req *fasthttp.Request, r upstream.ServiceRequest) {
 	req.Header.SetMethod(r.Method)
 	req.SetRequestURI(r.Path)
 	for _, h := range r.Headers {
-		if !ofOneHop(h.Name) {
+		if !isHopByHop(h.Name) {
 			req.Header.Add(h.Name, h.Value)
 		}
 	}
@@ -57,13 +57,13 @@
 	req.SetBodyRaw(r.Body)
 }
 
-func response(resp *fasthttp.Response) upstream.ServiceResponse {
+func toResponse(resp *fasthttp.Response) upstream.ServiceResponse {
 	out := upstream.ServiceResponse{
 		Status: resp.StatusCode(),
 		Body:   append([]byte(nil), resp.Body()...),
 	}
 	for name, value := range resp.Header.All() {
-		if !ofOneHop(string(name)) {
+		if !isHopByHop(string(name)) {
 			out.Headers = append(out.Headers, upstream.Header{Name: string(name), Value: string(value)})
 		}
 	}
@@ -72,7 +72,7 @@
 
 // ofOneHop reports whether a header belongs to one connection, or is set by
 // the library from the message itself.
-func ofOneHop(name string) bool {
+func isHopByHop(name string) bool {
 	switch strings.ToLower(name) {
 	case "connection", "keep-alive", "proxy-authenticate", "proxy-authorization",
 		"proxy-connection", "te", "trailer", "transfer-encoding", "upgrade",
--- a/internal/adapters/serviceclient/serviceclient_test.go
+++ b/internal/adapters/serviceclient/serviceclient_test.go
@@ -145,7 +145,7 @@
 // A driver gets another driver's confirmation: a call timed out in the entry,
 // its response came late and was read as the response to the next call on the
 // same connection.
-func TestLateAndStrayResponsesReachNobody(t *testing.T) {
+func TestLateAndStrayResponsesAreDropped(t *testing.T) {
 	cases := map[string]struct {
 		faults  string
 		timeout time.Duration
@@ -177,7 +177,7 @@
 
 // A booking is lost between two services that share their callers: the count
 // of runs must be over both, or a call that ran once on each looks fine.
-func TestRunsAreCountedOverServices(t *testing.T) {
+func TestLedgerCountsRunsAcrossServices(t *testing.T) {
 	ledger := standin.NewLedger()
 	for i := range 2 {
 		s := standintest.Service(t, standin.ServiceConfig{Ledger: ledger})
@@ -188,7 +188,7 @@
 	}
 }
 
-func TestMessagePassesUnchanged(t *testing.T) {
+func TestMessageIsForwardedUnchanged(t *testing.T) {
 	var got *http.Request
 	var body []byte
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -31,7 +31,7 @@
 // Next decodes the first of several values, as Unmarshal does a single one, and
 // returns the bytes behind it.
 func Next(data []byte, v any) (rest []byte, err error) {
-	n, err := length(data)
+	n, err := encodedLength(data)
 	if err != nil {
 		return nil, err
 	}
@@ -53,7 +53,7 @@
 // length returns the length of the first value in bytes. It walks over it without
 // recursion. Every element takes one byte at least, so more elements than bytes
 // can't be.
-func length(data []byte) (int, error) {
+func encodedLength(data []byte) (int, error) {
 	r := bytes.NewReader(data)
 	d := msgpack.GetDecoder()
 	defer msgpack.PutDecoder(d)
@@ -68,7 +68,7 @@
 			continue
 		}
 		due[last]--
-		children, err := skipOne(d)
+		children, err := skipValue(d)
 		switch {
 		case err != nil:
 			return 0, eris.Wrapf(ErrMalformed, "%v", err)
@@ -85,7 +85,7 @@
 
 // skipOne steps over a plain value, or into an array or map and returns how many
 // values it holds.
-func skipOne(d *msgpack.Decoder) (children int, err error) {
+func skipValue(d *msgpack.Decoder) (children int, err error) {
 	code, err := d.PeekCode()
 	if err != nil {
 		return 0, err
--- a/internal/codec/codec_test.go
+++ b/internal/codec/codec_test.go
@@ -16,7 +16,7 @@
 	Tags  map[string]string `msgpack:"g"`
 }
 
-func TestUnmarshalTakesWhatMarshalWrites(t *testing.T) {
+func TestUnmarshalRoundTrip(t *testing.T) {
 	want := sample{Name: "a", At: time.Unix(7, 9), Parts: []sample{{Name: "b", At: time.Unix(1, 0)}}, Tags: map[string]string{"k": "v"}}
 	data, err := msgpack.Marshal(want)
 	require.NoError(t, err)
@@ -28,7 +28,7 @@
 
 // Some bytes from a peer or out of the log end the process: the decoder takes
 // memory for as many elements as they claim, panics, or recurses too deep.
-func TestUnmarshalRefusesHarmfulBytes(t *testing.T) {
+func TestUnmarshalRejectsHarmfulBytes(t *testing.T) {
 	for name, data := range map[string][]byte{
 		"4 G elements":        []byte("\x81\xa1p\xdd\xff\xff\xff\xff"),
 		"4 G map members":     []byte("\x81\xa1g\xdf\xff\xff\xff\xff"),
@@ -54,7 +54,7 @@
 	})
 }
 
-func TestNextTakesOneValueAfterTheOther(t *testing.T) {
+func TestNextDecodesSuccessiveValues(t *testing.T) {
 	data := []byte("\x81\xa1n\xa1a\x81\xa1n\xa1b\x81\xa1p\xdd\xff\xff\xff\xff")
 	var names []string
 	var err error
--- a/internal/graceful/conn.go
+++ b/internal/graceful/conn.go
@@ -16,8 +16,8 @@
 // conn is a connection from a caller.
 type conn struct {
 	*net.TCPConn
-	raw syscall.RawConn
-	of  *Connections
+	raw   syscall.RawConn
+	owner *Connections
 
 	accepted time.Time
 
@@ -26,12 +26,12 @@
 	mu    sync.Mutex
 	state http.ConnState
 	// arrived says that bytes have been read since the last answer.
-	arrived bool
+	received bool
 	// ending says that the sending side is closed: what still arrives is dropped.
-	ending bool
+	closing bool
 	// over says that the caller has closed, or that the connection has failed.
-	over   bool
-	closed bool
+	disconnected bool
+	closed       bool
 }
 
 // Read implements io.Reader.
@@ -42,7 +42,7 @@
 	var n int
 	var err error
 	waitErr := c.raw.Read(func(fd uintptr) bool {
-		n, err = c.take(int(fd), p)
+		n, err = c.readAvailable(int(fd), p)
 		return !errors.Is(err, unix.EAGAIN)
 	})
 	switch {
@@ -58,7 +58,7 @@
 
 // take reads what the kernel has, without waiting. What arrives on a connection that is ending
 // is dropped, and stands for its end.
-func (c *conn) take(fd int, p []byte) (int, error) {
+func (c *conn) readAvailable(fd int, p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n, err := unix.Read(fd, p)
@@ -69,12 +69,12 @@
 	case errors.Is(err, unix.EAGAIN):
 		return 0, err
 	case err != nil || n == 0:
-		c.over = true
+		c.disconnected = true
 		return 0, err
-	case c.ending:
+	case c.closing:
 		return 0, nil
 	}
-	c.arrived = true
+	c.received = true
 	return n, nil
 }
 
@@ -82,7 +82,7 @@
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ending {
+	if c.closing {
 		return nil
 	}
 	return c.TCPConn.SetReadDeadline(t)
@@ -94,12 +94,12 @@
 }
 
 // note takes over the server's word on the connection.
-func (c *conn) note(s http.ConnState) {
+func (c *conn) setState(s http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.state = s
 	if s == http.StateIdle {
-		c.arrived = false
+		c.received = false
 	}
 }
 
@@ -107,19 +107,19 @@
 func (c *conn) active() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.ending && c.busy()
+	return !c.closing && c.busy()
 }
 
 // busy is active of a connection that isn't ending. c.mu is held.
 func (c *conn) busy() bool {
-	if c.state == http.StateActive || c.arrived && !c.of.opaque || c.unread() {
+	if c.state == http.StateActive || c.received && !c.owner.tls || c.hasUnread() {
 		return true
 	}
 	return c.state == http.StateNew && time.Since(c.accepted) < firstRequestTimeout
 }
 
 // unread reports whether the kernel has bytes that the server hasn't taken.
-func (c *conn) unread() bool {
+func (c *conn) hasUnread() bool {
 	var one [1]byte
 	n := 0
 	err := c.raw.Control(func(fd uintptr) {
@@ -130,22 +130,22 @@
 
 // endIfIdle closes the sending side unless a request is in progress, and reports whether the
 // connection has ended.
-func (c *conn) endIfIdle() bool {
+func (c *conn) closeIfIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ending {
+	if c.closing {
 		return true
 	}
 	if c.busy() {
 		return false
 	}
-	c.end()
+	c.beginClose()
 	return true
 }
 
 // end closes the sending side and bounds the wait for the caller to close. c.mu is held.
-func (c *conn) end() {
-	c.ending = true
+func (c *conn) beginClose() {
+	c.closing = true
 	// Errors say that the connection has failed already, which the next read tells too.
 	_ = c.TCPConn.CloseWrite()
 	_ = c.TCPConn.SetReadDeadline(time.Now().Add(lingerTimeout))
@@ -160,11 +160,11 @@
 		return net.ErrClosed
 	}
 	c.closed = true
-	if c.over {
+	if c.disconnected {
 		return c.release()
 	}
-	if !c.ending {
-		c.end()
+	if !c.closing {
+		c.beginClose()
 	}
 	go c.linger()
 	return nil
@@ -177,6 +177,6 @@
 }
 
 func (c *conn) release() error {
-	c.of.forget(c)
+	c.owner.remove(c)
 	return c.TCPConn.Close()
 }
--- a/internal/graceful/connections.go
+++ b/internal/graceful/connections.go
@@ -20,14 +20,14 @@
 	acceptTimeout = 150 * time.Millisecond
 	// firstRequestTimeout is how long the request of a new connection may be on its way.
 	firstRequestTimeout = 150 * time.Millisecond
-	pollEvery           = 2 * time.Millisecond
+	pollInterval        = 2 * time.Millisecond
 )
 
 // Connections are those of a server. The methods may be called from any goroutine.
 type Connections struct {
 	log *slog.Logger
 	// opaque says that bytes read may belong to no request, as those of a handshake.
-	opaque bool
+	tls bool
 
 	mu        sync.Mutex
 	open      map[*conn]struct{}
@@ -42,13 +42,13 @@
 // NewTLS returns those of a server that speaks TLS on what Listen returns.
 func NewTLS(log *slog.Logger) *Connections {
 	c := New(log)
-	c.opaque = true
+	c.tls = true
 	return c
 }
 
 // Listen returns a listener whose connections are followed.
 func (c *Connections) Listen(l net.Listener) net.Listener {
-	followed := &listener{Listener: l, of: c, stopping: make(chan struct{}), closed: make(chan struct{})}
+	followed := &listener{Listener: l, owner: c, stopping: make(chan struct{}), closed: make(chan struct{})}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.listeners = append(c.listeners, followed)
@@ -65,7 +65,7 @@
 		of = outer.NetConn() // as a TLS connection's
 	}
 	if one, ok := of.(*conn); ok {
-		one.note(s)
+		one.setState(s)
 	}
 }
 
@@ -88,7 +88,7 @@
 	all := c.all()
 	active := 0
 	for _, one := range all {
-		if !one.endIfIdle() {
+		if !one.closeIfIdle() {
 			active++
 		}
 	}
@@ -102,19 +102,19 @@
 // lingerTimeout is over.
 func (c *Connections) Wait() {
 	until := time.Now().Add(lingerTimeout)
-	for c.lingering() > 0 && time.Now().Before(until) {
-		time.Sleep(pollEvery)
+	for c.countClosing() > 0 && time.Now().Before(until) {
+		time.Sleep(pollInterval)
 	}
-	if n := c.lingering(); n > 0 {
+	if n := c.countClosing(); n > 0 {
 		c.log.Info("callers haven't closed their connections", "connections", n)
 	}
 }
 
-func (c *Connections) lingering() int {
+func (c *Connections) countClosing() int {
 	n := 0
 	for _, one := range c.all() {
 		one.mu.Lock()
-		if one.ending && !one.over {
+		if one.closing && !one.disconnected {
 			n++
 		}
 		one.mu.Unlock()
@@ -132,7 +132,7 @@
 	return all
 }
 
-func (c *Connections) forget(one *conn) {
+func (c *Connections) remove(one *conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.open, one)
@@ -145,7 +145,7 @@
 	c.listeners = nil
 	c.mu.Unlock()
 	for _, l := range listeners {
-		if err := c.acceptAll(l); err != nil {
+		if err := c.drainBacklog(l); err != nil {
 			c.log.Warn("connections may be left unaccepted", "address", l.Addr().String(), "err", err)
 		}
 		l.stop()
@@ -155,7 +155,7 @@
 
 // acceptAll returns once the connections that callers have opened before are accepted. They
 // are accepted in their order, so all are once one of its own is.
-func (c *Connections) acceptAll(l *listener) error {
+func (c *Connections) drainBacklog(l *listener) error {
 	ctx, cancel := context.WithTimeout(context.Background(), acceptTimeout)
 	defer cancel()
 	var d net.Dialer
@@ -164,24 +164,24 @@
 		return eris.Wrap(err, "a connection to itself")
 	}
 	defer func() { _ = own.Close() }() // nothing was sent
-	for !c.endFrom(own.LocalAddr().String()) {
+	for !c.closeFrom(own.LocalAddr().String()) {
 		if ctx.Err() != nil {
 			return eris.New("a connection to itself isn't accepted in time")
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 	return nil
 }
 
 // endFrom ends the connection from an address, and reports whether it has been accepted.
-func (c *Connections) endFrom(remote string) bool {
+func (c *Connections) closeFrom(remote string) bool {
 	for _, one := range c.all() {
 		if one.RemoteAddr().String() != remote {
 			continue
 		}
 		one.mu.Lock()
 		defer one.mu.Unlock()
-		one.end()
+		one.beginClose()
 		return true
 	}
 	return false
--- a/internal/graceful/graceful_test.go
+++ b/internal/graceful/graceful_test.go
@@ -17,21 +17,21 @@
 const request = "GET /x HTTP/1.1\r\nHost: h\r\n\r\n"
 
 // rig is a server whose connections are followed.
-type rig struct {
+type harness struct {
 	t       *testing.T
 	conns   *Connections
 	server  *httptest.Server
 	handled atomic.Int32
 }
 
-func newRig(t *testing.T, wrap func(net.Listener) net.Listener, handle http.HandlerFunc) *rig {
-	return newHeldRig(t, wrap, handle, nil)
+func newHarness(t *testing.T, wrap func(net.Listener) net.Listener, handle http.HandlerFunc) *harness {
+	return newDelayedHarness(t, wrap, handle, nil)
 }
 
 // newHeldRig makes a rig whose server's goroutines are held up after each answer, as on a
 // machine without a free processor, until idle can be received from.
-func newHeldRig(t *testing.T, wrap func(net.Listener) net.Listener, handle http.HandlerFunc, idle chan struct{}) *rig {
-	r := &rig{t: t, conns: New(slog.New(slog.DiscardHandler))}
+func newDelayedHarness(t *testing.T, wrap func(net.Listener) net.Listener, handle http.HandlerFunc, idle chan struct{}) *harness {
+	r := &harness{t: t, conns: New(slog.New(slog.DiscardHandler))}
 	r.server = httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		r.handled.Add(1)
 		handle(w, q)
@@ -58,7 +58,7 @@
 	in *bufio.Reader
 }
 
-func (r *rig) dial() *caller {
+func (r *harness) dial() *caller {
 	c, err := net.Dial("tcp", r.server.Listener.Addr().String())
 	require.NoError(r.t, err)
 	r.t.Cleanup(func() { _ = c.Close() })
@@ -66,12 +66,12 @@
 	return &caller{Conn: c, in: bufio.NewReader(c)}
 }
 
-func (r *rig) send(c *caller, text string) {
+func (r *harness) send(c *caller, text string) {
 	_, err := io.WriteString(c, text)
 	require.NoError(r.t, err)
 }
 
-func (r *rig) receive(c *caller) *http.Response {
+func (r *harness) receive(c *caller) *http.Response {
 	resp, err := http.ReadResponse(c.in, nil)
 	require.NoError(r.t, err)
 	body, err := io.ReadAll(resp.Body)
@@ -81,7 +81,7 @@
 }
 
 // arrive waits until the kernel of the server's side has what was sent.
-func (r *rig) arrive(c *caller) {
+func (r *harness) waitReceived(c *caller) {
 	require.Eventually(r.t, func() bool {
 		for _, one := range r.conns.all() {
 			if one.RemoteAddr().String() == c.LocalAddr().String() {
@@ -93,14 +93,14 @@
 }
 
 // Guards against a request on a kept connection that is reset unread when the server stops.
-func TestRequestUnreadOnAKeptConnectionIsAnswered(t *testing.T) {
+func TestUnreadRequestOnIdleConnectionIsAnswered(t *testing.T) {
 	idle := make(chan struct{})
-	r := newHeldRig(t, plain, answer, idle)
+	r := newDelayedHarness(t, plain, answer, idle)
 	c := r.dial()
 	r.send(c, request)
 	r.receive(c)
 	r.send(c, request)
-	r.arrive(c)
+	r.waitReceived(c)
 
 	require.Equal(t, 1, r.conns.CloseIdle())
 	close(idle)
@@ -112,7 +112,7 @@
 
 // Guards against a new connection that is closed before its first request can arrive.
 func TestNewConnectionMaySendItsFirstRequest(t *testing.T) {
-	r := newRig(t, plain, answer)
+	r := newHarness(t, plain, answer)
 	c := r.dial()
 	require.Eventually(t, func() bool { return len(r.conns.all()) == 1 }, time.Minute, time.Millisecond)
 	for _, one := range r.conns.all() {
@@ -126,23 +126,23 @@
 
 // lateListener accepts its first connection a while late, as on a machine without a free
 // processor.
-type lateListener struct {
+type delayedListener struct {
 	net.Listener
-	late time.Duration
+	delay time.Duration
 }
 
 // Accept implements net.Listener.
-func (l *lateListener) Accept() (net.Conn, error) {
-	time.Sleep(l.late)
-	l.late = 0
+func (l *delayedListener) Accept() (net.Conn, error) {
+	time.Sleep(l.delay)
+	l.delay = 0
 	return l.Listener.Accept()
 }
 
 // Guards against a request that is reset as it waits to be accepted when the server stops.
-func TestRequestUnacceptedIsAnswered(t *testing.T) {
+func TestUnacceptedRequestIsAnswered(t *testing.T) {
 	closed := make(chan struct{})
-	late := func(l net.Listener) net.Listener { return &lateListener{Listener: l, late: acceptTimeout / 2} }
-	r := newRig(t, late, func(w http.ResponseWriter, q *http.Request) {
+	late := func(l net.Listener) net.Listener { return &delayedListener{Listener: l, delay: acceptTimeout / 2} }
+	r := newHarness(t, late, func(w http.ResponseWriter, q *http.Request) {
 		<-closed
 		answer(w, q)
 	})
@@ -156,8 +156,8 @@
 }
 
 // Guards against a stop that cuts off a request whose head has come in part.
-func TestRequestSentInTwoPartsIsAnswered(t *testing.T) {
-	r := newRig(t, plain, answer)
+func TestPartialRequestIsAnswered(t *testing.T) {
+	r := newHarness(t, plain, answer)
 	c := r.dial()
 	r.send(c, request)
 	r.receive(c)
@@ -171,8 +171,8 @@
 }
 
 // Guards against a request that runs though its connection has ended.
-func TestRequestAfterTheEndIsNeitherRunNorReset(t *testing.T) {
-	r := newRig(t, plain, answer)
+func TestRequestAfterCloseIsNeitherRunNorReset(t *testing.T) {
+	r := newHarness(t, plain, answer)
 	c := r.dial()
 	r.send(c, request)
 	r.receive(c)
@@ -189,10 +189,10 @@
 }
 
 // Guards against an answer that is lost because its caller still sends when the server closes.
-func TestAnswerSurvivesWhatItsCallerStillSends(t *testing.T) {
+func TestResponseSurvivesUnreadData(t *testing.T) {
 	sent := make(chan struct{})
 	big := make([]byte, 4<<20)
-	r := newRig(t, plain, func(w http.ResponseWriter, _ *http.Request) {
+	r := newHarness(t, plain, func(w http.ResponseWriter, _ *http.Request) {
 		<-sent
 		w.Header().Set("Connection", "close")
 		_, _ = w.Write(big)
@@ -200,7 +200,7 @@
 	c := r.dial()
 	r.send(c, request)
 	r.send(c, request)
-	r.arrive(c)
+	r.waitReceived(c)
 	close(sent)
 	resp, err := http.ReadResponse(c.in, nil)
 	require.NoError(t, err)
@@ -212,8 +212,8 @@
 }
 
 // Guards against a stop that never ends because a caller neither sends nor closes.
-func TestSilentCallersDelayAStopForABoundedTimeOnly(t *testing.T) {
-	r := newRig(t, plain, answer)
+func TestSilentCallersDelayShutdownBriefly(t *testing.T) {
+	r := newHarness(t, plain, answer)
 	silent, kept := r.dial(), r.dial()
 	r.send(kept, request)
 	r.receive(kept)
@@ -227,8 +227,8 @@
 }
 
 // Guards against a caller that sends without end and so keeps its connection past the bound.
-func TestCallerThatSendsOnAndOnIsCutInTheEnd(t *testing.T) {
-	r := newRig(t, plain, answer)
+func TestEndlessSenderIsDisconnected(t *testing.T) {
+	r := newHarness(t, plain, answer)
 	c := r.dial()
 	r.send(c, request)
 	r.receive(c)
@@ -258,7 +258,7 @@
 	select {
 	case err := <-served:
 		require.Fail(t, "the server has ended", "%v", err)
-	case <-time.After(10 * pollEvery):
+	case <-time.After(10 * pollInterval):
 	}
 	require.NoError(t, server.Close())
 	require.ErrorIs(t, <-served, http.ErrServerClosed)
--- a/internal/graceful/listener.go
+++ b/internal/graceful/listener.go
@@ -10,11 +10,11 @@
 // server's Close: a server takes the end of its listener for a failure before.
 type listener struct {
 	net.Listener
-	of       *Connections
-	stopped  sync.Once
-	closing  sync.Once
-	closed   chan struct{}
-	stopping chan struct{}
+	owner     *Connections
+	stopOnce  sync.Once
+	closeOnce sync.Once
+	closed    chan struct{}
+	stopping  chan struct{}
 }
 
 // Accept implements net.Listener.
@@ -35,19 +35,19 @@
 	}
 	raw, err := tcp.SyscallConn()
 	if err != nil {
-		l.of.log.Warn("connection not followed", "remote", tcp.RemoteAddr().String(), "err", err)
+		l.owner.log.Warn("connection not followed", "remote", tcp.RemoteAddr().String(), "err", err)
 		return accepted, nil
 	}
-	c := &conn{TCPConn: tcp, raw: raw, of: l.of, accepted: time.Now()}
-	l.of.mu.Lock()
-	defer l.of.mu.Unlock()
-	l.of.open[c] = struct{}{}
+	c := &conn{TCPConn: tcp, raw: raw, owner: l.owner, accepted: time.Now()}
+	l.owner.mu.Lock()
+	defer l.owner.mu.Unlock()
+	l.owner.open[c] = struct{}{}
 	return c, nil
 }
 
 // stop takes no new connections any more.
 func (l *listener) stop() {
-	l.stopped.Do(func() {
+	l.stopOnce.Do(func() {
 		close(l.stopping)
 		_ = l.Listener.Close() // an error says that it was closed before
 	})
@@ -56,6 +56,6 @@
 // Close implements net.Listener.
 func (l *listener) Close() error {
 	l.stop()
-	l.closing.Do(func() { close(l.closed) })
+	l.closeOnce.Do(func() { close(l.closed) })
 	return nil
 }
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -82,7 +82,7 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "peer can't be reached")
 	}
-	c, err := introduce(ctx, cfg, raw)
+	c, err := authenticate(ctx, cfg, raw)
 	if err != nil {
 		_ = raw.Close()
 		return nil, eris.Wrapf(err, "handshake with %s", address)
@@ -90,7 +90,7 @@
 	return c, nil
 }
 
-func introduce(ctx context.Context, cfg Config, raw net.Conn) (*conn, error) {
+func authenticate(ctx context.Context, cfg Config, raw net.Conn) (*conn, error) {
 	if cfg.ClientTLS != nil {
 		raw = tls.Client(raw, withServerName(cfg.ClientTLS, raw))
 	}
--- a/internal/wire/config.go
+++ b/internal/wire/config.go
@@ -44,18 +44,18 @@
 )
 
 func (l Limits) withDefaults() Limits {
-	orElse(&l.Dial, defaultDial)
-	orElse(&l.Handshake, defaultHandshake)
-	orElse(&l.Write, defaultWrite)
-	orElse(&l.Ping, defaultPing)
-	orElse(&l.Idle, defaultIdle)
-	orElse(&l.RetryMin, defaultRetryMin)
-	orElse(&l.RetryMax, defaultRetryMax)
-	orElse(&l.Connections, defaultConnections)
+	setDefault(&l.Dial, defaultDial)
+	setDefault(&l.Handshake, defaultHandshake)
+	setDefault(&l.Write, defaultWrite)
+	setDefault(&l.Ping, defaultPing)
+	setDefault(&l.Idle, defaultIdle)
+	setDefault(&l.RetryMin, defaultRetryMin)
+	setDefault(&l.RetryMax, defaultRetryMax)
+	setDefault(&l.Connections, defaultConnections)
 	return l
 }
 
-func orElse[T comparable](value *T, fallback T) {
+func setDefault[T comparable](value *T, fallback T) {
 	var zero T
 	if *value == zero {
 		*value = fallback
--- a/internal/wire/conn.go
+++ b/internal/wire/conn.go
@@ -19,7 +19,7 @@
 	limits  Limits
 }
 
-func newConn(raw net.Conn, s secrets, limits Limits) *conn {
+func newConn(raw net.Conn, s session, limits Limits) *conn {
 	return &conn{
 		raw:    raw,
 		reader: bufio.NewReader(raw),
@@ -50,7 +50,7 @@
 	if err := c.raw.SetReadDeadline(time.Now().Add(c.limits.Idle)); err != nil {
 		return nil, err
 	}
-	data, err := readRaw(c.reader, MaxFrameBytes)
+	data, err := readPrefixed(c.reader, MaxFrameBytes)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -16,7 +16,7 @@
 const (
 	lengthBytes = 4
 	kindBytes   = 1
-	codeBytes   = 16
+	macBytes    = 16
 )
 
 // MaxFrameBytes is the largest frame taken after the handshake. It leaves room
@@ -24,7 +24,7 @@
 const MaxFrameBytes = 1 << 20
 
 // readRaw reads one length and so many bytes.
-func readRaw(r io.Reader, maxBytes int) ([]byte, error) {
+func readPrefixed(r io.Reader, maxBytes int) ([]byte, error) {
 	var head [lengthBytes]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		return nil, err
@@ -35,20 +35,20 @@
 	}
 	data := make([]byte, size)
 	if _, err := io.ReadFull(r, data); err != nil {
-		return nil, noEOF(err)
+		return nil, unexpectedEOF(err)
 	}
 	return data, nil
 }
 
 // noEOF turns an end in the middle of a frame into an error of its own.
-func noEOF(err error) error {
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-func appendRaw(buf, data []byte) []byte {
+func appendPrefixed(buf, data []byte) []byte {
 	buf = binary.BigEndian.AppendUint32(buf, uint32(len(data)))
 	return append(buf, data...)
 }
@@ -65,12 +65,12 @@
 	return &sealer{mac: hmac.New(sha256.New, key)}
 }
 
-func (s *sealer) code(content []byte) []byte {
+func (s *sealer) nextMAC(content []byte) []byte {
 	s.mac.Reset()
 	s.mac.Write(binary.BigEndian.AppendUint64(nil, s.seq))
 	s.mac.Write(content)
 	s.seq++
-	return s.mac.Sum(nil)[:codeBytes]
+	return s.mac.Sum(nil)[:macBytes]
 }
 
 // seal returns the frame of a message.
@@ -79,7 +79,7 @@
 	if err != nil {
 		return nil, err
 	}
-	size := kindBytes + len(body) + codeBytes
+	size := kindBytes + len(body) + macBytes
 	if size > MaxFrameBytes {
 		return nil, &TooLargeError{Size: size, Max: MaxFrameBytes}
 	}
@@ -87,16 +87,16 @@
 	frame = binary.BigEndian.AppendUint32(frame, uint32(size))
 	frame = append(frame, byte(m.Kind()))
 	frame = append(frame, body...)
-	return append(frame, s.code(frame[lengthBytes:])...), nil
+	return append(frame, s.nextMAC(frame[lengthBytes:])...), nil
 }
 
 // open checks what readRaw returned and decodes it.
 func (s *sealer) open(data []byte) (Message, error) {
-	if len(data) < kindBytes+codeBytes {
+	if len(data) < kindBytes+macBytes {
 		return nil, eris.Wrapf(ErrMalformed, "%d bytes", len(data))
 	}
-	content, code := data[:len(data)-codeBytes], data[len(data)-codeBytes:]
-	if !hmac.Equal(code, s.code(content)) {
+	content, code := data[:len(data)-macBytes], data[len(data)-macBytes:]
+	if !hmac.Equal(code, s.nextMAC(content)) {
 		return nil, ErrTampered
 	}
 	return decode(Kind(content[0]), content[kindBytes:])
--- a/internal/wire/handshake.go
+++ b/internal/wire/handshake.go
@@ -37,7 +37,7 @@
 }
 
 // secrets is what a handshake yields: the peer's name and a key a direction.
-type secrets struct {
+type session struct {
 	peer       string
 	sendKey    []byte
 	receiveKey []byte
@@ -52,23 +52,23 @@
 //
 // The server proves nothing before the client has. Both nonces are in both
 // proofs, so a recorded proof fits no later handshake.
-func handshakeClient(rw io.ReadWriter, name string, secret []byte) (secrets, error) {
+func handshakeClient(rw io.ReadWriter, name string, secret []byte) (session, error) {
 	sent, err := sendHello(rw, name)
 	if err != nil {
-		return secrets{}, err
+		return session{}, err
 	}
 	received, peer, err := receiveHello(rw)
 	if err != nil {
-		return secrets{}, err
+		return session{}, err
 	}
-	transcript := appendRaw(appendRaw(nil, sent), received)
-	if err := writeRaw(rw, derive(secret, labelClientProof, transcript)); err != nil {
-		return secrets{}, err
+	transcript := appendPrefixed(appendPrefixed(nil, sent), received)
+	if err := writePrefixed(rw, derive(secret, labelClientProof, transcript)); err != nil {
+		return session{}, err
 	}
 	if err := checkProof(rw, derive(secret, labelServerProof, transcript)); err != nil {
-		return secrets{}, err
+		return session{}, err
 	}
-	return secrets{
+	return session{
 		peer:       peer,
 		sendKey:    derive(secret, labelClientFrames, transcript),
 		receiveKey: derive(secret, labelServerFrames, transcript),
@@ -76,27 +76,27 @@
 }
 
 // handshakeServer is the other side of handshakeClient.
-func handshakeServer(rw io.ReadWriter, name string, secret []byte) (secrets, error) {
+func handshakeServer(rw io.ReadWriter, name string, secret []byte) (session, error) {
 	received, peer, err := receiveHello(rw)
 	if err != nil && !eris.Is(err, ErrVersion) {
-		return secrets{}, err
+		return session{}, err
 	}
 	// A peer of another version gets our hello too, so that it can tell why.
 	sent, sendErr := sendHello(rw, name)
 	if err != nil {
-		return secrets{}, err
+		return session{}, err
 	}
 	if sendErr != nil {
-		return secrets{}, sendErr
+		return session{}, sendErr
 	}
-	transcript := appendRaw(appendRaw(nil, received), sent)
+	transcript := appendPrefixed(appendPrefixed(nil, received), sent)
 	if err := checkProof(rw, derive(secret, labelClientProof, transcript)); err != nil {
-		return secrets{}, eris.Wrapf(err, "peer that calls itself %q", peer)
+		return session{}, eris.Wrapf(err, "peer that calls itself %q", peer)
 	}
-	if err := writeRaw(rw, derive(secret, labelServerProof, transcript)); err != nil {
-		return secrets{}, err
+	if err := writePrefixed(rw, derive(secret, labelServerProof, transcript)); err != nil {
+		return session{}, err
 	}
-	return secrets{
+	return session{
 		peer:       peer,
 		sendKey:    derive(secret, labelServerFrames, transcript),
 		receiveKey: derive(secret, labelClientFrames, transcript),
@@ -118,11 +118,11 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "hello can't be encoded")
 	}
-	return data, writeRaw(w, data)
+	return data, writePrefixed(w, data)
 }
 
 func receiveHello(r io.Reader) (raw []byte, name string, err error) {
-	raw, err = readRaw(r, maxHandshakeBytes)
+	raw, err = readPrefixed(r, maxHandshakeBytes)
 	if err != nil {
 		return nil, "", err
 	}
@@ -139,7 +139,7 @@
 // checkProof reads the peer's proof and compares it in constant time. A peer
 // that hangs up instead has not taken our proof or has none.
 func checkProof(r io.Reader, want []byte) error {
-	got, err := readRaw(r, maxHandshakeBytes)
+	got, err := readPrefixed(r, maxHandshakeBytes)
 	if err == io.EOF {
 		return eris.Wrap(ErrNotAuthenticated, "peer hung up before its proof")
 	}
@@ -152,7 +152,7 @@
 	return nil
 }
 
-func writeRaw(w io.Writer, data []byte) error {
-	_, err := w.Write(appendRaw(nil, data))
+func writePrefixed(w io.Writer, data []byte) error {
+	_, err := w.Write(appendPrefixed(nil, data))
 	return err
 }
--- a/internal/wire/links.go
+++ b/internal/wire/links.go
@@ -10,7 +10,7 @@
 )
 
 // linkRest is how long a link stays without anything sent over it.
-const linkRest = 30 * time.Second
+const linkIdleTimeout = 30 * time.Second
 
 // Links keeps a link to each address that something was sent to lately.
 type Links struct {
@@ -20,13 +20,13 @@
 	log    *slog.Logger
 
 	mu    sync.Mutex
-	links map[string]*usedLink
+	links map[string]*activeLink
 }
 
-type usedLink struct {
-	link  *Link
-	token suture.ServiceToken
-	used  time.Time
+type activeLink struct {
+	link     *Link
+	token    suture.ServiceToken
+	lastUsed time.Time
 }
 
 // NewLinks returns an empty set of links; its supervisor runs it. handle takes
@@ -37,7 +37,7 @@
 		cfg:        cfg,
 		handle:     handle,
 		log:        log,
-		links:      map[string]*usedLink{},
+		links:      map[string]*activeLink{},
 	}
 	ls.Add(&sweeper{ls})
 	return ls
@@ -49,11 +49,11 @@
 	defer ls.mu.Unlock()
 	u, ok := ls.links[address]
 	if !ok {
-		u = &usedLink{link: NewLink(ls.cfg, address, ls.handle, ls.log)}
+		u = &activeLink{link: NewLink(ls.cfg, address, ls.handle, ls.log)}
 		u.token = ls.Add(u.link)
 		ls.links[address] = u
 	}
-	u.used = time.Now()
+	u.lastUsed = time.Now()
 	u.link.Send(m)
 }
 
@@ -65,7 +65,7 @@
 func (s *sweeper) String() string { return "sweeper of unused links" }
 
 func (s *sweeper) Serve(ctx context.Context) error {
-	for sleep(ctx, linkRest) {
+	for sleep(ctx, linkIdleTimeout) {
 		s.links.sweep(time.Now())
 	}
 	return ctx.Err()
@@ -75,7 +75,7 @@
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
 	for address, u := range ls.links {
-		if now.Sub(u.used) >= linkRest {
+		if now.Sub(u.lastUsed) >= linkIdleTimeout {
 			delete(ls.links, address)
 			_ = ls.Remove(u.token)
 		}
--- a/internal/wire/loads.go
+++ b/internal/wire/loads.go
@@ -16,10 +16,10 @@
 
 // The number of fields of each form.
 const (
-	loadAtFields = 2
-	loadFields   = 9
-	readFields   = 4
-	partFields   = 2
+	upstreamLoadFields = 2
+	loadFields         = 9
+	prefillEventFields = 4
+	partFields         = 2
 )
 
 // EncodeMsgpack implements msgpack.CustomEncoder.
@@ -27,7 +27,7 @@
 	w := writer{e: e}
 	w.array(len(l))
 	for _, at := range l {
-		w.array(loadAtFields)
+		w.array(upstreamLoadFields)
 		w.uint(uint64(at.Upstream))
 		w.array(loadFields)
 		w.int(at.Load.Running)
@@ -50,7 +50,7 @@
 	*l = make(UpstreamLoads, 0, n)
 	for range n {
 		var at placement.UpstreamLoad
-		r.array(loadAtFields)
+		r.array(upstreamLoadFields)
 		at.Upstream = placement.Key(r.uint32())
 		r.array(loadFields)
 		at.Load.Running = r.int()
@@ -72,7 +72,7 @@
 	w := writer{e: e}
 	w.array(len(l))
 	for _, read := range l {
-		w.array(readFields)
+		w.array(prefillEventFields)
 		w.uint(uint64(read.Engine))
 		w.uint(uint64(read.State))
 		w.array(partFields)
@@ -90,7 +90,7 @@
 	*l = make(PrefillEvents, 0, n)
 	for range n {
 		var read placement.PrefillEvent
-		r.array(readFields)
+		r.array(prefillEventFields)
 		read.Engine = placement.Key(r.uint32())
 		read.State = placement.PrefillState(r.uint32())
 		r.array(partFields)
--- a/internal/wire/member_test.go
+++ b/internal/wire/member_test.go
@@ -12,7 +12,7 @@
 // Two fields of a state went under one name: every state that named an engine
 // that changes broke its connection, daemons fell silent to each other, and one
 // that was cut off from the store served by an old configuration.
-func TestMemberMessagesSurviveTheWire(t *testing.T) {
+func TestMemberMessagesRoundTrip(t *testing.T) {
 	at := placement.KeyOf("e", time.Time{})
 	loads := []placement.UpstreamLoad{{Upstream: at, Load: placement.Load{Running: 1, LongStreams: 2, PrefillSent: 3, EventTime: 4, ExpectedEventTime: 5}}}
 	reads := []placement.PrefillEvent{{Engine: at, State: placement.PrefillFinished, LastShared: placement.Part{ID: 1 << 63, Tokens: 7}, UnsharedTokens: 9}}
--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -17,7 +17,7 @@
 )
 
 // acceptPause keeps a failing accept from spinning.
-const acceptPause = 100 * time.Millisecond
+const acceptRetryDelay = 100 * time.Millisecond
 
 // Handler takes the messages that a server receives. It is called from one
 // goroutine a connection and must not block. Replies go to the connection that
@@ -91,7 +91,7 @@
 	if err != nil {
 		return err
 	}
-	defer s.release(l)
+	defer s.closeListener(l)
 	stop := context.AfterFunc(ctx, func() { _ = l.Close() })
 	defer stop()
 
@@ -111,7 +111,7 @@
 		if err != nil {
 			// Out of file descriptors, say. The connections that stand go on.
 			s.log.Warn("peer's connection can't be taken", "err", err)
-			sleep(ctx, acceptPause)
+			sleep(ctx, acceptRetryDelay)
 			continue
 		}
 		if !free.TryAcquire(1) {
@@ -126,7 +126,7 @@
 	}
 }
 
-func (s *Server) release(l net.Listener) {
+func (s *Server) closeListener(l net.Listener) {
 	_ = l.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,7 +135,7 @@
 
 func (s *Server) serveConn(ctx context.Context, raw net.Conn) {
 	defer func() { _ = raw.Close() }()
-	c, err := s.accept(ctx, raw)
+	c, err := s.authenticate(ctx, raw)
 	if err != nil {
 		s.log.Warn("peer turned away", "remote", raw.RemoteAddr().String(), "err", err)
 		return
@@ -143,13 +143,13 @@
 	out := newOutbox()
 	reply := func(m Message) { out.put(m) }
 	err = c.run(ctx, out, func(m Message) { s.handler.Handle(c.peer, m, reply) })
-	if unexpected(err) {
+	if isProtocolError(err) {
 		s.log.Warn("peer's connection broke", "peer", c.peer, "err", err)
 	}
 }
 
 // unexpected tells a fault of the protocol from the end of a connection.
-func unexpected(err error) bool {
+func isProtocolError(err error) bool {
 	var tooLarge *TooLargeError
 	return errors.Is(err, ErrTampered) || errors.Is(err, ErrMalformed) ||
 		errors.Is(err, codec.ErrMalformed) || errors.As(err, &tooLarge)
@@ -157,7 +157,7 @@
 
 // accept carries out the handshake within its limit: a slow or silent peer
 // holds a connection no longer than that.
-func (s *Server) accept(ctx context.Context, raw net.Conn) (*conn, error) {
+func (s *Server) authenticate(ctx context.Context, raw net.Conn) (*conn, error) {
 	if s.cfg.ServerTLS != nil {
 		raw = tls.Server(raw, s.cfg.ServerTLS)
 	}
--- a/internal/wire/size_test.go
+++ b/internal/wire/size_test.go
@@ -11,7 +11,7 @@
 
 // What daemons tell each other many times a second is paid for between data
 // centres. One changed load must stay a small message.
-func TestLoadsAreSmall(t *testing.T) {
+func TestLoadMessagesAreSmall(t *testing.T) {
 	loads := []placement.UpstreamLoad{{Upstream: placement.KeyOf("e", time.Time{}), Load: placement.Load{Running: 3, LongStreams: 1, PrefillSent: 1 << 30, PrefillDone: 1 << 30}}}
 	body, err := encode(MemberLoads{Incarnation: 1 << 62, Seq: 100_000, Loads: loads})
 	require.NoError(t, err)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -22,7 +22,7 @@
 
 var (
 	testSecret = []byte("a secret of the tests, 32 bytes.")
-	quiet      = slog.New(slog.DiscardHandler)
+	discardLog = slog.New(slog.DiscardHandler)
 	testConfig = Config{Name: "i1/entry", Secret: testSecret}
 )
 
@@ -40,7 +40,7 @@
 // startServer runs a server on a free port until the test ends or stop is called.
 func startServer(t *testing.T, cfg Config, address string, h Handler) (s *Server, stop func()) {
 	t.Helper()
-	s = NewServer(cfg, address, h, quiet)
+	s = NewServer(cfg, address, h, discardLog)
 	require.NoError(t, s.Bind())
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg conc.WaitGroup
@@ -51,7 +51,7 @@
 }
 
 // handshakes runs both sides over a pipe and returns their errors.
-func handshakes(client, server func(io.ReadWriter) error) (clientErr, serverErr error) {
+func runHandshakes(client, server func(io.ReadWriter) error) (clientErr, serverErr error) {
 	a, b := net.Pipe()
 	var wg conc.WaitGroup
 	wg.Go(func() { clientErr = client(a); _ = a.Close() })
@@ -68,26 +68,26 @@
 	return func(rw io.ReadWriter) error { _, err := handshakeServer(rw, "s", secret); return err }
 }
 
-func TestHandshakeTurnsAwayAWrongSecret(t *testing.T) {
+func TestHandshakeRejectsWrongSecret(t *testing.T) {
 	wrong := bytes.Repeat([]byte("x"), len(testSecret))
-	_, serverErr := handshakes(asClient(wrong), asServer(testSecret))
+	_, serverErr := runHandshakes(asClient(wrong), asServer(testSecret))
 	require.ErrorIs(t, serverErr, ErrNotAuthenticated)
 
 	// A server that lets everybody in still can't pass for one of ours.
 	lax := func(rw io.ReadWriter) error {
 		_, _, _ = receiveHello(rw)
 		_, _ = sendHello(rw, "lax")
-		_, _ = readRaw(rw, maxHandshakeBytes)
-		return writeRaw(rw, make([]byte, 32))
+		_, _ = readPrefixed(rw, maxHandshakeBytes)
+		return writePrefixed(rw, make([]byte, 32))
 	}
-	clientErr, _ := handshakes(asClient(testSecret), lax)
+	clientErr, _ := runHandshakes(asClient(testSecret), lax)
 	require.ErrorIs(t, clientErr, ErrNotAuthenticated)
 }
 
 // Somebody on the way records a client's side of a good handshake and plays it
 // to the server later, or sends a side's own proof back to it. The server's new
 // nonce and the label of the side must make both worthless.
-func TestHandshakeTurnsAwayReplays(t *testing.T) {
+func TestHandshakeRejectsReplays(t *testing.T) {
 	var recorded bytes.Buffer
 	recording := func(rw io.ReadWriter) error {
 		return asClient(testSecret)(struct {
@@ -95,7 +95,7 @@
 			io.Writer
 		}{rw, io.MultiWriter(rw, &recorded)})
 	}
-	clientErr, serverErr := handshakes(recording, asServer(testSecret))
+	clientErr, serverErr := runHandshakes(recording, asServer(testSecret))
 	require.NoError(t, clientErr)
 	require.NoError(t, serverErr)
 
@@ -106,20 +106,20 @@
 		_, err := rw.Write(recorded.Bytes()[helloSize:])
 		return err
 	}
-	_, serverErr = handshakes(replay, asServer(testSecret))
+	_, serverErr = runHandshakes(replay, asServer(testSecret))
 	require.ErrorIs(t, serverErr, ErrNotAuthenticated)
 
 	reflect := func(rw io.ReadWriter) error {
 		_, _, _ = receiveHello(rw)
 		_, _ = sendHello(rw, "mirror")
-		proof, _ := readRaw(rw, maxHandshakeBytes)
-		return writeRaw(rw, proof)
+		proof, _ := readPrefixed(rw, maxHandshakeBytes)
+		return writePrefixed(rw, proof)
 	}
-	clientErr, _ = handshakes(asClient(testSecret), reflect)
+	clientErr, _ = runHandshakes(asClient(testSecret), reflect)
 	require.ErrorIs(t, clientErr, ErrNotAuthenticated)
 }
 
-func TestFramesAreRefused(t *testing.T) {
+func TestInvalidFramesAreRejected(t *testing.T) {
 	key := []byte("key")
 	frame, err := newSealer(key).seal(rulesReply("rules"))
 	require.NoError(t, err)
@@ -141,7 +141,7 @@
 			var err error
 			for err == nil {
 				var data []byte
-				if data, err = readRaw(r, MaxFrameBytes); err == nil {
+				if data, err = readPrefixed(r, MaxFrameBytes); err == nil {
 					_, err = in.open(data)
 				}
 			}
@@ -159,7 +159,7 @@
 // A peer announces a frame of 4 GB, or we are about to send one that is too
 // large. Neither may take memory or reach the other side.
 func TestOversizedFrames(t *testing.T) {
-	_, err := readRaw(bytes.NewReader([]byte{0xff, 0xff, 0xff, 0xff, 1}), MaxFrameBytes)
+	_, err := readPrefixed(bytes.NewReader([]byte{0xff, 0xff, 0xff, 0xff, 1}), MaxFrameBytes)
 	var tooLarge *TooLargeError
 	require.ErrorAs(t, err, &tooLarge)
 	_, err = newSealer(nil).seal(rulesReply(string(make([]byte, MaxFrameBytes))))
@@ -170,7 +170,7 @@
 // a connection or a goroutine beyond the limits.
 func TestSilentPeersAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := NewServer(testConfig, "", echo, quiet)
+		s := NewServer(testConfig, "", echo, discardLog)
 		silent, end := net.Pipe()
 		defer silent.Close()
 		start := time.Now()
@@ -179,14 +179,14 @@
 
 		silent, end = net.Pipe()
 		defer silent.Close()
-		c := newConn(end, secrets{}, s.cfg.Limits)
+		c := newConn(end, session{}, s.cfg.Limits)
 		start = time.Now()
 		require.Error(t, c.run(t.Context(), newOutbox(), func(Message) {}))
 		require.Equal(t, defaultPing+defaultWrite, time.Since(start), "the first ping can't be written")
 	})
 }
 
-func TestAskOverTLS(t *testing.T) {
+func TestRequestOverTLS(t *testing.T) {
 	certs := httptest.NewTLSServer(nil)
 	defer certs.Close()
 	authorities := x509.NewCertPool()
@@ -206,7 +206,7 @@
 // A controller isn't up yet and is restarted later, while an entry goes on
 // sending statuses. The link must come back by itself each time, and deliver
 // what is newest, not what piled up: that would look fresh to the controller.
-func TestLinkComesBackWithTheNewest(t *testing.T) {
+func TestLinkReconnectsAndSendsNewest(t *testing.T) {
 	received := make(chan uint64, 100)
 	take := HandlerFunc(func(_ string, m Message, _ func(Message)) { received <- m.(EntryStatus).Seq })
 	cfg := testConfig
@@ -216,7 +216,7 @@
 	address := s.Addr().String()
 	stop()
 
-	links := NewLinks("links", cfg, nil, quiet)
+	links := NewLinks("links", cfg, nil, discardLog)
 	for seq := range uint64(7) {
 		links.Send(address, EntryStatus{Seq: seq})
 	}
@@ -241,7 +241,7 @@
 	}
 }
 
-func TestOutboxDropsTheOldest(t *testing.T) {
+func TestOutboxDropsOldest(t *testing.T) {
 	o := newOutbox()
 	for seq := range uint64(outboxSize + 3) {
 		require.Equal(t, seq >= outboxSize, o.put(EntryStatus{Seq: seq}))
@@ -275,7 +275,7 @@
 	f.Add([]byte{0, 0, 0, 2, 1, 2})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		r := bytes.NewReader(data)
-		if raw, err := readRaw(r, 1<<12); err == nil {
+		if raw, err := readPrefixed(r, 1<<12); err == nil {
 			require.LessOrEqual(t, len(raw), 1<<12)
 			_, _ = newSealer(nil).open(raw)
 		}
