--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -11,7 +11,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// Link keeps one connection to a peer's address, and makes it anew whenever it
+// Link maintains one connection to a peer's address and reconnects whenever it
 // breaks.
 type Link struct {
 	cfg     Config
@@ -21,8 +21,8 @@
 	log     *slog.Logger
 }
 
-// NewLink returns a link; Serve runs it. handle takes what the peer sends and
-// must not block; nil drops it.
+// NewLink returns a link; Serve runs it. handle receives the peer's messages and
+// must not block; with nil they are dropped.
 func NewLink(cfg Config, address string, handle func(Message), log *slog.Logger) *Link {
 	cfg.Limits = cfg.Limits.withDefaults()
 	if handle == nil {
@@ -34,11 +34,11 @@
 // String names the service for the supervisor.
 func (l *Link) String() string { return "wire link " + l.address }
 
-// Send queues a message and never blocks. It may be lost: if the connection is
-// down or slow, newer messages push it out.
+// Send queues a message and never blocks. The message may be lost: if the
+// connection is down or slow, newer messages replace older ones.
 func (l *Link) Send(m Message) { l.out.put(m) }
 
-// Serve keeps the connection until the context ends.
+// Serve maintains the connection until the context ends.
 func (l *Link) Serve(ctx context.Context) error {
 	wait := l.cfg.Limits.RetryMin
 	for {
@@ -59,12 +59,13 @@
 	}
 }
 
-// jittered spreads a wait over 0.5 to 1.5 of it: after a peer's restart, all
-// its links would otherwise come back in step.
+// jittered returns a random duration of 0.5 to 1.5 times wait, so that the links
+// to a restarted peer don't all reconnect at the same moment.
 func jittered(wait time.Duration) time.Duration {
 	return wait/2 + rand.N(wait)
 }
 
+// sleep reports whether d passed before ctx ended.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -80,7 +81,7 @@
 	d := net.Dialer{Timeout: cfg.Limits.Dial}
 	raw, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
-		return nil, eris.Wrap(err, "peer can't be reached")
+		return nil, eris.Wrap(err, "connect to peer")
 	}
 	c, err := authenticate(ctx, cfg, raw)
 	if err != nil {
@@ -90,6 +91,7 @@
 	return c, nil
 }
 
+// authenticate adds TLS, if it is configured, and carries out the handshake.
 func authenticate(ctx context.Context, cfg Config, raw net.Conn) (*conn, error) {
 	if cfg.ClientTLS != nil {
 		raw = tls.Client(raw, withServerName(cfg.ClientTLS, raw))
@@ -106,8 +108,8 @@
 	return newConn(raw, sec, cfg.Limits), raw.SetDeadline(time.Time{})
 }
 
-// withServerName checks the certificate against the IP number that was dialled,
-// unless the settings name another.
+// withServerName returns a configuration that checks the certificate against the
+// dialled IP address, unless a server name is configured.
 func withServerName(cfg *tls.Config, raw net.Conn) *tls.Config {
 	if cfg.ServerName != "" || cfg.InsecureSkipVerify {
 		return cfg
@@ -121,8 +123,8 @@
 	return named
 }
 
-// Ask makes a connection, sends one message and returns the first message that
-// comes back and isn't a ping.
+// Request opens a connection, sends one message and returns the first message
+// received that isn't a ping.
 func Request(ctx context.Context, cfg Config, address string, m Message) (Message, error) {
 	cfg.Limits = cfg.Limits.withDefaults()
 	c, err := dial(ctx, cfg, address)
@@ -136,12 +138,12 @@
 		return nil, eris.Wrapf(err, "request to %s", address)
 	}
 	for {
-		answer, err := c.receive()
+		reply, err := c.receive()
 		if err != nil {
-			return nil, eris.Wrapf(err, "answer of %s", address)
+			return nil, eris.Wrapf(err, "response from %s", address)
 		}
-		if answer.Kind() != KindPing {
-			return answer, nil
+		if reply.Kind() != KindPing {
+			return reply, nil
 		}
 	}
 }
--- a/internal/wire/config.go
+++ b/internal/wire/config.go
@@ -5,33 +5,34 @@
 	"time"
 )
 
-// Config is what both ends of connections need.
+// Config configures both ends of connections.
 type Config struct {
-	// Name tells the peer who this is, as instance/program. It is told by the
-	// peer itself: the handshake proves that it belongs to the system, no more.
+	// Name identifies this process to the peer, as instance/program. The name isn't
+	// verified: the handshake only proves that a peer belongs to the system.
 	Name   string
 	Secret []byte
-	// ClientTLS and ServerTLS are nil if TLS is off.
+	// ClientTLS and ServerTLS are nil if TLS is disabled.
 	ClientTLS *tls.Config
 	ServerTLS *tls.Config
 	Limits    Limits
 }
 
-// Limits bound how long a peer may take. Zero values stand for the defaults.
+// Limits holds timeouts and the limit on connections. A zero value selects the default.
 type Limits struct {
-	// Dial bounds the making of a connection, Handshake all of the handshake.
+	// Dial is the timeout for connecting, Handshake for the whole handshake.
 	Dial, Handshake time.Duration
-	// Write bounds the writing of one frame.
+	// Write is the timeout for writing one frame.
 	Write time.Duration
-	// Ping is the time between pings, Idle the longest silence.
+	// Ping is the interval between pings. A connection on which nothing is received
+	// for Idle is closed.
 	Ping, Idle time.Duration
-	// RetryMin and RetryMax bound the wait before a connection is tried again.
+	// RetryMin and RetryMax bound the delay before reconnecting.
 	RetryMin, RetryMax time.Duration
-	// Connections is the most that a server serves at a time.
+	// Connections is the maximum number of concurrent connections of a server.
 	Connections int
 }
 
-// The default limits.
+// Defaults of Limits.
 const (
 	defaultDial        = time.Second
 	defaultHandshake   = 2 * time.Second
--- a/internal/wire/conn.go
+++ b/internal/wire/conn.go
@@ -9,8 +9,8 @@
 	"github.com/sourcegraph/conc"
 )
 
-// conn is an authenticated connection. Its send and receive may each be used by
-// one goroutine.
+// conn is an authenticated connection. One goroutine may call send while another
+// one calls receive.
 type conn struct {
 	raw     net.Conn
 	reader  *bufio.Reader
@@ -36,7 +36,7 @@
 		return err
 	}
 	// A peer that has stopped reading fills the socket's buffer and would block
-	// the write for good.
+	// the write forever.
 	if err := c.raw.SetWriteDeadline(time.Now().Add(c.limits.Write)); err != nil {
 		return err
 	}
@@ -45,8 +45,8 @@
 }
 
 func (c *conn) receive() (Message, error) {
-	// A peer whose instance vanished sends no close. Pings come well within the
-	// limit, so silence beyond it means that the connection is dead.
+	// A peer whose instance has failed doesn't close its connection. Pings arrive
+	// well within the limit, so a longer silence means that the connection is dead.
 	if err := c.raw.SetReadDeadline(time.Now().Add(c.limits.Idle)); err != nil {
 		return nil, err
 	}
@@ -57,9 +57,9 @@
 	return c.in.open(data)
 }
 
-// run sends what comes into the outbox and hands received messages on until
-// either fails or the context ends. It returns the error of the side that
-// failed first and leaves the connection closed.
+// run sends the outbox's messages and passes received ones to handle until either
+// direction fails or the context ends. It closes the connection and returns the
+// first error.
 func (c *conn) run(ctx context.Context, outbox *outbox, handle func(Message)) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -86,8 +86,9 @@
 	}
 }
 
-// sendAll pings a peer only while there is nothing else to send: any message shows
-// that the connection lives. The longest silence is twice the time between pings.
+// sendAll sends a ping only if nothing else was sent in the last interval, since any
+// message shows that the connection is alive. The longest silence is therefore twice
+// the ping interval.
 func (c *conn) sendAll(ctx context.Context, outbox *outbox) error {
 	ping := time.NewTicker(c.limits.Ping)
 	defer ping.Stop()
--- a/internal/wire/doc.go
+++ b/internal/wire/doc.go
@@ -1,5 +1,5 @@
-// Package wire carries typed messages between the system's own processes: TCP,
-// frames with a length before them, msgpack bodies. Both ends prove on connect
-// that they know the shared peer secret, and each frame after that carries a
-// code under a key of its own connection. TLS goes underneath by settings.
+// Package wire carries typed messages between the system's own processes, as
+// length-prefixed frames with msgpack bodies over TCP, optionally with TLS. Both
+// ends prove on connect that they know the shared peer secret; each later frame
+// carries a MAC under a key of its connection.
 package wire
--- a/internal/wire/errors.go
+++ b/internal/wire/errors.go
@@ -5,24 +5,24 @@
 	"fmt"
 )
 
-// The ways in which a peer is turned away.
+// Errors for which a peer is rejected.
 var (
-	// ErrNotAuthentic says that the peer can't prove the shared secret.
-	ErrNotAuthenticated = errors.New("wire: peer doesn't prove the shared secret")
-	// ErrVersion says that the peer speaks another version of the protocol.
-	ErrVersion = errors.New("wire: peer speaks another protocol version")
-	// ErrTampered says that a frame was altered, repeated or left out on the way.
-	ErrTampered = errors.New("wire: frame isn't as its sender wrote it")
-	// ErrMalformed says that a frame isn't built as the protocol has it.
+	// ErrNotAuthenticated means that the peer didn't prove the shared secret.
+	ErrNotAuthenticated = errors.New("wire: peer failed to prove the shared secret")
+	// ErrVersion means that the peer uses another version of the protocol.
+	ErrVersion = errors.New("wire: protocol version mismatch")
+	// ErrTampered means that a frame was altered, replayed or removed in transit.
+	ErrTampered = errors.New("wire: frame failed authentication")
+	// ErrMalformed means that a frame doesn't have the protocol's format.
 	ErrMalformed = errors.New("wire: malformed frame")
 )
 
-// TooLargeError says that a frame is beyond the largest size taken. Nothing of
-// it was read into memory.
+// TooLargeError means that a frame exceeds the size limit. No part of its body was
+// read into memory.
 type TooLargeError struct {
 	Size, Max int
 }
 
 func (e *TooLargeError) Error() string {
-	return fmt.Sprintf("wire: frame of %d bytes, %d are the most", e.Size, e.Max)
+	return fmt.Sprintf("wire: frame of %d bytes exceeds the limit of %d", e.Size, e.Max)
 }
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -10,20 +10,20 @@
 	"github.com/rotisserie/eris"
 )
 
-// A frame is a big-endian length of 4 bytes, then so many bytes: the kind of
-// message (1 byte), its msgpack body, and a code (16 bytes) over the frame's
-// number in its direction, the kind and the body.
+// A frame is a big-endian length of 4 bytes, followed by that many bytes: the
+// message's kind (1 byte), its msgpack body, and a MAC (16 bytes) over the frame's
+// sequence number in its direction, the kind and the body.
 const (
 	lengthBytes = 4
 	kindBytes   = 1
 	macBytes    = 16
 )
 
-// MaxFrameBytes is the largest frame taken after the handshake. It leaves room
+// MaxFrameBytes is the size limit of a frame after the handshake. It leaves room
 // for the largest rule set.
 const MaxFrameBytes = 1 << 20
 
-// readRaw reads one length and so many bytes.
+// readPrefixed reads a length prefix and as many bytes as it says.
 func readPrefixed(r io.Reader, maxBytes int) ([]byte, error) {
 	var head [lengthBytes]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -40,7 +40,8 @@
 	return data, nil
 }
 
-// noEOF turns an end in the middle of a frame into an error of its own.
+// unexpectedEOF turns io.EOF, which within a frame means that it was truncated, into
+// io.ErrUnexpectedEOF.
 func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
@@ -54,8 +55,8 @@
 }
 
 // sealer numbers the frames of one direction of a connection and computes
-// their codes. A frame that was altered, repeated, left out or taken from
-// another connection has a code that doesn't fit.
+// their MACs. A frame that was altered, replayed, taken from another connection, or
+// that follows a missing one has a MAC that doesn't match.
 type sealer struct {
 	mac hash.Hash
 	seq uint64
@@ -65,6 +66,7 @@
 	return &sealer{mac: hmac.New(sha256.New, key)}
 }
 
+// nextMAC returns the MAC of the next frame's content.
 func (s *sealer) nextMAC(content []byte) []byte {
 	s.mac.Reset()
 	s.mac.Write(binary.BigEndian.AppendUint64(nil, s.seq))
@@ -90,13 +92,13 @@
 	return append(frame, s.nextMAC(frame[lengthBytes:])...), nil
 }
 
-// open checks what readRaw returned and decodes it.
+// open verifies what readPrefixed returned and decodes it.
 func (s *sealer) open(data []byte) (Message, error) {
 	if len(data) < kindBytes+macBytes {
 		return nil, eris.Wrapf(ErrMalformed, "%d bytes", len(data))
 	}
-	content, code := data[:len(data)-macBytes], data[len(data)-macBytes:]
-	if !hmac.Equal(code, s.nextMAC(content)) {
+	content, mac := data[:len(data)-macBytes], data[len(data)-macBytes:]
+	if !hmac.Equal(mac, s.nextMAC(content)) {
 		return nil, ErrTampered
 	}
 	return decode(Kind(content[0]), content[kindBytes:])
--- a/internal/wire/handshake.go
+++ b/internal/wire/handshake.go
@@ -12,7 +12,7 @@
 	"tamarackchute/internal/codec"
 )
 
-// Version is the protocol's version. Both ends must have the same.
+// Version is the protocol's version. Both ends must use the same.
 const Version = 1
 
 const (
@@ -20,8 +20,8 @@
 	maxHandshakeBytes = 512
 )
 
-// Labels keep the uses of the secret apart: a proof of one side can't be sent
-// back as the other's, and no proof is a key.
+// Labels separate the uses of the secret: one side's proof can't be reflected as
+// the other's, and no proof equals a key.
 const (
 	labelClientProof  = "tamarackchute client proof"
 	labelServerProof  = "tamarackchute server proof"
@@ -29,14 +29,14 @@
 	labelServerFrames = "tamarackchute server frames"
 )
 
-// hello opens a handshake; the server answers with one of its own.
+// hello opens a handshake; the server replies with a hello of its own.
 type hello struct {
 	Version int    `msgpack:"v"`
 	Name    string `msgpack:"n"`
 	Nonce   []byte `msgpack:"r"`
 }
 
-// secrets is what a handshake yields: the peer's name and a key a direction.
+// session is the result of a handshake: the peer's name and a key per direction.
 type session struct {
 	peer       string
 	sendKey    []byte
@@ -50,8 +50,8 @@
 //	client: HMAC(secret, client label, both hellos)
 //	server: HMAC(secret, server label, both hellos)
 //
-// The server proves nothing before the client has. Both nonces are in both
-// proofs, so a recorded proof fits no later handshake.
+// The server sends its proof only after it has verified the client's. Both nonces
+// are part of both proofs, so a recorded proof is invalid in a later handshake.
 func handshakeClient(rw io.ReadWriter, name string, secret []byte) (session, error) {
 	sent, err := sendHello(rw, name)
 	if err != nil {
@@ -75,13 +75,14 @@
 	}, nil
 }
 
-// handshakeServer is the other side of handshakeClient.
+// handshakeServer is the server's side of handshakeClient.
 func handshakeServer(rw io.ReadWriter, name string, secret []byte) (session, error) {
 	received, peer, err := receiveHello(rw)
 	if err != nil && !eris.Is(err, ErrVersion) {
 		return session{}, err
 	}
-	// A peer of another version gets our hello too, so that it can tell why.
+	// A peer of another version gets our hello too, so that it can report the
+	// mismatch.
 	sent, sendErr := sendHello(rw, name)
 	if err != nil {
 		return session{}, err
@@ -91,7 +92,7 @@
 	}
 	transcript := appendPrefixed(appendPrefixed(nil, received), sent)
 	if err := checkProof(rw, derive(secret, labelClientProof, transcript)); err != nil {
-		return session{}, eris.Wrapf(err, "peer that calls itself %q", peer)
+		return session{}, eris.Wrapf(err, "peer claiming to be %q", peer)
 	}
 	if err := writePrefixed(rw, derive(secret, labelServerProof, transcript)); err != nil {
 		return session{}, err
@@ -116,7 +117,7 @@
 	_, _ = rand.Read(h.Nonce)
 	data, err := msgpack.Marshal(h)
 	if err != nil {
-		return nil, eris.Wrap(err, "hello can't be encoded")
+		return nil, eris.Wrap(err, "encode hello")
 	}
 	return data, writePrefixed(w, data)
 }
@@ -136,12 +137,12 @@
 	return raw, h.Name, nil
 }
 
-// checkProof reads the peer's proof and compares it in constant time. A peer
-// that hangs up instead has not taken our proof or has none.
+// checkProof reads the peer's proof and compares it in constant time. A peer that
+// closes the connection instead rejected our proof or has none.
 func checkProof(r io.Reader, want []byte) error {
 	got, err := readPrefixed(r, maxHandshakeBytes)
 	if err == io.EOF {
-		return eris.Wrap(ErrNotAuthenticated, "peer hung up before its proof")
+		return eris.Wrap(ErrNotAuthenticated, "peer closed the connection before its proof")
 	}
 	if err != nil {
 		return err
--- a/internal/wire/links.go
+++ b/internal/wire/links.go
@@ -9,10 +9,10 @@
 	"github.com/thejerf/suture/v4"
 )
 
-// linkRest is how long a link stays without anything sent over it.
+// linkIdleTimeout is how long a link stays open without a message sent over it.
 const linkIdleTimeout = 30 * time.Second
 
-// Links keeps a link to each address that something was sent to lately.
+// Links maintains a link to each address to which something was sent recently.
 type Links struct {
 	*suture.Supervisor
 	cfg    Config
@@ -29,8 +29,8 @@
 	lastUsed time.Time
 }
 
-// NewLinks returns an empty set of links; its supervisor runs it. handle takes
-// what peers send back, from several goroutines; nil drops it.
+// NewLinks returns an empty set of links; its supervisor runs it. handle receives
+// the peers' messages, from several goroutines; with nil they are dropped.
 func NewLinks(name string, cfg Config, handle func(Message), log *slog.Logger) *Links {
 	ls := &Links{
 		Supervisor: suture.New(name, suture.Spec{EventHook: logEvents(log)}),
@@ -43,7 +43,8 @@
 	return ls
 }
 
-// Send queues a message for an address and never blocks; see Link.Send.
+// Send queues a message for an address and never blocks. Like Link.Send, it may lose
+// the message.
 func (ls *Links) Send(address string, m Message) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
@@ -57,7 +58,7 @@
 	u.link.Send(m)
 }
 
-// sweeper ends links that have gone unused, such as those to former leaders.
+// sweeper removes links that are no longer used, such as those to former leaders.
 type sweeper struct {
 	links *Links
 }
@@ -82,7 +83,7 @@
 	}
 }
 
-// logEvents writes the supervisor's events as log lines.
+// logEvents returns a hook that logs the supervisor's events.
 func logEvents(log *slog.Logger) suture.EventHook {
 	return func(e suture.Event) { log.Warn("supervisor", "event", e.String()) }
 }
--- a/internal/wire/loads.go
+++ b/internal/wire/loads.go
@@ -7,14 +7,14 @@
 	"tamarackchute/placement"
 )
 
-// Loads are daemons' work at upstreams. They make up most of what daemons tell each other,
-// and are written out here: by reflection each takes five times as long (BenchmarkLoads).
+// UpstreamLoads are daemons' loads on upstreams. They make up most of the traffic between
+// daemons; encoding by reflection takes five times the processor time.
 type UpstreamLoads []placement.UpstreamLoad
 
-// Reads are what became of prompts.
+// PrefillEvents are events of prompts' prefills.
 type PrefillEvents []placement.PrefillEvent
 
-// The number of fields of each form.
+// The number of fields of each encoded struct.
 const (
 	upstreamLoadFields = 2
 	loadFields         = 9
@@ -26,19 +26,19 @@
 func (l UpstreamLoads) EncodeMsgpack(e *msgpack.Encoder) error {
 	w := writer{e: e}
 	w.array(len(l))
-	for _, at := range l {
+	for _, load := range l {
 		w.array(upstreamLoadFields)
-		w.uint(uint64(at.Upstream))
+		w.uint(uint64(load.Upstream))
 		w.array(loadFields)
-		w.int(at.Load.Running)
-		w.int(at.Load.LongStreams)
-		w.int(at.Load.ReservedKVTokens)
-		w.int(at.Load.LatePrefills)
-		w.uint(uint64(at.Load.PrefillSent))
-		w.uint(uint64(at.Load.PrefillDone))
-		w.uint(uint64(at.Load.TransferredTokens))
-		w.uint(uint64(at.Load.EventTime))
-		w.uint(uint64(at.Load.ExpectedEventTime))
+		w.int(load.Load.Running)
+		w.int(load.Load.LongStreams)
+		w.int(load.Load.ReservedKVTokens)
+		w.int(load.Load.LatePrefills)
+		w.uint(uint64(load.Load.PrefillSent))
+		w.uint(uint64(load.Load.PrefillDone))
+		w.uint(uint64(load.Load.TransferredTokens))
+		w.uint(uint64(load.Load.EventTime))
+		w.uint(uint64(load.Load.ExpectedEventTime))
 	}
 	return w.err
 }
@@ -49,20 +49,20 @@
 	n := r.length()
 	*l = make(UpstreamLoads, 0, n)
 	for range n {
-		var at placement.UpstreamLoad
+		var load placement.UpstreamLoad
 		r.array(upstreamLoadFields)
-		at.Upstream = placement.Key(r.uint32())
+		load.Upstream = placement.Key(r.uint32())
 		r.array(loadFields)
-		at.Load.Running = r.int()
-		at.Load.LongStreams = r.int()
-		at.Load.ReservedKVTokens = r.int()
-		at.Load.LatePrefills = r.int()
-		at.Load.PrefillSent = r.uint32()
-		at.Load.PrefillDone = r.uint32()
-		at.Load.TransferredTokens = r.uint32()
-		at.Load.EventTime = r.uint32()
-		at.Load.ExpectedEventTime = r.uint32()
-		*l = append(*l, at)
+		load.Load.Running = r.int()
+		load.Load.LongStreams = r.int()
+		load.Load.ReservedKVTokens = r.int()
+		load.Load.LatePrefills = r.int()
+		load.Load.PrefillSent = r.uint32()
+		load.Load.PrefillDone = r.uint32()
+		load.Load.TransferredTokens = r.uint32()
+		load.Load.EventTime = r.uint32()
+		load.Load.ExpectedEventTime = r.uint32()
+		*l = append(*l, load)
 	}
 	return r.err
 }
@@ -71,14 +71,14 @@
 func (l PrefillEvents) EncodeMsgpack(e *msgpack.Encoder) error {
 	w := writer{e: e}
 	w.array(len(l))
-	for _, read := range l {
+	for _, event := range l {
 		w.array(prefillEventFields)
-		w.uint(uint64(read.Engine))
-		w.uint(uint64(read.State))
+		w.uint(uint64(event.Engine))
+		w.uint(uint64(event.State))
 		w.array(partFields)
-		w.uint(read.LastShared.ID)
-		w.int(read.LastShared.Tokens)
-		w.int(read.UnsharedTokens)
+		w.uint(event.LastShared.ID)
+		w.int(event.LastShared.Tokens)
+		w.int(event.UnsharedTokens)
 	}
 	return w.err
 }
@@ -89,20 +89,20 @@
 	n := r.length()
 	*l = make(PrefillEvents, 0, n)
 	for range n {
-		var read placement.PrefillEvent
+		var event placement.PrefillEvent
 		r.array(prefillEventFields)
-		read.Engine = placement.Key(r.uint32())
-		read.State = placement.PrefillState(r.uint32())
+		event.Engine = placement.Key(r.uint32())
+		event.State = placement.PrefillState(r.uint32())
 		r.array(partFields)
-		read.LastShared.ID = r.uint64()
-		read.LastShared.Tokens = r.int()
-		read.UnsharedTokens = r.int()
-		*l = append(*l, read)
+		event.LastShared.ID = r.uint64()
+		event.LastShared.Tokens = r.int()
+		event.UnsharedTokens = r.int()
+		*l = append(*l, event)
 	}
 	return r.err
 }
 
-// writer writes values until one can't be.
+// writer encodes values until the first error, which it keeps.
 type writer struct {
 	e   *msgpack.Encoder
 	err error
@@ -126,13 +126,14 @@
 	}
 }
 
-// reader reads values until one isn't of the form that is expected.
+// reader decodes values until the first error, which it keeps.
 type reader struct {
 	d   *msgpack.Decoder
 	err error
 }
 
-// length reads the length of a list. The bytes that are there bound it: see codec.
+// length reads the length of a list. codec.Unmarshal has checked it against the number
+// of bytes, so it is safe to allocate.
 func (r *reader) length() int {
 	if r.err != nil {
 		return 0
@@ -142,10 +143,10 @@
 	return max(0, n)
 }
 
-// array reads the length of a form of some fields.
+// array reads the length of an array and requires it to be fields.
 func (r *reader) array(fields int) {
 	if n := r.length(); r.err == nil && n != fields {
-		r.err = eris.Errorf("%d fields, not %d", n, fields)
+		r.err = eris.Errorf("got %d fields, want %d", n, fields)
 	}
 }
 
--- a/internal/wire/member.go
+++ b/internal/wire/member.go
@@ -8,63 +8,65 @@
 	"tamarackchute/upstream"
 )
 
-// MemberAddress is where a daemon is reached.
+// MemberAddress holds the addresses of a daemon.
 type MemberAddress struct {
 	Instance   string `msgpack:"n" json:"instance"`
 	DataCentre string `msgpack:"d" json:"data_centre"`
-	// Callers and Peers are IP:PORT.
+	// Callers and Peers are the addresses, as IP:PORT, at which the daemon listens for
+	// callers and for other daemons.
 	Callers string `msgpack:"c" json:"callers"`
 	Peers   string `msgpack:"p" json:"peers"`
-	// Capacity ranks daemons by what they can do for the others beside their own
-	// requests.
+	// Capacity ranks daemons by how much work they can do for the others in addition
+	// to their requests.
 	Capacity int `msgpack:"z" json:"capacity"`
 }
 
-// MemberState is what a daemon tells the others of itself, several times a
-// second while requests come and go.
+// MemberState is the state that a daemon reports to the others, several times a
+// second while it serves requests.
 type MemberState struct {
 	//lint:ignore U1000 msgpack reads it: the fields go without their names.
 	_msgpack struct{} `msgpack:",as_array"`
 	MemberAddress
-	// Incarnation tells the starts of a daemon apart; Seq counts the states of
-	// one. A state that was overtaken by a newer one is dropped.
+	// Incarnation differs for each start of a daemon; Seq counts the states of one
+	// incarnation. A state that arrives after a newer one is dropped.
 	Incarnation uint64
 	Seq         uint64
-	// Serving says that callers may be sent there.
+	// Serving means that the directory may name this daemon to callers.
 	Serving bool
-	// Config is the version of the configuration in force there.
+	// Config is the version of the configuration in force at this daemon.
 	Config uint64
-	// ListPosition is the place in the store up to which its list of upstreams
-	// goes, ListDigest tells whether two lists are the same, and ReadAge is the
-	// time since the list was read, by it or by a daemon that it heard.
+	// ListPosition is the store position of the daemon's list of upstreams and
+	// ListDigest a digest of the list. ListAge is the time since the same list was last
+	// read from the store, by this daemon or by one that has reported to it.
 	ListPosition uint64
 	ListDigest   uint64
 	ListAge      time.Duration
 	// ListSize is the number of upstreams in that list.
 	ListSize int
-	// Meshed says that it tells all others its work itself; if not, it comes with the
-	// totals of the site.
+	// FullMesh means that the daemon reports its loads to all others itself; otherwise
+	// they are part of the site's totals.
 	FullMesh bool
-	// Loads are what has changed of its work at upstreams, Reads the prompts read
-	// lately for it.
+	// Loads are the daemon's loads on upstreams that have changed, Prefills the recent
+	// prefills of its prompts.
 	Loads    UpstreamLoads
 	Prefills PrefillEvents
-	// Learnt is what it has observed of the engines, by pool; now and then.
+	// Observations are the daemon's observations of engines, by pool. Only some states
+	// have them.
 	Observations map[string]enginemodel.Observations
-	// Demands is what callers ask of it, by pool.
+	// Demands is the demand of the daemon's callers, by pool.
 	Demands map[string]MemberDemand
-	// Away are engines that have been ordered to change.
+	// Unavailable are engines that have been ordered to change their role.
 	Unavailable []UnavailableEngine
-	// Known are other daemons that it hears from.
+	// KnownPeers are the daemons from which this one receives states.
 	KnownPeers []MemberAddress
 }
 
-// MemberLoads is what has changed of a daemon's work since its last state, told
-// many times between two. It says nothing else, so that it stays small.
+// MemberLoads reports the changes of a daemon's loads since its last state. It is sent
+// many times between two states, and therefore kept small.
 type MemberLoads struct {
 	//lint:ignore U1000 msgpack reads it: the fields go without their names.
 	_msgpack struct{} `msgpack:",as_array"`
-	// Incarnation and Seq are as in a MemberState, and tell whose it is.
+	// Incarnation and Seq are as in MemberState. Incarnation identifies the sender.
 	Incarnation, Seq uint64
 	Loads            UpstreamLoads
 	Prefills         PrefillEvents
@@ -73,23 +75,23 @@
 // Kind implements Message.
 func (MemberLoads) Kind() Kind { return KindMemberLoads }
 
-// MemberDemand is what callers ask of one pool at one daemon, a second.
+// MemberDemand is the demand of one daemon's callers for one pool.
 type MemberDemand struct {
-	// Readers are the engines that the prompts keep busy.
+	// PrefillEngines is the number of engines that the prompts keep busy.
 	PrefillEngines float64 `msgpack:"t"`
 }
 
-// Plus returns the sum of what two daemons are asked.
+// Add returns the sum of two demands.
 func (d MemberDemand) Add(o MemberDemand) MemberDemand {
 	return MemberDemand{PrefillEngines: d.PrefillEngines + o.PrefillEngines}
 }
 
-// AwayEngine is an engine that takes no work for a while.
+// UnavailableEngine is an engine that accepts no work for some time.
 type UnavailableEngine struct {
 	//lint:ignore U1000 msgpack reads it: the fields go without their names.
 	_msgpack struct{} `msgpack:",as_array"`
 	Engine   placement.Key
-	// To is the role that it changes to, empty if it doesn't.
+	// TargetRole is the role that the engine is changing to, empty if its role stays.
 	TargetRole upstream.Role
 	Remaining  time.Duration
 }
@@ -97,22 +99,22 @@
 // Kind implements Message.
 func (MemberState) Kind() Kind { return KindMemberState }
 
-// ViewRequest asks a peer for what it has read from the store, by a daemon that
-// can't reach the store itself.
+// ViewRequest asks a peer for its copy of the store's content. It is sent by a daemon
+// that can't reach the store itself.
 type ViewRequest struct {
-	// ConfigOnly leaves the list of upstreams out.
+	// ConfigOnly asks for the configuration without the list of upstreams.
 	ConfigOnly bool `msgpack:"c,omitempty"`
 }
 
 // Kind implements Message.
 func (ViewRequest) Kind() Kind { return KindViewRequest }
 
-// ViewReply is the answer: documents as the store holds them.
+// ViewReply is the response to a ViewRequest, with documents as the store holds them.
 type ViewReply struct {
-	// Config is nil if the peer knows none.
+	// Config is nil if the peer has no configuration.
 	Config []byte `msgpack:"c"`
-	// Upstreams are the entries by ID, Position the place in the store up to
-	// which they go, Age the time since they were read.
+	// Upstreams are the entries by ID, Position is their position in the store and Age
+	// the time since they were read.
 	Upstreams map[string][]byte `msgpack:"u"`
 	Position  uint64            `msgpack:"o"`
 	Age       time.Duration     `msgpack:"a"`
@@ -121,29 +123,31 @@
 // Kind implements Message.
 func (ViewReply) Kind() Kind { return KindViewReply }
 
-// LoadReport tells a collector of loads what a daemon has in flight, and those that
-// report to it.
+// LoadReport reports to a collector what the sender, and the daemons that report to
+// it, have in flight.
 type LoadReport struct {
 	//lint:ignore U1000 msgpack reads it: the fields go without their names.
 	_msgpack struct{} `msgpack:",as_array"`
-	// Peers is the sender's address.
+	// PeerAddress is the address at which the sender listens for peers.
 	PeerAddress string
-	// Full says that upstreams that aren't listed have nothing in flight.
+	// Full means that upstreams that aren't listed have nothing in flight.
 	Full  bool
 	Loads UpstreamLoads
-	// Daemons is how many it is of, Depth how many of them stand below each other.
+	// Daemons is the number of daemons that the report covers, Depth the depth of the
+	// tree in which they report to each other.
 	Daemons int
 	Depth   int
-	// Away is news of engines that take no work, Reads of prompts that were read.
+	// Unavailable holds changes to the engines that accept no work, Prefills recent
+	// prefills.
 	Unavailable []UnavailableEngine
 	Prefills    PrefillEvents
-	// Unanswered says that the sender doesn't need the totals now.
+	// NoReply means that the sender doesn't need the totals now.
 	NoReply bool
-	// Demands is what callers ask of these daemons, by pool; in full reports only.
+	// Demands is the demand at these daemons, by pool. Only full reports have it.
 	Demands map[string]MemberDemand
 }
 
-// HasNews reports whether the report says anything that its receiver may not know.
+// HasUpdates reports whether the report contains any change.
 func (m LoadReport) HasUpdates() bool {
 	return len(m.Loads)+len(m.Unavailable)+len(m.Prefills) > 0
 }
@@ -151,21 +155,22 @@
 // Kind implements Message.
 func (LoadReport) Kind() Kind { return KindLoadReport }
 
-// LoadTotals is what all daemons but the receiver have in flight, as the
-// collector knows it.
+// LoadTotals is what all daemons except the receiver have in flight, as known to the
+// collector.
 type LoadTotals struct {
 	//lint:ignore U1000 msgpack reads it: the fields go without their names.
 	_msgpack struct{} `msgpack:",as_array"`
-	// Full says that upstreams that aren't listed have nothing in flight.
+	// Full means that upstreams that aren't listed have nothing in flight.
 	Full  bool
 	Loads UpstreamLoads
-	// Senders is the number of daemons in it.
+	// Daemons is the number of daemons that the totals cover.
 	Daemons int
-	// Away is news of engines that take no work, Reads of prompts that were read.
+	// Unavailable holds changes to the engines that accept no work, Prefills recent
+	// prefills.
 	Unavailable []UnavailableEngine
 	Prefills    PrefillEvents
-	// Config, ListPosition, ListDigest, ListSize and ReadAge are the collector's,
-	// as in a MemberState: it reads the store for all.
+	// Config, ListPosition, ListDigest, ListSize and ListAge describe the collector's
+	// state, as in MemberState: it reads the store for all.
 	Config       uint64
 	ListPosition uint64
 	ListDigest   uint64
@@ -176,16 +181,16 @@
 // Kind implements Message.
 func (LoadTotals) Kind() Kind { return KindLoadTotals }
 
-// BeliefsRequest asks a peer for what it has learnt of the engines.
+// SnapshotRequest asks a peer for a snapshot of its view of the engines.
 type SnapshotRequest struct {
-	// Of are the engines of which the sender doesn't know what they keep.
+	// Engines are those whose cached prompt parts the sender doesn't know.
 	Engines []placement.Key `msgpack:"o"`
 }
 
 // Kind implements Message.
 func (SnapshotRequest) Kind() Kind { return KindSnapshotRequest }
 
-// BeliefsReply is the answer.
+// SnapshotReply is the response to a SnapshotRequest.
 type SnapshotReply struct {
 	Snapshot placement.Snapshot `msgpack:"b"`
 }
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -12,11 +12,10 @@
 	"tamarackchute/rules"
 )
 
-// Kind tells the types of message apart. Its numbers go over the wire: never
-// reuse one.
+// Kind identifies the type of a message on the wire. A number must never be reused.
 type Kind uint8
 
-// The kinds of message.
+// Kinds of messages.
 const (
 	KindPing         Kind = 1
 	KindHeartbeat    Kind = 2
@@ -38,45 +37,45 @@
 
 // Message is a typed message between two processes of the system.
 type Message interface {
-	// Kind is the same for every message of the type.
+	// Kind returns the kind, which is the same for all messages of a type.
 	Kind() Kind
 }
 
-// Ping keeps a connection known as alive while nothing else is sent.
+// Ping shows that a connection is alive while nothing else is sent.
 type Ping struct{}
 
-// Heartbeat carries a heartbeat of the membership.
+// Heartbeat carries a membership heartbeat.
 type Heartbeat struct {
 	membership.Heartbeat
 }
 
-// Summary carries a data centre's summary of the membership.
+// Summary carries a data centre's membership summary.
 type Summary struct {
 	membership.Summary
 }
 
-// StatusFresh is the age up to which a leader counts a listed entry's status as
-// its acknowledgement of a drain. An entry that was killed since is replaced by
-// one with empty memory, which knows of no drain before it has read the log.
-// Therefore it serves on nothing but the log for longer than this.
+// MaxStatusAge is the age up to which a leader accepts a listed entry's status as
+// acknowledgement of a drain. An entry killed since may have been replaced by one that
+// doesn't know of the drain until it has read the log. A restarted entry therefore
+// serves only with state from the log until this time has passed.
 const MaxStatusAge = time.Second
 
-// EntryStatus is what an entry tells the leading controllers of itself.
+// EntryStatus is the status that an entry reports to the leading controllers.
 type EntryStatus struct {
 	Instance   string `msgpack:"n"`
 	DataCentre string `msgpack:"d"`
-	// Incarnation tells the starts of the entry apart, and Seq counts the
-	// statuses of one; the sender of statuses fills both.
+	// Incarnation differs for each start of the entry, and Seq counts the statuses
+	// of one incarnation. The code that sends statuses sets both.
 	Incarnation uint64 `msgpack:"i"`
 	Seq         uint64 `msgpack:"q"`
-	// Applied is the place in the log up to which the entry acts on what it has
-	// read. A drain entry up to there is obeyed.
+	// Applied is the log position up to which the entry has applied the records. It
+	// obeys drain records up to this position.
 	Applied journal.Position `msgpack:"a"`
-	// InFlight lists engines with work of this entry on them; an engine that
-	// isn't listed has none.
+	// InFlight lists the engines with requests of this entry in progress; an engine
+	// that isn't listed has none.
 	InFlight []EngineInFlight `msgpack:"f"`
 	Demand   []ModelDemand    `msgpack:"m"`
-	// At is the entry's own clock. Receivers judge age by their own.
+	// At is the time by the entry's clock. Receivers measure age by their local clocks.
 	At time.Time `msgpack:"t"`
 }
 
@@ -86,31 +85,32 @@
 	Requests int    `msgpack:"r"`
 }
 
-// ModelDemand is what callers asked of a model at one entry, as smoothed rates.
+// ModelDemand is the demand for a model at one entry, as smoothed rates.
 type ModelDemand struct {
 	Model              string  `msgpack:"m"`
 	PromptTokensPerSec float64 `msgpack:"p"`
 	OutputTokensPerSec float64 `msgpack:"o"`
 	RequestsPerSec     float64 `msgpack:"r"`
-	// Queued counts requests that wait in the entry.
+	// Queued is the number of requests that wait in the entry.
 	Queued int `msgpack:"q"`
 }
 
-// StatusAck tells an entry that a controller has taken its status.
+// StatusAck confirms to an entry that a controller has received its status.
 type StatusAck struct {
-	// At is the status's own time.
+	// At is the acknowledged status's At.
 	At time.Time `msgpack:"t"`
 }
 
-// RulesRequest asks a peer for the rules in force, by a process that starts
-// while the log is down.
+// RulesRequest asks a peer for the rules in force. It is sent by a process that starts
+// while the log is unavailable.
 type RulesRequest struct{}
 
-// RulesReply is the answer: the rules in force as that peer has folded them.
+// RulesReply is the response to a RulesRequest: the rules in force as the peer has
+// computed them from the log.
 type RulesReply struct {
 	rules.PeerState
-	// Draining names the engines that the peer gives no new work, for an order
-	// that is to come or under way.
+	// Draining names the engines to which the peer sends no new work because of a
+	// planned or running order.
 	Draining []string `msgpack:"drains"`
 }
 
@@ -135,8 +135,7 @@
 // Kind implements Message.
 func (RulesReply) Kind() Kind { return KindRulesReply }
 
-// Encoded is a message in the form in which it goes over the wire, made once for all
-// peers that get the same.
+// Encoded is a message that was encoded once in order to be sent to several peers.
 type Encoded struct {
 	kind Kind
 	body []byte
@@ -145,7 +144,7 @@
 // Kind implements Message.
 func (e Encoded) Kind() Kind { return e.kind }
 
-// Encode encodes a message that several peers will get.
+// Encode encodes a message that is sent to several peers.
 func Encode(m Message) (Encoded, error) {
 	body, err := encode(m)
 	return Encoded{kind: m.Kind(), body: body}, err
@@ -156,11 +155,11 @@
 		return e.body, nil
 	}
 	body, err := msgpack.Marshal(m)
-	return body, eris.Wrapf(err, "message of kind %d can't be encoded", m.Kind())
+	return body, eris.Wrapf(err, "encode message of kind %d", m.Kind())
 }
 
-// decode turns a body into the message of its kind. An unknown kind is an
-// error: peers of another version don't get past the handshake.
+// decode decodes a body as a message of a kind. An unknown kind is an error: the
+// handshake rejects peers of another version.
 func decode(k Kind, body []byte) (Message, error) {
 	switch k {
 	case KindPing:
@@ -194,14 +193,14 @@
 	case KindLoadTotals:
 		return decodeAs[LoadTotals](body)
 	default:
-		return nil, eris.Errorf("message of unknown kind %d", k)
+		return nil, eris.Errorf("unknown message kind %d", k)
 	}
 }
 
 func decodeAs[M Message](body []byte) (Message, error) {
 	var m M
 	if err := codec.Unmarshal(body, &m); err != nil {
-		return nil, eris.Wrapf(err, "message of kind %d", m.Kind())
+		return nil, eris.Wrapf(err, "decode message of kind %d", m.Kind())
 	}
 	return m, nil
 }
--- a/internal/wire/outbox.go
+++ b/internal/wire/outbox.go
@@ -2,15 +2,16 @@
 
 import "sync"
 
-// outboxSize bounds what waits for one connection: some seconds of states, or some tens of
-// milliseconds of reports of load in a burst, whose next full one makes up for those lost.
+// outboxSize is the number of messages that may wait for one connection: some seconds of
+// states, or tens of milliseconds of load reports in a burst. The next full report makes up
+// for reports that were dropped.
 const outboxSize = 16
 
-// outbox is a bounded queue of messages to one peer. A full one drops its
-// oldest message: each message is outdated by the next of its kind, and a slow
-// peer must neither block its sender nor fill its memory.
+// outbox is a bounded queue of messages to one peer. A full queue drops its
+// oldest message, since each message is superseded by the next one of its kind, and a
+// slow peer must neither block the sender nor exhaust its memory.
 type outbox struct {
-	// filled holds a token if there may be something to take.
+	// filled holds a token if the queue may contain a message.
 	filled chan struct{}
 
 	mu       sync.Mutex
@@ -21,7 +22,7 @@
 	return &outbox{filled: make(chan struct{}, 1)}
 }
 
-// put adds a message and reports whether an older one had to give way.
+// put adds a message and reports whether an older one was dropped.
 func (o *outbox) put(m Message) (dropped bool) {
 	o.mu.Lock()
 	if len(o.messages) == outboxSize {
@@ -48,8 +49,8 @@
 	return m, true
 }
 
-// keepNewest drops all but the newest message. Called on a new connection: what
-// was queued while there was none is outdated and would look fresh to the peer.
+// keepNewest drops all but the newest message. It is called for a new connection: the
+// older messages are outdated, but would look fresh to the peer.
 func (o *outbox) keepNewest() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -16,24 +16,24 @@
 	"tamarackchute/internal/codec"
 )
 
-// acceptPause keeps a failing accept from spinning.
+// acceptRetryDelay keeps a failing accept from spinning.
 const acceptRetryDelay = 100 * time.Millisecond
 
-// Handler takes the messages that a server receives. It is called from one
-// goroutine a connection and must not block. Replies go to the connection that
-// the message came from; they may be sent later too, and are dropped once it
-// has closed.
+// Handler handles the messages that a server receives. It is called from one
+// goroutine per connection and must not block. reply sends to the connection of the
+// message. It may be called after Handle has returned; once the connection is closed,
+// replies are dropped.
 type Handler interface {
 	Handle(peer string, m Message, reply func(Message))
 }
 
-// HandlerFunc is a function that serves as a Handler.
+// HandlerFunc adapts a function to the Handler interface.
 type HandlerFunc func(peer string, m Message, reply func(Message))
 
 // Handle implements Handler.
 func (f HandlerFunc) Handle(peer string, m Message, reply func(Message)) { f(peer, m, reply) }
 
-// Server takes connections of the system's other processes.
+// Server accepts connections from the system's other processes.
 type Server struct {
 	cfg     Config
 	address string
@@ -53,9 +53,9 @@
 // String names the service for the supervisor.
 func (s *Server) String() string { return "wire server " + s.address }
 
-// Bind takes the address before Serve does. Whoever needs to know that no other
-// process serves there, such as a successor on the same instance, calls it
-// first. Calling it again is harmless.
+// Bind opens the listener before Serve does. A process that must make sure that no
+// other one serves the address, such as its predecessor on the same instance, calls it
+// first. It may be called repeatedly.
 func (s *Server) Bind() error {
 	_, err := s.bind()
 	return err
@@ -69,7 +69,7 @@
 	}
 	l, err := net.Listen("tcp", s.address)
 	if err != nil {
-		return nil, eris.Wrapf(err, "peers' address %s can't be taken", s.address)
+		return nil, eris.Wrapf(err, "listen for peers on %s", s.address)
 	}
 	s.listener = l
 	return l, nil
@@ -85,7 +85,7 @@
 	return s.listener.Addr()
 }
 
-// Serve takes connections until the context ends, then closes them all.
+// Serve accepts connections until the context ends, then closes them all.
 func (s *Server) Serve(ctx context.Context) error {
 	l, err := s.bind()
 	if err != nil {
@@ -106,16 +106,16 @@
 			return ctx.Err()
 		}
 		if errors.Is(err, net.ErrClosed) {
-			return eris.Wrap(err, "peers' listener")
+			return eris.Wrap(err, "peer listener")
 		}
 		if err != nil {
-			// Out of file descriptors, say. The connections that stand go on.
-			s.log.Warn("peer's connection can't be taken", "err", err)
+			// For example, out of file descriptors. Open connections aren't affected.
+			s.log.Warn("accepting peer connection failed", "err", err)
 			sleep(ctx, acceptRetryDelay)
 			continue
 		}
 		if !free.TryAcquire(1) {
-			// Beyond the limit a peer is turned away at once; it tries again.
+			// At the limit, a peer is rejected immediately; it will retry.
 			_ = raw.Close()
 			continue
 		}
@@ -137,26 +137,26 @@
 	defer func() { _ = raw.Close() }()
 	c, err := s.authenticate(ctx, raw)
 	if err != nil {
-		s.log.Warn("peer turned away", "remote", raw.RemoteAddr().String(), "err", err)
+		s.log.Warn("peer rejected", "remote", raw.RemoteAddr().String(), "err", err)
 		return
 	}
 	out := newOutbox()
 	reply := func(m Message) { out.put(m) }
 	err = c.run(ctx, out, func(m Message) { s.handler.Handle(c.peer, m, reply) })
 	if isProtocolError(err) {
-		s.log.Warn("peer's connection broke", "peer", c.peer, "err", err)
+		s.log.Warn("peer connection failed", "peer", c.peer, "err", err)
 	}
 }
 
-// unexpected tells a fault of the protocol from the end of a connection.
+// isProtocolError tells a violation of the protocol from the end of a connection.
 func isProtocolError(err error) bool {
 	var tooLarge *TooLargeError
 	return errors.Is(err, ErrTampered) || errors.Is(err, ErrMalformed) ||
 		errors.Is(err, codec.ErrMalformed) || errors.As(err, &tooLarge)
 }
 
-// accept carries out the handshake within its limit: a slow or silent peer
-// holds a connection no longer than that.
+// authenticate carries out the handshake within its time limit, so that a slow or
+// silent peer can't occupy a connection for longer.
 func (s *Server) authenticate(ctx context.Context, raw net.Conn) (*conn, error) {
 	if s.cfg.ServerTLS != nil {
 		raw = tls.Server(raw, s.cfg.ServerTLS)
--- a/internal/wire/size_test.go
+++ b/internal/wire/size_test.go
@@ -9,8 +9,8 @@
 	"tamarackchute/placement"
 )
 
-// What daemons tell each other many times a second is paid for between data
-// centres. One changed load must stay a small message.
+// Daemons exchange loads many times a second, and traffic between data centres is
+// charged for. A report of one changed load must be a small message.
 func TestLoadMessagesAreSmall(t *testing.T) {
 	loads := []placement.UpstreamLoad{{Upstream: placement.KeyOf("e", time.Time{}), Load: placement.Load{Running: 3, LongStreams: 1, PrefillSent: 1 << 30, PrefillDone: 1 << 30}}}
 	body, err := encode(MemberLoads{Incarnation: 1 << 62, Seq: 100_000, Loads: loads})
@@ -24,8 +24,8 @@
 	t.Logf("loads %d bytes, state %d bytes", len(body), len(state))
 }
 
-// BenchmarkLoads is what daemons of a large site tell each other many times a second: 22
-// loads and 30 prompts, encoded and decoded: 42 us beside other load, 115 us by reflection.
+// BenchmarkLoads encodes and decodes a message of 22 loads and 30 prefills, as the daemons
+// of a large site exchange many times a second.
 func BenchmarkLoads(b *testing.B) {
 	var m LoadTotals
 	for i := range 22 {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -26,7 +26,7 @@
 	testConfig = Config{Name: "i1/entry", Secret: testSecret}
 )
 
-// echo answers each rules request with the name that its sender gave.
+// echo replies to each message with the sender's name.
 var echo = HandlerFunc(func(peer string, _ Message, reply func(Message)) {
 	reply(rulesReply(peer))
 })
@@ -37,7 +37,7 @@
 	return RulesReply{PeerState: state, Draining: []string{"e1"}}
 }
 
-// startServer runs a server on a free port until the test ends or stop is called.
+// startServer runs a server on an address until the test ends or stop is called.
 func startServer(t *testing.T, cfg Config, address string, h Handler) (s *Server, stop func()) {
 	t.Helper()
 	s = NewServer(cfg, address, h, discardLog)
@@ -50,7 +50,7 @@
 	return s, stop
 }
 
-// handshakes runs both sides over a pipe and returns their errors.
+// runHandshakes runs both sides over a pipe and returns their errors.
 func runHandshakes(client, server func(io.ReadWriter) error) (clientErr, serverErr error) {
 	a, b := net.Pipe()
 	var wg conc.WaitGroup
@@ -73,7 +73,7 @@
 	_, serverErr := runHandshakes(asClient(wrong), asServer(testSecret))
 	require.ErrorIs(t, serverErr, ErrNotAuthenticated)
 
-	// A server that lets everybody in still can't pass for one of ours.
+	// A server that accepts every client still can't authenticate itself to one.
 	lax := func(rw io.ReadWriter) error {
 		_, _, _ = receiveHello(rw)
 		_, _ = sendHello(rw, "lax")
@@ -84,9 +84,9 @@
 	require.ErrorIs(t, clientErr, ErrNotAuthenticated)
 }
 
-// Somebody on the way records a client's side of a good handshake and plays it
-// to the server later, or sends a side's own proof back to it. The server's new
-// nonce and the label of the side must make both worthless.
+// Guards against an attacker who records the client's side of a handshake and replays
+// it to the server, or reflects a side's proof back to it. The server's new nonce and
+// the labels of the sides prevent both.
 func TestHandshakeRejectsReplays(t *testing.T) {
 	var recorded bytes.Buffer
 	recording := func(rw io.ReadWriter) error {
@@ -129,12 +129,12 @@
 		frames [][]byte
 		want   error
 	}{
-		"altered":                  {[][]byte{altered}, ErrTampered},
-		"repeated":                 {[][]byte{frame, frame}, ErrTampered},
-		"of another connection":    {[][]byte{mustSeal(t, []byte("other"))}, ErrTampered},
-		"too short":                {[][]byte{{0, 0, 0, 1, 1}}, ErrMalformed},
-		"broken off in the body":   {[][]byte{frame[:20]}, io.ErrUnexpectedEOF},
-		"broken off in its length": {[][]byte{frame[:2]}, io.ErrUnexpectedEOF},
+		"altered":                 {[][]byte{altered}, ErrTampered},
+		"replayed":                {[][]byte{frame, frame}, ErrTampered},
+		"from another connection": {[][]byte{mustSeal(t, []byte("other"))}, ErrTampered},
+		"too short":               {[][]byte{{0, 0, 0, 1, 1}}, ErrMalformed},
+		"truncated body":          {[][]byte{frame[:20]}, io.ErrUnexpectedEOF},
+		"truncated length":        {[][]byte{frame[:2]}, io.ErrUnexpectedEOF},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r, in := bytes.NewReader(bytes.Join(tc.frames, nil)), newSealer(key)
@@ -156,8 +156,8 @@
 	return frame
 }
 
-// A peer announces a frame of 4 GB, or we are about to send one that is too
-// large. Neither may take memory or reach the other side.
+// Guards against a peer that announces a frame of 4 GB, and against sending a frame
+// that is too large. Neither may allocate its size or reach the other side.
 func TestOversizedFrames(t *testing.T) {
 	_, err := readPrefixed(bytes.NewReader([]byte{0xff, 0xff, 0xff, 0xff, 1}), MaxFrameBytes)
 	var tooLarge *TooLargeError
@@ -166,8 +166,8 @@
 	require.ErrorAs(t, err, &tooLarge)
 }
 
-// A peer connects and says nothing, or stops reading for good. It must not hold
-// a connection or a goroutine beyond the limits.
+// Guards against a peer that connects and stays silent, or stops reading. It must not
+// hold a connection or a goroutine beyond the limits.
 func TestSilentPeersAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := NewServer(testConfig, "", echo, discardLog)
@@ -200,19 +200,19 @@
 	require.Equal(t, rulesReply("i1/entry"), answer)
 
 	_, err = Request(t.Context(), testConfig, s.Addr().String(), RulesRequest{})
-	require.Error(t, err, "a listener with TLS takes no plain peer")
+	require.Error(t, err, "a TLS listener rejects a plaintext peer")
 }
 
-// A controller isn't up yet and is restarted later, while an entry goes on
-// sending statuses. The link must come back by itself each time, and deliver
-// what is newest, not what piled up: that would look fresh to the controller.
+// Guards against a link that doesn't reconnect after its controller was down or was
+// restarted, or that then delivers queued statuses instead of the newest: the
+// controller would take the old ones for current.
 func TestLinkReconnectsAndSendsNewest(t *testing.T) {
 	received := make(chan uint64, 100)
-	take := HandlerFunc(func(_ string, m Message, _ func(Message)) { received <- m.(EntryStatus).Seq })
+	receive := HandlerFunc(func(_ string, m Message, _ func(Message)) { received <- m.(EntryStatus).Seq })
 	cfg := testConfig
 	cfg.Limits = Limits{RetryMin: time.Millisecond, RetryMax: 5 * time.Millisecond}
-	// Not 127.0.0.1: dialling a free port from there may connect to itself.
-	s, stop := startServer(t, cfg, "127.9.0.1:0", take)
+	// Not 127.0.0.1: a dial from there to a free port may connect to itself.
+	s, stop := startServer(t, cfg, "127.9.0.1:0", receive)
 	address := s.Addr().String()
 	stop()
 
@@ -224,11 +224,11 @@
 	var wg conc.WaitGroup
 	wg.Go(func() { _ = links.Serve(ctx) })
 	defer func() { cancel(); wg.Wait() }()
-	_, stop = startServer(t, cfg, address, take)
+	_, stop = startServer(t, cfg, address, receive)
 	require.Equal(t, uint64(6), <-received)
 
 	stop()
-	startServer(t, cfg, address, take)
+	startServer(t, cfg, address, receive)
 	for {
 		links.Send(address, EntryStatus{Seq: 7})
 		select {
@@ -236,7 +236,7 @@
 			require.Equal(t, uint64(7), seq)
 			return
 		case <-time.After(time.Millisecond):
-			// What was written into the old connection is lost.
+			// A message written to the old connection is lost.
 		}
 	}
 }
@@ -256,7 +256,7 @@
 	require.False(t, ok)
 }
 
-// Bytes from a peer that passed the handshake give a message or an error.
+// Any bytes from an authenticated peer must give a message or an error.
 func FuzzDecode(f *testing.F) {
 	for _, m := range []Message{Heartbeat{}, Summary{}, EntryStatus{InFlight: []EngineInFlight{{"e", 1}}}, RulesReply{}} {
 		body, err := encode(m)
@@ -270,7 +270,7 @@
 	})
 }
 
-// Bytes from anybody who can reach the port give a frame or an error.
+// Any bytes from an unauthenticated peer must give a frame or an error.
 func FuzzReadFrame(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 2, 1, 2})
 	f.Fuzz(func(t *testing.T, data []byte) {
