--- a/internal/adapters/engineclient/cancel.go
+++ b/internal/adapters/engineclient/cancel.go
@@ -7,14 +7,14 @@
 	"github.com/sourcegraph/conc"
 )
 
-// Limits of the cancels that closing streams send.
+// Limits of the cancel requests that are sent when streams are closed.
 const (
 	maxCancels    = 256
 	cancelTimeout = time.Second
 )
 
-// canceller sends cancels in the background, so that closing a stream never
-// waits for an engine that doesn't answer.
+// canceller sends cancel requests in the background, so that closing a stream
+// never waits for an engine that doesn't respond.
 type canceller struct {
 	client *Client
 	slots  chan struct{}
@@ -25,8 +25,8 @@
 	return &canceller{client: c, slots: make(chan struct{}, maxCancels)}
 }
 
-// send cancels an attempt. With all slots taken it does nothing: the engine
-// then notices the closed connection at its next token.
+// send cancels an attempt. If maxCancels are in progress it does nothing: the
+// engine then notices the closed connection when it sends the next token.
 func (c *canceller) send(attemptID string) {
 	select {
 	case c.slots <- struct{}{}:
--- a/internal/adapters/engineclient/engineclient.go
+++ b/internal/adapters/engineclient/engineclient.go
@@ -17,8 +17,8 @@
 // upstream.Controlled.
 type Client struct {
 	http *httpx.Client
-	// control has connections of its own, so that a full pool of streams
-	// never holds up an order or a cancel.
+	// control has a separate connection pool, so that a pool full of streams
+	// never delays an order or a cancel.
 	control *httpx.Client
 	cancels *canceller
 }
@@ -35,16 +35,16 @@
 	return c
 }
 
-// Close waits for cancels under way and drops idle connections.
+// Close waits for cancels in progress and closes idle connections.
 func (c *Client) Close() {
 	c.cancels.wait()
 	c.http.CloseIdle()
 	c.control.CloseIdle()
 }
 
-// Generate implements upstream.Engine. It returns once the engine has taken
-// the request. The context bounds the call only until then; the stream lasts
-// until its Close.
+// Generate implements upstream.Engine. It returns once the engine has accepted
+// the request. The context applies only until then; the stream lasts until it is
+// closed.
 func (c *Client) Generate(ctx context.Context, r upstream.GenerateRequest) (upstream.TokenStream, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
@@ -54,7 +54,7 @@
 	return c.open(ctx, req, r.AttemptID)
 }
 
-// Resume implements upstream.Engine, with the context as in Generate.
+// Resume implements upstream.Engine. The context applies as in Generate.
 func (c *Client) Resume(ctx context.Context, attemptID string, from int) (upstream.TokenStream, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
@@ -83,7 +83,7 @@
 	return newStream(s, attemptID, c.cancels), nil
 }
 
-// maxErrorBody bounds the text read from an error response, in bytes.
+// maxErrorBody is how much of an error response's body is read, in bytes.
 const maxErrorBody = 512
 
 func streamError(status int, refused bool, detail string) error {
--- a/internal/adapters/engineclient/engineclient_test.go
+++ b/internal/adapters/engineclient/engineclient_test.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// A driver's answer stops halfway, or has a word twice, because the engine
-// died and another one took up the answer from prompt and tokens sent.
+// Guards against gaps and duplicates in a response when an engine fails and another one
+// continues it from the prompt and the tokens sent so far.
 func TestResponseContinuesOnAnotherEngine(t *testing.T) {
 	first, second := standintest.Engine(t, standin.EngineConfig{}), standintest.Engine(t, standin.EngineConfig{})
 	standintest.Faults(t, first, `{"break_stream":{"next":1},"break_at":7}`)
@@ -154,8 +154,8 @@
 	require.ErrorIs(t, err, upstream.ErrGone)
 }
 
-// An engine goes on working for a driver who has gone away, and those who
-// still wait get their answers late.
+// Guards against an engine that keeps working for a caller that has disconnected, which
+// delays the responses to others.
 func TestCloseCancelsGeneration(t *testing.T) {
 	e := standintest.Engine(t, standin.EngineConfig{})
 	standintest.Faults(t, e, `{"slow_factor":50}`)
@@ -173,17 +173,16 @@
 	}()
 	require.NoError(t, s.Close())
 	require.Error(t, <-failed)
-	c.Close() // waits for the cancel
+	c.Close() // waits for the cancel request
 	assert.EqualValues(t, 1, e.Counters().Cancelled)
 	assert.Zero(t, e.State().Running)
 	require.NoError(t, c.Cancel(t.Context(), "a"), "a cancel is idempotent")
 }
 
-// A caller reads slowly, and the entry's memory grows by all that the engine
-// has made meanwhile. What isn't read must stay with the engine: its writes
-// stop once the sockets' buffers are full.
+// Guards against unbounded buffering for a slow caller. Data that isn't read must stay at
+// the engine, whose writes block once the socket buffers are full.
 func TestSlowReaderAppliesBackpressure(t *testing.T) {
-	const enough = 64 << 20 // bytes; far more than sockets hold
+	const enough = 64 << 20 // bytes; far more than socket buffers hold
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = ln.Close() }()
--- a/internal/adapters/engineclient/stream.go
+++ b/internal/adapters/engineclient/stream.go
@@ -12,8 +12,8 @@
 	"tamarackchute/upstream"
 )
 
-// lineBuffer is the size of a stream's line buffer in bytes; longer lines are
-// read piecewise up to maxLine.
+// lineBuffer is the size of a stream's line buffer in bytes. Longer lines, up to
+// maxLine, are assembled from several reads.
 const (
 	lineBuffer = 512
 	maxLine    = 64 << 10
@@ -21,11 +21,11 @@
 
 var (
 	errLineTooLong = errors.New("token line is too long")
-	errClosed      = errors.New("stream was closed by its reader")
+	errClosed      = errors.New("stream was closed by its consumer")
 )
 
-// stream is a running answer. It holds one line at most: what the caller
-// hasn't asked for stays in the sockets and then with the engine.
+// stream is a response in progress. It buffers little more than one line: data that
+// the consumer hasn't read stays in the socket buffers and, beyond them, at the engine.
 type stream struct {
 	body    *httpx.Stream
 	attempt string
@@ -35,7 +35,7 @@
 	mu       sync.Mutex // guards all but the constant fields above
 	watched  context.Context
 	unwatch  func() bool
-	finished bool // the last token has been read
+	finished bool // the last token was read
 	closed   bool
 }
 
@@ -48,7 +48,7 @@
 	}
 }
 
-// Next implements upstream.TokenStream. The end of ctx breaks the stream off.
+// Next implements upstream.TokenStream. The stream is aborted when ctx ends.
 func (s *stream) Next(ctx context.Context) (upstream.Token, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,8 +73,8 @@
 	return upstream.Token(t), nil
 }
 
-// watch breaks the stream off when ctx ends. Callers pass the same context
-// again and again, so it is watched until another comes.
+// watch aborts the stream when ctx ends. As calls usually pass the same context,
+// it is registered once and stays so until a call passes another one.
 func (s *stream) watch(ctx context.Context) {
 	if s.watched == ctx {
 		return
@@ -105,8 +105,8 @@
 	return long, unexpectedEOF(err)
 }
 
-// truncated turns the body's end, which must not come before the last token,
-// into an error that can't be taken for a whole answer.
+// unexpectedEOF turns io.EOF, which before the last token means a truncated body,
+// into an error that can't be mistaken for the end of a complete response.
 func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
@@ -114,8 +114,8 @@
 	return err
 }
 
-// finish reads the body's end after the last token, so that the connection can
-// serve other requests.
+// finish reads the end of the body after the last token, so that the connection can
+// be reused.
 func (s *stream) finish() {
 	s.finished = true
 	if _, err := s.lines.ReadByte(); err != io.EOF {
@@ -124,9 +124,9 @@
 	s.unwatch()
 }
 
-// Close implements upstream.TokenStream. Unless the answer was read whole, it
-// closes the connection, which ends a Next in progress, and sends a cancel, as
-// an engine that is silent at the moment doesn't notice the first.
+// Close implements upstream.TokenStream. Unless the response was read completely, it
+// closes the connection, which makes a Next in progress fail, and sends a cancel,
+// because an engine that isn't sending doesn't notice the closed connection.
 func (s *stream) Close() error {
 	s.body.Abort()
 	s.mu.Lock()
@@ -145,6 +145,7 @@
 	return s.body.Close()
 }
 
+// contextCause returns the context's error if the context has ended, else err.
 func contextCause(ctx context.Context, err error) error {
 	if ctxErr := ctx.Err(); ctxErr != nil {
 		return ctxErr
--- a/internal/adapters/engineclient/wire.go
+++ b/internal/adapters/engineclient/wire.go
@@ -1,5 +1,5 @@
-// Package engineclient speaks to a model engine over HTTP: JSON messages, and
-// answers as one JSON line a token.
+// Package engineclient is the adapter for a model engine's HTTP protocol: JSON
+// messages, and streamed responses with one JSON line per token.
 package engineclient
 
 import (
@@ -18,7 +18,7 @@
 	PathState       = "/control/state"
 )
 
-// Statuses by which an engine refuses an order.
+// Statuses with which an engine refuses an order.
 const (
 	StatusBusy   = 409
 	StatusFenced = 412
@@ -37,8 +37,8 @@
 	KV          *upstream.KVHandle `json:"kv,omitempty"`
 }
 
-// TokenLine is one line of a streamed answer. The first line of a stream
-// carries the counts of prompt tokens.
+// TokenLine is one line of a streamed response. The first line of a stream has the
+// counts of prompt tokens.
 type TokenLine struct {
 	Index        int    `json:"i"`
 	Text         string `json:"t"`
@@ -47,7 +47,7 @@
 	CachedTokens int    `json:"c,omitempty"`
 }
 
-// CacheEventsReply is the response with cache events.
+// CacheEventsReply is the response to a request for cache events.
 type CacheEventsReply struct {
 	Events []upstream.CacheEvent `json:"events"`
 }
--- a/internal/adapters/httpx/client.go
+++ b/internal/adapters/httpx/client.go
@@ -9,8 +9,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Sizes of a connection's buffers, in bytes. They are held only while a
-// request is in progress; a response header has to fit the first.
+// Sizes of a connection's buffers, in bytes. They are allocated only while a request
+// is in progress. A response header must fit into the read buffer.
 const (
 	readBuffer  = 4096
 	writeBuffer = 4096
@@ -35,7 +35,8 @@
 		ReadBufferSize:      readBuffer,
 		WriteBufferSize:     writeBuffer,
 		DialTimeout:         c.dial,
-		// The client's own Do isn't used; these say so to whoever adds a use.
+		// HostClient.Do isn't used, as it would retry. These settings prevent that if
+		// it ever is.
 		MaxIdemponentCallAttempts: 1,
 		RetryIfErr:                neverRetry,
 	}
@@ -47,11 +48,11 @@
 // Addr returns the address that the client sends to.
 func (c *Client) Addr() string { return c.addr }
 
-// CloseIdle closes the connections that serve no request.
+// CloseIdle closes the idle connections.
 func (c *Client) CloseIdle() { c.host.CloseIdleConnections() }
 
-// dial makes a connection with its TLS handshake, so that a failed handshake
-// counts as not sent.
+// dial opens a connection and completes its TLS handshake, so that a failed
+// handshake counts as not sent.
 func (c *Client) dial(addr string, timeout time.Duration) (net.Conn, error) {
 	if timeout <= 0 || timeout > c.opts.DialTimeout {
 		timeout = c.opts.DialTimeout
@@ -82,8 +83,8 @@
 	return cfg
 }
 
-// Do sends a request and reads the whole response. Its error is a *CallError;
-// any response, whatever its status, is no error.
+// Do sends a request and reads the whole response. Errors are of type *CallError;
+// a response with an error status isn't an error.
 func (c *Client) Do(ctx context.Context, req *fasthttp.Request, resp *fasthttp.Response) error {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.Timeout)
 	defer cancel()
@@ -106,7 +107,7 @@
 	return nil
 }
 
-// start gets a connection for a request.
+// start acquires a connection for a request.
 func (c *Client) start(ctx context.Context, req *fasthttp.Request) (*exchange, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, notSent(err)
@@ -126,29 +127,29 @@
 	}
 }
 
-// connect takes a kept connection or makes one. A kept connection that the far
-// end has closed meanwhile, or on which bytes have come that nobody asked for,
-// is dropped here, before the request: the first would make a request fail as
-// "may have run" that never ran, the second would give it another's answer.
+// connect returns an idle or a new connection. An idle connection that the peer has
+// closed, or on which unsolicited bytes have arrived, is discarded before a request is
+// sent: on the former a request would fail as "may have run" though it never ran, on
+// the latter it would get another request's response.
 func (c *Client) connect(ctx context.Context) (*exchange, error) {
 	for {
 		cc, err := c.host.AcquireConn(timeRemaining(ctx), false)
 		if err != nil {
 			return nil, err
 		}
-		kept := !cc.LastUseTime().IsZero()
-		if kept && !isIdle(cc.Conn()) {
+		reused := !cc.LastUseTime().IsZero()
+		if reused && !isIdle(cc.Conn()) {
 			c.host.CloseConn(cc)
 			continue
 		}
-		giveBack := func(reuse bool) {
+		release := func(reuse bool) {
 			if reuse {
 				c.host.ReleaseConn(cc)
 				return
 			}
 			c.host.CloseConn(cc)
 		}
-		return &exchange{conn: cc.Conn(), host: c.host, release: giveBack}, nil
+		return &exchange{conn: cc.Conn(), host: c.host, release: release}, nil
 	}
 }
 
--- a/internal/adapters/httpx/client_test.go
+++ b/internal/adapters/httpx/client_test.go
@@ -56,27 +56,25 @@
 	return string(resp.Body()), err
 }
 
-// A driver's booking fails as "may have run" though it never left the entry:
-// the service had restarted, and the kept connection to its former process was
-// closed already when the request was written to it. The same look at a kept
-// connection finds a response that came for nobody, and drops it with the
-// connection.
+// Guards against a request that fails as "may have run" though it was never sent: the
+// service has restarted, and the request is written to an idle connection that the old
+// process has closed. The same check discards a connection with a stray response.
 func TestIdleConnectionIsCheckedBeforeReuse(t *testing.T) {
 	cases := map[string]func(c net.Conn){
-		"closed by its far end": func(c net.Conn) { _ = c.Close() },
-		"stray response":        func(c net.Conn) { _, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray")) },
+		"closed by the server": func(c net.Conn) { _ = c.Close() },
+		"stray response":       func(c net.Conn) { _, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray")) },
 	}
-	for name, spoil := range cases {
+	for name, invalidate := range cases {
 		t.Run(name, func(t *testing.T) {
-			spoilNow := make(chan struct{})
+			answered := make(chan struct{})
 			addr := serveRaw(t, func(n int, c net.Conn) {
 				if n > 0 {
 					_ = answer(c, "second")
 					return
 				}
 				_ = answer(c, "first")
-				<-spoilNow
-				spoil(c)
+				<-answered
+				invalidate(c)
 			})
 			var first net.Conn
 			client := New(addr, Options{Dial: func(ctx context.Context, addr string) (net.Conn, error) {
@@ -89,7 +87,7 @@
 			body, err := get(t.Context(), client)
 			require.NoError(t, err)
 			require.Equal(t, "first", body)
-			close(spoilNow)
+			close(answered)
 			require.Eventually(t, func() bool { return !isIdle(first) }, 5*time.Second, time.Millisecond)
 
 			body, err = get(t.Context(), client)
@@ -122,7 +120,7 @@
 	}{
 		{"address refuses", refusing.Addr().String(), Options{}, whole, upstream.ErrNotSent, nil},
 		{"certificate not trusted", untrusted.Listener.Addr().String(), Options{TLS: &tls.Config{}}, whole, upstream.ErrNotSent, nil},
-		{"context over already", untrusted.Listener.Addr().String(), Options{},
+		{"context already ended", untrusted.Listener.Addr().String(), Options{},
 			func() (context.Context, context.CancelFunc) { return ended, func() {} }, upstream.ErrNotSent, context.Canceled},
 		{"closed without answering", serveRaw(t, func(_ int, c net.Conn) {
 			_, _ = http.ReadRequest(bufio.NewReader(c))
@@ -141,7 +139,7 @@
 			defer cancel()
 			_, err := get(ctx, New(tc.addr, tc.opts))
 			require.ErrorIs(t, err, tc.kind)
-			assert.NotErrorIs(t, err, io.EOF, "it would pass for the end of an answer")
+			assert.NotErrorIs(t, err, io.EOF, "io.EOF would mean the end of a complete response")
 			if tc.cause != nil {
 				assert.ErrorIs(t, err, tc.cause)
 			}
--- a/internal/adapters/httpx/errors.go
+++ b/internal/adapters/httpx/errors.go
@@ -10,21 +10,21 @@
 	"tamarackchute/upstream"
 )
 
-// Header names that adapters and servers agree on.
+// Names of headers shared by adapters and servers.
 const (
-	// HeaderNotRun marks a refusal after which the request certainly did not
-	// run and won't.
+	// HeaderNotRun marks a response that guarantees that the request did not run
+	// and won't.
 	HeaderNotRun = "X-Not-Run"
-	// HeaderAttempt carries the id of one attempt, in the request and back in
-	// its response.
+	// HeaderAttempt carries the ID of an attempt, in the request and in its
+	// response.
 	HeaderAttempt = "X-Attempt-Id"
 	// HeaderSender names the process that sends a request.
 	HeaderSender = "X-Sender"
 )
 
-// CallError is a call that got no usable response. It matches its Kind, one of
-// upstream.ErrNotSent and upstream.ErrBroken, and its Cause, which is the
-// context's error if the context ended the call.
+// CallError means that a call got no usable response. It matches its Kind, either
+// upstream.ErrNotSent or upstream.ErrBroken, and its Cause, which is the context's
+// error if the context ended the call.
 type CallError struct {
 	Kind  error
 	Cause error
@@ -37,9 +37,9 @@
 
 func notSent(cause error) error { return &CallError{Kind: upstream.ErrNotSent, Cause: cause} }
 
-// Broken wraps the cause of a failure after request bytes were sent. The
-// result never matches io.EOF, by which a stream's reader tells the end of a
-// whole answer: a connection closed too early would pass for a short answer.
+// Broken wraps the cause of a failure after the request was sent. The result never
+// matches io.EOF, which marks the end of a complete stream: a response that was cut
+// off would otherwise look complete.
 func Broken(cause error) error {
 	if errors.Is(cause, io.EOF) {
 		cause = io.ErrUnexpectedEOF
@@ -47,8 +47,8 @@
 	return &CallError{Kind: upstream.ErrBroken, Cause: cause}
 }
 
-// StatusError is a response whose status is not the one wanted. It matches
-// upstream.ErrRefused if the server said that the request did not run.
+// StatusError is a response with an unexpected status. It matches
+// upstream.ErrRefused if the response says that the request did not run.
 type StatusError struct {
 	Status int
 	NotRun bool
@@ -68,8 +68,8 @@
 	return target == upstream.ErrRefused && e.NotRun
 }
 
-// Refused reports whether a response says that the request did not run: status
-// 429 or 503 with HeaderNotRun.
+// Refused reports whether a response says that the request did not run: it has
+// status 429 or 503 and HeaderNotRun.
 func Refused(h *fasthttp.ResponseHeader) bool {
 	s := h.StatusCode()
 	if s != fasthttp.StatusTooManyRequests && s != fasthttp.StatusServiceUnavailable {
@@ -78,10 +78,10 @@
 	return len(h.Peek(HeaderNotRun)) > 0
 }
 
-// maxDetail bounds how much of an error body goes into an error text.
+// maxDetail is how much of a response body is included in an error, in bytes.
 const maxDetail = 200
 
-// StatusOf makes the error for a response with an unwanted status.
+// NewStatusError returns the StatusError for a response.
 func NewStatusError(resp *fasthttp.Response) error {
 	body := resp.Body()
 	if len(body) > maxDetail {
--- a/internal/adapters/httpx/exchange.go
+++ b/internal/adapters/httpx/exchange.go
@@ -9,14 +9,14 @@
 	"github.com/valyala/fasthttp"
 )
 
-// exchange is one request and its response on one connection. A connection is
-// given back to the pool only by an exchange that read its whole response and
-// was never aborted, so no late response can meet a later request.
+// exchange is one request and its response on a connection. The connection returns
+// to the pool only if the whole response was read and the exchange wasn't aborted, so
+// that a late response can't be taken for that of a later request.
 type exchange struct {
 	conn   net.Conn
 	reader *bufio.Reader
 	host   *fasthttp.HostClient
-	// giveBack returns the connection to the pool, or closes it.
+	// release returns the connection to the pool if it can be reused, else closes it.
 	release func(reuse bool)
 
 	mu      sync.Mutex
@@ -24,8 +24,8 @@
 	aborted bool
 }
 
-// abort closes the connection, which ends a read or write in progress. It does
-// nothing once the exchange is over: the connection may then serve another.
+// abort closes the connection, which makes a read or write in progress fail. It does
+// nothing once the exchange has ended: the connection may be in use for another one.
 func (e *exchange) abort() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -36,7 +36,8 @@
 	_ = e.conn.Close()
 }
 
-// end finishes the exchange once. No read may be in progress.
+// end ends the exchange and releases the connection; further calls do nothing. No read
+// may be in progress.
 func (e *exchange) end(reuse bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -44,12 +45,12 @@
 		return
 	}
 	e.ended = true
-	clean := reuse && !e.aborted && e.reader != nil && e.reader.Buffered() == 0
+	reusable := reuse && !e.aborted && e.reader != nil && e.reader.Buffered() == 0
 	if e.reader != nil {
 		e.host.ReleaseReader(e.reader)
 		e.reader = nil
 	}
-	e.release(clean)
+	e.release(reusable)
 }
 
 // send writes the request.
@@ -68,8 +69,8 @@
 	return resp.ReadLimitBody(e.reader, maxBody)
 }
 
-// cause prefers the context's error to the I/O error that its end brought
-// about.
+// contextCause returns the context's error if the context has ended, as the I/O error
+// is then only its consequence; otherwise err.
 func contextCause(ctx context.Context, err error) error {
 	if ctxErr := ctx.Err(); ctxErr != nil {
 		return ctxErr
--- a/internal/adapters/httpx/idle.go
+++ b/internal/adapters/httpx/idle.go
@@ -5,9 +5,8 @@
 	"syscall"
 )
 
-// quiet reports whether a kept connection is open with no byte waiting to be
-// read. It looks without waiting. A connection of unknown type counts as
-// quiet.
+// isIdle reports, without blocking, whether a connection is open and has no bytes
+// to read. A connection of unknown type counts as idle.
 func isIdle(conn net.Conn) bool {
 	if wrapped, ok := conn.(interface{ NetConn() net.Conn }); ok {
 		conn = wrapped.NetConn()
--- a/internal/adapters/httpx/json.go
+++ b/internal/adapters/httpx/json.go
@@ -9,16 +9,16 @@
 
 const contentJSON = "application/json"
 
-// NoBody is the message of a request or response that has none.
+// NoBody is the message type of a request or response without a body.
 type NoBody struct{}
 
-// GetJSON gets a path and decodes its response.
+// GetJSON sends a GET request and decodes the response.
 func GetJSON[Out any](ctx context.Context, c *Client, path string) (Out, error) {
 	return CallJSON[NoBody, Out](ctx, c, fasthttp.MethodGet, path, NoBody{})
 }
 
-// CallJSON sends a message and decodes the response. A status other than 2xx
-// is a *StatusError; a response that can't be decoded counts as broken.
+// CallJSON sends a message and decodes the response. A status other than 2xx is a
+// *StatusError; a response that can't be decoded is an upstream.ErrBroken.
 func CallJSON[In, Out any](ctx context.Context, c *Client, method, path string, in In) (Out, error) {
 	var out Out
 	req := fasthttp.AcquireRequest()
@@ -43,7 +43,7 @@
 	return out, nil
 }
 
-// FillJSON sets up a request with a message as its body, unless it is NoBody.
+// FillJSON sets a request's method, path and, unless the message is NoBody, its body.
 func FillJSON[In any](req *fasthttp.Request, method, path string, in In) error {
 	req.Header.SetMethod(method)
 	req.SetRequestURI(path)
--- a/internal/adapters/httpx/options.go
+++ b/internal/adapters/httpx/options.go
@@ -1,10 +1,10 @@
-// Package httpx holds what the HTTP adapters share: options, a client that
+// Package httpx is the common base of the HTTP adapters: options, a client that
 // sends each request at most once, and the classification of its errors.
 //
-// The client keeps fasthttp's connection pool and codec but makes the round
-// trip itself. fasthttp's own client resends a request whose connection was
-// closed without an answer, has no context to abort a call in progress, and
-// doesn't say whether any byte was sent.
+// The client uses fasthttp's connection pool and codec but implements the round
+// trip itself, because fasthttp's client resends a request whose connection was
+// closed without a response, can't abort a call by a context, and doesn't report
+// whether any byte was sent.
 package httpx
 
 import (
@@ -19,29 +19,29 @@
 	DefaultTimeout     = 10 * time.Second
 	DefaultDialTimeout = time.Second
 	DefaultMaxConns    = 16384
-	// DefaultIdle is shorter than the idle timeout of usual servers, so that
-	// a kept connection is seldom closed by its far end.
+	// DefaultIdleTimeout is shorter than the idle timeout of most servers, so that
+	// idle connections are rarely closed by the server.
 	DefaultIdleTimeout = 8 * time.Second
-	// DefaultMaxBody bounds a buffered response body, in bytes.
+	// DefaultMaxBody is the default of Options.MaxBody, in bytes.
 	DefaultMaxBody = 64 << 20
 )
 
 // Options configures an adapter. The zero value is usable.
 type Options struct {
-	// TLS switches TLS on; nil means plain TCP.
+	// TLS enables TLS; nil means plain TCP.
 	TLS *tls.Config
-	// Timeout bounds a call whose context has no earlier deadline. A stream
-	// is bounded by it only until its response header has come.
+	// Timeout applies to a call whose context has no earlier deadline. For a stream
+	// it applies only until the response header has been received.
 	Timeout time.Duration
-	// DialTimeout bounds the making of a connection, TLS handshake included.
+	// DialTimeout applies to connecting, including the TLS handshake.
 	DialTimeout time.Duration
-	// MaxConns bounds the connections to the address.
+	// MaxConns is the maximum number of connections to the address.
 	MaxConns int
-	// MaxBody bounds a buffered response body, in bytes.
+	// MaxBody is the size limit of a buffered response body, in bytes.
 	MaxBody int
-	// Sender names the calling process to the other side, in HeaderSender.
+	// Sender is the name of the calling process, sent in HeaderSender.
 	Sender string
-	// Dial replaces the TCP dialler; tests use it to record a session.
+	// Dial replaces the default TCP dialer.
 	Dial func(ctx context.Context, addr string) (net.Conn, error)
 }
 
--- a/internal/adapters/httpx/serve_test.go
+++ b/internal/adapters/httpx/serve_test.go
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A daemon is told to stop while it starts and never ends: its HTTP server is shut
-// down before it has begun to accept, takes no notice, and begins afterwards. A
-// server whose context has ended must end, and refuse connections from then on.
+// Guards against a daemon that is stopped during its start and never ends: its HTTP
+// server is shut down before it has begun to accept, and accepts afterwards. Serve must
+// return, and the address must refuse connections.
 func TestServeStoppedBeforeAccepting(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -34,7 +34,7 @@
 	require.ErrorIs(t, err, syscall.ECONNREFUSED)
 }
 
-// A server that fails by itself says so, not that it was told to stop.
+// If the server fails, Serve returns its error, not the context's.
 func TestServeReturnsServerError(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -43,7 +43,7 @@
 	require.ErrorIs(t, Serve(t.Context(), fiber.New(fiber.Config{DisableStartupMessage: true}), broken, time.Second), syscall.EINVAL)
 }
 
-// brokenListener can't accept.
+// brokenListener fails to accept.
 type brokenListener struct{ net.Listener }
 
 func (*brokenListener) Accept() (net.Conn, error) { return nil, syscall.EINVAL }
--- a/internal/adapters/httpx/stream.go
+++ b/internal/adapters/httpx/stream.go
@@ -8,8 +8,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Stream is a response whose body is read as it comes. It holds two small
-// buffers; an unread body stays with the sender.
+// Stream is a response whose body is read as it arrives. It holds two small
+// buffers; the rest of an unread body stays at the sender.
 type Stream struct {
 	exchange *exchange
 	resp     *fasthttp.Response
@@ -18,8 +18,8 @@
 	ended   bool
 }
 
-// Stream sends a request and returns once the response header has come. The
-// context and Options.Timeout bound the call only until then.
+// Stream sends a request and returns once the response header has been received.
+// The context and Options.Timeout apply only until then.
 func (c *Client) Stream(ctx context.Context, req *fasthttp.Request) (*Stream, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.Timeout)
 	defer cancel()
@@ -34,8 +34,7 @@
 		err = x.receive(s.resp, 0)
 	}
 	if err == nil && !stop() {
-		// The context ended just now and has closed, or will close, the
-		// connection.
+		// The context ended meanwhile, which closes the connection.
 		err = ctx.Err()
 	}
 	if err != nil {
@@ -49,8 +48,8 @@
 // Header returns the response header.
 func (s *Stream) Header() *fasthttp.ResponseHeader { return &s.resp.Header }
 
-// Read reads from the body. After its end, the connection is kept for other
-// requests. Read and Close may be called from different goroutines.
+// Read reads from the body. At the end of the body the connection becomes available
+// to other requests. Read and Close may be called from different goroutines.
 func (s *Stream) Read(p []byte) (int, error) {
 	s.reading.Lock()
 	defer s.reading.Unlock()
@@ -65,11 +64,10 @@
 	return n, err
 }
 
-// Abort closes the connection unless the body has ended; a Read in progress
-// fails.
+// Abort closes the connection unless the body has ended. A Read in progress fails.
 func (s *Stream) Abort() { s.exchange.abort() }
 
-// Close ends the stream. A connection whose body wasn't read whole is closed.
+// Close ends the stream. The connection is closed unless the body was read to its end.
 func (s *Stream) Close() error {
 	s.Abort()
 	s.reading.Lock()
@@ -86,8 +84,8 @@
 	s.exchange.end(reuse)
 }
 
-// Drain reads the rest of a short body, such as an error's text, up to max
-// bytes, and closes the stream.
+// Drain reads the rest of a short body, such as an error message, up to max bytes,
+// and closes the stream.
 func (s *Stream) Drain(ctx context.Context, max int64) []byte {
 	stop := context.AfterFunc(ctx, s.Abort)
 	defer stop()
--- a/internal/adapters/listclient/listclient.go
+++ b/internal/adapters/listclient/listclient.go
@@ -1,4 +1,4 @@
-// Package listclient reads the platform's list of instances over HTTP.
+// Package listclient is the adapter for the platform's list of instances over HTTP.
 package listclient
 
 import (
@@ -9,7 +9,7 @@
 	"tamarackchute/internal/adapters/httpx"
 )
 
-// PathInstances is where the list stands.
+// PathInstances is the path of the list.
 const PathInstances = "/instances"
 
 // Reply is the response with the list.
@@ -17,7 +17,7 @@
 	Instances []infra.Instance `json:"instances"`
 }
 
-// Client is the adapter.
+// Client implements infra.InstanceList.
 type Client struct{ http *httpx.Client }
 
 // New returns an adapter for the list at an address.
--- a/internal/adapters/listclient/listclient_test.go
+++ b/internal/adapters/listclient/listclient_test.go
@@ -17,19 +17,19 @@
 func TestInstances(t *testing.T) {
 	e1 := infra.Instance{Name: "e1", Kind: infra.KindEntry, DataCentre: "a"}
 	s1 := infra.Instance{Name: "s1", Kind: infra.KindService, DataCentre: "a"}
-	leaving := s1
-	leaving.Terminating = true
+	terminating := s1
+	terminating.Terminating = true
 	cases := []struct {
 		name   string
 		faults string
 		want   []infra.Instance
 		err    error
 	}{
-		{"as set up", `{}`, []infra.Instance{e1, s1}, nil},
-		{"one leaves", `{"leaving":["s1"]}`, []infra.Instance{e1, leaving}, nil},
-		{"one has left", `{"remove":["s1"]}`, []infra.Instance{e1}, nil},
-		{"one is new", `{"remove":["e1"],"add":[{"name":"e1","kind":"entry","data_centre":"a"}]}`, []infra.Instance{s1, e1}, nil},
-		{"the list is behind", `{"lag_ms":3600000,"remove":["s1"]}`, []infra.Instance{e1, s1}, nil},
+		{"no faults set", `{}`, []infra.Instance{e1, s1}, nil},
+		{"one is terminating", `{"leaving":["s1"]}`, []infra.Instance{e1, terminating}, nil},
+		{"one is removed", `{"remove":["s1"]}`, []infra.Instance{e1}, nil},
+		{"one is added", `{"remove":["e1"],"add":[{"name":"e1","kind":"entry","data_centre":"a"}]}`, []infra.Instance{s1, e1}, nil},
+		{"the list lags", `{"lag_ms":3600000,"remove":["s1"]}`, []infra.Instance{e1, s1}, nil},
 		{"outage", `{"outage":"error"}`, nil, infra.ErrUnavailable},
 		{"outage without answers", `{"outage":"hang"}`, nil, infra.ErrUnavailable},
 	}
--- a/internal/adapters/logclient/logclient.go
+++ b/internal/adapters/logclient/logclient.go
@@ -1,4 +1,4 @@
-// Package logclient speaks to the platform's log over HTTP.
+// Package logclient is the adapter for the platform's log over HTTP.
 package logclient
 
 import (
@@ -22,10 +22,10 @@
 	PathRead   = "/read"
 )
 
-// Record is a record as msgpack on the wire.
+// Record is a record's msgpack form in a response.
 type Record struct {
 	Offset uint64 `msgpack:"o"`
-	// At is the log's clock, in nanoseconds of Unix time.
+	// At is the time by the log's clock, in Unix nanoseconds.
 	At   int64  `msgpack:"t"`
 	Data []byte `msgpack:"d"`
 }
@@ -37,10 +37,10 @@
 	Records []Record `msgpack:"records"`
 }
 
-// Client is the adapter.
+// Client implements infra.Log.
 type Client struct {
 	appends *httpx.Client
-	// reads wait long, so they have a client of their own.
+	// reads has a separate client, as reads may wait for a long time.
 	reads   *httpx.Client
 	timeout time.Duration
 }
@@ -50,17 +50,17 @@
 	if o.Timeout <= 0 {
 		o.Timeout = httpx.DefaultTimeout
 	}
-	long := o
-	long.Timeout = maxWait + o.Timeout
-	return &Client{appends: httpx.New(addr, o), reads: httpx.New(addr, long), timeout: o.Timeout}
+	readOptions := o
+	readOptions.Timeout = maxWait + o.Timeout
+	return &Client{appends: httpx.New(addr, o), reads: httpx.New(addr, readOptions), timeout: o.Timeout}
 }
 
-// maxWait bounds how long one read waits for a record.
+// maxWait is the maximum time that one read waits for a record.
 const maxWait = time.Minute
 
-// Append implements infra.Log. A lost connection leaves open whether the
-// record was written; only a refused connection or a refusal marked as not run
-// says that it wasn't.
+// Append implements infra.Log. After a lost connection the record may have been
+// written. Only a refused connection or a refusal marked as not run guarantees that
+// it wasn't.
 func (c *Client) Append(ctx context.Context, data []byte) (infra.Offset, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
@@ -98,8 +98,7 @@
 	}
 }
 
-// Read implements infra.Log. It waits for at most a minute, whatever wait
-// says.
+// Read implements infra.Log. It waits for at most a minute, even if wait is longer.
 func (c *Client) Read(ctx context.Context, from infra.Offset, limit int, wait time.Duration) (infra.ReadResult, error) {
 	wait = min(wait, maxWait)
 	ctx, cancel := context.WithTimeout(ctx, wait+c.timeout)
--- a/internal/adapters/logclient/logclient_test.go
+++ b/internal/adapters/logclient/logclient_test.go
@@ -63,22 +63,22 @@
 	assert.Empty(t, empty.Records)
 }
 
-// An operator's rule is told as "not written" and comes into force later, or a
-// booking is refused as "not run" though its claim stands in the log: the
-// adapter took an open outcome for a certain one.
+// Guards against an uncertain outcome that is reported as certain: a rule reported as
+// not written takes effect later, or a request is refused as not run though its claim is
+// in the log.
 func TestAppendUnderFaults(t *testing.T) {
 	cases := []struct {
 		name   string
 		faults string
-		// want is nil for a success.
+		// want is nil if Append succeeds.
 		want error
-		// lands says that the record is in the log in the end.
-		lands bool
+		// written means that the record is in the log in the end.
+		written bool
 	}{
 		{"none", `{}`, nil, true},
 		{"slow", `{"slow_ms":20}`, nil, true},
 		{"reply lost", `{"lose_reply":{"next":1}}`, infra.ErrUnavailable, true},
-		{"lands late", `{"land_late":{"next":1},"land_late_ms":30}`, infra.ErrUnavailable, true},
+		{"written late", `{"land_late":{"next":1},"land_late_ms":30}`, infra.ErrUnavailable, true},
 		{"outage with errors", `{"outage":"error"}`, infra.ErrUnavailable, false},
 		{"outage with closed connections", `{"outage":"close"}`, infra.ErrUnavailable, false},
 		{"outage without answers", `{"outage":"hang"}`, infra.ErrUnavailable, false},
@@ -99,12 +99,12 @@
 			}
 			standintest.Faults(t, l, `{"outage":"","blocked":[]}`)
 			wait := time.Duration(0)
-			if tc.lands {
+			if tc.written {
 				wait = 10 * time.Second
 			}
 			got, err := c.Read(t.Context(), 1, 10, wait)
 			require.NoError(t, err)
-			assert.Equal(t, tc.lands, len(got.Records) == 1)
+			assert.Equal(t, tc.written, len(got.Records) == 1)
 		})
 	}
 }
@@ -120,7 +120,7 @@
 		require.ErrorIs(t, err, infra.ErrNotWritten)
 		assert.EqualValues(t, 1, l.Counters().Appends)
 	})
-	t.Run("nobody listens", func(t *testing.T) {
+	t.Run("connection refused", func(t *testing.T) {
 		_, err := logclient.New("127.0.0.1:1", httpx.Options{}).Append(t.Context(), []byte("x"))
 		require.ErrorIs(t, err, infra.ErrNotWritten)
 	})
@@ -140,8 +140,8 @@
 	}
 }
 
-// A reader that was away for longer than the log keeps records must learn that
-// it has missed some; else it goes on with state that others don't have.
+// A reader that was disconnected for longer than the log's retention must get an error
+// about missed records; otherwise its state would diverge from that of others.
 func TestReadOfExpiredRecords(t *testing.T) {
 	l := standintest.Log(t, config(1000))
 	c := logclient.New(l.Addr(), httpx.Options{})
--- a/internal/adapters/serviceclient/serviceclient.go
+++ b/internal/adapters/serviceclient/serviceclient.go
@@ -1,5 +1,5 @@
-// Package serviceclient speaks to a plain HTTP service. It sends each request
-// once, whatever becomes of it.
+// Package serviceclient is the adapter for a plain HTTP service. It sends each request
+// at most once, and never retries.
 package serviceclient
 
 import (
@@ -21,9 +21,9 @@
 	return &Client{http: httpx.New(addr, o)}
 }
 
-// Call implements upstream.Service. Any response that doesn't say "not run" is
-// returned as it is. The response owns its memory. Of a call that ended with
-// its context nothing arrives later: its connection is closed.
+// Call implements upstream.Service. Any response that isn't marked as not run is
+// returned unchanged, in memory of its own. If the context ends the call, its
+// connection is closed, so that a late response can't reach another call.
 func (c *Client) Call(ctx context.Context, r upstream.ServiceRequest) (upstream.ServiceResponse, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
@@ -70,8 +70,8 @@
 	return out
 }
 
-// ofOneHop reports whether a header belongs to one connection, or is set by
-// the library from the message itself.
+// isHopByHop reports whether a header applies to one connection only, or is set by
+// the HTTP library from the message.
 func isHopByHop(name string) bool {
 	switch strings.ToLower(name) {
 	case "connection", "keep-alive", "proxy-authenticate", "proxy-authorization",
--- a/internal/adapters/serviceclient/serviceclient_test.go
+++ b/internal/adapters/serviceclient/serviceclient_test.go
@@ -40,51 +40,51 @@
 	return a
 }
 
-// A farmer's booking is made twice: the service closed the connection without
-// answering, and the HTTP client sent the same request again by itself (fasthttp
-// sent one PUT five times; net/http resends what carries an Idempotency-Key).
+// Guards against a request that runs twice: the service closes the connection without a
+// response, and the HTTP client resends the request (fasthttp sent one PUT five times;
+// net/http resends requests with an Idempotency-Key).
 func TestRequestIsSentOnce(t *testing.T) {
 	for _, method := range []string{"GET", "HEAD", "PUT", "POST", "DELETE"} {
-		for _, kept := range []bool{false, true} {
+		for _, reused := range []bool{false, true} {
 			name := method + " on a new connection"
-			if kept {
-				name = method + " on a kept connection"
+			if reused {
+				name = method + " on a reused connection"
 			}
 			t.Run(name, func(t *testing.T) {
-				addr, came := closingServer(t, kept)
+				addr, received := closingServer(t, reused)
 				c := serviceclient.New(addr, httpx.Options{})
 				r := booking("a", "k", "")
 				r.Method = method
-				if kept {
+				if reused {
 					_, err := c.Call(t.Context(), r)
 					require.NoError(t, err)
 				}
 				_, err := c.Call(t.Context(), r)
 				require.ErrorIs(t, err, upstream.ErrBroken)
-				assert.EqualValues(t, 1, came.Load())
+				assert.EqualValues(t, 1, received.Load())
 			})
 		}
 	}
 }
 
-// closingServer closes each connection on a request without answering it,
-// after it has answered one if kept is set. It counts the unanswered ones.
-func closingServer(t *testing.T, kept bool) (string, *atomic.Int64) {
+// closingServer closes each connection on a request without a response, after it has
+// answered one if reused is set. It returns the number of unanswered requests.
+func closingServer(t *testing.T, reused bool) (string, *atomic.Int64) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = ln.Close() })
-	var came atomic.Int64
+	var received atomic.Int64
 	serve := func(c net.Conn) {
 		defer func() { _ = c.Close() }()
 		r := bufio.NewReader(c)
-		if kept {
+		if reused {
 			if _, err := http.ReadRequest(r); err != nil {
 				return
 			}
 			_, _ = c.Write([]byte("HTTP/1.1 204 No Content\r\n\r\n"))
 		}
 		if _, err := http.ReadRequest(r); err == nil {
-			came.Add(1)
+			received.Add(1)
 		}
 	}
 	go func() {
@@ -96,14 +96,14 @@
 			go serve(c)
 		}
 	}()
-	return ln.Addr().String(), &came
+	return ln.Addr().String(), &received
 }
 
 func TestContract(t *testing.T) {
 	cases := []struct {
 		name   string
 		faults string
-		// want is the error's kind; nil with the status wanted.
+		// want is the expected error, nil if a response with status is expected.
 		want   error
 		status int
 		ran    int64
@@ -142,9 +142,8 @@
 	}
 }
 
-// A driver gets another driver's confirmation: a call timed out in the entry,
-// its response came late and was read as the response to the next call on the
-// same connection.
+// Guards against a caller that gets another caller's response: a call times out, and its
+// late response is read as the response to the next call on the same connection.
 func TestLateAndStrayResponsesAreDropped(t *testing.T) {
 	cases := map[string]struct {
 		faults  string
@@ -175,8 +174,8 @@
 	}
 }
 
-// A booking is lost between two services that share their callers: the count
-// of runs must be over both, or a call that ran once on each looks fine.
+// The ledger must count runs across services; otherwise a call that ran once on each of
+// two would look correct.
 func TestLedgerCountsRunsAcrossServices(t *testing.T) {
 	ledger := standin.NewLedger()
 	for i := range 2 {
--- a/internal/adapters/weightclient/weightclient.go
+++ b/internal/adapters/weightclient/weightclient.go
@@ -1,4 +1,4 @@
-// Package weightclient reads the platform's weight store over HTTP.
+// Package weightclient is the adapter for the platform's weight store over HTTP.
 package weightclient
 
 import (
@@ -10,7 +10,7 @@
 	"tamarackchute/internal/adapters/httpx"
 )
 
-// PathVersions is where the versions of a model stand.
+// PathVersions is the path of a model's versions.
 const PathVersions = "/versions"
 
 // Reply is the response with the versions of a model, oldest first.
@@ -18,7 +18,7 @@
 	Versions []infra.WeightVersion `json:"versions"`
 }
 
-// Client is the adapter.
+// Client implements infra.WeightStore.
 type Client struct{ http *httpx.Client }
 
 // New returns an adapter for the weight store at an address.
