--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -1,5 +1,4 @@
-// Package codec decodes msgpack that another process wrote, or somebody who
-// only says so.
+// Package codec decodes msgpack from untrusted sources.
 package codec
 
 import (
@@ -11,15 +10,13 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// ErrMalformed says that the bytes aren't the msgpack form of one value.
+// ErrMalformed means that the bytes aren't a valid msgpack value.
 var ErrMalformed = errors.New("codec: malformed msgpack")
 
-// Unmarshal decodes the msgpack form of one value into the value that v points
-// to. Any bytes are safe: the library alone would make a slice of whatever
-// length a body of some bytes claims, up to 4 G elements, which ends the process
-// for lack of memory, and it panics on nil in place of a time. So the lengths
-// are held against the bytes that are there first, and a panic of the decoder
-// becomes an error.
+// Unmarshal decodes one msgpack value into the value that v points to. It is safe for
+// any bytes: lengths are first checked against the size of data, because the library
+// allocates slices of up to 4 G elements if a few bytes claim that length, and the
+// library's panics, such as on nil in place of a time, are returned as errors.
 func Unmarshal(data []byte, v any) error {
 	rest, err := Next(data, v)
 	if err == nil && len(rest) > 0 {
@@ -28,8 +25,8 @@
 	return err
 }
 
-// Next decodes the first of several values, as Unmarshal does a single one, and
-// returns the bytes behind it.
+// Next decodes the first value in data, as safely as Unmarshal, and returns the
+// remaining bytes.
 func Next(data []byte, v any) (rest []byte, err error) {
 	n, err := encodedLength(data)
 	if err != nil {
@@ -37,7 +34,7 @@
 	}
 	defer func() {
 		if r := recover(); r != nil {
-			err = eris.Wrapf(ErrMalformed, "decoder failed: %v", r)
+			err = eris.Wrapf(ErrMalformed, "decoder panicked: %v", r)
 		}
 	}()
 	if err := msgpack.Unmarshal(data[:n], v); err != nil {
@@ -46,19 +43,19 @@
 	return data[n:], nil
 }
 
-// maxDepth bounds how deep arrays and maps lie in each other: the library
-// recurses over parts that v has no field for.
+// maxDepth is the maximum nesting of arrays and maps: the library skips unknown fields
+// recursively.
 const maxDepth = 32
 
-// length returns the length of the first value in bytes. It walks over it without
-// recursion. Every element takes one byte at least, so more elements than bytes
-// can't be.
+// encodedLength returns the length in bytes of the first value, without recursion. As
+// each element takes at least one byte, a count above the number of remaining bytes is
+// an error.
 func encodedLength(data []byte) (int, error) {
 	r := bytes.NewReader(data)
 	d := msgpack.GetDecoder()
 	defer msgpack.PutDecoder(d)
 	d.Reset(r)
-	// due holds how many values are still to come at each open level.
+	// pending holds the number of remaining values at each open level.
 	var levels [maxDepth + 1]int
 	due := append(levels[:0], 1)
 	for len(due) > 0 {
@@ -75,7 +72,7 @@
 		case children > r.Len():
 			return 0, eris.Wrapf(ErrMalformed, "%d elements in %d bytes", children, r.Len())
 		case len(due) > maxDepth:
-			return 0, eris.Wrapf(ErrMalformed, "more than %d levels", maxDepth)
+			return 0, eris.Wrapf(ErrMalformed, "nested deeper than %d levels", maxDepth)
 		case children > 0:
 			due = append(due, children)
 		}
@@ -83,8 +80,8 @@
 	return len(data) - r.Len(), nil
 }
 
-// skipOne steps over a plain value, or into an array or map and returns how many
-// values it holds.
+// skipValue skips a scalar, or the header of an array or map, and returns the number of
+// values that the array or map contains.
 func skipValue(d *msgpack.Decoder) (children int, err error) {
 	code, err := d.PeekCode()
 	if err != nil {
--- a/internal/codec/codec_test.go
+++ b/internal/codec/codec_test.go
@@ -26,8 +26,8 @@
 	require.True(t, want.At.Equal(got.At))
 }
 
-// Some bytes from a peer or out of the log end the process: the decoder takes
-// memory for as many elements as they claim, panics, or recurses too deep.
+// Guards against bytes that crash the process because the decoder allocates as many
+// elements as they claim, panics, or recurses too deeply.
 func TestUnmarshalRejectsHarmfulBytes(t *testing.T) {
 	for name, data := range map[string][]byte{
 		"4 G elements":        []byte("\x81\xa1p\xdd\xff\xff\xff\xff"),
--- a/internal/graceful/conn.go
+++ b/internal/graceful/conn.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// conn is a connection from a caller.
+// conn is a tracked connection from a caller.
 type conn struct {
 	*net.TCPConn
 	raw   syscall.RawConn
@@ -21,15 +21,15 @@
 
 	accepted time.Time
 
-	// mu is held while bytes are taken from the kernel, so that none are on their way
+	// mu is held while bytes are read from the socket, so that none can be on their way
 	// to the server unnoticed.
 	mu    sync.Mutex
 	state http.ConnState
-	// arrived says that bytes have been read since the last answer.
+	// received means that bytes have been read since the last response.
 	received bool
-	// ending says that the sending side is closed: what still arrives is dropped.
+	// closing means that the sending side is closed; data that still arrives is dropped.
 	closing bool
-	// over says that the caller has closed, or that the connection has failed.
+	// disconnected means that the caller has closed the connection or that it has failed.
 	disconnected bool
 	closed       bool
 }
@@ -56,8 +56,8 @@
 	return n, nil
 }
 
-// take reads what the kernel has, without waiting. What arrives on a connection that is ending
-// is dropped, and stands for its end.
+// readAvailable reads from the socket without blocking. On a closing connection, it drops
+// the data and returns 0, the end of the connection.
 func (c *conn) readAvailable(fd int, p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -78,7 +78,8 @@
 	return n, nil
 }
 
-// SetReadDeadline implements net.Conn. The bound on a connection that is ending stays.
+// SetReadDeadline implements net.Conn. It doesn't change the deadline of a closing
+// connection.
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -93,7 +94,7 @@
 	return errors.Join(c.SetReadDeadline(t), c.SetWriteDeadline(t))
 }
 
-// note takes over the server's word on the connection.
+// setState records the state that the server reports for the connection.
 func (c *conn) setState(s http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -103,14 +104,14 @@
 	}
 }
 
-// active reports whether a request is in progress or has arrived in part.
+// active reports whether a request is in progress or has partly arrived.
 func (c *conn) active() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.closing && c.busy()
 }
 
-// busy is active of a connection that isn't ending. c.mu is held.
+// busy is active for a connection that isn't closing. c.mu is held.
 func (c *conn) busy() bool {
 	if c.state == http.StateActive || c.received && !c.owner.tls || c.hasUnread() {
 		return true
@@ -118,18 +119,18 @@
 	return c.state == http.StateNew && time.Since(c.accepted) < firstRequestTimeout
 }
 
-// unread reports whether the kernel has bytes that the server hasn't taken.
+// hasUnread reports whether the socket has bytes that the server hasn't read.
 func (c *conn) hasUnread() bool {
-	var one [1]byte
+	var buf [1]byte
 	n := 0
 	err := c.raw.Control(func(fd uintptr) {
-		n, _, _ = unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		n, _, _ = unix.Recvfrom(int(fd), buf[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	})
 	return err == nil && n > 0
 }
 
-// endIfIdle closes the sending side unless a request is in progress, and reports whether the
-// connection has ended.
+// closeIfIdle closes the sending side unless a request is in progress, and reports whether
+// the connection is closing.
 func (c *conn) closeIfIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -143,16 +144,17 @@
 	return true
 }
 
-// end closes the sending side and bounds the wait for the caller to close. c.mu is held.
+// beginClose closes the sending side and sets a deadline for the caller to close. c.mu is
+// held.
 func (c *conn) beginClose() {
 	c.closing = true
-	// Errors say that the connection has failed already, which the next read tells too.
+	// Errors mean that the connection has failed, which the next read reports.
 	_ = c.TCPConn.CloseWrite()
 	_ = c.TCPConn.SetReadDeadline(time.Now().Add(lingerTimeout))
 }
 
-// Close closes the sending side, and the connection once the caller has closed too or
-// lingerTimeout is over. It doesn't wait.
+// Close closes the sending side, and the connection once the caller has closed it too or
+// lingerTimeout has passed. It doesn't block.
 func (c *conn) Close() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -170,9 +172,9 @@
 	return nil
 }
 
-// linger drops what the caller still sends, until it closes.
+// linger drops data that the caller still sends until it closes the connection.
 func (c *conn) linger() {
-	_, _ = io.Copy(io.Discard, struct{ io.Reader }{c.TCPConn}) // ends with the caller's close, a failure or the deadline
+	_, _ = io.Copy(io.Discard, struct{ io.Reader }{c.TCPConn}) // ends by the caller's close, an error or the deadline
 	_ = c.release()
 }
 
--- a/internal/graceful/connections.go
+++ b/internal/graceful/connections.go
@@ -12,21 +12,22 @@
 )
 
 const (
-	// lingerTimeout bounds the wait for a caller to close a connection that the server
-	// has closed for sending.
+	// lingerTimeout is how long to wait for a caller to close a connection whose sending
+	// side the server has closed.
 	lingerTimeout = 250 * time.Millisecond
-	// acceptTimeout bounds the wait for the connections that callers have opened before
-	// a stop to be accepted.
+	// acceptTimeout is how long to wait, when the server stops, for the acceptance of
+	// connections that callers have already opened.
 	acceptTimeout = 150 * time.Millisecond
-	// firstRequestTimeout is how long the request of a new connection may be on its way.
+	// firstRequestTimeout is how long a new connection without a request counts as active,
+	// as its first request may be in transit.
 	firstRequestTimeout = 150 * time.Millisecond
 	pollInterval        = 2 * time.Millisecond
 )
 
-// Connections are those of a server. The methods may be called from any goroutine.
+// Connections tracks the connections of a server. It is safe for concurrent use.
 type Connections struct {
 	log *slog.Logger
-	// opaque says that bytes read may belong to no request, as those of a handshake.
+	// tls means that bytes read needn't belong to a request, but may be of a handshake.
 	tls bool
 
 	mu        sync.Mutex
@@ -34,43 +35,43 @@
 	listeners []*listener
 }
 
-// New returns the connections of a server.
+// New returns the tracker for a server.
 func New(log *slog.Logger) *Connections {
 	return &Connections{log: log, open: make(map[*conn]struct{})}
 }
 
-// NewTLS returns those of a server that speaks TLS on what Listen returns.
+// NewTLS returns the tracker for a server that uses TLS on the listener from Listen.
 func NewTLS(log *slog.Logger) *Connections {
 	c := New(log)
 	c.tls = true
 	return c
 }
 
-// Listen returns a listener whose connections are followed.
+// Listen returns a listener whose connections are tracked.
 func (c *Connections) Listen(l net.Listener) net.Listener {
-	followed := &listener{Listener: l, owner: c, stopping: make(chan struct{}), closed: make(chan struct{})}
+	tracked := &listener{Listener: l, owner: c, stopping: make(chan struct{}), closed: make(chan struct{})}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.listeners = append(c.listeners, followed)
-	return followed
+	c.listeners = append(c.listeners, tracked)
+	return tracked
 }
 
-// Note is the server's ConnState hook.
-func (c *Connections) ConnState(of net.Conn, s http.ConnState) {
+// ConnState must be set as the ConnState hook of the server.
+func (c *Connections) ConnState(nc net.Conn, s http.ConnState) {
 	for {
-		outer, ok := of.(interface{ NetConn() net.Conn })
+		outer, ok := nc.(interface{ NetConn() net.Conn })
 		if !ok {
 			break
 		}
-		of = outer.NetConn() // as a TLS connection's
+		nc = outer.NetConn() // for example of a TLS connection
 	}
-	if one, ok := of.(*conn); ok {
+	if one, ok := nc.(*conn); ok {
 		one.setState(s)
 	}
 }
 
-// Active returns the number of connections with a request in progress: one that is read
-// or answered, or that has arrived at least in part.
+// Active returns the number of connections with a request in progress, which includes
+// requests that have arrived only in part.
 func (c *Connections) Active() int {
 	n := 0
 	for _, one := range c.all() {
@@ -81,8 +82,8 @@
 	return n
 }
 
-// CloseIdle takes no new connections any more, ends those without a request in progress and
-// returns the number of the others. Their answers may still be sent.
+// CloseIdle stops accepting connections, closes those without a request in progress and
+// returns the number of the others, which can still send their responses.
 func (c *Connections) CloseIdle() int {
 	first := c.closeListeners()
 	all := c.all()
@@ -98,11 +99,11 @@
 	return active
 }
 
-// Wait returns once callers have closed the connections that CloseIdle has ended, or once
-// lingerTimeout is over.
+// Wait returns once callers have closed the connections that CloseIdle has closed, or after
+// lingerTimeout.
 func (c *Connections) Wait() {
-	until := time.Now().Add(lingerTimeout)
-	for c.countClosing() > 0 && time.Now().Before(until) {
+	deadline := time.Now().Add(lingerTimeout)
+	for c.countClosing() > 0 && time.Now().Before(deadline) {
 		time.Sleep(pollInterval)
 	}
 	if n := c.countClosing(); n > 0 {
@@ -138,7 +139,7 @@
 	delete(c.open, one)
 }
 
-// closeListeners reports whether there were any.
+// closeListeners closes all listeners and reports whether there were any.
 func (c *Connections) closeListeners() bool {
 	c.mu.Lock()
 	listeners := c.listeners
@@ -146,34 +147,34 @@
 	c.mu.Unlock()
 	for _, l := range listeners {
 		if err := c.drainBacklog(l); err != nil {
-			c.log.Warn("connections may be left unaccepted", "address", l.Addr().String(), "err", err)
+			c.log.Warn("some connections may not have been accepted", "address", l.Addr().String(), "err", err)
 		}
 		l.stop()
 	}
 	return len(listeners) > 0
 }
 
-// acceptAll returns once the connections that callers have opened before are accepted. They
-// are accepted in their order, so all are once one of its own is.
+// drainBacklog returns once the connections that callers have already opened are accepted.
+// As connections are accepted in order, it opens one to the listener and waits for that one.
 func (c *Connections) drainBacklog(l *listener) error {
 	ctx, cancel := context.WithTimeout(context.Background(), acceptTimeout)
 	defer cancel()
 	var d net.Dialer
-	own, err := d.DialContext(ctx, "tcp", l.Addr().String())
+	probe, err := d.DialContext(ctx, "tcp", l.Addr().String())
 	if err != nil {
-		return eris.Wrap(err, "a connection to itself")
+		return eris.Wrap(err, "connect to own listener")
 	}
-	defer func() { _ = own.Close() }() // nothing was sent
-	for !c.closeFrom(own.LocalAddr().String()) {
+	defer func() { _ = probe.Close() }() // nothing was sent
+	for !c.closeFrom(probe.LocalAddr().String()) {
 		if ctx.Err() != nil {
-			return eris.New("a connection to itself isn't accepted in time")
+			return eris.New("timeout while waiting for the backlog to be accepted")
 		}
 		time.Sleep(pollInterval)
 	}
 	return nil
 }
 
-// endFrom ends the connection from an address, and reports whether it has been accepted.
+// closeFrom closes the connection from an address, and reports whether it was accepted.
 func (c *Connections) closeFrom(remote string) bool {
 	for _, one := range c.all() {
 		if one.RemoteAddr().String() != remote {
--- a/internal/graceful/doc.go
+++ b/internal/graceful/doc.go
@@ -1,9 +1,9 @@
-// Package graceful follows the connections of an HTTP server, so that the server can stop
-// without cutting off a request.
+// Package graceful tracks the connections of an HTTP server, so that the server can stop
+// without aborting requests.
 //
-// A server that closes an idle connection looks at its own state only. A request may have
-// arrived that it hasn't read yet; closing then resets the connection, and the caller learns
-// neither whether its request ran nor, where the reset overtakes it, the answer before. This
-// package asks the kernel under the lock that reads take, closes only the sending side of a
-// connection on which nothing has arrived, and reads on until the caller has closed too.
+// An HTTP server decides by its own state which connections are idle. A request may have arrived
+// that it hasn't read; closing then resets the connection, and the caller doesn't learn
+// whether its request ran and may even lose the previous response. This package checks the
+// socket for unread bytes while holding the lock for reads, closes only the sending side of
+// an idle connection, and keeps reading until the caller closes it too.
 package graceful
--- a/internal/graceful/graceful_test.go
+++ b/internal/graceful/graceful_test.go
@@ -16,7 +16,7 @@
 
 const request = "GET /x HTTP/1.1\r\nHost: h\r\n\r\n"
 
-// rig is a server whose connections are followed.
+// harness is a server whose connections are tracked.
 type harness struct {
 	t       *testing.T
 	conns   *Connections
@@ -28,8 +28,8 @@
 	return newDelayedHarness(t, wrap, handle, nil)
 }
 
-// newHeldRig makes a rig whose server's goroutines are held up after each answer, as on a
-// machine without a free processor, until idle can be received from.
+// newDelayedHarness returns a harness whose server goroutines block after each response until
+// idle can be received from, as on a machine without a free processor.
 func newDelayedHarness(t *testing.T, wrap func(net.Listener) net.Listener, handle http.HandlerFunc, idle chan struct{}) *harness {
 	r := &harness{t: t, conns: New(slog.New(slog.DiscardHandler))}
 	r.server = httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
@@ -52,7 +52,7 @@
 
 func answer(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") }
 
-// caller is a connection and what reads answers from it.
+// caller is a connection with a reader for responses.
 type caller struct {
 	net.Conn
 	in *bufio.Reader
@@ -80,7 +80,7 @@
 	return resp
 }
 
-// arrive waits until the kernel of the server's side has what was sent.
+// waitReceived waits until the server's socket has received what was sent.
 func (r *harness) waitReceived(c *caller) {
 	require.Eventually(r.t, func() bool {
 		for _, one := range r.conns.all() {
@@ -92,7 +92,7 @@
 	}, time.Minute, time.Millisecond)
 }
 
-// Guards against a request on a kept connection that is reset unread when the server stops.
+// Guards against an unread request on an idle connection that is reset when the server stops.
 func TestUnreadRequestOnIdleConnectionIsAnswered(t *testing.T) {
 	idle := make(chan struct{})
 	r := newDelayedHarness(t, plain, answer, idle)
@@ -116,7 +116,7 @@
 	c := r.dial()
 	require.Eventually(t, func() bool { return len(r.conns.all()) == 1 }, time.Minute, time.Millisecond)
 	for _, one := range r.conns.all() {
-		one.accepted = time.Now().Add(time.Minute) // as if it had just been
+		one.accepted = time.Now().Add(time.Minute) // as if just accepted
 	}
 	require.Equal(t, 1, r.conns.CloseIdle())
 	r.send(c, request)
@@ -124,8 +124,7 @@
 	require.Eventually(t, func() bool { return r.conns.CloseIdle() == 0 }, time.Minute, time.Millisecond)
 }
 
-// lateListener accepts its first connection a while late, as on a machine without a free
-// processor.
+// delayedListener delays its first accept, as on a machine without a free processor.
 type delayedListener struct {
 	net.Listener
 	delay time.Duration
@@ -138,24 +137,25 @@
 	return l.Listener.Accept()
 }
 
-// Guards against a request that is reset as it waits to be accepted when the server stops.
+// Guards against a request on a connection that isn't accepted yet and is reset when the
+// server stops.
 func TestUnacceptedRequestIsAnswered(t *testing.T) {
 	closed := make(chan struct{})
-	late := func(l net.Listener) net.Listener { return &delayedListener{Listener: l, delay: acceptTimeout / 2} }
-	r := newHarness(t, late, func(w http.ResponseWriter, q *http.Request) {
+	delayed := func(l net.Listener) net.Listener { return &delayedListener{Listener: l, delay: acceptTimeout / 2} }
+	r := newHarness(t, delayed, func(w http.ResponseWriter, q *http.Request) {
 		<-closed
 		answer(w, q)
 	})
 	c := r.dial()
 	r.send(c, request)
-	require.Zero(t, r.conns.Active(), "it is not accepted yet")
+	require.Zero(t, r.conns.Active(), "the connection isn't accepted yet")
 
 	require.Equal(t, 1, r.conns.CloseIdle())
 	close(closed)
 	r.receive(c)
 }
 
-// Guards against a stop that cuts off a request whose head has come in part.
+// Guards against a stop that aborts a request whose header has arrived only in part.
 func TestPartialRequestIsAnswered(t *testing.T) {
 	r := newHarness(t, plain, answer)
 	c := r.dial()
@@ -170,7 +170,7 @@
 	r.receive(c)
 }
 
-// Guards against a request that runs though its connection has ended.
+// Guards against a request that runs although its connection was already closed.
 func TestRequestAfterCloseIsNeitherRunNorReset(t *testing.T) {
 	r := newHarness(t, plain, answer)
 	c := r.dial()
@@ -188,7 +188,8 @@
 	require.EqualValues(t, 1, r.handled.Load())
 }
 
-// Guards against an answer that is lost because its caller still sends when the server closes.
+// Guards against a response that is lost because its caller still sends when the server closes
+// the connection.
 func TestResponseSurvivesUnreadData(t *testing.T) {
 	sent := make(chan struct{})
 	big := make([]byte, 4<<20)
@@ -214,19 +215,20 @@
 // Guards against a stop that never ends because a caller neither sends nor closes.
 func TestSilentCallersDelayShutdownBriefly(t *testing.T) {
 	r := newHarness(t, plain, answer)
-	silent, kept := r.dial(), r.dial()
-	r.send(kept, request)
-	r.receive(kept)
+	silent, idle := r.dial(), r.dial()
+	r.send(idle, request)
+	r.receive(idle)
 	require.Eventually(t, func() bool { return r.conns.CloseIdle() == 0 }, time.Minute, time.Millisecond)
 	r.conns.Wait()
 	require.Eventually(t, func() bool { return len(r.conns.all()) == 0 }, time.Minute, time.Millisecond)
-	for _, c := range []*caller{silent, kept} {
+	for _, c := range []*caller{silent, idle} {
 		_, err := c.in.ReadByte()
 		require.ErrorIs(t, err, io.EOF)
 	}
 }
 
-// Guards against a caller that sends without end and so keeps its connection past the bound.
+// Guards against a caller that keeps its connection open beyond lingerTimeout by sending
+// continuously.
 func TestEndlessSenderIsDisconnected(t *testing.T) {
 	r := newHarness(t, plain, answer)
 	c := r.dial()
@@ -243,7 +245,7 @@
 	require.EqualValues(t, 1, r.handled.Load())
 }
 
-// Guards against a server that takes the end of its listener for a failure and serves it again.
+// Guards against a server that treats the end of its listener as a failure and restarts it.
 func TestServerOutlivesItsListener(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -257,7 +259,7 @@
 	require.Error(t, err)
 	select {
 	case err := <-served:
-		require.Fail(t, "the server has ended", "%v", err)
+		require.Fail(t, "the server has stopped", "%v", err)
 	case <-time.After(10 * pollInterval):
 	}
 	require.NoError(t, server.Close())
--- a/internal/graceful/listener.go
+++ b/internal/graceful/listener.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// listener returns connections that are followed. Once it is stopped, Accept waits for the
-// server's Close: a server takes the end of its listener for a failure before.
+// listener returns tracked connections. Once it is stopped, Accept blocks until the server
+// calls Close: before that, the server would treat the listener's end as a failure.
 type listener struct {
 	net.Listener
 	owner     *Connections
@@ -35,7 +35,7 @@
 	}
 	raw, err := tcp.SyscallConn()
 	if err != nil {
-		l.owner.log.Warn("connection not followed", "remote", tcp.RemoteAddr().String(), "err", err)
+		l.owner.log.Warn("connection not tracked", "remote", tcp.RemoteAddr().String(), "err", err)
 		return accepted, nil
 	}
 	c := &conn{TCPConn: tcp, raw: raw, owner: l.owner, accepted: time.Now()}
@@ -45,11 +45,11 @@
 	return c, nil
 }
 
-// stop takes no new connections any more.
+// stop stops accepting connections.
 func (l *listener) stop() {
 	l.stopOnce.Do(func() {
 		close(l.stopping)
-		_ = l.Listener.Close() // an error says that it was closed before
+		_ = l.Listener.Close() // fails only if it was closed before
 	})
 }
 
