--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -138,7 +138,7 @@
 	q.closed, q.worked = time.Now(), q.working > 0
 }
 
-// Arrived implements standin.Watcher.
+// Arrived implements standin.Observer.
 func (o *oracle) Arrived(v standin.RequestInfo) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -164,7 +164,7 @@
 	q.working++
 }
 
-// Ran implements standin.Watcher.
+// Ran implements standin.Observer.
 func (o *oracle) Ran(v standin.RequestInfo) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -182,7 +182,7 @@
 	}
 }
 
-// Ended implements standin.Watcher.
+// Ended implements standin.Observer.
 func (o *oracle) Ended(v standin.RequestInfo) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
