--- a/internal/adapters/engineclient/engineclient_test.go
+++ b/internal/adapters/engineclient/engineclient_test.go
@@ -252,8 +252,8 @@
 func TestOrders(t *testing.T) {
 	slow := standin.DefaultSpeed()
 	slow.Change = time.Hour
-	role := func(id string, fence uint64) upstream.Order {
-		return upstream.Order{ID: id, Kind: upstream.OrderRole, Role: upstream.RoleDecode, FencingToken: fence}
+	role := func(id string, token uint64) upstream.Order {
+		return upstream.Order{ID: id, Kind: upstream.OrderRole, Role: upstream.RoleDecode, FencingToken: token}
 	}
 	cases := []struct {
 		name    string
--- a/internal/adapters/httpx/client_test.go
+++ b/internal/adapters/httpx/client_test.go
@@ -103,7 +103,7 @@
 	soon := func() (context.Context, context.CancelFunc) {
 		return context.WithTimeout(t.Context(), 50*time.Millisecond)
 	}
-	whole := func() (context.Context, context.CancelFunc) { return t.Context(), func() {} }
+	unbounded := func() (context.Context, context.CancelFunc) { return t.Context(), func() {} }
 	untrusted := httptest.NewTLSServer(http.NotFoundHandler())
 	t.Cleanup(untrusted.Close)
 	refusing, err := net.Listen("tcp", "127.0.0.1:0")
@@ -118,20 +118,20 @@
 		kind  error
 		cause error
 	}{
-		{"address refuses", refusing.Addr().String(), Options{}, whole, upstream.ErrNotSent, nil},
-		{"certificate not trusted", untrusted.Listener.Addr().String(), Options{TLS: &tls.Config{}}, whole, upstream.ErrNotSent, nil},
+		{"address refuses", refusing.Addr().String(), Options{}, unbounded, upstream.ErrNotSent, nil},
+		{"certificate not trusted", untrusted.Listener.Addr().String(), Options{TLS: &tls.Config{}}, unbounded, upstream.ErrNotSent, nil},
 		{"context already ended", untrusted.Listener.Addr().String(), Options{},
 			func() (context.Context, context.CancelFunc) { return ended, func() {} }, upstream.ErrNotSent, context.Canceled},
 		{"closed without answering", serveRaw(t, func(_ int, c net.Conn) {
 			_, _ = http.ReadRequest(bufio.NewReader(c))
 			_ = c.Close()
-		}), Options{}, whole, upstream.ErrBroken, nil},
+		}), Options{}, unbounded, upstream.ErrBroken, nil},
 		{"silent until the deadline", serveRaw(t, func(int, net.Conn) {}), Options{}, soon, upstream.ErrBroken, context.DeadlineExceeded},
 		{"cut off in the body", serveRaw(t, func(_ int, c net.Conn) {
 			_, _ = http.ReadRequest(bufio.NewReader(c))
 			_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf"))
 			_ = c.Close()
-		}), Options{}, whole, upstream.ErrBroken, nil},
+		}), Options{}, unbounded, upstream.ErrBroken, nil},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/adapters/httpx/serve.go
+++ b/internal/adapters/httpx/serve.go
@@ -8,12 +8,10 @@
 	"github.com/gofiber/fiber/v2"
 )
 
-// Serve serves requests on a listener until the context ends, then waits for requests
-// in progress for at most grace. It returns the context's error, or the server's error
-// if the server ended earlier.
-//
-// The listener is closed in addition to the server, because a server that is shut down
-// before it has begun to accept ignores the shutdown and would serve forever.
+// Serve serves requests on a listener until the context ends, then waits at most grace for
+// requests in progress. It returns the context's error, or the server's if that ended first.
+// It also closes the listener, because a server that is shut down before it has begun to
+// accept ignores the shutdown and would serve forever.
 func Serve(ctx context.Context, app *fiber.App, ln net.Listener, grace time.Duration) error {
 	ended := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
--- a/internal/graceful/connections.go
+++ b/internal/graceful/connections.go
@@ -65,8 +65,8 @@
 		}
 		nc = outer.NetConn() // for example of a TLS connection
 	}
-	if one, ok := nc.(*conn); ok {
-		one.setState(s)
+	if tracked, ok := nc.(*conn); ok {
+		tracked.setState(s)
 	}
 }
 
@@ -74,8 +74,8 @@
 // requests that have arrived only in part.
 func (c *Connections) Active() int {
 	n := 0
-	for _, one := range c.all() {
-		if one.active() {
+	for _, tracked := range c.all() {
+		if tracked.active() {
 			n++
 		}
 	}
@@ -88,8 +88,8 @@
 	first := c.closeListeners()
 	all := c.all()
 	active := 0
-	for _, one := range all {
-		if !one.closeIfIdle() {
+	for _, tracked := range all {
+		if !tracked.closeIfIdle() {
 			active++
 		}
 	}
@@ -113,12 +113,12 @@
 
 func (c *Connections) countClosing() int {
 	n := 0
-	for _, one := range c.all() {
-		one.mu.Lock()
-		if one.closing && !one.disconnected {
+	for _, tracked := range c.all() {
+		tracked.mu.Lock()
+		if tracked.closing && !tracked.disconnected {
 			n++
 		}
-		one.mu.Unlock()
+		tracked.mu.Unlock()
 	}
 	return n
 }
@@ -127,16 +127,16 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	all := make([]*conn, 0, len(c.open))
-	for one := range c.open {
-		all = append(all, one)
+	for tracked := range c.open {
+		all = append(all, tracked)
 	}
 	return all
 }
 
-func (c *Connections) remove(one *conn) {
+func (c *Connections) remove(tracked *conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.open, one)
+	delete(c.open, tracked)
 }
 
 // closeListeners closes all listeners and reports whether there were any.
@@ -176,13 +176,13 @@
 
 // closeFrom closes the connection from an address, and reports whether it was accepted.
 func (c *Connections) closeFrom(remote string) bool {
-	for _, one := range c.all() {
-		if one.RemoteAddr().String() != remote {
+	for _, tracked := range c.all() {
+		if tracked.RemoteAddr().String() != remote {
 			continue
 		}
-		one.mu.Lock()
-		defer one.mu.Unlock()
-		one.beginClose()
+		tracked.mu.Lock()
+		defer tracked.mu.Unlock()
+		tracked.beginClose()
 		return true
 	}
 	return false
--- a/internal/graceful/graceful_test.go
+++ b/internal/graceful/graceful_test.go
@@ -83,9 +83,9 @@
 // waitReceived waits until the server's socket has received what was sent.
 func (r *harness) waitReceived(c *caller) {
 	require.Eventually(r.t, func() bool {
-		for _, one := range r.conns.all() {
-			if one.RemoteAddr().String() == c.LocalAddr().String() {
-				return one.active()
+		for _, tracked := range r.conns.all() {
+			if tracked.RemoteAddr().String() == c.LocalAddr().String() {
+				return tracked.active()
 			}
 		}
 		return false
@@ -115,8 +115,8 @@
 	r := newHarness(t, plain, answer)
 	c := r.dial()
 	require.Eventually(t, func() bool { return len(r.conns.all()) == 1 }, time.Minute, time.Millisecond)
-	for _, one := range r.conns.all() {
-		one.accepted = time.Now().Add(time.Minute) // as if just accepted
+	for _, tracked := range r.conns.all() {
+		tracked.accepted = time.Now().Add(time.Minute) // as if just accepted
 	}
 	require.Equal(t, 1, r.conns.CloseIdle())
 	r.send(c, request)
--- a/internal/wire/member.go
+++ b/internal/wire/member.go
@@ -24,7 +24,7 @@
 // MemberState is the state that a daemon reports to the others, several times a
 // second while it serves requests.
 type MemberState struct {
-	//lint:ignore U1000 msgpack reads it: the fields go without their names.
+	//lint:ignore U1000 msgpack reads it: the fields are encoded without their names.
 	_msgpack struct{} `msgpack:",as_array"`
 	MemberAddress
 	// Incarnation differs for each start of a daemon; Seq counts the states of one
@@ -64,7 +64,7 @@
 // MemberLoads reports the changes of a daemon's loads since its last state. It is sent
 // many times between two states, and therefore kept small.
 type MemberLoads struct {
-	//lint:ignore U1000 msgpack reads it: the fields go without their names.
+	//lint:ignore U1000 msgpack reads it: the fields are encoded without their names.
 	_msgpack struct{} `msgpack:",as_array"`
 	// Incarnation and Seq are as in MemberState. Incarnation identifies the sender.
 	Incarnation, Seq uint64
@@ -88,7 +88,7 @@
 
 // UnavailableEngine is an engine that accepts no work for some time.
 type UnavailableEngine struct {
-	//lint:ignore U1000 msgpack reads it: the fields go without their names.
+	//lint:ignore U1000 msgpack reads it: the fields are encoded without their names.
 	_msgpack struct{} `msgpack:",as_array"`
 	Engine   placement.Key
 	// TargetRole is the role that the engine is changing to, empty if its role stays.
@@ -126,7 +126,7 @@
 // LoadReport reports to a collector what the sender, and the daemons that report to
 // it, have in flight.
 type LoadReport struct {
-	//lint:ignore U1000 msgpack reads it: the fields go without their names.
+	//lint:ignore U1000 msgpack reads it: the fields are encoded without their names.
 	_msgpack struct{} `msgpack:",as_array"`
 	// PeerAddress is the address at which the sender listens for peers.
 	PeerAddress string
@@ -158,7 +158,7 @@
 // LoadTotals is what all daemons except the receiver have in flight, as known to the
 // collector.
 type LoadTotals struct {
-	//lint:ignore U1000 msgpack reads it: the fields go without their names.
+	//lint:ignore U1000 msgpack reads it: the fields are encoded without their names.
 	_msgpack struct{} `msgpack:",as_array"`
 	// Full means that upstreams that aren't listed have nothing in flight.
 	Full  bool
