--- a/internal/entry/answer/answer_test.go
+++ b/internal/entry/answer/answer_test.go
@@ -21,103 +21,105 @@
 	"tamarackchute/upstream"
 )
 
-const total = 12
+const totalTokens = 12
 
-// fault is how one attempt goes wrong.
+// fault describes how one attempt fails.
 type fault struct {
-	// replay is how many tokens before the one due come again; skip leaves a
-	// token out; dieAfter is how many come before the stream breaks; early ends
-	// it then without a finish reason instead.
-	replay, skip, dieAfter int
-	early                  bool
-	refuse                 error
+	// replay is how many earlier tokens are sent again; skipAt, if above 0, is how many
+	// tokens are sent before one is omitted; breakAfter is how many are sent before the
+	// stream breaks, or with endEarly before it ends without a finish reason.
+	replay, skipAt, breakAfter int
+	endEarly                   bool
+	refuse                     error
 }
 
-// world is a fleet of engines that follow a script, an attempt a line.
-type world struct {
-	script []fault
-	wrong  []string
-	held   map[string]int
+// fakeFleet is a fleet of engines whose attempts follow a script, one fault each.
+type fakeFleet struct {
+	script      []fault
+	wrongPriors []string
+	reserved    map[string]int
 }
 
-func (w *world) Engine(name string) upstream.Engine { return engine{w, name} }
+func (f *fakeFleet) Engine(name string) upstream.Engine { return fakeEngine{f, name} }
 
-func (w *world) Hold(name string) bool { w.held[name]++; return true }
-func (w *world) Release(name string)   { w.held[name]-- }
-func (w *world) Allow() bool           { return true }
+func (f *fakeFleet) Reserve(name string) bool { f.reserved[name]++; return true }
+func (f *fakeFleet) Release(name string)      { f.reserved[name]-- }
+func (f *fakeFleet) Allow() bool              { return true }
 
-func (w *world) Check(quarantine.Digest) (bool, error)   { return false, nil }
-func (w *world) MayRunOn(string, quarantine.Digest) bool { return true }
-func (w *world) Waiting(quarantine.Digest) error         { return nil }
-func (w *world) guard() *crash.Watch                     { return crash.New(noGuard{}, dead) }
-func dead(context.Context, string) error                 { return upstream.ErrNotSent }
-func (w *world) Begin(ctx context.Context, e string, d quarantine.Digest, s bool) (*crash.Run, error) {
-	return w.guard().Begin(ctx, e, d, s)
+func (f *fakeFleet) Check(quarantine.Digest) (bool, error)   { return false, nil }
+func (f *fakeFleet) MayRunOn(string, quarantine.Digest) bool { return true }
+func (f *fakeFleet) IsolationError(quarantine.Digest) error  { return nil }
+func (f *fakeFleet) detector() *crash.Detector               { return crash.New(noQuarantine{}, unreachable) }
+func unreachable(context.Context, string) error              { return upstream.ErrNotSent }
+func (f *fakeFleet) Begin(ctx context.Context, e string, d quarantine.Digest, s bool) (*crash.Run, error) {
+	return f.detector().Begin(ctx, e, d, s)
 }
 
-type noGuard struct{ crash.Guard }
+type noQuarantine struct{ crash.Quarantine }
 
-func (noGuard) Answered(quarantine.Digest) {}
+func (noQuarantine) Answered(quarantine.Digest) {}
 
-func (noGuard) Crashed(context.Context, string, string, []quarantine.Digest) error { return nil }
+func (noQuarantine) Crashed(context.Context, string, string, []quarantine.Digest) error { return nil }
 
-type engine struct {
-	world *world
+type fakeEngine struct {
+	fleet *fakeFleet
 	name  string
 }
 
-func (e engine) Generate(_ context.Context, r upstream.GenerateRequest) (upstream.TokenStream, error) {
+func (e fakeEngine) Generate(_ context.Context, r upstream.GenerateRequest) (upstream.TokenStream, error) {
 	prior := ""
 	for i := range r.PriorTokens {
 		prior += word(i)
 	}
 	if r.Prior != prior {
-		e.world.wrong = append(e.world.wrong, r.Prior)
+		e.fleet.wrongPriors = append(e.fleet.wrongPriors, r.Prior)
 	}
-	f := fault{dieAfter: total + 1}
-	if len(e.world.script) > 0 {
-		f, e.world.script = e.world.script[0], e.world.script[1:]
+	f := fault{breakAfter: totalTokens + 1}
+	if len(e.fleet.script) > 0 {
+		f, e.fleet.script = e.fleet.script[0], e.fleet.script[1:]
 	}
 	if f.refuse != nil {
 		return nil, f.refuse
 	}
-	return &script{fault: f, next: max(0, r.PriorTokens-f.replay)}, nil
+	return &scriptedStream{fault: f, next: max(0, r.PriorTokens-f.replay)}, nil
 }
 
-func (engine) Resume(context.Context, string, int) (upstream.TokenStream, error) {
+func (fakeEngine) Resume(context.Context, string, int) (upstream.TokenStream, error) {
 	return nil, upstream.ErrGone
 }
 
-func (engine) Prefill(context.Context, upstream.GenerateRequest) (upstream.KVHandle, error) {
+func (fakeEngine) Prefill(context.Context, upstream.GenerateRequest) (upstream.KVHandle, error) {
 	return upstream.KVHandle{}, upstream.ErrRefused
 }
-func (engine) Cancel(context.Context, string) error { return nil }
-func (engine) Load(context.Context) (upstream.LoadReport, error) {
+func (fakeEngine) Cancel(context.Context, string) error { return nil }
+func (fakeEngine) Load(context.Context) (upstream.LoadReport, error) {
 	return upstream.LoadReport{}, nil
 }
 
-func (engine) CacheEvents(context.Context, uint64) ([]upstream.CacheEvent, error) { return nil, nil }
+func (fakeEngine) CacheEvents(context.Context, uint64) ([]upstream.CacheEvent, error) {
+	return nil, nil
+}
 
-type script struct {
+type scriptedStream struct {
 	fault
 	next, sent int
 }
 
-func (s *script) Next(context.Context) (upstream.Token, error) {
-	if s.sent == s.dieAfter {
-		if s.early {
+func (s *scriptedStream) Next(context.Context) (upstream.Token, error) {
+	if s.sent == s.breakAfter {
+		if s.endEarly {
 			return upstream.Token{}, io.EOF
 		}
 		return upstream.Token{}, upstream.ErrBroken
 	}
-	if s.skip > 0 && s.sent == s.skip {
+	if s.skipAt > 0 && s.sent == s.skipAt {
 		s.next++
 	}
-	if s.next >= total {
+	if s.next >= totalTokens {
 		return upstream.Token{}, io.EOF
 	}
 	t := upstream.Token{Index: s.next, Text: word(s.next)}
-	if s.next == total-1 {
+	if s.next == totalTokens-1 {
 		t.Finish = "stop"
 	}
 	s.next++
@@ -125,45 +127,44 @@
 	return t, nil
 }
 
-func (*script) Close() error { return nil }
+func (*scriptedStream) Close() error { return nil }
 
 func word(i int) string { return fmt.Sprintf("<%d>", i) }
 
-func newRunner(w *world, attempts int) *Runner {
+func newRunner(fleet *fakeFleet, attempts int) *Runner {
 	ups := make([]router.Upstream, attempts)
 	for i := range ups {
 		ups[i] = router.Upstream{Name: fmt.Sprint("e", i), Kind: "engine", Pool: "p", DataCentre: "d", Models: []string{"m"}, Role: upstream.RoleMixed}
 	}
-	w.held = map[string]int{}
+	fleet.reserved = map[string]int{}
 	id := 0
 	return &Runner{
-		Books: router.NewTracker(router.DefaultConfig("d"), ups, nil), Engines: w, Holds: w, Suspects: w, Retries: w,
-		Budget: stream.NewBudget(1 << 20), PriorLimit: 1 << 10, MaxAttempts: attempts,
+		Tracker: router.NewTracker(router.DefaultConfig("d"), ups, nil), Engines: fleet, InFlight: fleet, CrashDetector: fleet, RetryBudget: fleet,
+		MemoryBudget: stream.NewMemoryBudget(1 << 20), MaxBufferedBytes: 1 << 10, MaxAttempts: attempts,
 		NewID: func() string { id++; return fmt.Sprint(id) },
 	}
 }
 
-// Engines die, break off early, send tokens again and leave tokens out, one
-// after the other, while a caller reads. Whatever happens, what the caller gets
-// is the beginning of the true answer, each token once; it is told that the
-// answer is whole only if it is; and no failure after a token claims that
-// nothing ran.
+// Engines crash, end early, repeat tokens and skip tokens in any sequence. The
+// caller must get a prefix of the correct answer, each token once; the end without
+// an error means that the answer is complete; and no failure after the first token
+// may claim that the request did not run.
 func TestTokensComeOnceAndInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		attempts := rapid.IntRange(1, 5).Draw(t, "attempts")
-		w := &world{script: rapid.SliceOfN(rapid.Custom(func(t *rapid.T) fault {
+		fleet := &fakeFleet{script: rapid.SliceOfN(rapid.Custom(func(t *rapid.T) fault {
 			return fault{
-				replay:   rapid.IntRange(0, 3).Draw(t, "replay"),
-				skip:     rapid.IntRange(0, 4).Draw(t, "skip"),
-				dieAfter: rapid.IntRange(0, total).Draw(t, "die"),
-				early:    rapid.Bool().Draw(t, "early"),
-				refuse:   rapid.SampledFrom([]error{nil, nil, upstream.ErrRefused, upstream.ErrNotSent}).Draw(t, "refuse"),
+				replay:     rapid.IntRange(0, 3).Draw(t, "replay"),
+				skipAt:     rapid.IntRange(0, 4).Draw(t, "skip"),
+				breakAfter: rapid.IntRange(0, totalTokens).Draw(t, "die"),
+				endEarly:   rapid.Bool().Draw(t, "early"),
+				refuse:     rapid.SampledFrom([]error{nil, nil, upstream.ErrRefused, upstream.ErrNotSent}).Draw(t, "refuse"),
 			}
 		}), 0, 5).Draw(t, "script")}
-		runner := newRunner(w, attempts)
-		a := runner.Start(Work{
-			Request: openai.Request{Model: "m", MaxTokens: total, Stream: true},
-			Route:   router.Request{Pool: "p", Model: "m", OutputTokens: total},
+		runner := newRunner(fleet, attempts)
+		a := runner.Start(Job{
+			Request: openai.Request{Model: "m", MaxTokens: totalTokens, Stream: true},
+			Route:   router.Request{Pool: "p", Model: "m", OutputTokens: totalTokens},
 			Retry:   rapid.SampledFrom([]rules.RetryClass{rules.RetryNever, rules.RetryUnsent, rules.RetryRepeatable}).Draw(t, "retry"),
 			Created: time.Unix(1, 0),
 		})
@@ -181,15 +182,15 @@
 		a.Close()
 		var f *outcome.Failure
 		if errors.As(err, &f) {
-			require.True(t, f.Ran == outcome.MayHaveRun || got == 0)
+			require.True(t, f.Execution == outcome.MayHaveRun || got == 0)
 		} else {
 			require.Equal(t, io.EOF, err)
-			require.Equal(t, total, got)
+			require.Equal(t, totalTokens, got)
 		}
-		require.Empty(t, w.wrong, "prior text")
+		require.Empty(t, fleet.wrongPriors, "prior text")
 		require.LessOrEqual(t, a.Attempt(), attempts)
-		require.Zero(t, runner.Budget.Used())
-		for name, n := range w.held {
+		require.Zero(t, runner.MemoryBudget.Used())
+		for name, n := range fleet.reserved {
 			require.Zero(t, n, name)
 		}
 	})
--- a/internal/entry/crash/crash.go
+++ b/internal/entry/crash/crash.go
@@ -1,5 +1,5 @@
-// Package crash tells the quarantine which requests were in flight when an
-// engine died.
+// Package crash detects engine crashes and reports the requests that were in flight
+// there to the quarantine.
 package crash
 
 import (
@@ -14,8 +14,9 @@
 	"tamarackchute/upstream"
 )
 
-// Guard answers what may run where; quarantine.Guard is one.
-type Guard interface {
+// Quarantine decides which requests may run on which engine and records crashes;
+// quarantine.Guard implements it.
+type Quarantine interface {
 	Check(d quarantine.Digest) (quarantine.Verdict, error)
 	MayRunOn(upstream string, d quarantine.Digest) bool
 	Isolate(ctx context.Context, upstream string, d quarantine.Digest) (*quarantine.Isolation, error)
@@ -24,190 +25,193 @@
 	Waiting(d quarantine.Digest) *quarantine.Error
 }
 
-// Probe asks an engine for a sign of life. An error that matches
-// upstream.ErrNotSent means that nothing listens there.
+// Probe checks whether an engine responds. An error that matches
+// upstream.ErrNotSent means that nothing listens at its address.
 type Probe func(ctx context.Context, engine string) error
 
 const (
-	// probes are made this often, probeGap apart. A process that died is gone
-	// for longer than that, even if something restarts it.
-	probes       = 3
-	probeGap     = 50 * time.Millisecond
-	probeTimeout = 200 * time.Millisecond
-	// reportWait is how long a broken request waits for the log to take the
-	// report. The report goes on behind it.
+	// An engine is probed probeAttempts times, probeInterval apart. A crashed process
+	// is down for longer than that, even if a supervisor restarts it.
+	probeAttempts = 3
+	probeInterval = 50 * time.Millisecond
+	probeTimeout  = 200 * time.Millisecond
+	// reportWait is how long a request that broke off waits until the crash report is
+	// in the log. The report itself continues in the background.
 	reportWait    = 200 * time.Millisecond
 	reportTimeout = 5 * time.Second
-	// isolateTimeout bounds the wait for the log to take an isolation. Without
-	// the log the suspects are kept apart within this process.
+	// isolateTimeout bounds the wait until an isolation is in the log. While the log is
+	// unavailable, suspects are isolated only within this process.
 	isolateTimeout = 250 * time.Millisecond
 )
 
-// Watch knows the requests in flight at each engine. It is safe for use by many
-// goroutines.
-type Watch struct {
-	guard Guard
-	probe Probe
+// Detector tracks the requests in flight at each engine and finds out whether an
+// engine has crashed. It is safe for concurrent use.
+type Detector struct {
+	quarantine Quarantine
+	probe      Probe
 
 	mu      sync.Mutex
 	running map[string]map[*Run]struct{}
-	checks  map[string]*check
+	checks  map[string]*crashCheck
 	tasks   conc.WaitGroup
 }
 
-// New returns a watch that reports to a guard.
-func New(g Guard, p Probe) *Watch {
-	return &Watch{
-		guard:   g,
-		probe:   p,
-		running: map[string]map[*Run]struct{}{},
-		checks:  map[string]*check{},
+// New returns a detector that reports crashes to a quarantine.
+func New(q Quarantine, p Probe) *Detector {
+	return &Detector{
+		quarantine: q,
+		probe:      p,
+		running:    map[string]map[*Run]struct{}{},
+		checks:     map[string]*crashCheck{},
 	}
 }
 
-// Wait returns once the reports under way are done.
-func (w *Watch) Wait() { w.tasks.Wait() }
+// Wait returns once all checks and reports in progress have ended.
+func (det *Detector) Wait() { det.tasks.Wait() }
 
-// Check reports whether a request is suspected, or its refusal if it is
+// Check reports whether a request is suspected, and returns an error if it is
 // quarantined.
-func (w *Watch) Check(d quarantine.Digest) (suspected bool, err error) {
-	v, err := w.guard.Check(d)
+func (det *Detector) Check(d quarantine.Digest) (suspected bool, err error) {
+	v, err := det.quarantine.Check(d)
 	return v.Status == quarantine.Suspected, err
 }
 
 // MayRunOn reports whether a suspected request may start on an engine.
-func (w *Watch) MayRunOn(engine string, d quarantine.Digest) bool {
-	return w.guard.MayRunOn(engine, d)
+func (det *Detector) MayRunOn(engine string, d quarantine.Digest) bool {
+	return det.quarantine.MayRunOn(engine, d)
 }
 
-// Waiting returns the refusal of a suspect that found no engine to itself.
-func (w *Watch) Waiting(d quarantine.Digest) error { return w.guard.Waiting(d) }
+// IsolationError returns the refusal of a suspect that found no engine without
+// other suspects.
+func (det *Detector) IsolationError(d quarantine.Digest) error { return det.quarantine.Waiting(d) }
 
-// Result says how a run ended.
+// Result says how a run at an engine ended.
 type Result uint8
 
 // The results of a run.
 const (
-	// Ended is a run that says nothing: cancelled, refused, never sent.
-	Ended Result = iota
-	// Answered is a run that got its whole answer.
-	Answered
-	// Broken is a run that broke off, maybe because the engine died.
+	// Inconclusive is a run that was cancelled, refused or never sent.
+	Inconclusive Result = iota
+	// Completed is a run that received its complete response.
+	Completed
+	// Broken is a run that broke off, possibly because the engine crashed.
 	Broken
 )
 
-// Run is one request at one engine.
+// Run is one request in flight at one engine.
 type Run struct {
-	watch     *Watch
+	detector  *Detector
 	engine    string
 	digest    quarantine.Digest
 	isolation *quarantine.Isolation
 }
 
-// Begin books a request at an engine before anything is sent there. A suspected
-// one gets the engine without other suspects, or quarantine.ErrReserved.
-func (w *Watch) Begin(ctx context.Context, engine string, d quarantine.Digest, suspected bool) (*Run, error) {
-	r := &Run{watch: w, engine: engine, digest: d}
+// Begin records a request as in flight at an engine before anything is sent. A
+// suspected request is isolated from other suspects there, or Begin returns
+// quarantine.ErrReserved.
+func (det *Detector) Begin(ctx context.Context, engine string, d quarantine.Digest, suspected bool) (*Run, error) {
+	r := &Run{detector: det, engine: engine, digest: d}
 	if suspected {
 		ctx, cancel := context.WithTimeout(ctx, isolateTimeout)
 		defer cancel()
-		isolation, err := w.guard.Isolate(ctx, engine, d)
+		isolation, err := det.quarantine.Isolate(ctx, engine, d)
 		if err != nil {
 			return nil, err
 		}
 		r.isolation = isolation
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.running[engine] == nil {
-		w.running[engine] = map[*Run]struct{}{}
+	det.mu.Lock()
+	defer det.mu.Unlock()
+	if det.running[engine] == nil {
+		det.running[engine] = map[*Run]struct{}{}
 	}
-	w.running[engine][r] = struct{}{}
+	det.running[engine][r] = struct{}{}
 	return r, nil
 }
 
 // End ends the run. After Broken it returns once it is known whether the engine
-// died, so that the request doesn't go to the next engine as an innocent one.
+// crashed, so that a suspect isn't sent to the next engine as an unsuspected request.
 func (r *Run) End(result Result) {
-	w := r.watch
+	det := r.detector
 	switch result {
-	case Answered:
-		w.guard.Answered(r.digest)
+	case Completed:
+		det.quarantine.Answered(r.digest)
 	case Broken:
-		w.broken(r)
+		det.awaitCheck(r)
 	}
-	w.mu.Lock()
-	delete(w.running[r.engine], r)
-	w.mu.Unlock()
+	det.mu.Lock()
+	delete(det.running[r.engine], r)
+	det.mu.Unlock()
 	if r.isolation != nil {
-		w.endIsolation(r.isolation, result == Answered)
+		det.endIsolation(r.isolation, result == Completed)
 	}
 }
 
-// Acquit ends the isolation of a suspected run that has got further than the
-// one that made it a suspect. If its engine crashes after that, it is a suspect
-// for the first time again. It must not run at the same time as End.
-func (r *Run) Acquit() {
+// Clear ends the isolation of a suspected run once it counts as not having caused
+// the earlier crash. If its engine crashes after that, it becomes a suspect as if
+// for the first time. Clear must not run concurrently with End.
+func (r *Run) Clear() {
 	if r.isolation == nil {
 		return
 	}
-	r.watch.endIsolation(r.isolation, true)
+	r.detector.endIsolation(r.isolation, true)
 	r.isolation = nil
 }
 
-// endIsolation writes to the log, which may be slow; nobody waits for it.
-func (w *Watch) endIsolation(i *quarantine.Isolation, passed bool) {
-	w.tasks.Go(func() {
+// endIsolation ends an isolation in the background, as it writes to the log, which
+// may be slow.
+func (det *Detector) endIsolation(i *quarantine.Isolation, passed bool) {
+	det.tasks.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 		defer cancel()
 		i.End(ctx, passed)
 	})
 }
 
-// check finds out whether one engine has died.
-type check struct {
+// crashCheck is a check in progress of whether one engine has crashed.
+type crashCheck struct {
 	digests map[quarantine.Digest]struct{}
 	done    chan struct{}
 }
 
-// broken waits for the check of the run's engine, and starts one if none runs.
-// The suspects are all that are in flight there now or join meanwhile: an
-// engine takes all of them down with it, and which one did it isn't known.
-func (w *Watch) broken(r *Run) {
-	w.mu.Lock()
-	c := w.checks[r.engine]
+// awaitCheck waits for the check of the run's engine and starts one if none is in
+// progress. The suspects are all requests in flight there now and those that break
+// off during the check, as it isn't known which of them crashed the engine.
+func (det *Detector) awaitCheck(r *Run) {
+	det.mu.Lock()
+	c := det.checks[r.engine]
 	if c == nil {
-		c = &check{digests: map[quarantine.Digest]struct{}{}, done: make(chan struct{})}
-		w.checks[r.engine] = c
-		for other := range w.running[r.engine] {
+		c = &crashCheck{digests: map[quarantine.Digest]struct{}{}, done: make(chan struct{})}
+		det.checks[r.engine] = c
+		for other := range det.running[r.engine] {
 			c.digests[other.digest] = struct{}{}
 		}
-		w.tasks.Go(func() { w.run(r.engine, c) })
+		det.tasks.Go(func() { det.runCheck(r.engine, c) })
 	}
 	c.digests[r.digest] = struct{}{}
-	w.mu.Unlock()
+	det.mu.Unlock()
 	<-c.done
 }
 
-func (w *Watch) run(engine string, c *check) {
+func (det *Detector) runCheck(engine string, c *crashCheck) {
 	defer close(c.done)
-	dead := w.dead(engine)
-	w.mu.Lock()
-	delete(w.checks, engine)
+	crashed := det.engineCrashed(engine)
+	det.mu.Lock()
+	delete(det.checks, engine)
 	suspects := make([]quarantine.Digest, 0, len(c.digests))
 	for d := range c.digests {
 		suspects = append(suspects, d)
 	}
-	w.mu.Unlock()
-	if !dead {
+	det.mu.Unlock()
+	if !crashed {
 		return
 	}
 	reported := make(chan struct{})
-	w.tasks.Go(func() {
+	det.tasks.Go(func() {
 		defer close(reported)
 		ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 		defer cancel()
-		_ = w.guard.Crashed(ctx, engine, "", suspects) // the guard keeps what the log doesn't take
+		_ = det.quarantine.Crashed(ctx, engine, "", suspects) // the quarantine retries what the log didn't accept
 	})
 	timer := time.NewTimer(reportWait)
 	defer timer.Stop()
@@ -217,15 +221,15 @@
 	}
 }
 
-// dead reports whether nothing listens at the engine's address. A connection
-// that broke with the engine alive is no crash.
-func (w *Watch) dead(engine string) bool {
-	for i := range probes {
+// engineCrashed reports whether nothing listens at the engine's address. A connection
+// that broke while the engine still responds is no crash.
+func (det *Detector) engineCrashed(engine string) bool {
+	for i := range probeAttempts {
 		if i > 0 {
-			time.Sleep(probeGap)
+			time.Sleep(probeInterval)
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
-		err := w.probe(ctx, engine)
+		err := det.probe(ctx, engine)
 		cancel()
 		if errors.Is(err, upstream.ErrNotSent) {
 			return true
--- a/internal/entry/discovery/discovery.go
+++ b/internal/entry/discovery/discovery.go
@@ -1,4 +1,4 @@
-// Package discovery names the addresses that callers may use, nearest first.
+// Package discovery lists the addresses that callers may connect to, nearest first.
 package discovery
 
 import (
@@ -8,53 +8,52 @@
 	"tamarackchute/membership"
 )
 
-// Members says what is believed about an instance; a hint only. What follows
-// from a wrong one is a caller sent to an instance that it can't reach, who
-// then takes the next of the answer's addresses.
+// Members returns the assumed state of an instance, which is only a hint. If it is
+// wrong, a caller can't reach the instance and uses the next address of the response.
 type Members interface {
 	State(instance string) membership.State
 }
 
-// Answer says where to connect.
-type Answer struct {
+// Response lists the addresses to connect to.
+type Response struct {
 	Addresses []Address `json:"addresses"`
-	// KeepSeconds is how long the answer may be kept. An instance that stops
-	// serves on for at least that long.
-	KeepSeconds float64 `json:"keep_s"`
+	// MaxAgeSeconds is how long the response may be cached. An instance that shuts down
+	// continues to serve for at least that long.
+	MaxAgeSeconds float64 `json:"keep_s"`
 }
 
-// Address is one instance to connect to.
+// Address is the address of one instance.
 type Address struct {
 	Address    string `json:"address"`
 	DataCentre string `json:"data_centre"`
 	Instance   string `json:"instance"`
 }
 
-// Directory answers for one instance. It is safe for use by many goroutines.
+// Directory is the discovery service of one instance. It is safe for concurrent use.
 type Directory struct {
 	self    settings.Instance
-	keep    float64
+	maxAge  float64
 	members Members
-	// near holds, for each data centre, all instances, the nearest first.
-	near    map[string][]settings.Instance
-	leaving atomic.Bool
-	// turn counts answers; each begins with another instance of a data centre.
-	turn atomic.Uint64
+	// byDistance holds, for each data centre, all instances, nearest first.
+	byDistance   map[string][]settings.Instance
+	shuttingDown atomic.Bool
+	// rotation counts responses; each starts with the next instance of a data centre.
+	rotation atomic.Uint64
 }
 
-// New returns the directory of the instance self.
+// New returns the directory of an instance.
 func New(d *settings.Deployment, self settings.Instance, m Members) *Directory {
 	dir := &Directory{
-		self:    self,
-		keep:    d.Discovery.KeepSeconds,
-		members: m,
-		near:    map[string][]settings.Instance{},
+		self:       self,
+		maxAge:     d.Discovery.KeepSeconds,
+		members:    m,
+		byDistance: map[string][]settings.Instance{},
 	}
 	for _, dc := range d.DataCentres {
 		for _, name := range d.Nearest(dc.Name) {
 			for _, in := range d.Instances {
 				if in.DataCentre == name {
-					dir.near[dc.Name] = append(dir.near[dc.Name], in)
+					dir.byDistance[dc.Name] = append(dir.byDistance[dc.Name], in)
 				}
 			}
 		}
@@ -62,36 +61,34 @@
 	return dir
 }
 
-// Leave takes the own instance out of all further answers.
-func (d *Directory) Leave() { d.leaving.Store(true) }
+// BeginShutdown removes this instance from all further responses.
+func (d *Directory) BeginShutdown() { d.shuttingDown.Store(true) }
 
-// Where answers for a caller in a data centre; one that is not known counts as
-// the instance's own. Instances that are only suspected come after all others,
-// since they may well be up; those that leave or have gone don't come at all.
-//
-// Callers connect to the first address. So that they don't all go to the same
-// instance, those of one data centre take turns in being named first.
-func (d *Directory) Where(dataCentre string) Answer {
-	order, known := d.near[dataCentre]
+// Locate returns the addresses for a caller in a data centre; an unknown one counts as
+// this instance's own. Suspected instances come last, as they may still be up; those
+// that are shutting down or gone are omitted. The instances of a data centre are
+// rotated, as callers connect to the first address.
+func (d *Directory) Locate(dataCentre string) Response {
+	instances, known := d.byDistance[dataCentre]
 	if !known {
-		order = d.near[d.self.DataCentre]
+		instances = d.byDistance[d.self.DataCentre]
 	}
-	turn := d.turn.Add(1) - 1
-	answer := Answer{Addresses: make([]Address, 0, len(order)), KeepSeconds: d.keep}
-	answer.add(d, order, membership.Live, turn)
-	answer.add(d, order, membership.Suspected, turn)
-	return answer
+	rotation := d.rotation.Add(1) - 1
+	response := Response{Addresses: make([]Address, 0, len(instances)), MaxAgeSeconds: d.maxAge}
+	response.appendInState(d, instances, membership.Live, rotation)
+	response.appendInState(d, instances, membership.Suspected, rotation)
+	return response
 }
 
-func (a *Answer) add(d *Directory, order []settings.Instance, state membership.State, turn uint64) {
+func (r *Response) appendInState(d *Directory, instances []settings.Instance, state membership.State, rotation uint64) {
 	var group []Address
-	for i, in := range order {
+	for i, in := range instances {
 		if d.state(in) == state {
 			group = append(group, Address{Address: in.Callers, DataCentre: in.DataCentre, Instance: in.Name})
 		}
-		if last := i+1 == len(order) || order[i+1].DataCentre != in.DataCentre; last && len(group) > 0 {
-			first := turn % uint64(len(group))
-			a.Addresses = append(append(a.Addresses, group[first:]...), group[:first]...)
+		if last := i+1 == len(instances) || instances[i+1].DataCentre != in.DataCentre; last && len(group) > 0 {
+			first := rotation % uint64(len(group))
+			r.Addresses = append(append(r.Addresses, group[first:]...), group[:first]...)
 			group = group[:0]
 		}
 	}
@@ -101,7 +98,7 @@
 	if in.Name != d.self.Name {
 		return d.members.State(in.Name)
 	}
-	if d.leaving.Load() {
+	if d.shuttingDown.Load() {
 		return membership.Leaving
 	}
 	return membership.Live
--- a/internal/entry/gateway/call.go
+++ b/internal/entry/gateway/call.go
@@ -26,14 +26,14 @@
 
 const (
 	defaultOrganisation = "anonymous"
-	// maxOrganisation bounds an organisation's name, in bytes, as names are
-	// kept in tables.
+	// maxOrganisation bounds an organisation's name, in bytes, as names are kept in
+	// memory.
 	maxOrganisation = 128
 )
 
-// call is one request of a caller. It holds copies only: fiber reuses the
-// memory of headers, paths and bodies for the next request of the connection,
-// while parts of a call live on in queues, tables and streams.
+// call is one request of a caller. It holds only copies: fiber reuses the memory of
+// headers, paths and bodies for the connection's next request, while queues, tables
+// and streams may still hold parts of the call.
 type call struct {
 	id           string
 	began        time.Time
@@ -43,10 +43,10 @@
 	decision     rules.Decision
 	deadline     time.Time
 
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-	stop   context.CancelFunc
-	watch  *callerwatch.Watched
+	ctx          context.Context
+	cancel       context.CancelCauseFunc
+	stopTimer    context.CancelFunc
+	registration *callerwatch.Registration
 }
 
 func newCall(c *fiber.Ctx, id string) (*call, *outcome.Failure) {
@@ -67,7 +67,7 @@
 	return k, nil
 }
 
-// begin starts the clock of the call and the watch on its caller.
+// begin sets the call's deadline and starts to watch the caller's connection.
 func (g *Gateway) begin(c *fiber.Ctx, k *call) *outcome.Failure {
 	limit := g.opts.DefaultDeadline
 	if d := k.decision.Then.Deadline(); d > 0 {
@@ -82,32 +82,32 @@
 		limit = min(limit, time.Duration(ms)*time.Millisecond)
 	}
 	k.deadline = k.began.Add(limit)
-	timed, stop := context.WithDeadline(g.base, k.deadline)
-	k.stop = stop
+	timed, stop := context.WithDeadline(g.baseContext, k.deadline)
+	k.stopTimer = stop
 	k.ctx, k.cancel = context.WithCancelCause(timed)
-	k.watch = g.parts.Watch.Add(c.Context().Conn(), k.cancel)
+	k.registration = g.deps.CallerWatch.Add(c.Context().Conn(), k.cancel)
 	return nil
 }
 
-// end releases what begin took. It may be called without begin.
+// end releases what begin acquired. It may be called without begin.
 func (k *call) end() {
 	if k.ctx == nil {
 		return
 	}
-	k.watch.Remove()
+	k.registration.Remove()
 	k.cancel(nil)
-	k.stop()
+	k.stopTimer()
 }
 
-// decide finds the first rule that holds.
-func (g *Gateway) decide(c *fiber.Ctx, k *call, r rules.Request) *outcome.Failure {
+// applyRules sets the decision of the first rule that matches, or returns its refusal.
+func (g *Gateway) applyRules(c *fiber.Ctx, k *call, r rules.Request) *outcome.Failure {
 	r.Path, r.Method, r.Organisation = k.path, k.method, k.organisation
-	r.DataCentre, r.Load = g.opts.DataCentre, g.parts.Load()
+	r.DataCentre, r.Load = g.opts.DataCentre, g.deps.Load()
 	r.Header = func(name string) string { return c.Get(name) }
-	decision, known := g.parts.Rules.Match(r)
+	decision, known := g.deps.Rules.Match(r)
 	if !known {
 		return outcome.Refused(fiber.StatusServiceUnavailable, outcome.CodeRulesMissing,
-			"this instance has not learnt the rules yet").After(time.Second)
+			"this instance has not learnt the rules yet").WithRetryAfter(time.Second)
 	}
 	k.decision = decision
 	if refuse := decision.Then.Refuse; refuse != nil {
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// admit waits for leave to send the request.
+// admit waits until admission grants or refuses the request.
 func (g *Gateway) admit(k *call, route router.Request) (*admission.Grant, *outcome.Failure) {
 	r := admission.Request{
 		Pool:         route.Pool,
@@ -140,18 +140,18 @@
 	case rules.ClassLong:
 		r.Class = admission.ClassLong
 	}
-	if plan, err := g.parts.Estimator.Pick(route); err == nil {
+	if plan, err := g.deps.Estimator.Pick(route); err == nil {
 		r.Estimate = admission.Estimate(plan.Estimate)
 	}
-	grant, err := g.parts.Admission.Acquire(k.ctx, r)
+	grant, err := g.deps.Admission.Acquire(k.ctx, r)
 	if err != nil {
-		return nil, refusedByAdmission(k, err)
+		return nil, admissionFailure(k, err)
 	}
 	return grant, nil
 }
 
-// limitsOf returns the limits of the rule that matched. A rule's limit is for
-// one instance, as rules.Limit says.
+// limitsOf returns the limits of the matched rule. A rule's limit applies to each
+// instance separately.
 func limitsOf(d rules.Decision) []admission.Limit {
 	l := d.Then.Limit
 	if l == nil {
--- a/internal/entry/protect/protect.go
+++ b/internal/entry/protect/protect.go
@@ -1,5 +1,5 @@
-// Package protect runs protected calls over the claims, and puts what became of
-// them into a caller's terms.
+// Package protect runs protected calls under claims and translates the results
+// into responses and failures for the caller.
 package protect
 
 import (
@@ -19,40 +19,40 @@
 	"tamarackchute/upstream"
 )
 
-// Guard runs a call unless its key was claimed before; claim.Guard is one.
+// Guard runs a call unless its key was claimed before; claim.Guard implements it.
 type Guard interface {
 	Do(ctx context.Context, key string, digest uint64, dispatch claim.Dispatch) claim.Result
 }
 
-// Calls implements gateway.Protected.
-type Calls struct{ guard Guard }
+// Runner implements gateway.ProtectedRunner.
+type Runner struct{ guard Guard }
 
-// New returns the protected calls over a guard.
-func New(g Guard) *Calls { return &Calls{g} }
+// New returns a runner whose calls are claimed at a guard.
+func New(g Guard) *Runner { return &Runner{g} }
 
-// retryRunning is when a resend may find the answer of a call that still runs.
-const retryRunning = time.Second
+// retryAfterRunning is the Retry-After for a key whose call is still in progress.
+const retryAfterRunning = time.Second
 
-// Do implements gateway.Protected.
-func (c *Calls) Do(ctx context.Context, p gateway.ProtectedCall, run gateway.RunCall) (upstream.ServiceResponse, *outcome.Failure) {
-	result := c.guard.Do(ctx, KeyOf(p.Organisation, p.Key), digest(p), func(ctx context.Context) (claim.Response, claim.DispatchResult) {
+// Do implements gateway.ProtectedRunner.
+func (r *Runner) Do(ctx context.Context, p gateway.ProtectedCall, run gateway.CallFunc) (upstream.ServiceResponse, *outcome.Failure) {
+	result := r.guard.Do(ctx, ScopedKey(p.Organisation, p.Key), shortDigest(p), func(ctx context.Context) (claim.Response, claim.DispatchResult) {
 		response, f := run(ctx)
 		switch {
 		case f == nil:
 			return claim.Response(response), claim.DispatchCompleted
-		case f.Ran == outcome.NotRun:
+		case f.Execution == outcome.NotRun:
 			return claim.Response{}, claim.DispatchNotRun
 		default:
 			return claim.Response{}, claim.DispatchMayHaveRun
 		}
 	})
-	return answer(ctx, result)
+	return translate(ctx, result)
 }
 
-// KeyOf makes the keys of different organisations different. A UUID of version
-// 7 keeps its time, by which the claims tell a key that is too old from a new
-// one; only its random part changes.
-func KeyOf(organisation, key string) string {
+// ScopedKey makes equal keys of different organisations different. A version 7
+// UUID keeps its timestamp, by which the claims recognise a key that is too old;
+// only its random part changes.
+func ScopedKey(organisation, key string) string {
 	sum := sha256.Sum256([]byte(organisation + "\x00" + key))
 	u, err := uuid.Parse(key)
 	if err != nil || u.Version() != 7 {
@@ -65,17 +65,17 @@
 	return u.String()
 }
 
-// digest tells a resend from another call under the same key. Its first 64
-// bits do: they guard against a caller's mistake, not against malice.
-func digest(p gateway.ProtectedCall) uint64 {
+// shortDigest distinguishes a resend from another call under the same key. The
+// first 64 bits suffice: they detect a caller's mistake, not an attack.
+func shortDigest(p gateway.ProtectedCall) uint64 {
 	return binary.BigEndian.Uint64([]byte(p.Digest))
 }
 
-// answer puts a result into a caller's terms.
-func answer(ctx context.Context, result claim.Result) (upstream.ServiceResponse, *outcome.Failure) {
+// translate turns the result of a claim into a response or a failure.
+func translate(ctx context.Context, result claim.Result) (upstream.ServiceResponse, *outcome.Failure) {
 	switch r := result.(type) {
 	case claim.Done:
-		return done(r)
+		return completedResponse(r)
 	case claim.NotRun:
 		return upstream.ServiceResponse{}, notRun(ctx, r)
 	case claim.MayHaveRun:
@@ -84,8 +84,8 @@
 		return upstream.ServiceResponse{}, outcome.Refused(http.StatusUnprocessableEntity, outcome.CodeKeyReused,
 			"the idempotency key belongs to a different request")
 	case claim.KeyTooOld:
-		// The request itself did not run, but an earlier one with the key may
-		// have, and that is what its caller wants to know.
+		// The request itself did not run, but the caller needs to know about the key,
+		// and an earlier request with it may have run.
 		return upstream.ServiceResponse{}, failure(http.StatusConflict, outcome.CodeKeyExpired, outcome.MayHaveRun,
 			"the idempotency key is older than keys are known; an earlier request with it may have run")
 	default:
@@ -93,12 +93,13 @@
 	}
 }
 
-// replayedHeader marks an answer that an earlier request with the key got.
+// replayedHeader marks a response that was recorded for an earlier request with
+// the same key.
 const replayedHeader = "Chute-Replayed"
 
-func done(r claim.Done) (upstream.ServiceResponse, *outcome.Failure) {
+func completedResponse(r claim.Done) (upstream.ServiceResponse, *outcome.Failure) {
 	if !r.ResponseComplete {
-		f := failure(http.StatusConflict, outcome.CodeKeyNotRecorded, outcome.RanWhole,
+		f := failure(http.StatusConflict, outcome.CodeResponseNotRecorded, outcome.Completed,
 			"the call ran; its answer is no longer kept, or was too large to be")
 		return upstream.ServiceResponse{}, f
 	}
@@ -111,7 +112,7 @@
 }
 
 func notRun(ctx context.Context, r claim.NotRun) *outcome.Failure {
-	code := outcome.CodeNoClaim
+	code := outcome.CodeClaimFailed
 	if r.Reason == claim.ReasonUpstream {
 		code = outcome.CodeNoUpstream
 	}
@@ -122,7 +123,7 @@
 		f.Message += "; whether an earlier one with its key ran is not known now"
 	}
 	if r.Reason == claim.ReasonCallerGone && ctx.Err() != nil {
-		f.Status, f.Code = timeUp(ctx)
+		f.Status, f.Code = contextStatus(ctx)
 	}
 	return f
 }
@@ -130,12 +131,12 @@
 func mayHaveRun(ctx context.Context, r claim.MayHaveRun) *outcome.Failure {
 	switch {
 	case r.Reason == claim.ReasonRunning && ctx.Err() != nil:
-		status, code := timeUp(ctx)
+		status, code := contextStatus(ctx)
 		return failure(status, code, outcome.MayHaveRun,
-			"the time was up while the call may be running; ask again with the same key").After(retryRunning)
+			"the time was up while the call may be running; ask again with the same key").WithRetryAfter(retryAfterRunning)
 	case r.Reason == claim.ReasonRunning:
 		return failure(http.StatusConflict, outcome.CodeKeyInProgress, outcome.MayHaveRun,
-			"a request with this key may be running; ask again with the same key").After(retryRunning)
+			"a request with this key may be running; ask again with the same key").WithRetryAfter(retryAfterRunning)
 	case r.Reason == claim.ReasonBrokenOff:
 		return failure(http.StatusBadGateway, outcome.CodeUpstreamBroken, outcome.MayHaveRun,
 			"the service broke off; the call is not run again")
@@ -145,14 +146,15 @@
 	}
 }
 
-// timeUp tells a caller that has gone from a deadline that has passed.
-func timeUp(ctx context.Context) (status int, code outcome.Code) {
+// contextStatus returns the status and code of an ended context: the caller has
+// closed its connection, or the deadline has passed.
+func contextStatus(ctx context.Context) (status int, code outcome.Code) {
 	if errors.Is(context.Cause(ctx), callerwatch.ErrGone) {
 		return outcome.StatusCallerGone, outcome.CodeCallerGone
 	}
 	return http.StatusGatewayTimeout, outcome.CodeDeadline
 }
 
-func failure(status int, code outcome.Code, ran outcome.Ran, message string) *outcome.Failure {
-	return &outcome.Failure{Status: status, Code: code, Message: message, Ran: ran}
+func failure(status int, code outcome.Code, ran outcome.Execution, message string) *outcome.Failure {
+	return &outcome.Failure{Status: status, Code: code, Message: message, Execution: ran}
 }
--- a/internal/entry/tree.go
+++ b/internal/entry/tree.go
@@ -13,55 +13,55 @@
 	"tamarackchute/rules"
 )
 
-// stopTimeout bounds the end of a service: claims take up to 5 s to record
-// what became of calls under way.
+// stopTimeout bounds the wait for a service to end: claims need up to 5 s to record
+// the results of calls in progress.
 const stopTimeout = 8 * time.Second
 
 // tree is the supervisor tree:
 //
-//	base                   outlives the rest
-//	└── journal            reads the whole log, appends in groups
+//	base                   ends after all others
+//	└── journal            reads the complete log, appends in batches
 //	entry
-//	├── claims             checkpoints; at the end records what is under way
+//	├── claims             checkpoints; at the end records calls in progress
 //	├── learning
 //	│   ├── platform's list
-//	│   ├── reports of …   one an engine: load and cache events
+//	│   ├── reports of …   one for each engine: load and cache events
 //	│   ├── orders         drains and roles from the journal to the router
-//	│   ├── capacity       sums for admission and rules
-//	│   ├── admission      refuses early what can't be in time
+//	│   ├── capacity       engines' capacity for admission, load for rules
+//	│   ├── admission      refuses early what can't meet its deadline
 //	│   ├── gauges         state for the metrics page
 //	│   ├── rules          checkpoints
-//	│   └── quarantine     checkpoints; crash reports that the log hasn't taken
+//	│   └── quarantine     checkpoints; crash reports that aren't in the log yet
 //	├── exchange with peers  membership, status to the leaders, peers' rules
 //	└── serving
 //	    ├── callers' connections
 //	    ├── callers        HTTP
 //	    └── operators      HTTP
 //
-// A service that ends is started again by its own supervisor; one that keeps
-// failing is tried at growing intervals and takes nothing else down.
+// Each supervisor restarts its services. One that keeps failing is retried after a
+// pause and doesn't end the others.
 func (e *Entry) tree() *suture.Supervisor {
-	root := suture.New("entry", e.spec())
+	root := suture.New("entry", e.supervisorSpec())
 	root.Add(e.claims)
 	root.Add(e.node)
-	root.Add(e.learning())
-	root.Add(e.serving())
+	root.Add(e.feedSupervisor())
+	root.Add(e.servingSupervisor())
 	return root
 }
 
-func (e *Entry) base() *suture.Supervisor {
-	s := suture.New("base", e.spec())
+func (e *Entry) baseSupervisor() *suture.Supervisor {
+	s := suture.New("base", e.supervisorSpec())
 	s.Add(e.journal)
 	return s
 }
 
-func (e *Entry) spec() suture.Spec {
-	return suture.Spec{EventHook: e.hook, FailureBackoff: time.Second, Timeout: stopTimeout}
+func (e *Entry) supervisorSpec() suture.Spec {
+	return suture.Spec{EventHook: e.logEvent, FailureBackoff: time.Second, Timeout: stopTimeout}
 }
 
-func (e *Entry) learning() *suture.Supervisor {
-	s := suture.New("learning", e.spec())
-	s.Add(&listFeed{list: e.cfg.List, take: e.listTakers()})
+func (e *Entry) feedSupervisor() *suture.Supervisor {
+	s := suture.New("learning", e.supervisorSpec())
+	s.Add(&listFeed{list: e.cfg.List, consumers: e.listConsumers()})
 	engines := engineNames(e.cfg.Deployment)
 	for _, name := range engines {
 		s.Add(&engineFeed{name: name, engine: e.cfg.Upstreams.Engine(name), tracker: e.tracker})
@@ -73,12 +73,12 @@
 		tracker:    e.tracker,
 		admission:  e.admission,
 		load:       e.load,
-		entries:    e.entries,
+		entries:    e.servingEntries,
 	})
 	s.Add(e.admission)
 	s.Add(e.checkpointer())
 	s.Add(newGauges(e))
-	s.Add(quarantineKeeper{e.suspects, seconds(e.cfg.Deployment.Platform.RetentionSeconds)})
+	s.Add(quarantineService{e.quarantine, seconds(e.cfg.Deployment.Platform.RetentionSeconds)})
 	return s
 }
 
@@ -93,31 +93,31 @@
 	})
 }
 
-// quarantineKeeper keeps the quarantine's records in the log.
-type quarantineKeeper struct {
+// quarantineService runs the quarantine's log writer as a suture service.
+type quarantineService struct {
 	guard     *quarantine.Guard
 	retention time.Duration
 }
 
-func (k quarantineKeeper) String() string { return "quarantine" }
+func (k quarantineService) String() string { return "quarantine" }
 
 // Serve implements suture.Service.
-func (k quarantineKeeper) Serve(ctx context.Context) error { return k.guard.Serve(ctx, k.retention) }
+func (k quarantineService) Serve(ctx context.Context) error { return k.guard.Serve(ctx, k.retention) }
 
-func (e *Entry) serving() *suture.Supervisor {
-	s := suture.New("serving", e.spec())
-	s.Add(e.callers)
+func (e *Entry) servingSupervisor() *suture.Supervisor {
+	s := suture.New("serving", e.supervisorSpec())
+	s.Add(e.callerWatcher)
 	for _, l := range e.listeners {
 		s.Add(l)
 	}
 	return s
 }
 
-func (e *Entry) hook(event suture.Event) {
+func (e *Entry) logEvent(event suture.Event) {
 	e.log.Warn("supervisor", "event", event.String())
 }
 
-// Run works until ctx ends, and then on until a graceful stop is done.
+// Run serves until ctx ends, then shuts down gracefully and returns.
 func (e *Entry) Run(ctx context.Context) error {
 	callers := newListener("callers", e.self.Callers, e.cfg.ServerTLS, e.gateway.App(), e.log)
 	operators := newListener("operators", e.self.Operators, e.cfg.ServerTLS, e.operatorsApp(), e.log)
@@ -129,7 +129,7 @@
 	}
 	base, stopBase := context.WithCancel(context.Background())
 	defer stopBase()
-	baseDone := e.base().ServeBackground(base)
+	baseDone := e.baseSupervisor().ServeBackground(base)
 	work, stopWork := context.WithCancel(context.Background())
 	defer stopWork()
 	done := e.tree().ServeBackground(work)
@@ -145,19 +145,19 @@
 	<-done
 	e.gateway.Wait()
 	e.answers.Wait()
-	e.crashes.Wait()
+	e.crashDetector.Wait()
 	stopBase()
 	<-baseDone
 	return nil
 }
 
-// drain leaves the answers of where to connect at once, and returns when the
-// instance may exit.
+// drain removes the instance from discovery responses at once and returns when it may
+// exit.
 func (e *Entry) drain(done <-chan error, callers *graceful.Connections) {
-	e.directory.Leave()
-	e.gateway.Leave()
+	e.directory.BeginShutdown()
+	e.gateway.BeginShutdown()
 	e.node.Leave()
-	e.stop.CloseIdle = callers.CloseIdle
-	e.stop.Drain(done, func() int { return max(e.gateway.Active(), callers.Active()) }, e.log)
+	e.shutdown.CloseIdle = callers.CloseIdle
+	e.shutdown.Drain(done, func() int { return max(e.gateway.Active(), callers.Active()) }, e.log)
 	callers.Wait()
 }
--- a/internal/member/collector_test.go
+++ b/internal/member/collector_test.go
@@ -13,84 +13,83 @@
 	"tamarackchute/placement"
 )
 
-func loadsOf(running int, sent uint32) wire.UpstreamLoads {
+func testLoads(running int, sent uint32) wire.UpstreamLoads {
 	return wire.UpstreamLoads{{Upstream: 1, Load: placement.Load{Running: running, PrefillSent: sent}}}
 }
 
-// reported books a report and returns the totals in the answer.
-func reported(t *testing.T, c *tally, m wire.LoadReport, now time.Time) wire.LoadTotals {
+// applyReport applies a report and returns the totals in the answer.
+func applyReport(t *testing.T, aggregate *loadAggregate, m wire.LoadReport, now time.Time) wire.LoadTotals {
 	t.Helper()
-	totals, ok := c.take(m, now)
+	totals, ok := aggregate.applyReport(m, now)
 	require.True(t, ok)
 	return totals
 }
 
-// Each daemon is told what the others have, not its own; one that falls silent is
-// forgotten, and a full report makes up for lost ones.
-func TestTotalsOfTheOthers(t *testing.T) {
-	c := newTally()
+// Each daemon gets the load of the others without its own; a silent one is removed, and a full
+// report makes up for lost ones.
+func TestTotalsExcludeOwnLoad(t *testing.T) {
+	aggregate := newLoadAggregate()
 	now := time.Unix(1000, 0)
-	require.Equal(t, loadsOf(0, 0), reported(t, c, wire.LoadReport{PeerAddress: "a", Loads: loadsOf(1, 10)}, now).Loads)
-	require.Equal(t, loadsOf(1, 10), reported(t, c, wire.LoadReport{PeerAddress: "b", Loads: loadsOf(2, 20)}, now).Loads)
-	totals := reported(t, c, wire.LoadReport{PeerAddress: "c"}, now)
-	require.Equal(t, loadsOf(3, 30), totals.Loads)
+	require.Equal(t, testLoads(0, 0), applyReport(t, aggregate, wire.LoadReport{PeerAddress: "a", Loads: testLoads(1, 10)}, now).Loads)
+	require.Equal(t, testLoads(1, 10), applyReport(t, aggregate, wire.LoadReport{PeerAddress: "b", Loads: testLoads(2, 20)}, now).Loads)
+	totals := applyReport(t, aggregate, wire.LoadReport{PeerAddress: "c"}, now)
+	require.Equal(t, testLoads(3, 30), totals.Loads)
 	require.Equal(t, 2, totals.Daemons)
 
-	reported(t, c, wire.LoadReport{PeerAddress: "a", Full: true}, now)
-	require.Equal(t, loadsOf(2, 20), reported(t, c, wire.LoadReport{PeerAddress: "c"}, now).Loads)
+	applyReport(t, aggregate, wire.LoadReport{PeerAddress: "a", Full: true}, now)
+	require.Equal(t, testLoads(2, 20), applyReport(t, aggregate, wire.LoadReport{PeerAddress: "c"}, now).Loads)
 
-	now = now.Add(2 * silentAfter)
-	totals = reported(t, c, wire.LoadReport{PeerAddress: "c"}, now)
-	require.Equal(t, loadsOf(0, 0), totals.Loads, "all are told that nobody has work there")
+	now = now.Add(2 * peerTimeout)
+	totals = applyReport(t, aggregate, wire.LoadReport{PeerAddress: "c"}, now)
+	require.Equal(t, testLoads(0, 0), totals.Loads, "the removal is sent")
 	require.Zero(t, totals.Daemons)
 }
 
-// A daemon dies with a long stream at an engine that nobody else uses. If the
-// others weren't told that this work is gone, the engine would look busy to them
-// for good, and stand idle.
-func TestWorkOfTheDeadIsTakenBack(t *testing.T) {
-	c := newTally()
+// Guards against an engine that looks busy for good and stands idle, as a daemon failed during a
+// long stream there and the others weren't sent the removal of its load.
+func TestLoadOfFailedDaemonIsRemoved(t *testing.T) {
+	aggregate := newLoadAggregate()
 	now := time.Unix(1000, 0)
-	reported(t, c, wire.LoadReport{PeerAddress: "dead", Loads: loadsOf(5, 10)}, now)
-	require.Equal(t, loadsOf(5, 10), reported(t, c, wire.LoadReport{PeerAddress: "a"}, now).Loads)
+	applyReport(t, aggregate, wire.LoadReport{PeerAddress: "dead", Loads: testLoads(5, 10)}, now)
+	require.Equal(t, testLoads(5, 10), applyReport(t, aggregate, wire.LoadReport{PeerAddress: "a"}, now).Loads)
 	for range 40 {
-		now = now.Add(silentAfter / 20)
-		for _, l := range reported(t, c, wire.LoadReport{PeerAddress: "a"}, now).Loads {
+		now = now.Add(peerTimeout / 20)
+		for _, l := range applyReport(t, aggregate, wire.LoadReport{PeerAddress: "a"}, now).Loads {
 			if l.Load == (placement.Load{}) {
 				return
 			}
 		}
 	}
-	t.Fatal("never told")
+	t.Fatal("the removal was never sent")
 }
 
-// Daemons come, change what they have, lose reports and fall silent in any order.
-// What one knows by the answers it got must be what the others have; an answer
-// that is lost is made up for by the next full report.
-func TestAnswersAddUpToTheTotals(t *testing.T) {
+// Daemons join, change their load, lose reports and fall silent in any order. The answers that
+// one has received must add up to the load of the others; a full report makes up for a lost
+// answer.
+func TestAnswersMatchTotals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := newTally()
+		aggregate := newLoadAggregate()
 		now := time.Unix(1000, 0)
-		have := make(map[string]map[placement.Key]placement.Load)
+		current := make(map[string]map[placement.Key]placement.Load)
 		known := make(map[placement.Key]placement.Load)
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 30).Draw(t, "ms")) * time.Millisecond)
 			from := rapid.SampledFrom([]string{"a", "b", "c", "me"}).Draw(t, "from")
-			if have[from] == nil {
-				have[from] = make(map[placement.Key]placement.Load)
+			if current[from] == nil {
+				current[from] = make(map[placement.Key]placement.Load)
 			}
 			at := placement.Key(rapid.IntRange(1, 3).Draw(t, "at"))
 			l := placement.Load{Running: rapid.IntRange(0, 5).Draw(t, "running"), PrefillSent: rapid.Uint32Range(0, 9).Draw(t, "sent")}
-			have[from][at] = l
+			current[from][at] = l
 			m := wire.LoadReport{PeerAddress: from, Loads: []placement.UpstreamLoad{{Upstream: at, Load: l}}, Full: rapid.IntRange(0, 4).Draw(t, "full") == 0}
 			if m.Full {
 				m.Loads = nil
-				for at, l := range have[from] {
+				for at, l := range current[from] {
 					m.Loads = append(m.Loads, placement.UpstreamLoad{Upstream: at, Load: l})
 				}
 			}
 			lost := from == "me" && !m.Full && rapid.IntRange(0, 9).Draw(t, "lost") == 0
-			answer, ok := c.take(m, now)
+			answer, ok := aggregate.applyReport(m, now)
 			require.True(t, ok)
 			if from != "me" || lost {
 				continue
@@ -100,16 +99,16 @@
 			}
 		}
 		m := wire.LoadReport{PeerAddress: "me", Full: true}
-		for at, l := range have["me"] {
+		for at, l := range current["me"] {
 			m.Loads = append(m.Loads, placement.UpstreamLoad{Upstream: at, Load: l})
 		}
-		answer, ok := c.take(m, now)
+		answer, ok := aggregate.applyReport(m, now)
 		require.True(t, ok)
 		for _, l := range answer.Loads {
 			known[l.Upstream] = l.Load
 		}
 		want := make(map[placement.Key]placement.Load)
-		for from, loads := range have {
+		for from, loads := range current {
 			for at, l := range loads {
 				if from != "me" {
 					want[at] = want[at].Plus(l)
@@ -125,28 +124,28 @@
 	})
 }
 
-// All daemons come to the same line of collectors, whatever order they learnt the
-// others in: those with the most capacity first.
-func TestLineOfCollectors(t *testing.T) {
-	all := site(30)
+// All daemons must compute the same ranking, in whatever order they learned of the others:
+// highest capacity first.
+func TestAggregatorRankingIsConsistent(t *testing.T) {
+	all := testSite(30)
 	for i := range all {
 		all[i].Capacity = i % 3
 	}
-	line := ranked(all)
+	line := rankAggregators(all)
 	require.Equal(t, 2, line[0].Capacity)
 	require.Equal(t, 0, line[29].Capacity)
 	for i := range all {
 		turned := append(append([]wire.MemberAddress{}, all[i:]...), all[:i]...)
-		require.Equal(t, line, ranked(turned))
+		require.Equal(t, line, rankAggregators(turned))
 	}
 }
 
-// BenchmarkTotals measures what one report costs the collector of a large site:
-// each daemon has work at 20 of the upstreams.
+// BenchmarkTotals measures one report at the root of a large site: each daemon has load at 20 of
+// the upstreams.
 func BenchmarkTotals(b *testing.B) {
 	for _, size := range []struct{ daemons, upstreams int }{{74, 34}, {300, 3000}} {
 		b.Run(fmt.Sprintf("%d daemons, %d upstreams", size.daemons, size.upstreams), func(b *testing.B) {
-			t := newTally()
+			aggregate := newLoadAggregate()
 			now := time.Now()
 			reports := make([]wire.LoadReport, size.daemons)
 			for i := range reports {
@@ -155,46 +154,46 @@
 					at := placement.KeyOf(fmt.Sprint((i*7+j*13)%size.upstreams), time.Time{})
 					reports[i].Loads = append(reports[i].Loads, placement.UpstreamLoad{Upstream: at, Load: placement.Load{Running: 1, PrefillSent: uint32(i + j)}})
 				}
-				t.take(reports[i], now)
+				aggregate.applyReport(reports[i], now)
 			}
 			b.ResetTimer()
 			for i := range b.N {
 				r := reports[i%size.daemons]
 				r.Full = false
 				r.Loads = r.Loads[:3]
-				t.take(r, now)
+				aggregate.applyReport(r, now)
 			}
 		})
 	}
 }
 
-// fullRounds is the number of rounds of which one is in full.
-const fullRounds = 20
+// fullReportPeriod is the number of rounds of which one has full reports.
+const fullReportPeriod = 20
 
-// tree is the daemons of a site, of which each reports to the first in its line that
-// is alive.
-type tree struct {
-	all     []wire.MemberAddress
-	tallies map[string]*tally
-	have    map[string]map[placement.Key]placement.Load
-	dead    map[string]bool
-	// told is what each daemon was told.
-	told map[string][]wire.LoadTotals
-	now  time.Time
+// siteTree simulates the daemons of a site, each of which reports to its first candidate that is
+// alive.
+type siteTree struct {
+	all        []wire.MemberAddress
+	aggregates map[string]*loadAggregate
+	loads      map[string]map[placement.Key]placement.Load
+	dead       map[string]bool
+	// received holds the totals that each daemon was sent.
+	received map[string][]wire.LoadTotals
+	now      time.Time
 }
 
-func newTree(all []wire.MemberAddress) *tree {
-	s := &tree{all: all, tallies: map[string]*tally{}, have: map[string]map[placement.Key]placement.Load{}, dead: map[string]bool{}, told: map[string][]wire.LoadTotals{}, now: time.Unix(1000, 0)}
+func newTree(all []wire.MemberAddress) *siteTree {
+	s := &siteTree{all: all, aggregates: map[string]*loadAggregate{}, loads: map[string]map[placement.Key]placement.Load{}, dead: map[string]bool{}, received: map[string][]wire.LoadTotals{}, now: time.Unix(1000, 0)}
 	for _, a := range all {
-		s.tallies[a.Peers] = newTally()
-		s.have[a.Peers] = map[placement.Key]placement.Load{}
+		s.aggregates[a.Peers] = newLoadAggregate()
+		s.loads[a.Peers] = map[placement.Key]placement.Load{}
 	}
 	return s
 }
 
-// above is whom a daemon reports to.
-func (s *tree) above(self wire.MemberAddress) (string, bool) {
-	for _, a := range reportLine(self, s.all) {
+// parentOf returns the daemon that a daemon reports to.
+func (s *siteTree) parentOf(self wire.MemberAddress) (string, bool) {
+	for _, a := range parentCandidates(self, s.all) {
 		if !s.dead[a.Peers] {
 			return a.Peers, true
 		}
@@ -202,38 +201,38 @@
 	return "", false
 }
 
-// round lets each daemon that lives report once, in any order.
-func (s *tree) round(t require.TestingT, order []wire.MemberAddress, full bool) {
+// round lets each live daemon report once, in the given order.
+func (s *siteTree) round(t require.TestingT, order []wire.MemberAddress, full bool) {
 	s.now = s.now.Add(40 * time.Millisecond)
 	for _, a := range order {
 		if s.dead[a.Peers] {
 			continue
 		}
-		c := s.tallies[a.Peers]
-		own := wire.LoadReport{PeerAddress: a.Peers, Full: full, Daemons: 1}
-		for at, l := range s.have[a.Peers] {
-			own.Loads = append(own.Loads, placement.UpstreamLoad{Upstream: at, Load: l})
+		aggregate := s.aggregates[a.Peers]
+		local := wire.LoadReport{PeerAddress: a.Peers, Full: full, Daemons: 1}
+		for at, l := range s.loads[a.Peers] {
+			local.Loads = append(local.Loads, placement.UpstreamLoad{Upstream: at, Load: l})
 		}
-		answer, ok := c.take(own, s.now)
+		answer, ok := aggregate.applyReport(local, s.now)
 		require.True(t, ok)
-		s.told[a.Peers] = append(s.told[a.Peers], answer)
-		above, ok := s.above(a)
+		s.received[a.Peers] = append(s.received[a.Peers], answer)
+		parent, ok := s.parentOf(a)
 		if !ok {
 			continue
 		}
-		answer, ok = s.tallies[above].take(c.reportAbove(a.Peers, full, s.now), s.now)
+		answer, ok = s.aggregates[parent].applyReport(aggregate.parentReport(a.Peers, full, s.now), s.now)
 		require.True(t, ok)
-		c.takeAbove(answer, s.now)
-		s.told[a.Peers] = append(s.told[a.Peers], c.totalsFor(a.Peers, s.now))
+		aggregate.applyParentTotals(answer, s.now)
+		s.received[a.Peers] = append(s.received[a.Peers], aggregate.totalsFor(a.Peers, s.now))
 	}
 }
 
-// others is what a daemon knows of the others.
-func (s *tree) others(t require.TestingT, self string) map[placement.Key]placement.Load {
-	c := s.tallies[self]
-	c.reports[self].told = 0
+// knownLoads returns the load of the others as a daemon knows it.
+func (s *siteTree) knownLoads(t require.TestingT, self string) map[placement.Key]placement.Load {
+	aggregate := s.aggregates[self]
+	aggregate.children[self].sentVersion = 0
 	known := make(map[placement.Key]placement.Load)
-	for _, l := range c.totalsFor(self, s.now).Loads {
+	for _, l := range aggregate.totalsFor(self, s.now).Loads {
 		if l.Load != (placement.Load{}) {
 			known[l.Upstream] = l.Load
 		}
@@ -241,13 +240,12 @@
 	return known
 }
 
-// Daemons of several data centres change what they have and die, those that add up
-// for others among them. A moment later each must know what all others that live have
-// in flight, each once: work counted twice leaves engines idle, work not counted
-// overloads them.
-func TestTotalsOverDataCentres(t *testing.T) {
+// Daemons of several data centres, aggregators among them, change their load and fail. A moment
+// later each must know the load of all other live daemons exactly once: load counted twice
+// leaves engines idle, load not counted overloads them.
+func TestTotalsAcrossDataCentres(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all := site(rapid.IntRange(2, 24).Draw(t, "daemons"))
+		all := testSite(rapid.IntRange(2, 24).Draw(t, "daemons"))
 		for i := range all {
 			all[i].Capacity = rapid.IntRange(0, 2).Draw(t, "capacity")
 		}
@@ -256,15 +254,15 @@
 			for _, a := range all {
 				if rapid.Bool().Draw(t, "changes") {
 					at := placement.Key(rapid.IntRange(1, 3).Draw(t, "at"))
-					s.have[a.Peers][at] = placement.Load{Running: rapid.IntRange(0, 5).Draw(t, "running")}
+					s.loads[a.Peers][at] = placement.Load{Running: rapid.IntRange(0, 5).Draw(t, "running")}
 				}
 			}
 			if rapid.Bool().Draw(t, "dies") {
 				s.dead[rapid.SampledFrom(all).Draw(t, "dead").Peers] = true
 			}
 			order := rapid.Permutation(all).Draw(t, "order")
-			for i := range 60 { // the dead are silent for long enough
-				s.round(t, order, i%fullRounds == 0)
+			for i := range 60 { // long enough for failed daemons to be dropped
+				s.round(t, order, i%fullReportPeriod == 0)
 			}
 		}
 		for _, a := range all {
@@ -276,163 +274,161 @@
 				if other.Peers == a.Peers || s.dead[other.Peers] {
 					continue
 				}
-				for at, l := range s.have[other.Peers] {
+				for at, l := range s.loads[other.Peers] {
 					if want[at] = want[at].Plus(l); want[at] == (placement.Load{}) {
 						delete(want, at)
 					}
 				}
 			}
-			require.Equal(t, want, s.others(t, a.Peers))
+			require.Equal(t, want, s.knownLoads(t, a.Peers))
 		}
 	})
 }
 
-// Only one daemon of a data centre reports beyond it, and no daemon reports to one
-// that reports to it, however long the chain.
-func TestReportLinesStayInTheDataCentre(t *testing.T) {
-	all := site(40)
+// Only one daemon of a data centre may report to another one, and the site must have one root.
+func TestOneDaemonReportsBeyondDataCentre(t *testing.T) {
+	all := testSite(40)
 	s := newTree(all)
-	beyond := map[string]int{}
+	crossing := map[string]int{}
 	roots := 0
 	for _, a := range all {
-		above, ok := s.above(a)
+		parent, ok := s.parentOf(a)
 		if !ok {
 			roots++
 			continue
 		}
-		i := slices.IndexFunc(all, func(o wire.MemberAddress) bool { return o.Peers == above })
+		i := slices.IndexFunc(all, func(o wire.MemberAddress) bool { return o.Peers == parent })
 		if all[i].DataCentre != a.DataCentre {
-			beyond[a.DataCentre]++
+			crossing[a.DataCentre]++
 		}
 	}
 	require.Equal(t, 1, roots)
-	for centre, n := range beyond {
+	for centre, n := range crossing {
 		require.Equal(t, 1, n, centre)
 	}
 }
 
-// Two daemons that know different capacities of each other report to one another:
-// each round would count all work again. The reports come from ever deeper down, and
-// are turned away.
-func TestReportsInACircleEnd(t *testing.T) {
-	a, b := newTally(), newTally()
+// Guards against load that is counted again in each round, as two daemons that know different
+// capacities of each other report to one another. Their reports must be rejected by depth.
+func TestCyclicReportsAreRejected(t *testing.T) {
+	a, b := newLoadAggregate(), newLoadAggregate()
 	now := time.Unix(1000, 0)
-	reported(t, a, wire.LoadReport{PeerAddress: "a", Loads: loadsOf(1, 0), Daemons: 1}, now)
+	applyReport(t, a, wire.LoadReport{PeerAddress: "a", Loads: testLoads(1, 0), Daemons: 1}, now)
 	for range 100 {
 		now = now.Add(10 * time.Millisecond)
-		if _, ok := b.take(a.reportAbove("a", true, now), now); !ok {
+		if _, ok := b.applyReport(a.parentReport("a", true, now), now); !ok {
 			return
 		}
-		if _, ok := a.take(b.reportAbove("b", true, now), now); !ok {
+		if _, ok := a.applyReport(b.parentReport("b", true, now), now); !ok {
 			return
 		}
 	}
-	t.Fatal("counted for ever")
+	t.Fatal("the cycle was never rejected")
 }
 
-// A leader orders two dozen of ninety engines to change their role, and tells its
-// neighbours. The other daemons see engines without work and send theirs there, to be
-// turned away. Each daemon of the site must hear of it, once.
-func TestEveryDaemonHearsOfEnginesThatChange(t *testing.T) {
-	all := site(30)
+// Guards against daemons that send requests to engines that a role change has made
+// unavailable, as only the neighbours of the lease holder knew of it. Each daemon of the site
+// must receive it once.
+func TestUnavailableEnginesReachEveryDaemonOnce(t *testing.T) {
+	all := testSite(30)
 	s := newTree(all)
 	for range 3 {
 		s.round(t, all, false)
 	}
-	leader := s.tallies[all[17].Peers]
-	_, ok := leader.take(wire.LoadReport{PeerAddress: all[17].Peers, Daemons: 1, Unavailable: []wire.UnavailableEngine{{Engine: 7, TargetRole: "prefill", Remaining: changeLimit}}}, s.now)
+	leader := s.aggregates[all[17].Peers]
+	_, ok := leader.applyReport(wire.LoadReport{PeerAddress: all[17].Peers, Daemons: 1, Unavailable: []wire.UnavailableEngine{{Engine: 7, TargetRole: "prefill", Remaining: changeTimeout}}}, s.now)
 	require.True(t, ok)
 	for range 40 {
 		s.round(t, all, false)
 	}
 	for i, a := range all {
-		heard := 0
-		for _, told := range s.told[a.Peers] {
-			heard += len(told.Unavailable)
+		received := 0
+		for _, totals := range s.received[a.Peers] {
+			received += len(totals.Unavailable)
 		}
 		if i != 17 {
-			require.Equal(t, 1, heard, "told once")
+			require.Equal(t, 1, received, "received once")
 		}
 	}
 }
 
-// Most daemons of a large site never heard where a prompt that others share had been
-// read, and had it read again elsewhere. Each must hear of each prompt once: one that is
-// heard of twice pushes others out of what the engine is believed to keep.
-func TestEveryDaemonHearsOfPromptsOnce(t *testing.T) {
-	all := site(30)
+// Guards against repeated prefills of shared prompts, as daemons of a large site don't know
+// where one was prefilled. Each must receive each event once: a second one would evict other
+// prompts from the assumed content of the engine's cache.
+func TestPrefillEventsReachEveryDaemonOnce(t *testing.T) {
+	all := testSite(30)
 	s := newTree(all)
 	for range 5 {
 		s.round(t, all, false)
 	}
-	read := placement.PrefillEvent{Engine: 3, State: placement.PrefillFinished, LastShared: placement.Part{ID: 9, Tokens: 100}}
-	answer, ok := s.tallies[all[17].Peers].take(wire.LoadReport{PeerAddress: all[17].Peers, Daemons: 1, Prefills: []placement.PrefillEvent{read}}, s.now)
+	event := placement.PrefillEvent{Engine: 3, State: placement.PrefillFinished, LastShared: placement.Part{ID: 9, Tokens: 100}}
+	answer, ok := s.aggregates[all[17].Peers].applyReport(wire.LoadReport{PeerAddress: all[17].Peers, Daemons: 1, Prefills: []placement.PrefillEvent{event}}, s.now)
 	require.True(t, ok)
 	require.Empty(t, answer.Prefills)
 	for range 10 {
 		s.round(t, all, false)
 	}
 	for i, a := range all {
-		var heard []placement.PrefillEvent
-		for _, told := range s.told[a.Peers] {
-			heard = append(heard, told.Prefills...)
+		var received []placement.PrefillEvent
+		for _, totals := range s.received[a.Peers] {
+			received = append(received, totals.Prefills...)
 		}
 		if i == 17 {
-			require.Empty(t, heard, "its own")
+			require.Empty(t, received, "its own event")
 			continue
 		}
-		require.Equal(t, []placement.PrefillEvent{read}, heard, a.Peers)
+		require.Equal(t, []placement.PrefillEvent{event}, received, a.Peers)
 	}
 }
 
-// The leader of a large site took what sixteen neighbours are asked for that of all, and
-// callers aren't spread evenly: at one site it changed eleven of sixteen engines to reading
-// where another leader changed eight. It must know what all are asked, also between full
+// Guards against a lease holder that extrapolates the demand of a large site from its sixteen
+// neighbours, though callers are spread unevenly, and changes too many engines: eleven of
+// sixteen rather than eight at one site. It must know the demand of all, also between full
 // reports.
-func TestDemandIsAddedUpOverTheSite(t *testing.T) {
+func TestDemandIsSummedOverSite(t *testing.T) {
 	now := time.Unix(1000, 0)
-	asked := func(name string, readers float64) wire.LoadReport {
+	demandReport := func(name string, readers float64) wire.LoadReport {
 		return wire.LoadReport{PeerAddress: name, Full: true, Daemons: 1, Demands: map[string]wire.MemberDemand{"p": {PrefillEngines: readers}}}
 	}
-	leaf, near, first := newTally(), newTally(), newTally()
-	reported(t, leaf, asked("leaf", 2), now)
-	reported(t, near, asked("near", 3), now)
-	reported(t, near, leaf.reportAbove("leaf", true, now), now)
-	reported(t, first, asked("first", 1), now)
-	reported(t, first, near.reportAbove("near", true, now), now)
-	require.Equal(t, wire.MemberDemand{PrefillEngines: 6}, first.demand("p"))
-	reported(t, first, near.reportAbove("near", false, now), now)
-	require.Equal(t, wire.MemberDemand{PrefillEngines: 6}, first.demand("p"))
-	now = now.Add(2 * silentAfter)
-	reported(t, first, asked("first", 1), now)
-	require.Equal(t, wire.MemberDemand{PrefillEngines: 1}, first.demand("p"), "the others have fallen silent")
+	leaf, aggregator, root := newLoadAggregate(), newLoadAggregate(), newLoadAggregate()
+	applyReport(t, leaf, demandReport("leaf", 2), now)
+	applyReport(t, aggregator, demandReport("near", 3), now)
+	applyReport(t, aggregator, leaf.parentReport("leaf", true, now), now)
+	applyReport(t, root, demandReport("first", 1), now)
+	applyReport(t, root, aggregator.parentReport("near", true, now), now)
+	require.Equal(t, wire.MemberDemand{PrefillEngines: 6}, root.demand("p"))
+	applyReport(t, root, aggregator.parentReport("near", false, now), now)
+	require.Equal(t, wire.MemberDemand{PrefillEngines: 6}, root.demand("p"))
+	now = now.Add(2 * peerTimeout)
+	applyReport(t, root, demandReport("first", 1), now)
+	require.Equal(t, wire.MemberDemand{PrefillEngines: 1}, root.demand("p"), "the others are silent")
 }
 
-// A daemon tells its work and wants no answer, as nothing is to be decided there. What others
-// have done meanwhile must come with the next answer, and a report without news says so.
-func TestWhatWasNotAnsweredIsToldLater(t *testing.T) {
-	c := newTally()
+// A daemon may report without asking for an answer. Changes of others meanwhile must come with
+// the next answer, and a report without changes must say so.
+func TestUnansweredReportDelaysTotals(t *testing.T) {
+	aggregate := newLoadAggregate()
 	now := time.Unix(1000, 0)
-	reported(t, c, wire.LoadReport{PeerAddress: "a"}, now)
-	reported(t, c, wire.LoadReport{PeerAddress: "b", Loads: loadsOf(2, 20), Prefills: []placement.PrefillEvent{{Engine: 3}}}, now)
-	require.Empty(t, reported(t, c, wire.LoadReport{PeerAddress: "a", Loads: loadsOf(1, 10), NoReply: true}, now))
-	totals := reported(t, c, wire.LoadReport{PeerAddress: "a"}, now)
-	require.Equal(t, loadsOf(2, 20), totals.Loads)
+	applyReport(t, aggregate, wire.LoadReport{PeerAddress: "a"}, now)
+	applyReport(t, aggregate, wire.LoadReport{PeerAddress: "b", Loads: testLoads(2, 20), Prefills: []placement.PrefillEvent{{Engine: 3}}}, now)
+	require.Empty(t, applyReport(t, aggregate, wire.LoadReport{PeerAddress: "a", Loads: testLoads(1, 10), NoReply: true}, now))
+	totals := applyReport(t, aggregate, wire.LoadReport{PeerAddress: "a"}, now)
+	require.Equal(t, testLoads(2, 20), totals.Loads)
 	require.Len(t, totals.Prefills, 1)
-	require.True(t, c.reportAbove("a", false, now).HasUpdates())
-	require.False(t, c.reportAbove("a", false, now).HasUpdates())
+	require.True(t, aggregate.parentReport("a", false, now).HasUpdates())
+	require.False(t, aggregate.parentReport("a", false, now).HasUpdates())
 }
 
-// What a daemon is told of the others it must not report back: at a site with much to
-// tell, most of a report would be what its receiver has just said.
-func TestWhatComesFromAboveIsntReportedBack(t *testing.T) {
-	c := newTally()
+// Guards against totals received from the parent that are reported back to it and make up most
+// of a report.
+func TestParentTotalsAreNotReportedBack(t *testing.T) {
+	aggregate := newLoadAggregate()
 	now := time.Unix(1000, 0)
-	reported(t, c, wire.LoadReport{PeerAddress: "a", Loads: loadsOf(1, 10), Daemons: 1}, now)
-	require.Equal(t, loadsOf(1, 10), c.reportAbove("a", false, now).Loads)
-	c.takeAbove(wire.LoadTotals{Loads: append(loadsOf(7, 70), placement.UpstreamLoad{Upstream: 2, Load: placement.Load{Running: 5}})}, now)
-	require.Empty(t, c.reportAbove("a", false, now).Loads)
-	require.Equal(t, loadsOf(1, 10), c.reportAbove("a", true, now).Loads, "in full only its own")
-	reported(t, c, wire.LoadReport{PeerAddress: "a", Loads: loadsOf(2, 20), Daemons: 1}, now)
-	require.Equal(t, loadsOf(2, 20), c.reportAbove("a", false, now).Loads)
+	applyReport(t, aggregate, wire.LoadReport{PeerAddress: "a", Loads: testLoads(1, 10), Daemons: 1}, now)
+	require.Equal(t, testLoads(1, 10), aggregate.parentReport("a", false, now).Loads)
+	aggregate.applyParentTotals(wire.LoadTotals{Loads: append(testLoads(7, 70), placement.UpstreamLoad{Upstream: 2, Load: placement.Load{Running: 5}})}, now)
+	require.Empty(t, aggregate.parentReport("a", false, now).Loads)
+	require.Equal(t, testLoads(1, 10), aggregate.parentReport("a", true, now).Loads, "a full report has only its own")
+	applyReport(t, aggregate, wire.LoadReport{PeerAddress: "a", Loads: testLoads(2, 20), Daemons: 1}, now)
+	require.Equal(t, testLoads(2, 20), aggregate.parentReport("a", false, now).Loads)
 }
--- a/internal/member/learnt_test.go
+++ b/internal/member/learnt_test.go
@@ -13,16 +13,16 @@
 	"tamarackchute/upstream"
 )
 
-// entriesOnly is a store that keeps the newest entries of one topic, and fails at first.
-type entriesOnly struct {
+// mapStore is a store with the newest entries of one topic; its first reads fail.
+type mapStore struct {
 	Store
 	failures int
 	entries  map[string][]byte
 }
 
-func (s *entriesOnly) Newest(context.Context, Topic) ([]Entry, Position, error) {
+func (s *mapStore) Newest(context.Context, Topic) ([]Entry, Position, error) {
 	if s.failures--; s.failures >= 0 {
-		return nil, 0, errors.New("the store is away")
+		return nil, 0, errors.New("store is down")
 	}
 	var all []Entry
 	for key, value := range s.entries {
@@ -31,15 +31,15 @@
 	return all, 0, nil
 }
 
-func (s *entriesOnly) Put(_ context.Context, _ Topic, e Entry) error {
+func (s *mapStore) Put(_ context.Context, _ Topic, e Entry) error {
 	s.entries[e.Key] = e.Value
 	return nil
 }
 
-// All daemons are lost at once. Learnt anew in the crowd that follows, the engines'
-// figures came out several times wrong; kept in the store, they are known at once, also
-// if the store is away for a moment and another program has written there.
-func TestFiguresOutlastAllDaemons(t *testing.T) {
+// Guards against engine parameters that are estimated again, and several times wrong, after all
+// daemons were lost at once. They must be read from the store, also if it fails at first and
+// holds an invalid entry.
+func TestObservationsSurviveLossOfAllDaemons(t *testing.T) {
 	members := []placement.Member{{ID: "e", Pool: "p", Role: upstream.RolePrefill, Slots: 4, KVTokens: 1 << 20}}
 	now := time.Unix(1, 0)
 	before := placement.NewTracker(func() time.Time { return now })
@@ -52,12 +52,12 @@
 		ticket.End(placement.Done)
 		now = now.Add(time.Second)
 	}
-	store := &entriesOnly{failures: 1, entries: map[string][]byte{"q": []byte("not json")}}
-	(&engineMemory{store: store, books: before, backoff: newBackoff(alone), log: quiet}).keep(t.Context())
+	store := &mapStore{failures: 1, entries: map[string][]byte{"q": []byte("not json")}}
+	(&observationSync{store: store, tracker: before, backoff: newBackoff(oneDaemon), log: discardLogger}).save(t.Context())
 	require.Len(t, store.entries, 2)
 
 	after := placement.NewTracker(nil)
-	(&engineMemory{store: store, books: after, backoff: newBackoff(alone), log: quiet}).recall(t.Context())
+	(&observationSync{store: store, tracker: after, backoff: newBackoff(oneDaemon), log: discardLogger}).load(t.Context())
 	prompt := enginemodel.Prompt{Tokens: 5000}
 	want := before.PrefillMillis("p", upstream.RolePrefill, prompt)
 	require.Greater(t, want, 100.0)
--- a/internal/member/rolepicture.go
+++ b/internal/member/rolepicture.go
@@ -13,17 +13,17 @@
 	"tamarackchute/upstream"
 )
 
-// picture gathers what the policy looks at.
-func (d *director) picture(s *fleet.Snapshot, name string, pool *fleet.Pool) (rolepolicy.Pool, []placement.Engine) {
-	books := d.member.books
+// poolState returns the state of a pool on which the policy decides.
+func (d *director) poolState(s *fleet.Snapshot, name string, pool *fleet.Pool) (rolepolicy.Pool, []placement.Engine) {
+	tracker := d.member.tracker
 	demand := d.member.peers.Demand(name)
 	p := rolepolicy.Pool{PrefillDemand: demand.PrefillEngines, SwitchTime: pool.Engine.RoleSwitchTime}
 	var ids []string
 	for _, u := range s.Pools[name] {
 		switch {
 		case u.Draining:
-		case books.Unavailable(u.ID):
-			// It is on its way to the role that it hasn't.
+		case tracker.Unavailable(u.ID):
+			// It is changing to the other role.
 			p.Changing++
 			if u.Role == upstream.RolePrefill {
 				p.Decode++
@@ -38,31 +38,31 @@
 			ids = append(ids, u.ID)
 		}
 	}
-	engines := books.Engines(ids)
+	engines := tracker.Engines(ids)
 	p.DecodeLoad = placement.DecodeDemand(engines)
-	p.ConcurrentPrefillRate = beside(engines)
+	p.ConcurrentPrefillRate = concurrentPrefillRate(engines)
 	return p, engines
 }
 
-// beside is how fast engines that generate read, as a share of those that only read:
-// of a typical prompt.
-func beside(engines []placement.Engine) float64 {
+// concurrentPrefillRate returns the prefill rate of decode engines, which prefill concurrently
+// with decoding, as a share of the rate of prefill engines, for a typical prompt.
+func concurrentPrefillRate(engines []placement.Engine) float64 {
 	for _, e := range engines {
 		if e.Model == nil {
 			continue
 		}
-		prompt := enginemodel.Prompt{Tokens: typicalPrompt}
+		prompt := enginemodel.Prompt{Tokens: typicalPromptTokens}
 		return e.Model.PrefillMillis(upstream.RolePrefill, prompt) / e.Model.PrefillMillis(upstream.RoleDecode, prompt)
 	}
 	return 1
 }
 
-// typicalPrompt is the length of the prompt by which roles are compared, in tokens.
-// What a token takes hardly depends on it.
-const typicalPrompt = 1000
+// typicalPromptTokens is the prompt length used to compare the roles. The time per token hardly
+// depends on it.
+const typicalPromptTokens = 1000
 
-// chooseEngines returns the engines whose change disturbs least: those with the
-// fewest long streams, which they would have to end first, and the fewest requests.
+// chooseEngines returns the engines whose change is least disruptive: those with the fewest long
+// streams, which they must finish first, and the fewest requests.
 func chooseEngines(s *fleet.Snapshot, engines []placement.Engine, c rolepolicy.Change) []*fleet.Upstream {
 	from := upstream.RoleDecode
 	if c.To == upstream.RoleDecode {
@@ -81,16 +81,16 @@
 	return chosen
 }
 
-// pictureEvery is how often the leader logs what it looks at.
-const pictureEvery = 2 * time.Second
+// poolLogInterval is how often the lease holder logs the state of a pool.
+const poolLogInterval = 2 * time.Second
 
-func (d *director) logPicture(pool string, p rolepolicy.Pool) {
-	if now := time.Now(); now.Sub(d.logged[pool]) >= pictureEvery {
-		d.logged[pool] = now
-		d.logger.Info("roles looked at", "pool", pool, "prefill", p.Prefill, "decode", p.Decode, "changing", p.Changing,
+func (d *director) logPool(pool string, p rolepolicy.Pool) {
+	if now := time.Now(); now.Sub(d.lastLogged[pool]) >= poolLogInterval {
+		d.lastLogged[pool] = now
+		d.logger.Info("roles checked", "pool", pool, "prefill", p.Prefill, "decode", p.Decode, "changing", p.Changing,
 			"read_demand", round(p.PrefillDemand), "generating", round(p.DecodeLoad), "beside", round(p.ConcurrentPrefillRate))
 	}
 }
 
-// round keeps two digits behind the point.
+// round rounds to two decimal places.
 func round(x float64) float64 { return math.Round(x*100) / 100 }
--- a/internal/member/serve.go
+++ b/internal/member/serve.go
@@ -13,31 +13,31 @@
 )
 
 const (
-	// headerTimeout bounds the reading of a request's head.
-	headerTimeout = 5 * time.Second
-	// idleTimeout is how long an idle connection is kept: longer than callers
-	// use one, so that none is closed under a request.
+	// headerReadTimeout limits the time to read a request's header.
+	headerReadTimeout = 5 * time.Second
+	// idleTimeout is how long an idle connection is kept. It is longer than callers keep one, so
+	// that no connection is closed while a request is being sent on it.
 	idleTimeout = 90 * time.Second
-	// maxHeader bounds a request's head in bytes.
-	maxHeader = 64 << 10
-	// endTimeout bounds the end of the servers after the drain.
-	endTimeout = 100 * time.Millisecond
+	// maxHeaderBytes limits the size of a request's header.
+	maxHeaderBytes = 64 << 10
+	// shutdownTimeout limits the shutdown of the servers after the drain.
+	shutdownTimeout = 100 * time.Millisecond
 )
 
-// httpService is one HTTP interface as a supervised service.
+// httpService is an HTTP server run as a supervised service.
 type httpService struct {
 	name     string
 	server   *http.Server
 	listener net.Listener
 }
 
-// String names the service for the supervisor.
+// String implements fmt.Stringer; the supervisor logs it.
 func (s *httpService) String() string { return s.name }
 
 // Serve implements suture.Service.
 func (s *httpService) Serve(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() {
-		end, cancel := context.WithTimeout(context.Background(), endTimeout)
+		end, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
 		_ = s.server.Shutdown(end) // requests still in progress are cut off by the exit
 	})
@@ -49,7 +49,7 @@
 	return eris.Wrap(err, s.name)
 }
 
-// listen binds all interfaces, so that a taken address ends the start.
+// listen binds all addresses, so that the start fails if one is in use.
 func (m *Member) listen() ([]*httpService, error) {
 	s := m.cfg.Settings
 	handlers := []struct {
@@ -59,7 +59,7 @@
 		{"callers", s.Callers, m.relay},
 		{"ready", s.Ready, m.cfg.ReadyHandler(m.Ready)},
 		{"directory", s.Directory, m.cfg.DirectoryHandler(m)},
-		{"metrics", s.Metrics, m.operatorsPages()},
+		{"metrics", s.Metrics, m.operatorHandler()},
 	}
 	var services []*httpService
 	for _, h := range handlers {
@@ -68,11 +68,11 @@
 		}
 		l, err := net.Listen("tcp", h.address)
 		if err != nil {
-			return nil, eris.Wrapf(err, "%s: address %s can't be taken", h.name, h.address)
+			return nil, eris.Wrapf(err, "%s: can't listen on %s", h.name, h.address)
 		}
-		conns := m.pages
+		conns := m.otherConns
 		if h.address == s.Callers {
-			conns = m.callers
+			conns = m.callerConns
 		}
 		server := newServer(h.handler)
 		server.ConnState = conns.ConnState
@@ -81,39 +81,39 @@
 	return services, nil
 }
 
-// metricsPage shows the counters and histograms, and what is believed now.
-func (m *Member) metricsPage(w http.ResponseWriter, _ *http.Request) {
-	m.gauges()
+// serveMetrics writes the counters, histograms and current gauges.
+func (m *Member) serveMetrics(w http.ResponseWriter, _ *http.Request) {
+	m.updateGauges()
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	if _, err := m.cfg.Metrics.Page.WriteTo(w); err != nil {
-		m.log.Warn("metrics page not written", "err", err)
+		m.log.Warn("writing the metrics page failed", "err", err)
 	}
 }
 
-// gauges brings the figures of the state up to date.
-func (m *Member) gauges() {
+// updateGauges sets the gauges from the current state.
+func (m *Member) updateGauges() {
 	s := m.cfg.Metrics.Scope
-	about := m.about()
-	s.Gauge("config_version").Update(float64(about.Config))
+	summary := m.summary()
+	s.Gauge("config_version").Update(float64(summary.Config))
 	s.Gauge("store_era").Update(float64(m.cfg.Store.Eras().Current()))
 	s.Gauge("upstreams").Update(float64(len(m.state.Snapshot().Upstreams)))
-	s.Gauge("upstreams_age_seconds").Update(about.ReadAge.Seconds())
-	s.Gauge("daemons_known").Update(float64(m.peers.Known()))
-	s.Gauge("daemons_serving").Update(float64(len(m.peers.Up())))
-	collects := 0.0
-	if m.peers.Collects() {
-		collects = 1
+	s.Gauge("upstreams_age_seconds").Update(summary.ListAge.Seconds())
+	s.Gauge("daemons_known").Update(float64(m.peers.KnownCount()))
+	s.Gauge("daemons_serving").Update(float64(len(m.peers.Serving())))
+	isRoot := 0.0
+	if m.peers.IsRoot() {
+		isRoot = 1
 	}
-	s.Gauge("collects_loads").Update(collects)
+	s.Gauge("collects_loads").Update(isRoot)
 	s.Gauge("requests_active").Update(float64(m.relay.Active()))
 }
 
 func newServer(h http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           h,
-		ReadHeaderTimeout: headerTimeout,
+		ReadHeaderTimeout: headerReadTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    maxHeader,
-		ErrorLog:          log.New(io.Discard, "", 0), // broken connections of callers, one line each
+		MaxHeaderBytes:    maxHeaderBytes,
+		ErrorLog:          log.New(io.Discard, "", 0), // broken connections of callers would log one line each
 	}
 }
--- a/internal/member/tallynews.go
+++ b/internal/member/tallynews.go
@@ -8,69 +8,69 @@
 	"tamarackchute/placement"
 )
 
-// awayWord is an engine that takes no work, and the tally's version of that word.
-type awayWord struct {
-	awayEngine
-	changed uint64
+// unavailableEntry is an unavailable engine and the aggregate's version when it was recorded.
+type unavailableEntry struct {
+	unavailableEngine
+	version uint64
 }
 
-// awaySlack is the difference between two accounts of when an engine takes work again
-// that count as the same: each has been on its way for a while.
-const awaySlack = 200 * time.Millisecond
+// unavailableSlack is the difference up to which two ends of an unavailability count as equal:
+// each report has been on its way for a while.
+const unavailableSlack = 200 * time.Millisecond
 
-// noteAway takes word of engines that take no work. Of two times the later one holds.
-func (t *tally) noteAway(engines []wire.UnavailableEngine, now time.Time) {
+// applyUnavailable records unavailable engines. The later of two ends counts.
+func (a *loadAggregate) applyUnavailable(engines []wire.UnavailableEngine, now time.Time) {
 	for _, e := range engines {
 		until := now.Add(e.Remaining)
-		if known := t.away[e.Engine]; known.to == e.TargetRole && !until.After(known.until.Add(awaySlack)) {
+		if known := a.unavailable[e.Engine]; known.to == e.TargetRole && !until.After(known.until.Add(unavailableSlack)) {
 			continue
 		}
-		t.away[e.Engine] = awayWord{awayEngine{to: e.TargetRole, until: until}, t.version}
+		a.unavailable[e.Engine] = unavailableEntry{unavailableEngine{to: e.TargetRole, until: until}, a.version}
 	}
 }
 
-// awaySince returns the engines that take no work, where that is news since a version.
-func (t *tally) awaySince(version uint64, now time.Time) []wire.UnavailableEngine {
+// unavailableSince returns the unavailable engines that were added after a version.
+func (a *loadAggregate) unavailableSince(version uint64, now time.Time) []wire.UnavailableEngine {
 	var list []wire.UnavailableEngine
-	for at, e := range t.away {
+	for at, e := range a.unavailable {
 		switch {
 		case !now.Before(e.until):
-			delete(t.away, at)
-		case e.changed > version:
+			delete(a.unavailable, at)
+		case e.version > version:
 			list = append(list, wire.UnavailableEngine{Engine: at, TargetRole: e.to, Remaining: e.until.Sub(now)})
 		}
 	}
 	return list
 }
 
-// maxReads bounds the prompts kept for a daemon that isn't heard from: some hundred
-// milliseconds of a large site. What is dropped is read again somewhere at worst.
-const maxReads = 2000
+// maxPendingPrefills limits the prefill events kept for a silent daemon: those of some
+// hundred milliseconds in a large site. At worst a dropped prompt is prefilled again elsewhere.
+const maxPendingPrefills = 2000
 
-// passOn keeps what became of one sender's prompts for all others.
-func (t *tally) passOn(from *report, reads []placement.PrefillEvent) {
-	if len(reads) == 0 {
+// forwardPrefills queues one sender's prefill events for all others.
+func (a *loadAggregate) forwardPrefills(from *contribution, events []placement.PrefillEvent) {
+	if len(events) == 0 {
 		return
 	}
-	for _, to := range t.reports {
+	for _, to := range a.children {
 		if to != from {
-			to.addReads(reads)
+			to.addPrefills(events)
 		}
 	}
-	if from != t.above {
-		t.above.addReads(reads)
+	if from != a.parent {
+		a.parent.addPrefills(events)
 	}
 }
 
-func (r *report) addReads(reads []placement.PrefillEvent) {
-	r.reads = append(r.reads, reads...)
-	if over := len(r.reads) - maxReads; over > 0 {
-		r.reads = slices.Delete(r.reads, 0, over)
+func (c *contribution) addPrefills(events []placement.PrefillEvent) {
+	c.pendingPrefills = append(c.pendingPrefills, events...)
+	if over := len(c.pendingPrefills) - maxPendingPrefills; over > 0 {
+		c.pendingPrefills = slices.Delete(c.pendingPrefills, 0, over)
 	}
 }
 
-func (r *report) takeReads() []placement.PrefillEvent {
-	reads := r.reads
-	r.reads = nil
-	return reads
+func (c *contribution) takePrefills() []placement.PrefillEvent {
+	events := c.pendingPrefills
+	c.pendingPrefills = nil
+	return events
 }
