--- a/internal/adapters/listclient/listclient_test.go
+++ b/internal/adapters/listclient/listclient_test.go
@@ -25,7 +25,7 @@
 		want   []infra.Instance
 		err    error
 	}{
-		{"no faults set", `{}`, []infra.Instance{e1, s1}, nil},
+		{"unchanged", `{}`, []infra.Instance{e1, s1}, nil},
 		{"one is terminating", `{"leaving":["s1"]}`, []infra.Instance{e1, terminating}, nil},
 		{"one is removed", `{"remove":["s1"]}`, []infra.Instance{e1}, nil},
 		{"one is added", `{"remove":["e1"],"add":[{"name":"e1","kind":"entry","data_centre":"a"}]}`, []infra.Instance{s1, e1}, nil},
