--- a/internal/member/collector.go
+++ b/internal/member/collector.go
@@ -126,7 +126,7 @@
 		return
 	}
 	summary := p.summary()
-	totals.Config, totals.ListAge = summary.Config, summary.ListAge
+	totals.ConfigVersion, totals.ListAge = summary.Config, summary.ListAge
 	totals.ListPosition, totals.ListDigest, totals.ListSize = uint64(summary.ListPosition), summary.ListDigest, summary.ListSize
 	reply(totals)
 }
@@ -217,7 +217,7 @@
 	answered := parent.pendingAnswer
 	parent.pendingAnswer = nil
 	if sender := p.peers[from]; sender != nil {
-		sender.summary.Config, sender.summary.ListAge = totals.Config, totals.ListAge
+		sender.summary.Config, sender.summary.ListAge = totals.ConfigVersion, totals.ListAge
 		sender.summary.ListPosition, sender.summary.ListDigest, sender.summary.ListSize = Position(totals.ListPosition), totals.ListDigest, totals.ListSize
 		sender.lastUpdate = now
 	}
--- a/internal/member/peers.go
+++ b/internal/member/peers.go
@@ -198,7 +198,7 @@
 	from.fullMesh = m.FullMesh
 	from.incarnation, from.seq = m.Incarnation, m.Seq
 	from.summary = Summary{
-		Serving: m.Serving, Config: m.Config,
+		Serving: m.Serving, Config: m.ConfigVersion,
 		ListPosition: Position(m.ListPosition), ListDigest: m.ListDigest, ListSize: m.ListSize, ListAge: m.ListAge,
 	}
 	if m.Demands != nil {
@@ -210,7 +210,7 @@
 	from.up = true
 	p.mu.Unlock()
 	if recovered {
-		p.log.Info("peer heard", "peer", m.Instance, "address", m.Peers, "config", m.Config)
+		p.log.Info("peer heard", "peer", m.Instance, "address", m.Peers, "config", m.ConfigVersion)
 	}
 	if forget {
 		p.tracker.ForgetPeer(m.Peers)
--- a/internal/member/telling.go
+++ b/internal/member/telling.go
@@ -47,7 +47,7 @@
 	p.reported = reportedSummary{summary, now}
 	return wire.MemberState{
 		MemberAddress: p.self, Incarnation: p.incarnation, Seq: p.seq,
-		Serving: summary.Serving, Config: summary.Config, ListAge: summary.ListAge,
+		Serving: summary.Serving, ConfigVersion: summary.Config, ListAge: summary.ListAge,
 		ListPosition: uint64(summary.ListPosition), ListDigest: summary.ListDigest, ListSize: summary.ListSize,
 		FullMesh: p.fullMesh, Loads: loads, Prefills: prefills, Unavailable: p.unavailableEngines(),
 	}
--- a/internal/wire/member.go
+++ b/internal/wire/member.go
@@ -33,8 +33,8 @@
 	Seq         uint64
 	// Serving means that the directory may name this daemon to callers.
 	Serving bool
-	// Config is the version of the configuration in force at this daemon.
-	Config uint64
+	// ConfigVersion is the version of the configuration in force at this daemon.
+	ConfigVersion uint64
 	// ListPosition is the store position of the daemon's list of upstreams and
 	// ListDigest a digest of the list. ListAge is the time since the same list was last
 	// read from the store, by this daemon or by one that has reported to it.
@@ -169,13 +169,13 @@
 	// prefills.
 	Unavailable []UnavailableEngine
 	Prefills    PrefillEvents
-	// Config, ListPosition, ListDigest, ListSize and ListAge describe the collector's
+	// ConfigVersion, ListPosition, ListDigest, ListSize and ListAge describe the collector's
 	// state, as in MemberState: it reads the store for all.
-	Config       uint64
-	ListPosition uint64
-	ListDigest   uint64
-	ListSize     int
-	ListAge      time.Duration
+	ConfigVersion uint64
+	ListPosition  uint64
+	ListDigest    uint64
+	ListSize      int
+	ListAge       time.Duration
 }
 
 // Kind implements Message.
--- a/internal/wire/member_test.go
+++ b/internal/wire/member_test.go
@@ -19,7 +19,7 @@
 	address := MemberAddress{Instance: "n", DataCentre: "d", Callers: "c", Peers: "p", Capacity: 4}
 	for _, m := range []Message{
 		MemberState{
-			MemberAddress: address, Incarnation: 1, Seq: 2, Serving: true, Config: 3,
+			MemberAddress: address, Incarnation: 1, Seq: 2, Serving: true, ConfigVersion: 3,
 			ListPosition: 4, ListDigest: 5, ListSize: 6, ListAge: time.Second, Loads: loads,
 			Prefills:    []placement.PrefillEvent{{Engine: at, LastShared: placement.Part{ID: 6, Tokens: 7}}},
 			Demands:     map[string]MemberDemand{"pool": {PrefillEngines: 8}},
@@ -37,7 +37,7 @@
 		},
 		LoadReport{PeerAddress: "p", Loads: UpstreamLoads{}, Prefills: PrefillEvents{}},
 		LoadTotals{
-			Full: true, Loads: loads, Daemons: 2, Config: 3, ListPosition: 4, ListDigest: 5, ListSize: 7, ListAge: 6,
+			Full: true, Loads: loads, Daemons: 2, ConfigVersion: 3, ListPosition: 4, ListDigest: 5, ListSize: 7, ListAge: 6,
 			Unavailable: []UnavailableEngine{{Engine: at, Remaining: time.Second}}, Prefills: prefills,
 		},
 	} {
