--- a/internal/status/fetch.go
+++ b/internal/status/fetch.go
@@ -16,7 +16,7 @@
 
 const (
 	// firstFetchDelay is how long a starting entry waits for the log before it asks peers.
-	// A leader counts a killed predecessor's acknowledged drain for wire.StatusFresh; until
+	// A leader counts a killed predecessor's acknowledged drain for wire.MaxStatusAge; until
 	// then its order could cut off this entry's requests. A later drain is complete without
 	// this entry only if every peer has applied it, and then replies name it.
 	firstFetchDelay = wire.MaxStatusAge + 100*time.Millisecond
