--- a/internal/adapters/engineclient/engineclient.go
+++ b/internal/adapters/engineclient/engineclient.go
@@ -17,8 +17,8 @@
 // upstream.Controlled.
 type Client struct {
 	http *httpx.Client
-	// control has connections of its own, so that a full pool of streams
-	// never holds up an order or a cancel.
+	// control has a separate connection pool, so that a pool full of streams
+	// never delays an order or a cancel.
 	control *httpx.Client
 	cancels *canceller
 }
@@ -35,26 +35,26 @@
 	return c
 }
 
-// Close waits for cancels under way and drops idle connections.
+// Close waits for cancels in progress and closes idle connections.
 func (c *Client) Close() {
 	c.cancels.wait()
 	c.http.CloseIdle()
 	c.control.CloseIdle()
 }
 
-// Generate implements upstream.Engine. It returns once the engine has taken
-// the request. The context bounds the call only until then; the stream lasts
-// until its Close.
+// Generate implements upstream.Engine. It returns once the engine has accepted
+// the request. The context applies only until then; the stream lasts until it is
+// closed.
 func (c *Client) Generate(ctx context.Context, r upstream.GenerateRequest) (upstream.TokenStream, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
-	if err := httpx.FillJSON(req, fasthttp.MethodPost, PathGenerate, message(r)); err != nil {
+	if err := httpx.FillJSON(req, fasthttp.MethodPost, PathGenerate, generateMessage(r)); err != nil {
 		return nil, err
 	}
 	return c.open(ctx, req, r.AttemptID)
 }
 
-// Resume implements upstream.Engine, with the context as in Generate.
+// Resume implements upstream.Engine. The context applies as in Generate.
 func (c *Client) Resume(ctx context.Context, attemptID string, from int) (upstream.TokenStream, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
@@ -83,7 +83,7 @@
 	return newStream(s, attemptID, c.cancels), nil
 }
 
-// maxErrorBody bounds the text read from an error response, in bytes.
+// maxErrorBody is how much of an error response's body is read, in bytes.
 const maxErrorBody = 512
 
 func streamError(status int, refused bool, detail string) error {
@@ -95,7 +95,7 @@
 
 // Prefill implements upstream.Engine.
 func (c *Client) Prefill(ctx context.Context, r upstream.GenerateRequest) (upstream.KVHandle, error) {
-	return httpx.CallJSON[GenerateMessage, upstream.KVHandle](ctx, c.http, fasthttp.MethodPost, PathPrefill, message(r))
+	return httpx.CallJSON[GenerateMessage, upstream.KVHandle](ctx, c.http, fasthttp.MethodPost, PathPrefill, generateMessage(r))
 }
 
 // Cancel implements upstream.Engine.
@@ -141,7 +141,7 @@
 
 func streamPath(attemptID string) string { return PathStreams + url.PathEscape(attemptID) }
 
-func message(r upstream.GenerateRequest) GenerateMessage {
+func generateMessage(r upstream.GenerateRequest) GenerateMessage {
 	return GenerateMessage{
 		AttemptID:   r.AttemptID,
 		Model:       r.Model,
--- a/internal/adapters/engineclient/engineclient_test.go
+++ b/internal/adapters/engineclient/engineclient_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestGenerateWholeAnswer(t *testing.T) {
+func TestGenerate(t *testing.T) {
 	e := standintest.Engine(t, standin.EngineConfig{})
 	c := client(t, e)
 	want := oracle.For(model, prompt, 40)
@@ -113,9 +113,9 @@
 	}
 }
 
-// A driver's answer stops halfway, or has a word twice, because the engine
-// died and another one took up the answer from prompt and tokens sent.
-func TestAnswerGoesOnElsewhere(t *testing.T) {
+// Guards against gaps and duplicates in a response when an engine fails and another one
+// continues it from the prompt and the tokens sent so far.
+func TestResponseContinuesOnAnotherEngine(t *testing.T) {
 	first, second := standintest.Engine(t, standin.EngineConfig{}), standintest.Engine(t, standin.EngineConfig{})
 	standintest.Faults(t, first, `{"break_stream":{"next":1},"break_at":7}`)
 	s, err := client(t, first).Generate(t.Context(), request("a"))
@@ -154,9 +154,9 @@
 	require.ErrorIs(t, err, upstream.ErrGone)
 }
 
-// An engine goes on working for a driver who has gone away, and those who
-// still wait get their answers late.
-func TestCloseCancelsTheWork(t *testing.T) {
+// Guards against an engine that keeps working for a caller that has disconnected, which
+// delays the responses to others.
+func TestCloseCancelsGeneration(t *testing.T) {
 	e := standintest.Engine(t, standin.EngineConfig{})
 	standintest.Faults(t, e, `{"slow_factor":50}`)
 	c := client(t, e)
@@ -173,17 +173,16 @@
 	}()
 	require.NoError(t, s.Close())
 	require.Error(t, <-failed)
-	c.Close() // waits for the cancel
+	c.Close() // waits for the cancel request
 	assert.EqualValues(t, 1, e.Counters().Cancelled)
 	assert.Zero(t, e.State().Running)
 	require.NoError(t, c.Cancel(t.Context(), "a"), "a cancel is idempotent")
 }
 
-// A caller reads slowly, and the entry's memory grows by all that the engine
-// has made meanwhile. What isn't read must stay with the engine: its writes
-// stop once the sockets' buffers are full.
-func TestSlowReaderHoldsUpTheEngine(t *testing.T) {
-	const enough = 64 << 20 // bytes; far more than sockets hold
+// Guards against unbounded buffering for a slow caller. Data that isn't read must stay at
+// the engine, whose writes block once the socket buffers are full.
+func TestSlowReaderAppliesBackpressure(t *testing.T) {
+	const enough = 64 << 20 // bytes; far more than socket buffers hold
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = ln.Close() }()
@@ -217,7 +216,7 @@
 	assert.Less(t, <-written, enough)
 }
 
-func TestPrefillAndHandOver(t *testing.T) {
+func TestPrefillAndHandoff(t *testing.T) {
 	for name, tc := range map[string]struct {
 		faults  string
 		imports int64
@@ -253,8 +252,8 @@
 func TestOrders(t *testing.T) {
 	slow := standin.DefaultSpeed()
 	slow.Change = time.Hour
-	role := func(id string, fence uint64) upstream.Order {
-		return upstream.Order{ID: id, Kind: upstream.OrderRole, Role: upstream.RoleDecode, FencingToken: fence}
+	role := func(id string, token uint64) upstream.Order {
+		return upstream.Order{ID: id, Kind: upstream.OrderRole, Role: upstream.RoleDecode, FencingToken: token}
 	}
 	cases := []struct {
 		name    string
@@ -297,7 +296,7 @@
 	}
 }
 
-func TestReports(t *testing.T) {
+func TestLoadAndCacheEvents(t *testing.T) {
 	speed := standin.DefaultSpeed()
 	speed.Scale, speed.EventLag, speed.EventLoss = 20, 0, 0
 	e := standintest.Engine(t, standin.EngineConfig{Speed: speed})
--- a/internal/controller/executor.go
+++ b/internal/controller/executor.go
@@ -121,7 +121,7 @@
 	if !known {
 		return false, "the instance list has not been read"
 	}
-	return x.entryStatuses.Drained(x.engine, drain, listed, now, wire.StatusFresh, unlistedEntryTimeout)
+	return x.entryStatuses.Drained(x.engine, drain, listed, now, wire.MaxStatusAge, unlistedEntryTimeout)
 }
 
 func (x *Executor) execute(ctx context.Context, a lease.Authority, action orders.Action) bool {
--- a/internal/graceful/conn.go
+++ b/internal/graceful/conn.go
@@ -13,25 +13,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// conn is a connection from a caller.
+// conn is a tracked connection from a caller.
 type conn struct {
 	*net.TCPConn
-	raw syscall.RawConn
-	of  *Connections
+	raw   syscall.RawConn
+	owner *Connections
 
 	accepted time.Time
 
-	// mu is held while bytes are taken from the kernel, so that none are on their way
+	// mu is held while bytes are read from the socket, so that none can be on their way
 	// to the server unnoticed.
 	mu    sync.Mutex
 	state http.ConnState
-	// arrived says that bytes have been read since the last answer.
-	arrived bool
-	// ending says that the sending side is closed: what still arrives is dropped.
-	ending bool
-	// over says that the caller has closed, or that the connection has failed.
-	over   bool
-	closed bool
+	// received means that bytes have been read since the last response.
+	received bool
+	// closing means that the sending side is closed; data that still arrives is dropped.
+	closing bool
+	// disconnected means that the caller has closed the connection or that it has failed.
+	disconnected bool
+	closed       bool
 }
 
 // Read implements io.Reader.
@@ -42,7 +42,7 @@
 	var n int
 	var err error
 	waitErr := c.raw.Read(func(fd uintptr) bool {
-		n, err = c.take(int(fd), p)
+		n, err = c.readAvailable(int(fd), p)
 		return !errors.Is(err, unix.EAGAIN)
 	})
 	switch {
@@ -56,9 +56,9 @@
 	return n, nil
 }
 
-// take reads what the kernel has, without waiting. What arrives on a connection that is ending
-// is dropped, and stands for its end.
-func (c *conn) take(fd int, p []byte) (int, error) {
+// readAvailable reads from the socket without blocking. On a closing connection, it drops
+// the data and returns 0, the end of the connection.
+func (c *conn) readAvailable(fd int, p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n, err := unix.Read(fd, p)
@@ -69,20 +69,21 @@
 	case errors.Is(err, unix.EAGAIN):
 		return 0, err
 	case err != nil || n == 0:
-		c.over = true
+		c.disconnected = true
 		return 0, err
-	case c.ending:
+	case c.closing:
 		return 0, nil
 	}
-	c.arrived = true
+	c.received = true
 	return n, nil
 }
 
-// SetReadDeadline implements net.Conn. The bound on a connection that is ending stays.
+// SetReadDeadline implements net.Conn. It doesn't change the deadline of a closing
+// connection.
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ending {
+	if c.closing {
 		return nil
 	}
 	return c.TCPConn.SetReadDeadline(t)
@@ -93,66 +94,67 @@
 	return errors.Join(c.SetReadDeadline(t), c.SetWriteDeadline(t))
 }
 
-// note takes over the server's word on the connection.
-func (c *conn) note(s http.ConnState) {
+// setState records the state that the server reports for the connection.
+func (c *conn) setState(s http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.state = s
 	if s == http.StateIdle {
-		c.arrived = false
+		c.received = false
 	}
 }
 
-// active reports whether a request is in progress or has arrived in part.
+// active reports whether a request is in progress or has partly arrived.
 func (c *conn) active() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.ending && c.busy()
+	return !c.closing && c.busy()
 }
 
-// busy is active of a connection that isn't ending. c.mu is held.
+// busy is active for a connection that isn't closing. c.mu is held.
 func (c *conn) busy() bool {
-	if c.state == http.StateActive || c.arrived && !c.of.opaque || c.unread() {
+	if c.state == http.StateActive || c.received && !c.owner.tls || c.hasUnread() {
 		return true
 	}
 	return c.state == http.StateNew && time.Since(c.accepted) < firstRequestTimeout
 }
 
-// unread reports whether the kernel has bytes that the server hasn't taken.
-func (c *conn) unread() bool {
-	var one [1]byte
+// hasUnread reports whether the socket has bytes that the server hasn't read.
+func (c *conn) hasUnread() bool {
+	var buf [1]byte
 	n := 0
 	err := c.raw.Control(func(fd uintptr) {
-		n, _, _ = unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		n, _, _ = unix.Recvfrom(int(fd), buf[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	})
 	return err == nil && n > 0
 }
 
-// endIfIdle closes the sending side unless a request is in progress, and reports whether the
-// connection has ended.
-func (c *conn) endIfIdle() bool {
+// closeIfIdle closes the sending side unless a request is in progress, and reports whether
+// the connection is closing.
+func (c *conn) closeIfIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ending {
+	if c.closing {
 		return true
 	}
 	if c.busy() {
 		return false
 	}
-	c.end()
+	c.beginClose()
 	return true
 }
 
-// end closes the sending side and bounds the wait for the caller to close. c.mu is held.
-func (c *conn) end() {
-	c.ending = true
-	// Errors say that the connection has failed already, which the next read tells too.
+// beginClose closes the sending side and sets a deadline for the caller to close. c.mu is
+// held.
+func (c *conn) beginClose() {
+	c.closing = true
+	// Errors mean that the connection has failed, which the next read reports.
 	_ = c.TCPConn.CloseWrite()
 	_ = c.TCPConn.SetReadDeadline(time.Now().Add(lingerTimeout))
 }
 
-// Close closes the sending side, and the connection once the caller has closed too or
-// lingerTimeout is over. It doesn't wait.
+// Close closes the sending side, and the connection once the caller has closed it too or
+// lingerTimeout has passed. It doesn't block.
 func (c *conn) Close() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -160,23 +162,23 @@
 		return net.ErrClosed
 	}
 	c.closed = true
-	if c.over {
+	if c.disconnected {
 		return c.release()
 	}
-	if !c.ending {
-		c.end()
+	if !c.closing {
+		c.beginClose()
 	}
 	go c.linger()
 	return nil
 }
 
-// linger drops what the caller still sends, until it closes.
+// linger drops data that the caller still sends until it closes the connection.
 func (c *conn) linger() {
-	_, _ = io.Copy(io.Discard, struct{ io.Reader }{c.TCPConn}) // ends with the caller's close, a failure or the deadline
+	_, _ = io.Copy(io.Discard, struct{ io.Reader }{c.TCPConn}) // ends by the caller's close, an error or the deadline
 	_ = c.release()
 }
 
 func (c *conn) release() error {
-	c.of.forget(c)
+	c.owner.remove(c)
 	return c.TCPConn.Close()
 }
--- a/internal/graceful/connections.go
+++ b/internal/graceful/connections.go
@@ -12,83 +12,84 @@
 )
 
 const (
-	// lingerTimeout bounds the wait for a caller to close a connection that the server
-	// has closed for sending.
+	// lingerTimeout is how long to wait for a caller to close a connection whose sending
+	// side the server has closed.
 	lingerTimeout = 250 * time.Millisecond
-	// acceptTimeout bounds the wait for the connections that callers have opened before
-	// a stop to be accepted.
+	// acceptTimeout is how long to wait, when the server stops, for the acceptance of
+	// connections that callers have already opened.
 	acceptTimeout = 150 * time.Millisecond
-	// firstRequestTimeout is how long the request of a new connection may be on its way.
+	// firstRequestTimeout is how long a new connection without a request counts as active,
+	// as its first request may be in transit.
 	firstRequestTimeout = 150 * time.Millisecond
-	pollEvery           = 2 * time.Millisecond
+	pollInterval        = 2 * time.Millisecond
 )
 
-// Connections are those of a server. The methods may be called from any goroutine.
+// Connections tracks the connections of a server. It is safe for concurrent use.
 type Connections struct {
 	log *slog.Logger
-	// opaque says that bytes read may belong to no request, as those of a handshake.
-	opaque bool
+	// tls means that bytes read needn't belong to a request, but may be of a handshake.
+	tls bool
 
 	mu        sync.Mutex
 	open      map[*conn]struct{}
 	listeners []*listener
 }
 
-// New returns the connections of a server.
+// New returns the tracker for a server.
 func New(log *slog.Logger) *Connections {
 	return &Connections{log: log, open: make(map[*conn]struct{})}
 }
 
-// NewTLS returns those of a server that speaks TLS on what Listen returns.
+// NewTLS returns the tracker for a server that uses TLS on the listener from Listen.
 func NewTLS(log *slog.Logger) *Connections {
 	c := New(log)
-	c.opaque = true
+	c.tls = true
 	return c
 }
 
-// Listen returns a listener whose connections are followed.
+// Listen returns a listener whose connections are tracked.
 func (c *Connections) Listen(l net.Listener) net.Listener {
-	followed := &listener{Listener: l, of: c, stopping: make(chan struct{}), closed: make(chan struct{})}
+	tracked := &listener{Listener: l, owner: c, stopping: make(chan struct{}), closed: make(chan struct{})}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.listeners = append(c.listeners, followed)
-	return followed
+	c.listeners = append(c.listeners, tracked)
+	return tracked
 }
 
-// Note is the server's ConnState hook.
-func (c *Connections) Note(of net.Conn, s http.ConnState) {
+// ConnState must be set as the ConnState hook of the server.
+func (c *Connections) ConnState(nc net.Conn, s http.ConnState) {
 	for {
-		outer, ok := of.(interface{ NetConn() net.Conn })
+		outer, ok := nc.(interface{ NetConn() net.Conn })
 		if !ok {
 			break
 		}
-		of = outer.NetConn() // as a TLS connection's
+		nc = outer.NetConn() // for example of a TLS connection
 	}
-	if one, ok := of.(*conn); ok {
-		one.note(s)
+	if tracked, ok := nc.(*conn); ok {
+		tracked.setState(s)
 	}
 }
 
-// Active returns the number of connections with a request in progress: one that is read
-// or answered, or that has arrived at least in part.
+// Active returns the number of connections with a request in progress, which includes
+// requests that have arrived only in part.
 func (c *Connections) Active() int {
 	n := 0
-	for _, one := range c.all() {
-		if one.active() {
+	for _, tracked := range c.all() {
+		if tracked.active() {
 			n++
 		}
 	}
 	return n
 }
 
-// CloseIdle takes no new connections any more, ends those without a request in progress and
-// returns the number of the others. Their answers may still be sent.
+// CloseIdle stops accepting connections, closes those without a request in progress and
+// returns the number of the others, which can still send their responses.
 func (c *Connections) CloseIdle() int {
 	first := c.closeListeners()
 	all := c.all()
 	active := 0
-	for _, one := range all {
-		if !one.endIfIdle() {
+	for _, tracked := range all {
+		if !tracked.closeIfIdle() {
 			active++
 		}
 	}
@@ -98,26 +99,26 @@
 	return active
 }
 
-// Wait returns once callers have closed the connections that CloseIdle has ended, or once
-// lingerTimeout is over.
+// Wait returns once callers have closed the connections that CloseIdle has closed, or after
+// lingerTimeout.
 func (c *Connections) Wait() {
-	until := time.Now().Add(lingerTimeout)
-	for c.lingering() > 0 && time.Now().Before(until) {
-		time.Sleep(pollEvery)
+	deadline := time.Now().Add(lingerTimeout)
+	for c.countClosing() > 0 && time.Now().Before(deadline) {
+		time.Sleep(pollInterval)
 	}
-	if n := c.lingering(); n > 0 {
+	if n := c.countClosing(); n > 0 {
 		c.log.Info("callers haven't closed their connections", "connections", n)
 	}
 }
 
-func (c *Connections) lingering() int {
+func (c *Connections) countClosing() int {
 	n := 0
-	for _, one := range c.all() {
-		one.mu.Lock()
-		if one.ending && !one.over {
+	for _, tracked := range c.all() {
+		tracked.mu.Lock()
+		if tracked.closing && !tracked.disconnected {
 			n++
 		}
-		one.mu.Unlock()
+		tracked.mu.Unlock()
 	}
 	return n
 }
@@ -126,62 +127,62 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	all := make([]*conn, 0, len(c.open))
-	for one := range c.open {
-		all = append(all, one)
+	for tracked := range c.open {
+		all = append(all, tracked)
 	}
 	return all
 }
 
-func (c *Connections) forget(one *conn) {
+func (c *Connections) remove(tracked *conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.open, one)
+	delete(c.open, tracked)
 }
 
-// closeListeners reports whether there were any.
+// closeListeners closes all listeners and reports whether there were any.
 func (c *Connections) closeListeners() bool {
 	c.mu.Lock()
 	listeners := c.listeners
 	c.listeners = nil
 	c.mu.Unlock()
 	for _, l := range listeners {
-		if err := c.acceptAll(l); err != nil {
-			c.log.Warn("connections may be left unaccepted", "address", l.Addr().String(), "err", err)
+		if err := c.drainBacklog(l); err != nil {
+			c.log.Warn("some connections may not have been accepted", "address", l.Addr().String(), "err", err)
 		}
 		l.stop()
 	}
 	return len(listeners) > 0
 }
 
-// acceptAll returns once the connections that callers have opened before are accepted. They
-// are accepted in their order, so all are once one of its own is.
-func (c *Connections) acceptAll(l *listener) error {
+// drainBacklog returns once the connections that callers have already opened are accepted.
+// As connections are accepted in order, it opens one to the listener and waits for that one.
+func (c *Connections) drainBacklog(l *listener) error {
 	ctx, cancel := context.WithTimeout(context.Background(), acceptTimeout)
 	defer cancel()
 	var d net.Dialer
-	own, err := d.DialContext(ctx, "tcp", l.Addr().String())
+	probe, err := d.DialContext(ctx, "tcp", l.Addr().String())
 	if err != nil {
-		return eris.Wrap(err, "a connection to itself")
+		return eris.Wrap(err, "connect to own listener")
 	}
-	defer func() { _ = own.Close() }() // nothing was sent
-	for !c.endFrom(own.LocalAddr().String()) {
+	defer func() { _ = probe.Close() }() // nothing was sent
+	for !c.closeFrom(probe.LocalAddr().String()) {
 		if ctx.Err() != nil {
-			return eris.New("a connection to itself isn't accepted in time")
+			return eris.New("timeout while waiting for the backlog to be accepted")
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 	return nil
 }
 
-// endFrom ends the connection from an address, and reports whether it has been accepted.
-func (c *Connections) endFrom(remote string) bool {
-	for _, one := range c.all() {
-		if one.RemoteAddr().String() != remote {
+// closeFrom closes the connection from an address, and reports whether it was accepted.
+func (c *Connections) closeFrom(remote string) bool {
+	for _, tracked := range c.all() {
+		if tracked.RemoteAddr().String() != remote {
 			continue
 		}
-		one.mu.Lock()
-		defer one.mu.Unlock()
-		one.end()
+		tracked.mu.Lock()
+		defer tracked.mu.Unlock()
+		tracked.beginClose()
 		return true
 	}
 	return false
--- a/internal/graceful/graceful_test.go
+++ b/internal/graceful/graceful_test.go
@@ -16,28 +16,28 @@
 
 const request = "GET /x HTTP/1.1\r\nHost: h\r\n\r\n"
 
-// rig is a server whose connections are followed.
-type rig struct {
+// harness is a server whose connections are tracked.
+type harness struct {
 	t       *testing.T
 	conns   *Connections
 	server  *httptest.Server
 	handled atomic.Int32
 }
 
-func newRig(t *testing.T, wrap func(net.Listener) net.Listener, handle http.HandlerFunc) *rig {
-	return newHeldRig(t, wrap, handle, nil)
+func newHarness(t *testing.T, wrap func(net.Listener) net.Listener, handle http.HandlerFunc) *harness {
+	return newDelayedHarness(t, wrap, handle, nil)
 }
 
-// newHeldRig makes a rig whose server's goroutines are held up after each answer, as on a
-// machine without a free processor, until idle can be received from.
-func newHeldRig(t *testing.T, wrap func(net.Listener) net.Listener, handle http.HandlerFunc, idle chan struct{}) *rig {
-	r := &rig{t: t, conns: New(slog.New(slog.DiscardHandler))}
+// newDelayedHarness returns a harness whose server goroutines block after each response until
+// idle can be received from, as on a machine without a free processor.
+func newDelayedHarness(t *testing.T, wrap func(net.Listener) net.Listener, handle http.HandlerFunc, idle chan struct{}) *harness {
+	r := &harness{t: t, conns: New(slog.New(slog.DiscardHandler))}
 	r.server = httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		r.handled.Add(1)
 		handle(w, q)
 	}))
 	r.server.Config.ConnState = func(c net.Conn, s http.ConnState) {
-		r.conns.Note(c, s)
+		r.conns.ConnState(c, s)
 		if s == http.StateIdle && idle != nil {
 			<-idle
 		}
@@ -52,13 +52,13 @@
 
 func answer(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") }
 
-// caller is a connection and what reads answers from it.
+// caller is a connection with a reader for responses.
 type caller struct {
 	net.Conn
 	in *bufio.Reader
 }
 
-func (r *rig) dial() *caller {
+func (r *harness) dial() *caller {
 	c, err := net.Dial("tcp", r.server.Listener.Addr().String())
 	require.NoError(r.t, err)
 	r.t.Cleanup(func() { _ = c.Close() })
@@ -66,12 +66,12 @@
 	return &caller{Conn: c, in: bufio.NewReader(c)}
 }
 
-func (r *rig) send(c *caller, text string) {
+func (r *harness) send(c *caller, text string) {
 	_, err := io.WriteString(c, text)
 	require.NoError(r.t, err)
 }
 
-func (r *rig) receive(c *caller) *http.Response {
+func (r *harness) receive(c *caller) *http.Response {
 	resp, err := http.ReadResponse(c.in, nil)
 	require.NoError(r.t, err)
 	body, err := io.ReadAll(resp.Body)
@@ -80,27 +80,27 @@
 	return resp
 }
 
-// arrive waits until the kernel of the server's side has what was sent.
-func (r *rig) arrive(c *caller) {
+// waitReceived waits until the server's socket has received what was sent.
+func (r *harness) waitReceived(c *caller) {
 	require.Eventually(r.t, func() bool {
-		for _, one := range r.conns.all() {
-			if one.RemoteAddr().String() == c.LocalAddr().String() {
-				return one.active()
+		for _, tracked := range r.conns.all() {
+			if tracked.RemoteAddr().String() == c.LocalAddr().String() {
+				return tracked.active()
 			}
 		}
 		return false
 	}, time.Minute, time.Millisecond)
 }
 
-// Guards against a request on a kept connection that is reset unread when the server stops.
-func TestRequestUnreadOnAKeptConnectionIsAnswered(t *testing.T) {
+// Guards against an unread request on an idle connection that is reset when the server stops.
+func TestUnreadRequestOnIdleConnectionIsAnswered(t *testing.T) {
 	idle := make(chan struct{})
-	r := newHeldRig(t, plain, answer, idle)
+	r := newDelayedHarness(t, plain, answer, idle)
 	c := r.dial()
 	r.send(c, request)
 	r.receive(c)
 	r.send(c, request)
-	r.arrive(c)
+	r.waitReceived(c)
 
 	require.Equal(t, 1, r.conns.CloseIdle())
 	close(idle)
@@ -112,11 +112,11 @@
 
 // Guards against a new connection that is closed before its first request can arrive.
 func TestNewConnectionMaySendItsFirstRequest(t *testing.T) {
-	r := newRig(t, plain, answer)
+	r := newHarness(t, plain, answer)
 	c := r.dial()
 	require.Eventually(t, func() bool { return len(r.conns.all()) == 1 }, time.Minute, time.Millisecond)
-	for _, one := range r.conns.all() {
-		one.accepted = time.Now().Add(time.Minute) // as if it had just been
+	for _, tracked := range r.conns.all() {
+		tracked.accepted = time.Now().Add(time.Minute) // as if just accepted
 	}
 	require.Equal(t, 1, r.conns.CloseIdle())
 	r.send(c, request)
@@ -124,40 +124,40 @@
 	require.Eventually(t, func() bool { return r.conns.CloseIdle() == 0 }, time.Minute, time.Millisecond)
 }
 
-// lateListener accepts its first connection a while late, as on a machine without a free
-// processor.
-type lateListener struct {
+// delayedListener delays its first accept, as on a machine without a free processor.
+type delayedListener struct {
 	net.Listener
-	late time.Duration
+	delay time.Duration
 }
 
 // Accept implements net.Listener.
-func (l *lateListener) Accept() (net.Conn, error) {
-	time.Sleep(l.late)
-	l.late = 0
+func (l *delayedListener) Accept() (net.Conn, error) {
+	time.Sleep(l.delay)
+	l.delay = 0
 	return l.Listener.Accept()
 }
 
-// Guards against a request that is reset as it waits to be accepted when the server stops.
-func TestRequestUnacceptedIsAnswered(t *testing.T) {
+// Guards against a request on a connection that isn't accepted yet and is reset when the
+// server stops.
+func TestUnacceptedRequestIsAnswered(t *testing.T) {
 	closed := make(chan struct{})
-	late := func(l net.Listener) net.Listener { return &lateListener{Listener: l, late: acceptTimeout / 2} }
-	r := newRig(t, late, func(w http.ResponseWriter, q *http.Request) {
+	delayed := func(l net.Listener) net.Listener { return &delayedListener{Listener: l, delay: acceptTimeout / 2} }
+	r := newHarness(t, delayed, func(w http.ResponseWriter, q *http.Request) {
 		<-closed
 		answer(w, q)
 	})
 	c := r.dial()
 	r.send(c, request)
-	require.Zero(t, r.conns.Active(), "it is not accepted yet")
+	require.Zero(t, r.conns.Active(), "the connection isn't accepted yet")
 
 	require.Equal(t, 1, r.conns.CloseIdle())
 	close(closed)
 	r.receive(c)
 }
 
-// Guards against a stop that cuts off a request whose head has come in part.
-func TestRequestSentInTwoPartsIsAnswered(t *testing.T) {
-	r := newRig(t, plain, answer)
+// Guards against a stop that aborts a request whose header has arrived only in part.
+func TestPartialRequestIsAnswered(t *testing.T) {
+	r := newHarness(t, plain, answer)
 	c := r.dial()
 	r.send(c, request)
 	r.receive(c)
@@ -170,9 +170,9 @@
 	r.receive(c)
 }
 
-// Guards against a request that runs though its connection has ended.
-func TestRequestAfterTheEndIsNeitherRunNorReset(t *testing.T) {
-	r := newRig(t, plain, answer)
+// Guards against a request that runs although its connection was already closed.
+func TestRequestAfterCloseIsNeitherRunNorReset(t *testing.T) {
+	r := newHarness(t, plain, answer)
 	c := r.dial()
 	r.send(c, request)
 	r.receive(c)
@@ -188,11 +188,12 @@
 	require.EqualValues(t, 1, r.handled.Load())
 }
 
-// Guards against an answer that is lost because its caller still sends when the server closes.
-func TestAnswerSurvivesWhatItsCallerStillSends(t *testing.T) {
+// Guards against a response that is lost because its caller still sends when the server closes
+// the connection.
+func TestResponseSurvivesUnreadData(t *testing.T) {
 	sent := make(chan struct{})
 	big := make([]byte, 4<<20)
-	r := newRig(t, plain, func(w http.ResponseWriter, _ *http.Request) {
+	r := newHarness(t, plain, func(w http.ResponseWriter, _ *http.Request) {
 		<-sent
 		w.Header().Set("Connection", "close")
 		_, _ = w.Write(big)
@@ -200,7 +201,7 @@
 	c := r.dial()
 	r.send(c, request)
 	r.send(c, request)
-	r.arrive(c)
+	r.waitReceived(c)
 	close(sent)
 	resp, err := http.ReadResponse(c.in, nil)
 	require.NoError(t, err)
@@ -212,23 +213,24 @@
 }
 
 // Guards against a stop that never ends because a caller neither sends nor closes.
-func TestSilentCallersDelayAStopForABoundedTimeOnly(t *testing.T) {
-	r := newRig(t, plain, answer)
-	silent, kept := r.dial(), r.dial()
-	r.send(kept, request)
-	r.receive(kept)
+func TestSilentCallersDelayShutdownBriefly(t *testing.T) {
+	r := newHarness(t, plain, answer)
+	silent, idle := r.dial(), r.dial()
+	r.send(idle, request)
+	r.receive(idle)
 	require.Eventually(t, func() bool { return r.conns.CloseIdle() == 0 }, time.Minute, time.Millisecond)
 	r.conns.Wait()
 	require.Eventually(t, func() bool { return len(r.conns.all()) == 0 }, time.Minute, time.Millisecond)
-	for _, c := range []*caller{silent, kept} {
+	for _, c := range []*caller{silent, idle} {
 		_, err := c.in.ReadByte()
 		require.ErrorIs(t, err, io.EOF)
 	}
 }
 
-// Guards against a caller that sends without end and so keeps its connection past the bound.
-func TestCallerThatSendsOnAndOnIsCutInTheEnd(t *testing.T) {
-	r := newRig(t, plain, answer)
+// Guards against a caller that keeps its connection open beyond lingerTimeout by sending
+// continuously.
+func TestEndlessSenderIsDisconnected(t *testing.T) {
+	r := newHarness(t, plain, answer)
 	c := r.dial()
 	r.send(c, request)
 	r.receive(c)
@@ -243,12 +245,12 @@
 	require.EqualValues(t, 1, r.handled.Load())
 }
 
-// Guards against a server that takes the end of its listener for a failure and serves it again.
+// Guards against a server that treats the end of its listener as a failure and restarts it.
 func TestServerOutlivesItsListener(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	conns := New(slog.New(slog.DiscardHandler))
-	server := &http.Server{Handler: http.HandlerFunc(answer), ConnState: conns.Note}
+	server := &http.Server{Handler: http.HandlerFunc(answer), ConnState: conns.ConnState}
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(conns.Listen(l)) }()
 	require.Eventually(t, func() bool { return conns.listening() == 1 }, time.Minute, time.Millisecond)
@@ -257,8 +259,8 @@
 	require.Error(t, err)
 	select {
 	case err := <-served:
-		require.Fail(t, "the server has ended", "%v", err)
-	case <-time.After(10 * pollEvery):
+		require.Fail(t, "the server has stopped", "%v", err)
+	case <-time.After(10 * pollInterval):
 	}
 	require.NoError(t, server.Close())
 	require.ErrorIs(t, <-served, http.ErrServerClosed)
--- a/internal/graceful/listener.go
+++ b/internal/graceful/listener.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// listener returns connections that are followed. Once it is stopped, Accept waits for the
-// server's Close: a server takes the end of its listener for a failure before.
+// listener returns tracked connections. Once it is stopped, Accept blocks until the server
+// calls Close: before that, the server would treat the listener's end as a failure.
 type listener struct {
 	net.Listener
-	of       *Connections
-	stopped  sync.Once
-	closing  sync.Once
-	closed   chan struct{}
-	stopping chan struct{}
+	owner     *Connections
+	stopOnce  sync.Once
+	closeOnce sync.Once
+	closed    chan struct{}
+	stopping  chan struct{}
 }
 
 // Accept implements net.Listener.
@@ -35,27 +35,27 @@
 	}
 	raw, err := tcp.SyscallConn()
 	if err != nil {
-		l.of.log.Warn("connection not followed", "remote", tcp.RemoteAddr().String(), "err", err)
+		l.owner.log.Warn("connection not tracked", "remote", tcp.RemoteAddr().String(), "err", err)
 		return accepted, nil
 	}
-	c := &conn{TCPConn: tcp, raw: raw, of: l.of, accepted: time.Now()}
-	l.of.mu.Lock()
-	defer l.of.mu.Unlock()
-	l.of.open[c] = struct{}{}
+	c := &conn{TCPConn: tcp, raw: raw, owner: l.owner, accepted: time.Now()}
+	l.owner.mu.Lock()
+	defer l.owner.mu.Unlock()
+	l.owner.open[c] = struct{}{}
 	return c, nil
 }
 
-// stop takes no new connections any more.
+// stop stops accepting connections.
 func (l *listener) stop() {
-	l.stopped.Do(func() {
+	l.stopOnce.Do(func() {
 		close(l.stopping)
-		_ = l.Listener.Close() // an error says that it was closed before
+		_ = l.Listener.Close() // fails only if it was closed before
 	})
 }
 
 // Close implements net.Listener.
 func (l *listener) Close() error {
 	l.stop()
-	l.closing.Do(func() { close(l.closed) })
+	l.closeOnce.Do(func() { close(l.closed) })
 	return nil
 }
--- a/internal/member/catchup.go
+++ b/internal/member/catchup.go
@@ -111,17 +111,17 @@
 func (c *catchUp) fromPeer(ctx context.Context, peer string, missing []placement.Key) {
 	ctx, cancel := context.WithTimeout(ctx, viewTimeout)
 	defer cancel()
-	answer, err := wire.Ask(ctx, c.member.wireConfig(), peer, wire.BeliefsRequest{Of: missing})
+	answer, err := wire.Request(ctx, c.member.wireConfig(), peer, wire.SnapshotRequest{Engines: missing})
 	if err != nil {
 		c.log.Warn("request for a peer's cache state failed", "peer", peer, "err", err)
 		return
 	}
-	reply, ok := answer.(wire.BeliefsReply)
+	reply, ok := answer.(wire.SnapshotReply)
 	if !ok {
 		return
 	}
-	c.member.tracker.Restore(peer, reply.Beliefs)
-	c.log.Info("cache state received from a peer", "peer", peer, "missing", len(missing), "engines", len(reply.Beliefs.Cached))
+	c.member.tracker.Restore(peer, reply.Snapshot)
+	c.log.Info("cache state received from a peer", "peer", peer, "missing", len(missing), "engines", len(reply.Snapshot.Cached))
 }
 
 // fromEngines queries the engines that are still missing: this daemon's share, as the other
--- a/internal/member/collector.go
+++ b/internal/member/collector.go
@@ -54,7 +54,7 @@
 	}
 	unavailable := p.unavailableEngines()
 	p.mu.Unlock()
-	local := wire.LoadReport{Peers: p.self.Peers, Full: full, Loads: p.tracker.LocalLoads(full), Daemons: 1, Away: unavailable, Reads: p.tracker.PrefillEvents()}
+	local := wire.LoadReport{PeerAddress: p.self.Peers, Full: full, Loads: p.tracker.LocalLoads(full), Daemons: 1, Unavailable: unavailable, Prefills: p.tracker.PrefillEvents()}
 	if full {
 		local.Demands = p.localDemand()
 	}
@@ -65,8 +65,8 @@
 		return
 	}
 	m := p.aggregate.parentReport(p.self.Peers, full, now)
-	m.Unanswered = !query
-	if query || m.HasNews() {
+	m.NoReply = !query
+	if query || m.HasUpdates() {
 		link.Send(m)
 	}
 }
@@ -119,14 +119,14 @@
 func (p *Peers) handleReport(m wire.LoadReport, reply func(wire.Message)) {
 	totals, ok := p.aggregate.applyReport(m, time.Now())
 	if !ok {
-		p.log.Warn("cyclic load report rejected", "from", m.Peers, "depth", m.Depth)
+		p.log.Warn("cyclic load report rejected", "from", m.PeerAddress, "depth", m.Depth)
 		return
 	}
-	if m.Unanswered {
+	if m.NoReply {
 		return
 	}
 	summary := p.summary()
-	totals.Config, totals.ReadAge = summary.Config, summary.ListAge
+	totals.ConfigVersion, totals.ListAge = summary.Config, summary.ListAge
 	totals.ListPosition, totals.ListDigest, totals.ListSize = uint64(summary.ListPosition), summary.ListDigest, summary.ListSize
 	reply(totals)
 }
@@ -217,16 +217,16 @@
 	answered := parent.pendingAnswer
 	parent.pendingAnswer = nil
 	if sender := p.peers[from]; sender != nil {
-		sender.summary.Config, sender.summary.ListAge = totals.Config, totals.ReadAge
+		sender.summary.Config, sender.summary.ListAge = totals.ConfigVersion, totals.ListAge
 		sender.summary.ListPosition, sender.summary.ListDigest, sender.summary.ListSize = Position(totals.ListPosition), totals.ListDigest, totals.ListSize
 		sender.lastUpdate = now
 	}
-	if totals.Senders != parent.loggedSenders && now.Sub(parent.loggedAt) > totalsLogInterval {
-		parent.loggedSenders, parent.loggedAt = totals.Senders, now
-		p.log.Info("load totals", "collector", from, "senders", totals.Senders)
+	if totals.Daemons != parent.loggedSenders && now.Sub(parent.loggedAt) > totalsLogInterval {
+		parent.loggedSenders, parent.loggedAt = totals.Daemons, now
+		p.log.Info("load totals", "collector", from, "senders", totals.Daemons)
 	}
 	p.mu.Unlock()
-	p.onPeerList(Position(totals.ListPosition), totals.ListDigest, totals.ReadAge)
+	p.onPeerList(Position(totals.ListPosition), totals.ListDigest, totals.ListAge)
 	p.aggregate.applyParentTotals(totals, now)
 	p.recordTotals(p.aggregate.totalsFor(p.self.Peers, now))
 	if answered != nil {
@@ -238,6 +238,6 @@
 // peer it wakes no waiting requests: those check every 10 ms themselves, and totals arrive about
 // as often.
 func (p *Peers) recordTotals(totals wire.LoadTotals) {
-	p.applyUnavailable(totals.Away)
-	p.tracker.ApplyPeerUpdate(totalsSource, totals.Loads, totals.Reads)
+	p.applyUnavailable(totals.Unavailable)
+	p.tracker.ApplyPeerUpdate(totalsSource, totals.Loads, totals.Prefills)
 }
--- a/internal/member/collector_test.go
+++ b/internal/member/collector_test.go
@@ -13,8 +13,8 @@
 	"tamarackchute/placement"
 )
 
-func testLoads(running int, sent uint32) wire.Loads {
-	return wire.Loads{{Upstream: 1, Load: placement.Load{Running: running, PrefillSent: sent}}}
+func testLoads(running int, sent uint32) wire.UpstreamLoads {
+	return wire.UpstreamLoads{{Upstream: 1, Load: placement.Load{Running: running, PrefillSent: sent}}}
 }
 
 // applyReport applies a report and returns the totals in the answer.
@@ -30,19 +30,19 @@
 func TestTotalsExcludeOwnLoad(t *testing.T) {
 	aggregate := newLoadAggregate()
 	now := time.Unix(1000, 0)
-	require.Equal(t, testLoads(0, 0), applyReport(t, aggregate, wire.LoadReport{Peers: "a", Loads: testLoads(1, 10)}, now).Loads)
-	require.Equal(t, testLoads(1, 10), applyReport(t, aggregate, wire.LoadReport{Peers: "b", Loads: testLoads(2, 20)}, now).Loads)
-	totals := applyReport(t, aggregate, wire.LoadReport{Peers: "c"}, now)
+	require.Equal(t, testLoads(0, 0), applyReport(t, aggregate, wire.LoadReport{PeerAddress: "a", Loads: testLoads(1, 10)}, now).Loads)
+	require.Equal(t, testLoads(1, 10), applyReport(t, aggregate, wire.LoadReport{PeerAddress: "b", Loads: testLoads(2, 20)}, now).Loads)
+	totals := applyReport(t, aggregate, wire.LoadReport{PeerAddress: "c"}, now)
 	require.Equal(t, testLoads(3, 30), totals.Loads)
-	require.Equal(t, 2, totals.Senders)
+	require.Equal(t, 2, totals.Daemons)
 
-	applyReport(t, aggregate, wire.LoadReport{Peers: "a", Full: true}, now)
-	require.Equal(t, testLoads(2, 20), applyReport(t, aggregate, wire.LoadReport{Peers: "c"}, now).Loads)
+	applyReport(t, aggregate, wire.LoadReport{PeerAddress: "a", Full: true}, now)
+	require.Equal(t, testLoads(2, 20), applyReport(t, aggregate, wire.LoadReport{PeerAddress: "c"}, now).Loads)
 
 	now = now.Add(2 * peerTimeout)
-	totals = applyReport(t, aggregate, wire.LoadReport{Peers: "c"}, now)
+	totals = applyReport(t, aggregate, wire.LoadReport{PeerAddress: "c"}, now)
 	require.Equal(t, testLoads(0, 0), totals.Loads, "the removal is sent")
-	require.Zero(t, totals.Senders)
+	require.Zero(t, totals.Daemons)
 }
 
 // Guards against an engine that looks busy for good and stands idle, as a daemon failed during a
@@ -50,11 +50,11 @@
 func TestLoadOfFailedDaemonIsRemoved(t *testing.T) {
 	aggregate := newLoadAggregate()
 	now := time.Unix(1000, 0)
-	applyReport(t, aggregate, wire.LoadReport{Peers: "dead", Loads: testLoads(5, 10)}, now)
-	require.Equal(t, testLoads(5, 10), applyReport(t, aggregate, wire.LoadReport{Peers: "a"}, now).Loads)
+	applyReport(t, aggregate, wire.LoadReport{PeerAddress: "dead", Loads: testLoads(5, 10)}, now)
+	require.Equal(t, testLoads(5, 10), applyReport(t, aggregate, wire.LoadReport{PeerAddress: "a"}, now).Loads)
 	for range 40 {
 		now = now.Add(peerTimeout / 20)
-		for _, l := range applyReport(t, aggregate, wire.LoadReport{Peers: "a"}, now).Loads {
+		for _, l := range applyReport(t, aggregate, wire.LoadReport{PeerAddress: "a"}, now).Loads {
 			if l.Load == (placement.Load{}) {
 				return
 			}
@@ -81,7 +81,7 @@
 			at := placement.Key(rapid.IntRange(1, 3).Draw(t, "at"))
 			l := placement.Load{Running: rapid.IntRange(0, 5).Draw(t, "running"), PrefillSent: rapid.Uint32Range(0, 9).Draw(t, "sent")}
 			current[from][at] = l
-			m := wire.LoadReport{Peers: from, Loads: []placement.UpstreamLoad{{Upstream: at, Load: l}}, Full: rapid.IntRange(0, 4).Draw(t, "full") == 0}
+			m := wire.LoadReport{PeerAddress: from, Loads: []placement.UpstreamLoad{{Upstream: at, Load: l}}, Full: rapid.IntRange(0, 4).Draw(t, "full") == 0}
 			if m.Full {
 				m.Loads = nil
 				for at, l := range current[from] {
@@ -98,7 +98,7 @@
 				known[l.Upstream] = l.Load
 			}
 		}
-		m := wire.LoadReport{Peers: "me", Full: true}
+		m := wire.LoadReport{PeerAddress: "me", Full: true}
 		for at, l := range current["me"] {
 			m.Loads = append(m.Loads, placement.UpstreamLoad{Upstream: at, Load: l})
 		}
@@ -149,7 +149,7 @@
 			now := time.Now()
 			reports := make([]wire.LoadReport, size.daemons)
 			for i := range reports {
-				reports[i] = wire.LoadReport{Peers: fmt.Sprint("daemon ", i), Full: true}
+				reports[i] = wire.LoadReport{PeerAddress: fmt.Sprint("daemon ", i), Full: true}
 				for j := range 20 {
 					at := placement.KeyOf(fmt.Sprint((i*7+j*13)%size.upstreams), time.Time{})
 					reports[i].Loads = append(reports[i].Loads, placement.UpstreamLoad{Upstream: at, Load: placement.Load{Running: 1, PrefillSent: uint32(i + j)}})
@@ -209,7 +209,7 @@
 			continue
 		}
 		aggregate := s.aggregates[a.Peers]
-		local := wire.LoadReport{Peers: a.Peers, Full: full, Daemons: 1}
+		local := wire.LoadReport{PeerAddress: a.Peers, Full: full, Daemons: 1}
 		for at, l := range s.loads[a.Peers] {
 			local.Loads = append(local.Loads, placement.UpstreamLoad{Upstream: at, Load: l})
 		}
@@ -313,7 +313,7 @@
 func TestCyclicReportsAreRejected(t *testing.T) {
 	a, b := newLoadAggregate(), newLoadAggregate()
 	now := time.Unix(1000, 0)
-	applyReport(t, a, wire.LoadReport{Peers: "a", Loads: testLoads(1, 0), Daemons: 1}, now)
+	applyReport(t, a, wire.LoadReport{PeerAddress: "a", Loads: testLoads(1, 0), Daemons: 1}, now)
 	for range 100 {
 		now = now.Add(10 * time.Millisecond)
 		if _, ok := b.applyReport(a.parentReport("a", true, now), now); !ok {
@@ -336,7 +336,7 @@
 		s.round(t, all, false)
 	}
 	leader := s.aggregates[all[17].Peers]
-	_, ok := leader.applyReport(wire.LoadReport{Peers: all[17].Peers, Daemons: 1, Away: []wire.AwayEngine{{At: 7, To: "prefill", Left: changeTimeout}}}, s.now)
+	_, ok := leader.applyReport(wire.LoadReport{PeerAddress: all[17].Peers, Daemons: 1, Unavailable: []wire.UnavailableEngine{{Engine: 7, TargetRole: "prefill", Remaining: changeTimeout}}}, s.now)
 	require.True(t, ok)
 	for range 40 {
 		s.round(t, all, false)
@@ -344,7 +344,7 @@
 	for i, a := range all {
 		received := 0
 		for _, totals := range s.received[a.Peers] {
-			received += len(totals.Away)
+			received += len(totals.Unavailable)
 		}
 		if i != 17 {
 			require.Equal(t, 1, received, "received once")
@@ -362,16 +362,16 @@
 		s.round(t, all, false)
 	}
 	event := placement.PrefillEvent{Engine: 3, State: placement.PrefillFinished, LastShared: placement.Part{ID: 9, Tokens: 100}}
-	answer, ok := s.aggregates[all[17].Peers].applyReport(wire.LoadReport{Peers: all[17].Peers, Daemons: 1, Reads: []placement.PrefillEvent{event}}, s.now)
+	answer, ok := s.aggregates[all[17].Peers].applyReport(wire.LoadReport{PeerAddress: all[17].Peers, Daemons: 1, Prefills: []placement.PrefillEvent{event}}, s.now)
 	require.True(t, ok)
-	require.Empty(t, answer.Reads)
+	require.Empty(t, answer.Prefills)
 	for range 10 {
 		s.round(t, all, false)
 	}
 	for i, a := range all {
 		var received []placement.PrefillEvent
 		for _, totals := range s.received[a.Peers] {
-			received = append(received, totals.Reads...)
+			received = append(received, totals.Prefills...)
 		}
 		if i == 17 {
 			require.Empty(t, received, "its own event")
@@ -388,7 +388,7 @@
 func TestDemandIsSummedOverSite(t *testing.T) {
 	now := time.Unix(1000, 0)
 	demandReport := func(name string, readers float64) wire.LoadReport {
-		return wire.LoadReport{Peers: name, Full: true, Daemons: 1, Demands: map[string]wire.MemberDemand{"p": {Readers: readers}}}
+		return wire.LoadReport{PeerAddress: name, Full: true, Daemons: 1, Demands: map[string]wire.MemberDemand{"p": {PrefillEngines: readers}}}
 	}
 	leaf, aggregator, root := newLoadAggregate(), newLoadAggregate(), newLoadAggregate()
 	applyReport(t, leaf, demandReport("leaf", 2), now)
@@ -396,12 +396,12 @@
 	applyReport(t, aggregator, leaf.parentReport("leaf", true, now), now)
 	applyReport(t, root, demandReport("first", 1), now)
 	applyReport(t, root, aggregator.parentReport("near", true, now), now)
-	require.Equal(t, wire.MemberDemand{Readers: 6}, root.demand("p"))
+	require.Equal(t, wire.MemberDemand{PrefillEngines: 6}, root.demand("p"))
 	applyReport(t, root, aggregator.parentReport("near", false, now), now)
-	require.Equal(t, wire.MemberDemand{Readers: 6}, root.demand("p"))
+	require.Equal(t, wire.MemberDemand{PrefillEngines: 6}, root.demand("p"))
 	now = now.Add(2 * peerTimeout)
 	applyReport(t, root, demandReport("first", 1), now)
-	require.Equal(t, wire.MemberDemand{Readers: 1}, root.demand("p"), "the others are silent")
+	require.Equal(t, wire.MemberDemand{PrefillEngines: 1}, root.demand("p"), "the others are silent")
 }
 
 // A daemon may report without asking for an answer. Changes of others meanwhile must come with
@@ -409,14 +409,14 @@
 func TestUnansweredReportDelaysTotals(t *testing.T) {
 	aggregate := newLoadAggregate()
 	now := time.Unix(1000, 0)
-	applyReport(t, aggregate, wire.LoadReport{Peers: "a"}, now)
-	applyReport(t, aggregate, wire.LoadReport{Peers: "b", Loads: testLoads(2, 20), Reads: []placement.PrefillEvent{{Engine: 3}}}, now)
-	require.Empty(t, applyReport(t, aggregate, wire.LoadReport{Peers: "a", Loads: testLoads(1, 10), Unanswered: true}, now))
-	totals := applyReport(t, aggregate, wire.LoadReport{Peers: "a"}, now)
+	applyReport(t, aggregate, wire.LoadReport{PeerAddress: "a"}, now)
+	applyReport(t, aggregate, wire.LoadReport{PeerAddress: "b", Loads: testLoads(2, 20), Prefills: []placement.PrefillEvent{{Engine: 3}}}, now)
+	require.Empty(t, applyReport(t, aggregate, wire.LoadReport{PeerAddress: "a", Loads: testLoads(1, 10), NoReply: true}, now))
+	totals := applyReport(t, aggregate, wire.LoadReport{PeerAddress: "a"}, now)
 	require.Equal(t, testLoads(2, 20), totals.Loads)
-	require.Len(t, totals.Reads, 1)
-	require.True(t, aggregate.parentReport("a", false, now).HasNews())
-	require.False(t, aggregate.parentReport("a", false, now).HasNews())
+	require.Len(t, totals.Prefills, 1)
+	require.True(t, aggregate.parentReport("a", false, now).HasUpdates())
+	require.False(t, aggregate.parentReport("a", false, now).HasUpdates())
 }
 
 // Guards against totals received from the parent that are reported back to it and make up most
@@ -424,11 +424,11 @@
 func TestParentTotalsAreNotReportedBack(t *testing.T) {
 	aggregate := newLoadAggregate()
 	now := time.Unix(1000, 0)
-	applyReport(t, aggregate, wire.LoadReport{Peers: "a", Loads: testLoads(1, 10), Daemons: 1}, now)
+	applyReport(t, aggregate, wire.LoadReport{PeerAddress: "a", Loads: testLoads(1, 10), Daemons: 1}, now)
 	require.Equal(t, testLoads(1, 10), aggregate.parentReport("a", false, now).Loads)
 	aggregate.applyParentTotals(wire.LoadTotals{Loads: append(testLoads(7, 70), placement.UpstreamLoad{Upstream: 2, Load: placement.Load{Running: 5}})}, now)
 	require.Empty(t, aggregate.parentReport("a", false, now).Loads)
 	require.Equal(t, testLoads(1, 10), aggregate.parentReport("a", true, now).Loads, "a full report has only its own")
-	applyReport(t, aggregate, wire.LoadReport{Peers: "a", Loads: testLoads(2, 20), Daemons: 1}, now)
+	applyReport(t, aggregate, wire.LoadReport{PeerAddress: "a", Loads: testLoads(2, 20), Daemons: 1}, now)
 	require.Equal(t, testLoads(2, 20), aggregate.parentReport("a", false, now).Loads)
 }
--- a/internal/member/peers.go
+++ b/internal/member/peers.go
@@ -171,8 +171,8 @@
 		p.applyLoads(m)
 	case wire.ViewRequest:
 		reply(p.view(m.ConfigOnly))
-	case wire.BeliefsRequest:
-		reply(wire.BeliefsReply{Beliefs: p.tracker.Snapshot(m.Of)})
+	case wire.SnapshotRequest:
+		reply(wire.SnapshotReply{Snapshot: p.tracker.Snapshot(m.Engines)})
 	case wire.LoadReport:
 		p.handleReport(m, reply)
 	}
@@ -185,7 +185,7 @@
 		p.mu.Unlock()
 		return
 	}
-	for _, a := range m.Known {
+	for _, a := range m.KnownPeers {
 		p.add(a)
 	}
 	if m.Incarnation == from.incarnation && m.Seq <= from.seq {
@@ -194,12 +194,12 @@
 	}
 	// Its reported load is outdated if its process has restarted, or if from now on the load is
 	// part of the totals.
-	forget := m.Incarnation != from.incarnation || (from.fullMesh && !m.Meshed)
-	from.fullMesh = m.Meshed
+	forget := m.Incarnation != from.incarnation || (from.fullMesh && !m.FullMesh)
+	from.fullMesh = m.FullMesh
 	from.incarnation, from.seq = m.Incarnation, m.Seq
 	from.summary = Summary{
-		Serving: m.Serving, Config: m.Config,
-		ListPosition: Position(m.ListPosition), ListDigest: m.ListDigest, ListSize: m.ListSize, ListAge: m.ReadAge,
+		Serving: m.Serving, Config: m.ConfigVersion,
+		ListPosition: Position(m.ListPosition), ListDigest: m.ListDigest, ListSize: m.ListSize, ListAge: m.ListAge,
 	}
 	if m.Demands != nil {
 		from.demands = m.Demands
@@ -210,15 +210,15 @@
 	from.up = true
 	p.mu.Unlock()
 	if recovered {
-		p.log.Info("peer heard", "peer", m.Instance, "address", m.Peers, "config", m.Config)
+		p.log.Info("peer heard", "peer", m.Instance, "address", m.Peers, "config", m.ConfigVersion)
 	}
 	if forget {
 		p.tracker.ForgetPeer(m.Peers)
 	}
-	p.onPeerList(Position(m.ListPosition), m.ListDigest, m.ReadAge)
-	p.applyUnavailable(m.Away)
-	p.tracker.ApplyPeerUpdate(m.Peers, m.Loads, m.Reads)
-	p.tracker.Merge(m.Peers, m.Learnt)
+	p.onPeerList(Position(m.ListPosition), m.ListDigest, m.ListAge)
+	p.applyUnavailable(m.Unavailable)
+	p.tracker.ApplyPeerUpdate(m.Peers, m.Loads, m.Prefills)
+	p.tracker.Merge(m.Peers, m.Observations)
 	p.onUpdate()
 }
 
@@ -235,7 +235,7 @@
 	from.lastReceived = time.Now()
 	address := from.Peers
 	p.mu.Unlock()
-	p.tracker.ApplyPeerUpdate(address, m.Loads, m.Reads)
+	p.tracker.ApplyPeerUpdate(address, m.Loads, m.Prefills)
 	p.onUpdate()
 }
 
--- a/internal/member/peerview.go
+++ b/internal/member/peerview.go
@@ -28,21 +28,21 @@
 }
 
 // applyUnavailable records the unavailable engines that another daemon reports.
-func (p *Peers) applyUnavailable(engines []wire.AwayEngine) {
+func (p *Peers) applyUnavailable(engines []wire.UnavailableEngine) {
 	for _, a := range engines {
-		p.tracker.MarkUnavailable(a.At, a.To, a.Left)
+		p.tracker.MarkUnavailable(a.Engine, a.TargetRole, a.Remaining)
 	}
 }
 
-func (p *Peers) unavailableEngines() []wire.AwayEngine {
-	var list []wire.AwayEngine
+func (p *Peers) unavailableEngines() []wire.UnavailableEngine {
+	var list []wire.UnavailableEngine
 	for at, e := range p.unavailable {
 		left := time.Until(e.until)
 		if left <= 0 {
 			delete(p.unavailable, at)
 			continue
 		}
-		list = append(list, wire.AwayEngine{At: at, To: e.to, Left: left})
+		list = append(list, wire.UnavailableEngine{Engine: at, TargetRole: e.to, Remaining: left})
 	}
 	return list
 }
@@ -60,10 +60,10 @@
 	var others wire.MemberDemand
 	for _, other := range p.peers {
 		if other.up {
-			others = others.Plus(other.demands[pool])
+			others = others.Add(other.demands[pool])
 		}
 	}
-	sum.Readers += (1 + p.unreportedRatio()) * others.Readers
+	sum.PrefillEngines += (1 + p.unreportedRatio()) * others.PrefillEngines
 	return sum
 }
 
--- a/internal/member/tally.go
+++ b/internal/member/tally.go
@@ -90,10 +90,10 @@
 		return wire.LoadTotals{}, false
 	}
 	a.forgetSilent(now)
-	c := a.children[m.Peers]
+	c := a.children[m.PeerAddress]
 	if c == nil {
 		c = newContribution()
-		a.children[m.Peers] = c
+		a.children[m.PeerAddress] = c
 	}
 	if m.Full {
 		c.sentVersion = 0 // its answers may have been lost as well
@@ -101,9 +101,9 @@
 	}
 	c.daemons, c.depth = max(m.Daemons, 1), m.Depth
 	a.applyLoads(c, m.Loads, m.Full, now)
-	a.applyUnavailable(m.Away, now)
-	a.forwardPrefills(c, m.Reads)
-	if m.Unanswered {
+	a.applyUnavailable(m.Unavailable, now)
+	a.forwardPrefills(c, m.Prefills)
+	if m.NoReply {
 		return wire.LoadTotals{}, true
 	}
 	return a.changedTotals(c, now), true
@@ -125,10 +125,10 @@
 func (a *loadAggregate) applyParentTotals(m wire.LoadTotals, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.parent.daemons = m.Senders
+	a.parent.daemons = m.Daemons
 	a.applyLoads(a.parent, m.Loads, m.Full, now)
-	a.applyUnavailable(m.Away, now)
-	a.forwardPrefills(a.parent, m.Reads)
+	a.applyUnavailable(m.Unavailable, now)
+	a.forwardPrefills(a.parent, m.Prefills)
 }
 
 // totalsFor returns the totals without a sender's own part, as far as they have changed since
@@ -151,7 +151,7 @@
 	if full {
 		a.parent.sentVersion = 0
 	}
-	m := wire.LoadReport{Peers: self, Full: full, Away: a.unavailableSince(a.parent.sentVersion, now), Reads: a.parent.takePrefills()}
+	m := wire.LoadReport{PeerAddress: self, Full: full, Unavailable: a.unavailableSince(a.parent.sentVersion, now), Prefills: a.parent.takePrefills()}
 	for _, sum := range a.order {
 		if sum.changedBelow <= a.parent.sentVersion {
 			continue
@@ -176,7 +176,7 @@
 	sum := make(map[string]wire.MemberDemand)
 	for _, c := range a.children {
 		for pool, d := range c.demands {
-			sum[pool] = sum[pool].Plus(d)
+			sum[pool] = sum[pool].Add(d)
 		}
 	}
 	return sum
@@ -281,9 +281,9 @@
 // changedTotals returns the totals without the recipient's own part, where they have changed
 // since its last answer. Its own changes are included; they have no effect.
 func (a *loadAggregate) changedTotals(to *contribution, now time.Time) wire.LoadTotals {
-	totals := wire.LoadTotals{Full: to.sentVersion == 0, Senders: a.parent.daemons - to.daemons, Away: a.unavailableSince(to.sentVersion, now), Reads: to.takePrefills()}
+	totals := wire.LoadTotals{Full: to.sentVersion == 0, Daemons: a.parent.daemons - to.daemons, Unavailable: a.unavailableSince(to.sentVersion, now), Prefills: to.takePrefills()}
 	for _, c := range a.children {
-		totals.Senders += c.daemons
+		totals.Daemons += c.daemons
 	}
 	totals.Loads = a.others(to)
 	return totals
--- a/internal/member/tallynews.go
+++ b/internal/member/tallynews.go
@@ -19,25 +19,25 @@
 const unavailableSlack = 200 * time.Millisecond
 
 // applyUnavailable records unavailable engines. The later of two ends counts.
-func (a *loadAggregate) applyUnavailable(engines []wire.AwayEngine, now time.Time) {
+func (a *loadAggregate) applyUnavailable(engines []wire.UnavailableEngine, now time.Time) {
 	for _, e := range engines {
-		until := now.Add(e.Left)
-		if known := a.unavailable[e.At]; known.to == e.To && !until.After(known.until.Add(unavailableSlack)) {
+		until := now.Add(e.Remaining)
+		if known := a.unavailable[e.Engine]; known.to == e.TargetRole && !until.After(known.until.Add(unavailableSlack)) {
 			continue
 		}
-		a.unavailable[e.At] = unavailableEntry{unavailableEngine{to: e.To, until: until}, a.version}
+		a.unavailable[e.Engine] = unavailableEntry{unavailableEngine{to: e.TargetRole, until: until}, a.version}
 	}
 }
 
 // unavailableSince returns the unavailable engines that were added after a version.
-func (a *loadAggregate) unavailableSince(version uint64, now time.Time) []wire.AwayEngine {
-	var list []wire.AwayEngine
+func (a *loadAggregate) unavailableSince(version uint64, now time.Time) []wire.UnavailableEngine {
+	var list []wire.UnavailableEngine
 	for at, e := range a.unavailable {
 		switch {
 		case !now.Before(e.until):
 			delete(a.unavailable, at)
 		case e.version > version:
-			list = append(list, wire.AwayEngine{At: at, To: e.to, Left: e.until.Sub(now)})
+			list = append(list, wire.UnavailableEngine{Engine: at, TargetRole: e.to, Remaining: e.until.Sub(now)})
 		}
 	}
 	return list
--- a/internal/member/telling.go
+++ b/internal/member/telling.go
@@ -21,7 +21,7 @@
 		return p.newState(summary, loads, p.tracker.PrefillEvents(), now)
 	}
 	p.seq++
-	return wire.MemberLoads{Incarnation: p.incarnation, Seq: p.seq, Loads: loads, Reads: p.tracker.PrefillEvents()}
+	return wire.MemberLoads{Incarnation: p.incarnation, Seq: p.seq, Loads: loads, Prefills: p.tracker.PrefillEvents()}
 }
 
 // reportedSummary is the summary in the last state sent, and when.
@@ -47,9 +47,9 @@
 	p.reported = reportedSummary{summary, now}
 	return wire.MemberState{
 		MemberAddress: p.self, Incarnation: p.incarnation, Seq: p.seq,
-		Serving: summary.Serving, Config: summary.Config, ReadAge: summary.ListAge,
+		Serving: summary.Serving, ConfigVersion: summary.Config, ListAge: summary.ListAge,
 		ListPosition: uint64(summary.ListPosition), ListDigest: summary.ListDigest, ListSize: summary.ListSize,
-		Meshed: p.fullMesh, Loads: loads, Reads: prefills, Away: p.unavailableEngines(),
+		FullMesh: p.fullMesh, Loads: loads, Prefills: prefills, Unavailable: p.unavailableEngines(),
 	}
 }
 
@@ -68,14 +68,14 @@
 	s.Demands = p.localDemand()
 	p.heartbeats++
 	if p.heartbeats%observationsPeriod == 0 {
-		s.Learnt = p.tracker.LocalObservations()
+		s.Observations = p.tracker.LocalObservations()
 	}
 	if p.heartbeats%addressesPeriod != 1 {
 		return s
 	}
 	for _, other := range p.peers {
 		if other.up {
-			s.Known = append(s.Known, other.MemberAddress)
+			s.KnownPeers = append(s.KnownPeers, other.MemberAddress)
 		}
 	}
 	return s
--- a/internal/member/view.go
+++ b/internal/member/view.go
@@ -83,7 +83,7 @@
 	ctx, cancel := context.WithTimeout(ctx, viewTimeout)
 	defer cancel()
 	sent := time.Now()
-	answer, err := wire.Ask(ctx, m.wireConfig(), peer, request)
+	answer, err := wire.Request(ctx, m.wireConfig(), peer, request)
 	if err != nil {
 		m.log.Warn("request for a peer's view failed", "peer", peer, "err", err)
 		return
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -96,7 +96,7 @@
 	client, launch := c.client, d.currentLaunch()
 	if c.sticky != nil {
 		c.sticky.close()
-		client = standin.NewLoyalCaller()
+		client = standin.NewSingleConnectionCaller()
 		*c.sticky = stickyConn{client: client, address: address, launch: launch}
 	}
 	c.request(client, address, launch)
@@ -140,7 +140,7 @@
 	if c.rng.IntN(closeOneIn) == 0 {
 		onEvent = c.scheduleClose(id, s, cancel)
 	}
-	reply := client.Ask(ctx, address, s.name, id, s.deadline, s.stream, onEvent)
+	reply := client.Send(ctx, address, s.name, id, s.deadline, s.stream, onEvent)
 	c.site.oracle.answered(id, launch, reply)
 	if reply.Err != nil && !nothingSent(reply.Err) {
 		c.site.checkLostConnection(d, launch, id, reply)
--- a/internal/soak/checks.go
+++ b/internal/soak/checks.go
@@ -12,7 +12,7 @@
 
 // checkPool checks only requests that run: until an entry expires, a request meant for a crashed
 // server may reach its successor at the same address, which rejects it.
-func (o *oracle) checkPool(v standin.Visit, q *request) {
+func (o *oracle) checkPool(v standin.RequestInfo, q *request) {
 	pool := o.pools[v.Server]
 	if q.service.name == versionService && strings.HasPrefix(pool, versionService) {
 		return
@@ -24,7 +24,7 @@
 
 // checkDraining reports requests that reach a server more than maxDrainNotice after its entry
 // was marked as draining.
-func (o *oracle) checkDraining(v standin.Visit, q *request, now time.Time) {
+func (o *oracle) checkDraining(v standin.RequestInfo, q *request, now time.Time) {
 	since, draining := o.draining[v.Server]
 	from := now.Add(-maxDrainNotice)
 	if !draining || since.After(from) {
@@ -37,14 +37,14 @@
 
 // checkRemoved reports requests meant for a server whose entry was removed more than
 // maxRemovalNotice ago.
-func (o *oracle) checkRemoved(v standin.Visit, q *request, now time.Time) {
-	since, removed := o.removed[v.MeantFor]
+func (o *oracle) checkRemoved(v standin.RequestInfo, q *request, now time.Time) {
+	since, removed := o.removed[v.ExpectedServer]
 	from := now.Add(-maxRemovalNotice)
 	if !removed || since.After(from) {
 		return
 	}
 	if o.faults.undisturbed(from, now, subjectMachine, subjectStore, daemonSubject(q.daemon), storeLinkSubject(q.daemon)) {
-		o.violate(DrainedServerSpared, "%s was meant for %s, %v after its entry was taken out, by daemon %d", v.ID, v.MeantFor, now.Sub(since), q.daemon)
+		o.violate(DrainedServerSpared, "%s was meant for %s, %v after its entry was taken out, by daemon %d", v.ID, v.ExpectedServer, now.Sub(since), q.daemon)
 	}
 }
 
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -139,8 +139,8 @@
 	q.closedAt, q.activeAtClose = time.Now(), q.active > 0
 }
 
-// Arrived implements standin.Watcher.
-func (o *oracle) Arrived(v standin.Visit) {
+// Arrived implements standin.Observer.
+func (o *oracle) Arrived(v standin.RequestInfo) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	q := o.requests[v.ID]
@@ -165,8 +165,8 @@
 	q.active++
 }
 
-// Ran implements standin.Watcher.
-func (o *oracle) Ran(v standin.Visit) {
+// Ran implements standin.Observer.
+func (o *oracle) Ran(v standin.RequestInfo) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	q := o.requests[v.ID]
@@ -183,8 +183,8 @@
 	}
 }
 
-// Ended implements standin.Watcher.
-func (o *oracle) Ended(v standin.Visit) {
+// Ended implements standin.Observer.
+func (o *oracle) Ended(v standin.RequestInfo) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if q := o.requests[v.ID]; q != nil {
--- a/internal/soak/oracle_test.go
+++ b/internal/soak/oracle_test.go
@@ -19,7 +19,7 @@
 )
 
 // sendRequest records a caller's request, which the given servers receive and run.
-func sendRequest(o *oracle, s service, visits ...standin.Visit) {
+func sendRequest(o *oracle, s service, visits ...standin.RequestInfo) {
 	o.sent("1-1", s, 0)
 	for _, v := range visits {
 		v.ID = "1-1"
@@ -29,7 +29,7 @@
 	}
 }
 
-func at(server string) standin.Visit { return standin.Visit{Server: server} }
+func at(server string) standin.RequestInfo { return standin.RequestInfo{Server: server} }
 
 func correctReply(o *oracle) standin.Reply {
 	return standin.Reply{Status: http.StatusOK, ID: "1-1", Signed: true, Body: "answer of once-1 to 1-1"}
@@ -65,8 +65,8 @@
 		{"refused and runs later", func(o *oracle) {
 			sendRequest(o, onceService)
 			o.answered("1-1", 1, standin.Reply{Status: http.StatusServiceUnavailable})
-			o.Arrived(standin.Visit{Server: "once-1", ID: "1-1"})
-			o.Ran(standin.Visit{Server: "once-1", ID: "1-1"})
+			o.Arrived(standin.RequestInfo{Server: "once-1", ID: "1-1"})
+			o.Ran(standin.RequestInfo{Server: "once-1", ID: "1-1"})
 		}, []Promise{RefusedNotRun}},
 		{"failed and has run", func(o *oracle) {
 			sendRequest(o, onceService, at("once-1"))
@@ -90,7 +90,7 @@
 			r.Signed = false
 			o.answered("1-1", 1, r)
 		}, []Promise{CorrectResponse}},
-		{"unknown request", func(o *oracle) { o.Arrived(standin.Visit{Server: "once-1", ID: "9-9"}) }, []Promise{CorrectResponse}},
+		{"unknown request", func(o *oracle) { o.Arrived(standin.RequestInfo{Server: "once-1", ID: "9-9"}) }, []Promise{CorrectResponse}},
 		{"complete stream", func(o *oracle) { sendRequest(o, streamService); o.answered("1-1", 1, completeStream()) }, nil},
 		{"short stream", func(o *oracle) { sendRequest(o, streamService); o.answered("1-1", 1, events(1, 2)) }, []Promise{CompleteStream}},
 		{"cut stream", func(o *oracle) {
@@ -102,7 +102,7 @@
 		{"repeated event", func(o *oracle) { sendRequest(o, streamService); o.answered("1-1", 1, events(1, 1, 2)) }, []Promise{CompleteStream}},
 		{"missing event", func(o *oracle) { sendRequest(o, streamService); o.answered("1-1", 1, events(1, 3)) }, []Promise{CompleteStream}},
 		{"other pool", func(o *oracle) { sendRequest(o, onceService, at("repeat-1")) }, []Promise{CorrectPool}},
-		{"forged header", func(o *oracle) { sendRequest(o, onceService, standin.Visit{Server: "once-1", Forged: true}) }, []Promise{NoForgedHeaders}},
+		{"forged header", func(o *oracle) { sendRequest(o, onceService, standin.RequestInfo{Server: "once-1", Forged: true}) }, []Promise{NoForgedHeaders}},
 		{"retries over the budget", func(o *oracle) {
 			for range siteBudget.slack + 2 {
 				sendRequest(o, repeatService, at("repeat-1"), at("repeat-1"))
@@ -116,7 +116,7 @@
 		}, nil},
 		{"closes propagated", func(o *oracle) { closeRequests(o, o.Ended) }, nil},
 		{"closes not propagated", func(o *oracle) {
-			closeRequests(o, func(standin.Visit) {})
+			closeRequests(o, func(standin.RequestInfo) {})
 		}, []Promise{CancellationPropagates}},
 		{"draining for long", func(o *oracle) {
 			o.serverDraining("once-1")
@@ -131,16 +131,16 @@
 		}, nil},
 		{"removed long ago", func(o *oracle) {
 			o.removed["once-0"] = time.Now().Add(-2 * maxRemovalNotice)
-			sendRequest(o, onceService, standin.Visit{Server: "once-1", MeantFor: "once-0"})
+			sendRequest(o, onceService, standin.RequestInfo{Server: "once-1", ExpectedServer: "once-0"})
 		}, []Promise{DrainedServerSpared}},
 		{"just removed", func(o *oracle) {
 			o.serverRemoved("once-0")
-			sendRequest(o, onceService, standin.Visit{Server: "once-1", MeantFor: "once-0"})
+			sendRequest(o, onceService, standin.RequestInfo{Server: "once-1", ExpectedServer: "once-0"})
 		}, nil},
 		{"rejected by another pool's server", func(o *oracle) {
 			o.sent("1-1", onceService, 0)
-			o.Arrived(standin.Visit{Server: "repeat-1", MeantFor: "once-0", ID: "1-1"})
-			o.Ended(standin.Visit{Server: "repeat-1", MeantFor: "once-0", ID: "1-1"})
+			o.Arrived(standin.RequestInfo{Server: "repeat-1", ExpectedServer: "once-0", ID: "1-1"})
+			o.Ended(standin.RequestInfo{Server: "repeat-1", ExpectedServer: "once-0", ID: "1-1"})
 		}, nil},
 		{"just draining", func(o *oracle) { o.serverDraining("once-1"); sendRequest(o, onceService, at("once-1")) }, nil},
 		{"old configuration", func(o *oracle) {
@@ -222,12 +222,12 @@
 
 // closeRequests closes some requests while a server handles them; after is what the server does
 // then.
-func closeRequests(o *oracle, after func(v standin.Visit)) {
+func closeRequests(o *oracle, after func(v standin.RequestInfo)) {
 	for range 2 * maxLateCloses {
 		sendRequest(o, repeatService)
-		o.Arrived(standin.Visit{Server: "repeat-1", ID: "1-1"})
+		o.Arrived(standin.RequestInfo{Server: "repeat-1", ID: "1-1"})
 		o.callerClosed("1-1")
-		after(standin.Visit{Server: "repeat-1", ID: "1-1"})
+		after(standin.RequestInfo{Server: "repeat-1", ID: "1-1"})
 		q := o.requests["1-1"]
 		delete(o.requests, "1-1")
 		o.requests[time.Now().String()] = q
--- a/internal/soak/places.go
+++ b/internal/soak/places.go
@@ -91,10 +91,10 @@
 	}
 	server := standin.NewServerOn(id, l)
 	server.Born = time.Now().UnixMilli()
-	server.Watcher = s.oracle
+	server.Observer = s.oracle
 	server.SlowEvery, server.SlowFor = slowEvery, slowDuration
 	if slot.role != "" {
-		server.Events, server.Pause = streamEvents, eventGap
+		server.Events, server.EventGap = streamEvents, eventGap
 		server.SetStage(slot.role)
 	}
 	link.SetTarget(server.Address())
@@ -102,7 +102,7 @@
 	slot.mu.Lock()
 	slot.server, slot.link, slot.listedRole = server, link, slot.role
 	slot.mu.Unlock()
-	s.store.List(server, slot.pool, link.Address(), false)
+	s.store.Register(server, slot.pool, link.Address(), false)
 	return nil
 }
 
@@ -155,7 +155,7 @@
 	defer slot.replacing.Unlock()
 	server, link := slot.current()
 	if role := server.Stage(); heartbeat || role != slot.listedRole {
-		store.List(server, slot.pool, link.Address(), false)
+		store.Register(server, slot.pool, link.Address(), false)
 		slot.listedRole = role
 	}
 }
--- a/internal/soak/steps.go
+++ b/internal/soak/steps.go
@@ -26,11 +26,11 @@
 )
 
 var (
-	storeFaults  = []standin.StoreFault{standin.StoreBusy, standin.StoreSilent, standin.StoreReset, standin.StoreLosesReplies}
+	storeFaults  = []standin.StoreFault{standin.StoreUnavailable, standin.StoreSilent, standin.StoreReset, standin.StoreDropsReplies}
 	linkModes    = []Mode{ModeDelay, ModeStall, ModeStallReplies, ModeReset}
 	serverFaults = []standin.Fault{
-		standin.Shed, standin.Errs, standin.Busy, standin.ResetBefore, standin.LosesAnswer, standin.CutsAnswer,
-		standin.Unsigned, standin.Foreign, standin.Repeats, standin.Hangs,
+		standin.Shed, standin.InternalError, standin.UnmarkedUnavailable, standin.ResetBeforeRun, standin.DropsResponse, standin.TruncatesResponse,
+		standin.Unsigned, standin.WrongRequestID, standin.RepeatsEvent, standin.Hangs,
 	}
 )
 
@@ -121,7 +121,7 @@
 	end := s.faults.begin(subjectStore)
 	s.store.Fail(fault)
 	time.Sleep(duration)
-	s.store.Fail(standin.StoreWell)
+	s.store.Fail(standin.StoreHealthy)
 	time.AfterFunc(settleDelay, end)
 }
 
@@ -133,7 +133,7 @@
 	age := time.Duration(1+step.Variant%maxBackupAgeSeconds) * time.Second
 	rewriteAfter := time.Duration(step.Target%maxRewriteDelayMs) * time.Millisecond
 	s.store.Restore(age, rewriteAfter)
-	s.store.Fail(standin.StoreWell)
+	s.store.Fail(standin.StoreHealthy)
 	time.AfterFunc(rewriteAfter+settleDelay, end)
 }
 
@@ -154,7 +154,7 @@
 	server, _ := slot.current()
 	server.FailAll(serverFaults[step.Variant%len(serverFaults)])
 	time.Sleep(step.For)
-	server.FailAll(standin.Well)
+	server.FailAll(standin.NoFault)
 	time.AfterFunc(settleDelay, end)
 }
 
@@ -216,7 +216,7 @@
 }
 
 func (s *site) unlist(id string) {
-	s.store.Unlist(id)
+	s.store.Deregister(id)
 	s.oracle.serverRemoved(id)
 }
 
@@ -249,7 +249,7 @@
 // drainServer marks a server as draining, and replaces it after drainTime.
 func (s *site) drainServer(slot *serverSlot) {
 	old, link := slot.current()
-	s.store.List(old, slot.pool, link.Address(), true)
+	s.store.Register(old, slot.pool, link.Address(), true)
 	s.oracle.serverDraining(old.ID)
 	time.Sleep(drainTime)
 	end := s.faults.begin(serversSubject(slot.pool))
--- a/internal/status/fetch.go
+++ b/internal/status/fetch.go
@@ -16,10 +16,10 @@
 
 const (
 	// firstFetchDelay is how long a starting entry waits for the log before it asks peers.
-	// A leader counts a killed predecessor's acknowledged drain for wire.StatusFresh; until
+	// A leader counts a killed predecessor's acknowledged drain for wire.MaxStatusAge; until
 	// then its order could cut off this entry's requests. A later drain is complete without
 	// this entry only if every peer has applied it, and then replies name it.
-	firstFetchDelay = wire.StatusFresh + 100*time.Millisecond
+	firstFetchDelay = wire.MaxStatusAge + 100*time.Millisecond
 	// maxConcurrentFetches limits how many peers are asked at the same time.
 	maxConcurrentFetches = 8
 	// fetchTimeout bounds one request to a peer, well within the two seconds in which an
@@ -67,7 +67,7 @@
 func (n *Node) fetchFrom(ctx context.Context, in settings.Instance) bool {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	message, err := wire.Ask(ctx, n.cfg, in.Peers, wire.RulesRequest{})
+	message, err := wire.Request(ctx, n.cfg, in.Peers, wire.RulesRequest{})
 	if err != nil {
 		n.log.Debug("rules request to peer failed", "peer", in.Name, "err", err)
 		return false
--- a/internal/wire/handshake.go
+++ b/internal/wire/handshake.go
@@ -12,7 +12,7 @@
 	"tamarackchute/internal/codec"
 )
 
-// Version is the protocol's version. Both ends must have the same.
+// Version is the protocol's version. Both ends must use the same.
 const Version = 1
 
 const (
@@ -20,8 +20,8 @@
 	maxHandshakeBytes = 512
 )
 
-// Labels keep the uses of the secret apart: a proof of one side can't be sent
-// back as the other's, and no proof is a key.
+// Labels separate the uses of the secret: one side's proof can't be reflected as
+// the other's, and no proof equals a key.
 const (
 	labelClientProof  = "tamarackchute client proof"
 	labelServerProof  = "tamarackchute server proof"
@@ -29,15 +29,15 @@
 	labelServerFrames = "tamarackchute server frames"
 )
 
-// hello opens a handshake; the server answers with one of its own.
+// hello opens a handshake; the server replies with a hello of its own.
 type hello struct {
 	Version int    `msgpack:"v"`
 	Name    string `msgpack:"n"`
 	Nonce   []byte `msgpack:"r"`
 }
 
-// secrets is what a handshake yields: the peer's name and a key a direction.
-type secrets struct {
+// session is the result of a handshake: the peer's name and a key per direction.
+type session struct {
 	peer       string
 	sendKey    []byte
 	receiveKey []byte
@@ -50,53 +50,54 @@
 //	client: HMAC(secret, client label, both hellos)
 //	server: HMAC(secret, server label, both hellos)
 //
-// The server proves nothing before the client has. Both nonces are in both
-// proofs, so a recorded proof fits no later handshake.
-func handshakeClient(rw io.ReadWriter, name string, secret []byte) (secrets, error) {
+// The server sends its proof only after it has verified the client's. Both nonces
+// are part of both proofs, so a recorded proof is invalid in a later handshake.
+func handshakeClient(rw io.ReadWriter, name string, secret []byte) (session, error) {
 	sent, err := sendHello(rw, name)
 	if err != nil {
-		return secrets{}, err
+		return session{}, err
 	}
 	received, peer, err := receiveHello(rw)
 	if err != nil {
-		return secrets{}, err
+		return session{}, err
 	}
-	transcript := appendRaw(appendRaw(nil, sent), received)
-	if err := writeRaw(rw, derive(secret, labelClientProof, transcript)); err != nil {
-		return secrets{}, err
+	transcript := appendPrefixed(appendPrefixed(nil, sent), received)
+	if err := writePrefixed(rw, derive(secret, labelClientProof, transcript)); err != nil {
+		return session{}, err
 	}
 	if err := checkProof(rw, derive(secret, labelServerProof, transcript)); err != nil {
-		return secrets{}, err
+		return session{}, err
 	}
-	return secrets{
+	return session{
 		peer:       peer,
 		sendKey:    derive(secret, labelClientFrames, transcript),
 		receiveKey: derive(secret, labelServerFrames, transcript),
 	}, nil
 }
 
-// handshakeServer is the other side of handshakeClient.
-func handshakeServer(rw io.ReadWriter, name string, secret []byte) (secrets, error) {
+// handshakeServer is the server's side of handshakeClient.
+func handshakeServer(rw io.ReadWriter, name string, secret []byte) (session, error) {
 	received, peer, err := receiveHello(rw)
 	if err != nil && !eris.Is(err, ErrVersion) {
-		return secrets{}, err
+		return session{}, err
 	}
-	// A peer of another version gets our hello too, so that it can tell why.
+	// A peer of another version gets our hello too, so that it can report the
+	// mismatch.
 	sent, sendErr := sendHello(rw, name)
 	if err != nil {
-		return secrets{}, err
+		return session{}, err
 	}
 	if sendErr != nil {
-		return secrets{}, sendErr
+		return session{}, sendErr
 	}
-	transcript := appendRaw(appendRaw(nil, received), sent)
+	transcript := appendPrefixed(appendPrefixed(nil, received), sent)
 	if err := checkProof(rw, derive(secret, labelClientProof, transcript)); err != nil {
-		return secrets{}, eris.Wrapf(err, "peer that calls itself %q", peer)
+		return session{}, eris.Wrapf(err, "peer claiming to be %q", peer)
 	}
-	if err := writeRaw(rw, derive(secret, labelServerProof, transcript)); err != nil {
-		return secrets{}, err
+	if err := writePrefixed(rw, derive(secret, labelServerProof, transcript)); err != nil {
+		return session{}, err
 	}
-	return secrets{
+	return session{
 		peer:       peer,
 		sendKey:    derive(secret, labelServerFrames, transcript),
 		receiveKey: derive(secret, labelClientFrames, transcript),
@@ -116,13 +117,13 @@
 	_, _ = rand.Read(h.Nonce)
 	data, err := msgpack.Marshal(h)
 	if err != nil {
-		return nil, eris.Wrap(err, "hello can't be encoded")
+		return nil, eris.Wrap(err, "encode hello")
 	}
-	return data, writeRaw(w, data)
+	return data, writePrefixed(w, data)
 }
 
 func receiveHello(r io.Reader) (raw []byte, name string, err error) {
-	raw, err = readRaw(r, maxHandshakeBytes)
+	raw, err = readPrefixed(r, maxHandshakeBytes)
 	if err != nil {
 		return nil, "", err
 	}
@@ -136,23 +137,23 @@
 	return raw, h.Name, nil
 }
 
-// checkProof reads the peer's proof and compares it in constant time. A peer
-// that hangs up instead has not taken our proof or has none.
+// checkProof reads the peer's proof and compares it in constant time. A peer that
+// closes the connection instead rejected our proof or has none.
 func checkProof(r io.Reader, want []byte) error {
-	got, err := readRaw(r, maxHandshakeBytes)
+	got, err := readPrefixed(r, maxHandshakeBytes)
 	if err == io.EOF {
-		return eris.Wrap(ErrNotAuthentic, "peer hung up before its proof")
+		return eris.Wrap(ErrNotAuthenticated, "peer closed the connection before its proof")
 	}
 	if err != nil {
 		return err
 	}
 	if !hmac.Equal(got, want) {
-		return ErrNotAuthentic
+		return ErrNotAuthenticated
 	}
 	return nil
 }
 
-func writeRaw(w io.Writer, data []byte) error {
-	_, err := w.Write(appendRaw(nil, data))
+func writePrefixed(w io.Writer, data []byte) error {
+	_, err := w.Write(appendPrefixed(nil, data))
 	return err
 }
--- a/internal/wire/links.go
+++ b/internal/wire/links.go
@@ -9,10 +9,10 @@
 	"github.com/thejerf/suture/v4"
 )
 
-// linkRest is how long a link stays without anything sent over it.
-const linkRest = 30 * time.Second
+// linkIdleTimeout is how long a link stays open without a message sent over it.
+const linkIdleTimeout = 30 * time.Second
 
-// Links keeps a link to each address that something was sent to lately.
+// Links maintains a link to each address to which something was sent recently.
 type Links struct {
 	*suture.Supervisor
 	cfg    Config
@@ -20,44 +20,45 @@
 	log    *slog.Logger
 
 	mu    sync.Mutex
-	links map[string]*usedLink
+	links map[string]*activeLink
 }
 
-type usedLink struct {
-	link  *Link
-	token suture.ServiceToken
-	used  time.Time
+type activeLink struct {
+	link     *Link
+	token    suture.ServiceToken
+	lastUsed time.Time
 }
 
-// NewLinks returns an empty set of links; its supervisor runs it. handle takes
-// what peers send back, from several goroutines; nil drops it.
+// NewLinks returns an empty set of links; its supervisor runs it. handle receives
+// the peers' messages, from several goroutines; with nil they are dropped.
 func NewLinks(name string, cfg Config, handle func(Message), log *slog.Logger) *Links {
 	ls := &Links{
 		Supervisor: suture.New(name, suture.Spec{EventHook: logEvents(log)}),
 		cfg:        cfg,
 		handle:     handle,
 		log:        log,
-		links:      map[string]*usedLink{},
+		links:      map[string]*activeLink{},
 	}
 	ls.Add(&sweeper{ls})
 	return ls
 }
 
-// Send queues a message for an address and never blocks; see Link.Send.
+// Send queues a message for an address and never blocks. Like Link.Send, it may lose
+// the message.
 func (ls *Links) Send(address string, m Message) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
 	u, ok := ls.links[address]
 	if !ok {
-		u = &usedLink{link: NewLink(ls.cfg, address, ls.handle, ls.log)}
+		u = &activeLink{link: NewLink(ls.cfg, address, ls.handle, ls.log)}
 		u.token = ls.Add(u.link)
 		ls.links[address] = u
 	}
-	u.used = time.Now()
+	u.lastUsed = time.Now()
 	u.link.Send(m)
 }
 
-// sweeper ends links that have gone unused, such as those to former leaders.
+// sweeper removes links that are no longer used, such as those to former leaders.
 type sweeper struct {
 	links *Links
 }
@@ -65,7 +66,7 @@
 func (s *sweeper) String() string { return "sweeper of unused links" }
 
 func (s *sweeper) Serve(ctx context.Context) error {
-	for sleep(ctx, linkRest) {
+	for sleep(ctx, linkIdleTimeout) {
 		s.links.sweep(time.Now())
 	}
 	return ctx.Err()
@@ -75,14 +76,14 @@
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
 	for address, u := range ls.links {
-		if now.Sub(u.used) >= linkRest {
+		if now.Sub(u.lastUsed) >= linkIdleTimeout {
 			delete(ls.links, address)
 			_ = ls.Remove(u.token)
 		}
 	}
 }
 
-// logEvents writes the supervisor's events as log lines.
+// logEvents returns a hook that logs the supervisor's events.
 func logEvents(log *slog.Logger) suture.EventHook {
 	return func(e suture.Event) { log.Warn("supervisor", "event", e.String()) }
 }
