--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -309,7 +309,7 @@
 		engines: c.allEngines(), executors: c.executors, loads: c.loads, view: c.changes,
 		presence: c.presence, weights: c.cfg.Weights, log: c.log,
 		limit: c.cfg.Deployment.Platform.WeightBytesPerSecond,
-		fresh: seconds(c.cfg.Deployment.Roles.MaxPictureAgeSeconds),
+		fresh: seconds(c.cfg.Deployment.Roles.MaxReportAgeSeconds),
 	}
 }
 
@@ -332,7 +332,7 @@
 	return rolepolicy.New(r.Policy, rolepolicy.Config{
 		ChangeWeight: r.ChangeWeight, Dwell: seconds(r.DwellSeconds),
 		ChangeDuration: seconds(r.ChangeSeconds), MaxAtOnce: r.MaxAtOnce,
-		MaxReportAge: seconds(r.MaxPictureAgeSeconds), Schedule: plan,
+		MaxReportAge: seconds(r.MaxReportAgeSeconds), Schedule: plan,
 	})
 }
 
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -17,12 +17,12 @@
 	"tamarackchute/internal/settings"
 )
 
-// Exit is the program's exit code.
-type Exit int
+// ExitCode is the program's exit code.
+type ExitCode int
 
 // The exit codes.
 const (
-	ExitOK Exit = iota
+	ExitOK ExitCode = iota
 	ExitFailed
 	ExitUsage
 	// ExitConflict: another version than the one edited is in force.
@@ -68,7 +68,7 @@
 
 // exitError ends a command with an exit code. An empty message prints nothing.
 type exitError struct {
-	code    Exit
+	code    ExitCode
 	message string
 }
 
@@ -80,7 +80,7 @@
 
 // Run runs the command that args name, without the program's name, and returns
 // its exit code.
-func Run(args []string, env Environment) Exit {
+func Run(args []string, env Environment) ExitCode {
 	s := &session{Environment: env}
 	err := s.run(args)
 	var exit *exitError
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -96,7 +96,7 @@
 }
 
 // run runs chutectl; words that end in .json are files of the bench.
-func (b *bench) run(line string) (Exit, string, string) {
+func (b *bench) run(line string) (ExitCode, string, string) {
 	args := []string{"-settings", filepath.Join(b.folder, "settings.json"), "-timeout", "10s"}
 	if !strings.Contains(line, "-token-file") {
 		args = append(args, "-token-file", filepath.Join(b.folder, "token"))
--- a/internal/ctl/explain_test.go
+++ b/internal/ctl/explain_test.go
@@ -19,7 +19,7 @@
 {"time":"2026-05-01T10:00:00.030Z","level":"WARN","msg":"failed","instance":"b","request":"r1","status":503,"reason":"no place"}
 `
 
-func explain(t *testing.T, stdin string, args ...string) (string, string, Exit) {
+func explain(t *testing.T, stdin string, args ...string) (string, string, ExitCode) {
 	t.Helper()
 	var out, errs bytes.Buffer
 	code := Run(args, Environment{Stdin: strings.NewReader(stdin), Stdout: &out, Stderr: &errs, Getenv: func(string) string { return "" }})
--- a/internal/entry/discovery/discovery.go
+++ b/internal/entry/discovery/discovery.go
@@ -45,7 +45,7 @@
 func New(d *settings.Deployment, self settings.Instance, m Members) *Directory {
 	dir := &Directory{
 		self:       self,
-		maxAge:     d.Discovery.KeepSeconds,
+		maxAge:     d.Discovery.TTLSeconds,
 		members:    m,
 		byDistance: map[string][]settings.Instance{},
 	}
--- a/internal/entry/discovery/discovery_test.go
+++ b/internal/entry/discovery/discovery_test.go
@@ -30,7 +30,7 @@
 			{Name: "v1", DataCentre: "vik", Callers: "10.0.0.3:1"},
 			{Name: "s1", DataCentre: "selfoss", Callers: "10.0.0.4:1"},
 		},
-		Discovery: settings.Discovery{KeepSeconds: 5},
+		Discovery: settings.Discovery{TTLSeconds: 5},
 	}
 	m := members{"h2": membership.Live, "v1": membership.Live, "s1": membership.Live}
 	dir := New(d, d.Instances[0], m)
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -108,7 +108,7 @@
 		incarnation: uuid.NewString(),
 		log:         cfg.Logger,
 		shutdown: shutdown.State{
-			DiscoveryTTL: seconds(cfg.Deployment.Discovery.KeepSeconds),
+			DiscoveryTTL: seconds(cfg.Deployment.Discovery.TTLSeconds),
 			Grace:        seconds(cfg.Deployment.Discovery.GraceSeconds),
 		},
 	}
@@ -130,7 +130,7 @@
 	d := e.cfg.Deployment
 	e.journal = journal.New(e.cfg.Log, journal.Config{
 		Writer:           e.writer(),
-		Linger:           time.Duration(d.Protected.CommitMillis * float64(time.Millisecond)),
+		Linger:           time.Duration(d.Protected.LingerMillis * float64(time.Millisecond)),
 		AppendsPerSecond: d.Platform.AppendsPerSecond / float64(len(d.Instances)),
 		Retention:        seconds(d.Platform.RetentionSeconds),
 		Logger:           e.log,
@@ -161,7 +161,7 @@
 	c := claim.Config{
 		Writer:           e.writer(),
 		ClaimTimeout:     time.Duration(d.Protected.ClaimTimeoutMillis * float64(time.Millisecond)),
-		KeyTTL:           seconds(d.Protected.RememberSeconds),
+		KeyTTL:           seconds(d.Protected.KeyTTLSeconds),
 		Retention:        seconds(d.Platform.RetentionSeconds),
 		MaxRecordedBytes: d.Protected.MaxRecordedBytes,
 	}
@@ -197,8 +197,8 @@
 		InFlight:         e.inflight,
 		CrashDetector:    e.crashDetector,
 		RetryBudget:      retryBudget{e.admission},
-		MemoryBudget:     stream.NewMemoryBudget(e.cfg.Deployment.Streams.KeptBytesInAll),
-		MaxBufferedBytes: e.cfg.Deployment.Streams.KeptBytes,
+		MemoryBudget:     stream.NewMemoryBudget(e.cfg.Deployment.Streams.MaxTotalBufferedBytes),
+		MaxBufferedBytes: e.cfg.Deployment.Streams.MaxBufferedBytes,
 		MaxAttempts:      maxAttempts,
 		MaxEngineWait:    engineWait,
 		NewID:            uuid.NewString,
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -16,7 +16,7 @@
 func TestStreamsFollowTheSettings(t *testing.T) {
 	d, err := settings.Load("../../deploy/kalku-rinda/settings.json")
 	require.NoError(t, err)
-	d.Streams = settings.Streams{KeptBytes: 8, KeptBytesInAll: 12, DefaultDeadlineSeconds: 3}
+	d.Streams = settings.Streams{MaxBufferedBytes: 8, MaxTotalBufferedBytes: 12, DefaultDeadlineSeconds: 3}
 	e := newTestEntry(t, d, journaltest.NewLog(), d.Instances[0].Name)
 	require.Equal(t, 3*time.Second, e.gatewayOptions().DefaultDeadline)
 	for _, c := range []struct {
--- a/internal/entry/gateway/golden_test.go
+++ b/internal/entry/gateway/golden_test.go
@@ -78,7 +78,7 @@
 		directory: discovery.New(&settings.Deployment{
 			DataCentres: []settings.DataCentre{{Name: "dc"}},
 			Instances:   []settings.Instance{{Name: "i1", DataCentre: "dc", Callers: "10.0.0.1:80"}},
-			Discovery:   settings.Discovery{KeepSeconds: 5},
+			Discovery:   settings.Discovery{TTLSeconds: 5},
 		}, settings.Instance{Name: "i1", DataCentre: "dc"}, allLive{}),
 	}
 	h := newHarness(t, deps, func(o *gateway.Options) { o.Heartbeat = time.Hour })
--- a/internal/load/prepare.go
+++ b/internal/load/prepare.go
@@ -104,7 +104,7 @@
 	r := &d.Roles
 	r.DwellSeconds /= v.Scale
 	r.ChangeSeconds /= v.Scale
-	r.MaxPictureAgeSeconds = max(leastPictureAge, r.MaxPictureAgeSeconds/v.Scale)
+	r.MaxReportAgeSeconds = max(leastPictureAge, r.MaxReportAgeSeconds/v.Scale)
 	if v.Policy != "" {
 		r.Policy = v.Policy
 	}
--- a/internal/member/eras.go
+++ b/internal/member/eras.go
@@ -18,7 +18,7 @@
 	current  uint64
 	observed bool
 	log      *slog.Logger
-	changes  notify.Changes
+	changes  notify.Broadcaster
 }
 
 // Current returns the latest era observed.
@@ -68,7 +68,7 @@
 	}
 	e.current, e.observed = era, true
 	if risen {
-		e.changes.Wake()
+		e.changes.Broadcast()
 	}
 	return true
 }
--- a/internal/settings/checkparts.go
+++ b/internal/settings/checkparts.go
@@ -161,19 +161,19 @@
 		ps.add("platform.retention_s", "%v is below four lease terms, %v: leases would expire from the log",
 			d.Platform.RetentionSeconds, least)
 	}
-	if p.RememberSeconds > d.Platform.RetentionSeconds {
+	if p.KeyTTLSeconds > d.Platform.RetentionSeconds {
 		ps.add("protected.remember_s", "%v is beyond platform.retention_s, %v: the log forgets keys earlier",
-			p.RememberSeconds, d.Platform.RetentionSeconds)
+			p.KeyTTLSeconds, d.Platform.RetentionSeconds)
 	}
-	if p.CommitMillis >= p.ClaimTimeoutMillis {
-		ps.add("protected.commit_ms", "%v must be below protected.claim_timeout_ms, %v", p.CommitMillis, p.ClaimTimeoutMillis)
+	if p.LingerMillis >= p.ClaimTimeoutMillis {
+		ps.add("protected.commit_ms", "%v must be below protected.claim_timeout_ms, %v", p.LingerMillis, p.ClaimTimeoutMillis)
 	}
 	if claim := p.ClaimTimeoutMillis / 1000; d.Discovery.GraceSeconds < claim {
 		ps.add("discovery.grace_s", "%v is below protected.claim_timeout_ms, %v s: a stop would cut off a protected call",
 			d.Discovery.GraceSeconds, claim)
 	}
-	if s := d.Streams; int64(s.KeptBytes) > s.KeptBytesInAll {
-		ps.add("streams.kept_bytes", "%v is above streams.kept_bytes_in_all, %v", s.KeptBytes, s.KeptBytesInAll)
+	if s := d.Streams; int64(s.MaxBufferedBytes) > s.MaxTotalBufferedBytes {
+		ps.add("streams.kept_bytes", "%v is above streams.kept_bytes_in_all, %v", s.MaxBufferedBytes, s.MaxTotalBufferedBytes)
 	}
 	if r.Policy != "fixed" && r.DwellSeconds < r.ChangeSeconds {
 		ps.add("roles.dwell_s", "%v is below roles.change_s, %v: an engine would change again before it is back",
--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -10,7 +10,7 @@
 			RetentionSeconds:     3600,
 			WeightBytesPerSecond: 200e6,
 		},
-		Discovery: Discovery{KeepSeconds: 5, GraceSeconds: 60},
+		Discovery: Discovery{TTLSeconds: 5, GraceSeconds: 60},
 		Lease: Lease{
 			TermSeconds:   3,
 			RenewSeconds:  1,
@@ -18,9 +18,9 @@
 			SettleSeconds: 1,
 		},
 		Protected: Protected{
-			CommitMillis:       4,
+			LingerMillis:       4,
 			ClaimTimeoutMillis: 2000,
-			RememberSeconds:    1800,
+			KeyTTLSeconds:      1800,
 			MaxRecordedBytes:   4096,
 		},
 		Admission: Admission{
@@ -30,17 +30,17 @@
 			RetryBudget:  0.1,
 		},
 		Streams: Streams{
-			KeptBytes:              64 << 10,
-			KeptBytesInAll:         16 << 20,
+			MaxBufferedBytes:       64 << 10,
+			MaxTotalBufferedBytes:  16 << 20,
 			DefaultDeadlineSeconds: 120,
 		},
 		Roles: Roles{
-			Policy:               "gain",
-			ChangeWeight:         1,
-			DwellSeconds:         20,
-			ChangeSeconds:        4,
-			MaxAtOnce:            1,
-			MaxPictureAgeSeconds: 10,
+			Policy:              "gain",
+			ChangeWeight:        1,
+			DwellSeconds:        20,
+			ChangeSeconds:       4,
+			MaxAtOnce:           1,
+			MaxReportAgeSeconds: 10,
 		},
 		Log: Logging{Format: "text", Level: "info"},
 	}
--- a/internal/settings/load_test.go
+++ b/internal/settings/load_test.go
@@ -59,7 +59,7 @@
 	d, err := Parse("small.json", []byte(smallest))
 	require.NoError(t, err)
 	require.Equal(t, Defaults().Roles, d.Roles)
-	require.Equal(t, Streams{KeptBytes: 65536, KeptBytesInAll: 16777216, DefaultDeadlineSeconds: 120}, d.Streams)
+	require.Equal(t, Streams{MaxBufferedBytes: 65536, MaxTotalBufferedBytes: 16777216, DefaultDeadlineSeconds: 120}, d.Streams)
 	require.Equal(t, 9.0, d.Lease.TermSeconds)
 	require.Equal(t, Defaults().Lease.RenewSeconds, d.Lease.RenewSeconds)
 }
@@ -73,7 +73,7 @@
 		},
 	}
 	require.Equal(t, []string{"here", "near-a", "near-b", "far"}, d.Nearest("here"))
-	require.Equal(t, 1500*time.Microsecond, d.OneWay("here", "near-b"))
+	require.Equal(t, 1500*time.Microsecond, d.OneWayLatency("here", "near-b"))
 }
 
 // Any text gives either a checked deployment or problems that name the file.
--- a/internal/settings/lookup.go
+++ b/internal/settings/lookup.go
@@ -25,9 +25,9 @@
 	return Upstream{}, false
 }
 
-// OneWay returns the one-way latency between two data centres: 0 within one,
+// OneWayLatency returns the one-way latency between two data centres: 0 within one,
 // and 0 for a pair without a link, which Load refuses.
-func (d *Deployment) OneWay(a, b string) time.Duration {
+func (d *Deployment) OneWayLatency(a, b string) time.Duration {
 	for _, l := range d.Links {
 		if (l.From == a && l.To == b) || (l.From == b && l.To == a) {
 			return time.Duration(l.OneWayMillis * float64(time.Millisecond))
@@ -48,7 +48,7 @@
 		if (a == from) != (b == from) {
 			return a == from
 		}
-		la, lb := d.OneWay(from, a), d.OneWay(from, b)
+		la, lb := d.OneWayLatency(from, a), d.OneWayLatency(from, b)
 		if la != lb {
 			return la < lb
 		}
--- a/internal/settings/types.go
+++ b/internal/settings/types.go
@@ -101,8 +101,8 @@
 
 // Discovery sets how callers learn where to connect.
 type Discovery struct {
-	// KeepSeconds is how long a caller may keep an answer.
-	KeepSeconds float64 `json:"keep_s" validate:"gt=0"`
+	// TTLSeconds is how long a caller may keep an answer.
+	TTLSeconds float64 `json:"keep_s" validate:"gt=0"`
 	// GraceSeconds is the longest that a stopping instance waits beyond that
 	// for its requests to end.
 	GraceSeconds float64 `json:"grace_s" validate:"gt=0"`
@@ -121,12 +121,12 @@
 
 // Protected sets calls that run at most once.
 type Protected struct {
-	// CommitMillis is the longest that a claim waits for company in one append.
-	CommitMillis float64 `json:"commit_ms" validate:"gte=0"`
+	// LingerMillis is the longest that a claim waits for company in one append.
+	LingerMillis float64 `json:"commit_ms" validate:"gte=0"`
 	// ClaimTimeoutMillis bounds the wait for a claim; then the call is refused.
 	ClaimTimeoutMillis float64 `json:"claim_timeout_ms" validate:"gt=0"`
-	// RememberSeconds is how long a key is known.
-	RememberSeconds float64 `json:"remember_s" validate:"gt=0"`
+	// KeyTTLSeconds is how long a key is known.
+	KeyTTLSeconds float64 `json:"remember_s" validate:"gt=0"`
 	// MaxRecordedBytes is the largest answer recorded whole for resends.
 	MaxRecordedBytes int `json:"max_recorded_bytes" validate:"gte=0"`
 }
@@ -146,10 +146,10 @@
 
 // Streams sets what answers may take, in time and memory.
 type Streams struct {
-	// KeptBytes bounds the text kept of one stream so that another engine can
-	// continue it; KeptBytesInAll bounds that of all streams of one entry.
-	KeptBytes      int   `json:"kept_bytes" validate:"gte=0"`
-	KeptBytesInAll int64 `json:"kept_bytes_in_all" validate:"gte=0"`
+	// MaxBufferedBytes bounds the text kept of one stream so that another engine can
+	// continue it; MaxTotalBufferedBytes bounds that of all streams of one entry.
+	MaxBufferedBytes      int   `json:"kept_bytes" validate:"gte=0"`
+	MaxTotalBufferedBytes int64 `json:"kept_bytes_in_all" validate:"gte=0"`
 	// DefaultDeadlineSeconds is for requests, streams or not, whose rule sets no
 	// deadline.
 	DefaultDeadlineSeconds float64 `json:"default_deadline_s" validate:"gt=0,lte=86400"`
@@ -167,8 +167,8 @@
 	ChangeSeconds float64 `json:"change_s" validate:"gt=0"`
 	// MaxAtOnce bounds the engines changing at once in a data centre.
 	MaxAtOnce int `json:"max_at_once" validate:"gt=0"`
-	// MaxPictureAgeSeconds is the oldest demand picture acted on.
-	MaxPictureAgeSeconds float64 `json:"max_picture_age_s" validate:"gt=0"`
+	// MaxReportAgeSeconds is the oldest demand picture acted on.
+	MaxReportAgeSeconds float64 `json:"max_picture_age_s" validate:"gt=0"`
 	// Schedule is followed by the policy "schedule" and no other.
 	Schedule []RoleStep `json:"schedule" validate:"dive"`
 }
--- a/lease/view.go
+++ b/lease/view.go
@@ -35,7 +35,7 @@
 type View struct {
 	state   State
 	current atomic.Pointer[Snapshot]
-	changes notify.Changes
+	changes notify.Broadcaster
 }
 
 // NewView returns a view of an empty journal.
@@ -54,7 +54,7 @@
 	}
 	v.current.Store(next)
 	if accepted {
-		v.changes.Wake()
+		v.changes.Broadcast()
 	}
 }
 
@@ -73,7 +73,7 @@
 // publish makes the current state visible at a position and wakes waiters.
 func (v *View) publish(at journal.Position) {
 	v.current.Store(&Snapshot{Position: at, Scopes: maps.Clone(v.state.scopes), unknown: v.state.unknown()})
-	v.changes.Wake()
+	v.changes.Broadcast()
 }
 
 // Snapshot returns the current state.
--- a/orders/view.go
+++ b/orders/view.go
@@ -36,7 +36,7 @@
 type View struct {
 	state   *State
 	current atomic.Pointer[Snapshot]
-	changes notify.Changes
+	changes notify.Broadcaster
 }
 
 // NewView returns a view of an empty journal. Register it for KindOrder with
@@ -56,7 +56,7 @@
 	}
 	v.current.Store(next)
 	if accepted {
-		v.changes.Wake()
+		v.changes.Broadcast()
 	}
 }
 
