--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -9,8 +9,7 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// check notes faults of single values, then those that only show when values
-// are held against each other.
+// check validates single values first, then constraints between values.
 func check(d *Deployment, ps *problems) {
 	checkValues(d, ps)
 	checkDataCentres(d, ps)
@@ -18,7 +17,7 @@
 	checkAddresses(d, ps)
 	checkUpstreams(d, ps)
 	checkModels(d, ps)
-	checkTimes(d, ps)
+	checkLimits(d, ps)
 	checkSecurity(d, ps)
 }
 
@@ -33,14 +32,14 @@
 		return
 	}
 	for _, fe := range err.(validator.ValidationErrors) {
-		// The namespace begins with the Go type: Deployment.links[0].from.
+		// The namespace starts with the Go type: Deployment.links[0].from.
 		_, key, _ := strings.Cut(fe.Namespace(), ".")
 		ps.add(key, "%s", tagMessage(fe))
 	}
 }
 
-// isIPPort accepts "127.1.0.1:8080": a numeric address that others can connect
-// to, and a port other than 0. Names aren't taken: instances talk by IP number.
+// isIPPort accepts a specified IP address with a port other than 0, such as
+// "127.1.0.1:8080". Host names are rejected: instances connect by IP address.
 func isIPPort(fl validator.FieldLevel) bool {
 	ap, err := netip.ParseAddrPort(fl.Field().String())
 	return err == nil && ap.Port() != 0 && !ap.Addr().IsUnspecified()
@@ -67,53 +66,54 @@
 	case "len", "hexadecimal":
 		return "must be a SHA-256 hash: 64 hexadecimal digits"
 	default:
-		panic("settings: no message for the rule " + fe.Tag())
+		panic("settings: no message for validation tag " + fe.Tag())
 	}
 }
 
-// uniqueness notes values that stand more than once.
-type uniqueness struct {
-	ps    *problems
-	first map[string]string
+// uniqueValues reports values that occur more than once.
+type uniqueValues struct {
+	ps *problems
+	// firstKey maps each value to the key where it occurs first.
+	firstKey map[string]string
 }
 
-func newUniqueness(ps *problems) uniqueness {
-	return uniqueness{ps: ps, first: map[string]string{}}
+func newUniqueValues(ps *problems) uniqueValues {
+	return uniqueValues{ps: ps, firstKey: map[string]string{}}
 }
 
-func (u uniqueness) add(key, value string) {
+func (u uniqueValues) add(key, value string) {
 	if value == "" {
 		return
 	}
-	if first, ok := u.first[value]; ok {
-		u.ps.add(key, "%q is already used by %s on line %d", value, first, u.ps.lines.of(first))
+	if first, ok := u.firstKey[value]; ok {
+		u.ps.add(key, "%q is already used by %s on line %d", value, first, u.ps.lines.lineOf(first))
 		return
 	}
-	u.first[value] = key
+	u.firstKey[value] = key
 }
 
 func checkNames(d *Deployment, ps *problems) {
-	// Instances and upstreams share one list of the platform, so their names
-	// must differ from each other too.
-	machines := newUniqueness(ps)
+	// The platform lists instances and upstreams together, so names must be unique
+	// across both.
+	names := newUniqueValues(ps)
 	for i, in := range d.Instances {
-		machines.add(fmt.Sprintf("instances[%d].name", i), in.Name)
+		names.add(fmt.Sprintf("instances[%d].name", i), in.Name)
 	}
 	for i, u := range d.Upstreams {
-		machines.add(fmt.Sprintf("upstreams[%d].name", i), u.Name)
+		names.add(fmt.Sprintf("upstreams[%d].name", i), u.Name)
 	}
-	operators := newUniqueness(ps)
-	tokens := newUniqueness(ps)
+	operators := newUniqueValues(ps)
+	tokens := newUniqueValues(ps)
 	for i, o := range d.Security.Operators {
 		operators.add(fmt.Sprintf("security.operators[%d].name", i), o.Name)
 		tokens.add(fmt.Sprintf("security.operators[%d].token_sha256", i), strings.ToLower(o.TokenSHA256))
 	}
 }
 
-// checkAddresses refuses an address that two listeners would share. The
-// platform's three services may stand at one address.
+// checkAddresses rejects an address that two listeners would share. The platform's
+// three services may share one address.
 func checkAddresses(d *Deployment, ps *problems) {
-	used := newUniqueness(ps)
+	used := newUniqueValues(ps)
 	for i, in := range d.Instances {
 		fields := reflect.ValueOf(in)
 		for f := range fields.NumField() {
--- a/internal/settings/checkparts.go
+++ b/internal/settings/checks.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// checkDataCentres refuses unknown data centres, pairs without a link, and
-// upstreams in a data centre without an instance: nobody could lead them.
+// checkDataCentres rejects unknown data centres, pairs of data centres without a
+// link, and upstreams in a data centre without an instance that could lead them.
 func checkDataCentres(d *Deployment, ps *problems) {
-	known := newUniqueness(ps)
+	known := newUniqueValues(ps)
 	for i, dc := range d.DataCentres {
 		known.add(fmt.Sprintf("data_centres[%d].name", i), dc.Name)
 	}
@@ -16,7 +16,7 @@
 		if name == "" {
 			return false
 		}
-		_, ok := known.first[name]
+		_, ok := known.firstKey[name]
 		if !ok {
 			ps.add(key, "%q isn't one of data_centres", name)
 		}
@@ -36,8 +36,10 @@
 	checkLinks(d, ps, exists)
 }
 
+// checkLinks requires exactly one link between any two data centres; latency is the
+// same in both directions.
 func checkLinks(d *Deployment, ps *problems, exists func(key, name string) bool) {
-	linked := newUniqueness(ps)
+	linked := newUniqueValues(ps)
 	for i, l := range d.Links {
 		from := exists(fmt.Sprintf("links[%d].from", i), l.From)
 		to := exists(fmt.Sprintf("links[%d].to", i), l.To)
@@ -56,7 +58,7 @@
 			if a.Name == "" || b.Name == "" || a.Name == b.Name {
 				continue
 			}
-			if _, ok := linked.first[pairName(a.Name, b.Name)]; !ok {
+			if _, ok := linked.firstKey[pairName(a.Name, b.Name)]; !ok {
 				ps.add("links", "no link between %q and %q", a.Name, b.Name)
 			}
 		}
@@ -97,7 +99,7 @@
 	if u.Role == "" {
 		ps.add(key+".role", "an engine needs it: prefill, decode or mixed")
 	}
-	models := newUniqueness(ps)
+	models := newUniqueValues(ps)
 	for i, m := range u.Models {
 		mkey := fmt.Sprintf("%s.models[%d]", key, i)
 		if m == "" {
@@ -119,8 +121,8 @@
 	}
 }
 
-// checkModels refuses a model of a pool that no engine could answer from the
-// first start: one that only prefill engines have, or only decode engines.
+// checkModels rejects a model that a pool couldn't serve in the initial roles: each
+// model needs a mixed engine, or both a prefill and a decode engine.
 func checkModels(d *Deployment, ps *problems) {
 	type poolModel struct{ pool, model string }
 	roles := map[poolModel][]string{}
@@ -150,16 +152,16 @@
 	}
 }
 
-// checkTimes refuses durations, and bounds of memory, that can't hold together.
-func checkTimes(d *Deployment, ps *problems) {
+// checkLimits rejects durations and memory limits that contradict each other.
+func checkLimits(d *Deployment, ps *problems) {
 	l, p, r := d.Lease, d.Protected, d.Roles
-	// A holder must get two tries at a renewal within its term, less drift.
+	// The holder must be able to try a renewal twice within the term, less drift.
 	if usable := l.TermSeconds * (1 - l.DriftFraction); l.RenewSeconds >= usable/2 {
 		ps.add("lease.renew_s", "%v must be below half of the lease's usable term, %.3g", l.RenewSeconds, usable/2)
 	}
-	if least := 4 * l.TermSeconds; d.Platform.RetentionSeconds < least {
+	if minRetention := 4 * l.TermSeconds; d.Platform.RetentionSeconds < minRetention {
 		ps.add("platform.retention_s", "%v is below four lease terms, %v: leases would expire from the log",
-			d.Platform.RetentionSeconds, least)
+			d.Platform.RetentionSeconds, minRetention)
 	}
 	if p.KeyTTLSeconds > d.Platform.RetentionSeconds {
 		ps.add("protected.remember_s", "%v is beyond platform.retention_s, %v: the log forgets keys earlier",
--- a/internal/settings/decode.go
+++ b/internal/settings/decode.go
@@ -12,12 +12,12 @@
 	"github.com/tailscale/hujson"
 )
 
-// lineIndex gives the line of each key path that stands in a file.
+// lineIndex maps each key path that is present in a file to its line.
 type lineIndex map[string]int
 
-// of returns the line of a key, or of the nearest enclosing one that stands in
-// the file, so that a missing key is shown at the object that lacks it.
-func (ix lineIndex) of(key string) int {
+// lineOf returns the line of a key, or of its nearest ancestor in the file, so that
+// a missing key is reported at the object that lacks it.
+func (ix lineIndex) lineOf(key string) int {
 	for {
 		if line, ok := ix[key]; ok {
 			return line
@@ -30,8 +30,8 @@
 	}
 }
 
-// decoder fills a struct from a syntax tree and notes every fault, where
-// encoding/json would stop at the first and give no line.
+// decoder fills a struct from a syntax tree and reports every problem with its line;
+// encoding/json stops at the first error and reports no line.
 type decoder struct {
 	data     []byte
 	problems *problems
@@ -52,7 +52,7 @@
 	case reflect.Slice:
 		dec.array(v, key, into)
 	default:
-		dec.leaf(v, key, into)
+		dec.scalar(v, key, into)
 	}
 }
 
@@ -95,7 +95,7 @@
 	}
 }
 
-func (dec decoder) leaf(v hujson.Value, key string, into reflect.Value) {
+func (dec decoder) scalar(v hujson.Value, key string, into reflect.Value) {
 	lit, ok := v.Value.(hujson.Literal)
 	if !ok || lit.Kind() == 'n' {
 		dec.problems.addAt(dec.line(v), key, "must be %s", kindName(into.Kind()))
@@ -121,7 +121,7 @@
 	case reflect.Bool:
 		return "true or false"
 	default:
-		panic("settings: a field of a kind that no settings file can hold: " + k.String())
+		panic("settings: unsupported field kind " + k.String())
 	}
 }
 
@@ -145,7 +145,7 @@
 	return key + "." + name
 }
 
-// syntaxLine finds the line in a message such as
+// syntaxLine matches the line number in a message such as
 // "hujson: line 3, column 5: invalid character".
 var syntaxLine = regexp.MustCompile(`line (\d+), column`)
 
--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -1,8 +1,8 @@
 package settings
 
-// Defaults returns a deployment in which every optional part has its default
-// value. The parts that describe the deployment itself (name, data centres,
-// instances, upstreams, platform, security) have none.
+// Defaults returns a deployment with the default value of every optional setting.
+// Name, data centres, instances, upstreams, security and the platform's addresses
+// have no defaults.
 func Defaults() Deployment {
 	return Deployment{
 		Platform: Platform{
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -8,14 +8,13 @@
 	"github.com/tailscale/hujson"
 )
 
-// Load reads and checks a settings file. A file that can't be read gives a
-// wrapped error of the operating system; a faulty one an *Error with every
-// problem that was found, each with file, line and key. Paths in the file are
-// taken as relative to its folder.
+// Load reads and validates a settings file. It returns a wrapped system error if
+// the file can't be read, and an *Error that lists all problems if it is invalid.
+// Relative paths in the file are resolved against the file's directory.
 func Load(path string) (*Deployment, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, eris.Wrapf(err, "settings can't be read")
+		return nil, eris.Wrapf(err, "read settings")
 	}
 	d, err := Parse(path, data)
 	if err != nil {
@@ -25,8 +24,8 @@
 	return d, nil
 }
 
-// Parse checks the text of a settings file; file is its name in messages. The
-// error is always an *Error.
+// Parse decodes and validates the text of a settings file; file is the name used
+// in messages. A non-nil error is always an *Error.
 func Parse(file string, data []byte) (*Deployment, error) {
 	root, err := hujson.Parse(data)
 	if err != nil {
--- a/internal/settings/load_test.go
+++ b/internal/settings/load_test.go
@@ -12,10 +12,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// Each testdata/*.json is a faulty settings file; the golden file beside it
-// holds every problem as an operator sees it, with file, line and key.
+// Each testdata/*.json is an invalid settings file; its golden file lists every
+// problem as an operator sees it, with file, line and key.
 func TestParseReportsEveryProblem(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.json")
 	require.NoError(t, err)
@@ -49,14 +49,14 @@
 			}
 		}
 		require.Equal(t, engines, count)
-		require.FileExists(t, d.InitialRules, "paths count from the settings file's folder")
+		require.FileExists(t, d.InitialRules, "paths are relative to the settings file's directory")
 		_, err = d.Security.PeerSecret()
-		require.Error(t, err, "no secret is in the repository")
+		require.Error(t, err, "the repository must not contain a peer secret")
 	}
 }
 
 func TestDefaultsFillMissingParts(t *testing.T) {
-	d, err := Parse("small.json", []byte(smallest))
+	d, err := Parse("small.json", []byte(minimalSettings))
 	require.NoError(t, err)
 	require.Equal(t, Defaults().Roles, d.Roles)
 	require.Equal(t, Streams{MaxBufferedBytes: 65536, MaxTotalBufferedBytes: 16777216, DefaultDeadlineSeconds: 120}, d.Streams)
@@ -76,9 +76,9 @@
 	require.Equal(t, 1500*time.Microsecond, d.OneWayLatency("here", "near-b"))
 }
 
-// Any text gives either a checked deployment or problems that name the file.
+// Any input yields either a valid deployment or problems that name the file.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(smallest))
+	f.Add([]byte(minimalSettings))
 	f.Add([]byte(`{"instances": [{"name": 3, "name": null}], "links": {}, /* open`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		_, err := Parse("fuzz.json", data)
@@ -92,7 +92,7 @@
 	})
 }
 
-const smallest = `{
+const minimalSettings = `{
   "name": "small",
   "data_centres": [{"name": "a"}],
   "instances": [{
@@ -109,7 +109,8 @@
   "security": {"peer_secret_file": "secret"},
 }`
 
-// A key that no page explains might as well not be there.
+// Operators find settings only through the documentation, so a key that is missing
+// there can't be used.
 func TestEveryKeyIsDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operators/settings.md")
 	require.NoError(t, err)
--- a/internal/settings/lookup.go
+++ b/internal/settings/lookup.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Instance returns the instance of a name, and whether there is one.
+// Instance returns the instance with the given name, and whether it exists.
 func (d *Deployment) Instance(name string) (Instance, bool) {
 	for _, in := range d.Instances {
 		if in.Name == name {
@@ -15,7 +15,7 @@
 	return Instance{}, false
 }
 
-// Upstream returns the upstream of a name, and whether there is one.
+// Upstream returns the upstream with the given name, and whether it exists.
 func (d *Deployment) Upstream(name string) (Upstream, bool) {
 	for _, u := range d.Upstreams {
 		if u.Name == name {
@@ -25,8 +25,8 @@
 	return Upstream{}, false
 }
 
-// OneWayLatency returns the one-way latency between two data centres: 0 within one,
-// and 0 for a pair without a link, which Load refuses.
+// OneWayLatency returns the one-way latency between two data centres. It is 0
+// within one data centre, and for a pair without a link, which Load rejects.
 func (d *Deployment) OneWayLatency(a, b string) time.Duration {
 	for _, l := range d.Links {
 		if (l.From == a && l.To == b) || (l.From == b && l.To == a) {
@@ -36,8 +36,8 @@
 	return 0
 }
 
-// Nearest returns the names of all data centres, the nearest to from first;
-// those equally near are in order of name.
+// Nearest returns the names of all data centres, ordered by latency from the
+// given one, then by name.
 func (d *Deployment) Nearest(from string) []string {
 	names := make([]string, len(d.DataCentres))
 	for i, dc := range d.DataCentres {
--- a/internal/settings/problem.go
+++ b/internal/settings/problem.go
@@ -6,28 +6,28 @@
 	"strings"
 )
 
-// Problem is one fault in a settings file.
+// Problem is one error found in a settings file.
 type Problem struct {
 	File string
-	// Line counts from 1; 0 says that the fault has no place in the file.
+	// Line counts from 1; 0 means that the problem belongs to no line.
 	Line int
-	// Key is the path of the faulty value, such as "instances[2].callers".
+	// Key is the path of the invalid value, such as "instances[2].callers".
 	Key     string
 	Message string
 }
 
 func (p Problem) String() string {
-	place := p.File
+	location := p.File
 	if p.Line > 0 {
-		place = fmt.Sprintf("%s:%d", p.File, p.Line)
+		location = fmt.Sprintf("%s:%d", p.File, p.Line)
 	}
 	if p.Key == "" {
-		return place + ": " + p.Message
+		return location + ": " + p.Message
 	}
-	return place + ": " + p.Key + ": " + p.Message
+	return location + ": " + p.Key + ": " + p.Message
 }
 
-// Error holds every problem of one settings file, in order of line.
+// Error lists every problem of one settings file, ordered by line.
 type Error struct {
 	Problems []Problem
 }
@@ -40,7 +40,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// problems collects faults by key; lines are looked up in the syntax tree.
+// problems collects the problems of one file and resolves keys to lines.
 type problems struct {
 	file  string
 	lines lineIndex
@@ -48,7 +48,7 @@
 }
 
 func (ps *problems) add(key, format string, args ...any) {
-	ps.addAt(ps.lines.of(key), key, format, args...)
+	ps.addAt(ps.lines.lineOf(key), key, format, args...)
 }
 
 func (ps *problems) addAt(line int, key, format string, args ...any) {
@@ -57,7 +57,7 @@
 	})
 }
 
-// err returns nil if nothing was found.
+// err returns the collected problems as an *Error, or nil if there are none.
 func (ps *problems) err() error {
 	if len(ps.list) == 0 {
 		return nil
--- a/internal/settings/secret.go
+++ b/internal/settings/secret.go
@@ -7,19 +7,19 @@
 	"github.com/rotisserie/eris"
 )
 
-// minSecretBytes is the shortest peer secret that is taken: 128 bits.
+// minSecretBytes is the minimum length of the peer secret: 128 bits.
 const minSecretBytes = 16
 
-// PeerSecret reads the secret that the system's processes share. White space
-// around it doesn't count. No message carries any of it.
+// PeerSecret reads the secret shared by the system's processes, without leading
+// and trailing white space. Error messages never contain any part of it.
 func (s Security) PeerSecret() ([]byte, error) {
 	data, err := os.ReadFile(s.PeerSecretFile)
 	if err != nil {
-		return nil, eris.Wrap(err, "peer secret can't be read")
+		return nil, eris.Wrap(err, "read peer secret")
 	}
 	secret := bytes.TrimSpace(data)
 	if len(secret) < minSecretBytes {
-		return nil, eris.Errorf("peer secret in %s has %d bytes, %d at least are needed",
+		return nil, eris.Errorf("peer secret in %s has %d bytes; the minimum is %d",
 			s.PeerSecretFile, len(secret), minSecretBytes)
 	}
 	return secret, nil
