--- a/internal/ctl/claims.go
+++ b/internal/ctl/claims.go
@@ -14,10 +14,10 @@
 
 func prepareClaimsStatus(*flag.FlagSet) runner { return showClaims }
 
-// claimsReport is the JSON form of "claims status" for one instance.
+// claimsReport is the JSON output of "claims status" for one instance.
 type claimsReport struct {
 	Instance string `json:"instance"`
-	// Error is set if the instance didn't answer.
+	// Error is set if the instance returned no status.
 	Error  string           `json:"error,omitempty"`
 	Claims *api.ClaimStatus `json:"claims,omitempty"`
 }
@@ -27,11 +27,11 @@
 	if err != nil {
 		return err
 	}
-	report, err := c.report(s)
+	report, err := c.collectStatus(s)
 	if err != nil {
 		return err
 	}
-	if s.form == formJSON {
+	if s.format == formatJSON {
 		all := make([]claimsReport, len(report.Instances))
 		for i, r := range report.Instances {
 			all[i] = claimsReport{Instance: r.Name, Error: r.Error}
@@ -53,7 +53,7 @@
 		}
 		t.row(r.Name, history, strconv.Itoa(r.Status.Claims.Keys), "")
 	}
-	return t.end()
+	return t.flush()
 }
 
 func prepareAcceptGap(flags *flag.FlagSet) runner {
@@ -67,7 +67,7 @@
 		if err != nil {
 			return err
 		}
-		report, err := c.report(s)
+		report, err := c.collectStatus(s)
 		if err != nil {
 			return err
 		}
@@ -79,16 +79,16 @@
 	}
 }
 
-// gapToAccept names the instance to accept the gap at. It refuses while an
-// instance has, or may have, the complete history: that one would still hold
-// keys that the others then take as free.
+// gapToAccept returns the name of the instance at which to accept the gap. It fails
+// while an instance has, or may have, the complete history: that instance still knows
+// keys that the others would treat as unused.
 func gapToAccept(report statusReport, force bool) (string, error) {
 	at := ""
-	var silent []string
+	var unreachable []string
 	for _, r := range report.Instances {
 		switch {
 		case r.Status == nil:
-			silent = append(silent, r.Name)
+			unreachable = append(unreachable, r.Name)
 		case r.Status.Claims.Complete:
 			return "", &exitError{code: ExitFailed, message: "not accepted: " + r.Name +
 				" has the complete history; its checkpoint closes the others' gap"}
@@ -96,15 +96,15 @@
 			at = r.Name
 		}
 	}
-	if len(silent) > 0 && !force {
+	if len(unreachable) > 0 && !force {
 		return "", &exitError{code: ExitFailed, message: "not accepted: no answer from " +
-			strings.Join(silent, ", ") + ", which may have the complete history; if it is down, give -force"}
+			strings.Join(unreachable, ", ") + ", which may have the complete history; if it is down, give -force"}
 	}
 	return at, nil
 }
 
-// acceptGap sends the acceptance to one instance, once: sent again after it took
-// effect it does nothing, so an operator may.
+// acceptGap sends the acceptance to one instance, without retries. Accepting again
+// after it took effect has no effect, so the operator may repeat the command.
 func (c *client) acceptGap(s *session, at, reason string) error {
 	in := c.instance(at)
 	r, err := c.call(s.ctx, in, fasthttp.MethodPost, api.PathAcceptGap, api.AcceptGapRequest{Reason: reason})
@@ -118,25 +118,25 @@
 	case r.status != fasthttp.StatusNoContent:
 		return r.failure()
 	}
-	if s.form == formJSON {
+	if s.format == formatJSON {
 		return s.printJSON(acceptedGap{Instance: at})
 	}
 	fmt.Fprintf(s.Stdout, "accepted at %s; the other instances follow its checkpoint\n", at)
 	return nil
 }
 
-// acceptedGap is the JSON form of "claims accept-gap".
+// acceptedGap is the JSON output of "claims accept-gap".
 type acceptedGap struct {
-	// Instance is where the gap was accepted.
+	// Instance is the name of the instance that accepted the gap.
 	Instance string `json:"accepted_at"`
 }
 
-// instance returns the settings of an instance that was asked.
+// instance returns the settings of an instance by its name, which must be known.
 func (c *client) instance(name string) settings.Instance {
 	for _, in := range c.instances {
 		if in.Name == name {
 			return in
 		}
 	}
-	panic("ctl: report on an instance that wasn't asked")
+	panic("ctl: report of unknown instance " + name)
 }
--- a/internal/ctl/client.go
+++ b/internal/ctl/client.go
@@ -18,30 +18,30 @@
 	"tamarackchute/upstream"
 )
 
-// maxReply bounds a reply, in bytes.
+// maxReply is the maximum size of a response body in bytes.
 const maxReply = 8 << 20
 
-// client calls the operators' addresses.
+// client sends requests to the instances' operators' addresses.
 type client struct {
 	instances []settings.Instance
 	token     string
 	tls       *tls.Config
 }
 
-// reply is an instance's answer.
+// reply is the response of an instance.
 type reply struct {
 	instance string
 	status   int
 	body     []byte
 }
 
-// into decodes the body.
-func (r *reply) into(v any) error {
+// decode decodes the JSON body into v.
+func (r *reply) decode(v any) error {
 	err := json.Unmarshal(r.body, v)
 	return eris.Wrapf(err, "%s answered in an unknown form", r.instance)
 }
 
-// failure makes an error of an answer that has no other meaning.
+// failure converts an error response to an error with the matching exit code.
 func (r *reply) failure() error {
 	var e api.Error
 	if json.Unmarshal(r.body, &e) != nil || e.Error == "" {
@@ -53,7 +53,7 @@
 	return &exitError{code: ExitFailed, message: r.instance + ": " + e.Error}
 }
 
-// connect reads what calls need.
+// connect creates a client from the settings and the token. It opens no connection.
 func (s *session) connect() (*client, error) {
 	d, err := s.load()
 	if err != nil {
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, err
 	}
-	secured, err := d.Security.ClientTLS()
+	tlsConfig, err := d.Security.ClientTLS()
 	if err != nil {
 		return nil, err
 	}
@@ -75,10 +75,10 @@
 		}
 		instances = slices.Concat(instances[first:], instances[:first])
 	}
-	return &client{instances: instances, token: token, tls: secured}, nil
+	return &client{instances: instances, token: token, tls: tlsConfig}, nil
 }
 
-// call sends one request to one instance, once.
+// call sends a request to one instance, without retries.
 func (c *client) call(ctx context.Context, in settings.Instance, method, path string, body any) (*reply, error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
@@ -89,7 +89,7 @@
 	if body != nil {
 		data, err := json.Marshal(body)
 		if err != nil {
-			panic(err) // the types of package api always encode
+			panic(err) // request types of package api can always be encoded
 		}
 		request.Header.SetContentType("application/json")
 		request.SetBody(data)
@@ -102,8 +102,8 @@
 	return &reply{instance: in.Name, status: response.StatusCode(), body: slices.Clone(response.Body())}, nil
 }
 
-// first asks one instance after the other and returns the first answer that
-// isn't "unavailable".
+// first sends a request to one instance after the other until one returns a result
+// or fails otherwise than by an error of the connection or the status 503.
 func (c *client) first(ctx context.Context, method, path string, body any) (*reply, error) {
 	var failures []string
 	for _, in := range c.instances {
@@ -122,7 +122,7 @@
 	return nil, eris.New("no instance could answer: " + strings.Join(failures, "; "))
 }
 
-// cause names why a call failed, without the stack that it carries.
+// cause returns the message of a failed call's cause, without its stack trace.
 func cause(err error) string {
 	var call *httpx.CallError
 	if errors.As(err, &call) {
@@ -131,5 +131,5 @@
 	return err.Error()
 }
 
-// mayHaveRun reports whether a failed call may have taken effect.
+// mayHaveRun reports whether a failed call may have been executed.
 func mayHaveRun(err error) bool { return !errors.Is(err, upstream.ErrNotSent) }
--- a/internal/ctl/command.go
+++ b/internal/ctl/command.go
@@ -8,60 +8,61 @@
 	"strings"
 )
 
-// command is one of the program's commands.
+// command describes one command of chutectl.
 type command struct {
-	// name is its words, as "rules get"; arguments shows what follows.
+	// name is the words of the command, such as "rules get"; arguments is the part
+	// of the usage line that follows it.
 	name, arguments string
-	// summary is one line; help says more.
+	// summary is the one-line description; help is the detailed text.
 	summary, help string
-	// prepare adds the command's flags and returns what runs it.
+	// prepare registers the command's flags and returns its runner.
 	prepare func(*flag.FlagSet) runner
-	// operands is the number of arguments beside flags.
+	// operands is the required number of non-flag arguments.
 	operands int
 }
 
-// runner runs a command with its operands.
+// runner executes a command with its operands.
 type runner func(s *session, operands []string) error
 
 var commands = []command{
 	{
 		name: "explain", arguments: "REQUEST", operands: 1,
 		summary: "prints the life of one request from the daemons' logs",
-		help: "Reads the log lines that chute-member writes and prints those on the request in\n" +
-			"the order of time, with the figures that decided. Needs no settings file.",
+		help: "Reads the log lines that chute-member writes and prints those about the request in\n" +
+			"chronological order, with the values behind each decision. Needs no settings file.",
 		prepare: prepareExplain,
 	},
 	{
 		name:    "summary",
 		summary: "says by rule why requests weren't answered in time, from the daemons' logs",
 		help: "Reads the log lines that chute-member writes and counts how requests ended: in time,\n" +
-			"or by what they were late or refused. Needs no settings file.",
+			"or by the cause for which they were late or refused. Needs no settings file.",
 		prepare: prepareSummary,
 	},
 	{
 		name: "daemons", arguments: "ADDRESS,...", operands: 1,
 		summary: "shows daemons, servers, the lease and budgets on the platform",
-		help: "Asks the metrics address of each chute-member that is named. Servers, other daemons\n" +
-			"and budgets are as the first that answers knows them. Needs no settings file.",
+		help: "Queries the metrics address of each chute-member listed. Servers, other daemons and\n" +
+			"budgets are shown as reported by the first one that answers. Needs no settings file.",
 		prepare: prepareDaemons,
 	},
 	{
 		name:    "rules get",
 		summary: "prints the rules in force",
-		help: "The first line, a comment, records the version: edit what you got, and publish\n" +
-			"takes it as the version that you edited.",
+		help: "The first line, a comment, records the version: edit the output, and publish uses\n" +
+			"it as the version that you edited.",
 		prepare: prepareGet,
 	},
 	{
 		name: "rules validate", arguments: "FILE", operands: 1,
 		summary: "checks a rule set and publishes nothing",
-		help:    "Lists every problem with line and column. FILE may be - for the standard input.",
+		help:    "Lists every problem with line and column. FILE may be - for standard input.",
 		prepare: prepareValidate,
 	},
 	{
 		name: "rules diff", arguments: "FILE", operands: 1,
 		summary: "shows what leads from the rules in force to those in FILE",
-		help:    "Rules are told apart by their names. Comments don't count.",
+		help:    "Rules are identified by their names. Comments are ignored.",
 		prepare: prepareDiff,
 	},
 	{
@@ -80,26 +81,26 @@
 	{
 		name:    "rules history",
 		summary: "lists the latest publications, newest first",
-		help:    "Conflicts and unknown outcomes are in it too.",
+		help:    "The list includes conflicts and unknown outcomes.",
 		prepare: prepareHistory,
 	},
 	{
 		name:    "status",
 		summary: "shows instances, leaders and upstreams",
-		help:    "Asks every instance which rules it has in force. Leaders and upstreams are as the\nfirst instance that answers knows them.",
+		help:    "Asks every instance which rules it has in force. Leaders and upstreams are shown as\nreported by the first instance that answers.",
 		prepare: prepareStatus,
 	},
 	{
 		name:    "audit",
 		summary: "lists who changed what, newest first",
-		help:    "Each record tells when, why, and from which state to which.",
+		help:    "Each record contains the time, the reason, and the state before and after.",
 		prepare: prepareAudit,
 	},
 	{
 		name:    "claims status",
 		summary: "shows whether each instance knows all protected calls",
 		help: "An instance without the complete history refuses plain keys that it doesn't know,\n" +
-			"until it has read a checkpoint by one that has it, or the gap is accepted.",
+			"until it reads a checkpoint of an instance that has it, or the gap is accepted.",
 		prepare: prepareClaimsStatus,
 	},
 	{
@@ -113,7 +114,8 @@
 	},
 }
 
-// findCommand splits the words of a command from its arguments.
+// findCommand finds the command that args start with and returns the arguments that
+// follow its name.
 func findCommand(args []string) (*command, []string, error) {
 	for i := range commands {
 		words := strings.Fields(commands[i].name)
@@ -131,7 +133,7 @@
 	flags := flag.NewFlagSet(c.name, flag.ContinueOnError)
 	flags.SetOutput(io.Discard)
 	run := c.prepare(flags)
-	operands, err := parseMixed(flags, args)
+	operands, err := parseInterspersed(flags, args)
 	switch {
 	case errors.Is(err, flag.ErrHelp):
 		s.printCommandHelp(c, flags)
@@ -144,8 +146,9 @@
 	return run(s, operands)
 }
 
-// parseMixed takes flags before and after the operands.
-func parseMixed(flags *flag.FlagSet, args []string) ([]string, error) {
+// parseInterspersed parses flags before, between and after the operands and returns
+// the operands.
+func parseInterspersed(flags *flag.FlagSet, args []string) ([]string, error) {
 	var operands []string
 	for {
 		if err := flags.Parse(args); err != nil {
--- a/internal/ctl/beside_test.go
+++ b/internal/ctl/concurrent_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const readingText = `{"time":"2026-05-01T10:00:03.000Z","msg":"attempt","instance":"a","request":"late","upstream":"e1","lasted_ms":3000,"read_ms":200,"uncached":138}
+const prefillLog = `{"time":"2026-05-01T10:00:03.000Z","msg":"attempt","instance":"a","request":"late","upstream":"e1","lasted_ms":3000,"read_ms":200,"uncached":138}
 {"time":"2026-05-01T10:00:00.100Z","msg":"attempt","instance":"b","request":"long","upstream":"e1","lasted_ms":90,"read_ms":90,"uncached":12000}
 {"time":"2026-05-01T10:00:00.100Z","msg":"attempt","instance":"b","request":"apart","upstream":"e2","prefill":"e1","lasted_ms":95,"read_ms":40,"uncached":3000}
 {"time":"2026-05-01T10:00:00.100Z","msg":"attempt","instance":"b","request":"elsewhere","upstream":"e2","lasted_ms":90,"read_ms":90,"uncached":7}
@@ -16,13 +16,13 @@
 {"time":"2026-05-01T10:00:00.100Z","msg":"attempt","instance":"b","request":"unread","upstream":"e1","lasted_ms":90,"read_ms":0,"uncached":7}
 `
 
-// A chat's first event came late though its engine looked idle. The engineer must
-// see the prompts that other daemons had sent there at the same moment, and no
-// others.
-func TestPromptsBeside(t *testing.T) {
+// A request's first event can be late because the engine prefilled prompts that other
+// daemons had sent. -beside must print exactly the prompts whose prefill at the same
+// engine overlaps in time.
+func TestConcurrentPrefills(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "log")
-	require.NoError(t, os.WriteFile(file, []byte(readingText), 0o600))
-	out, _, code := explain(t, "", "explain", "-beside", "-log", file, "late")
+	require.NoError(t, os.WriteFile(file, []byte(prefillLog), 0o600))
+	out, _, code := runCommand(t, "", "explain", "-beside", "-log", file, "late")
 	require.Equal(t, ExitOK, code)
 	require.Contains(t, out, `request="long"`)
 	require.Contains(t, out, `request="apart"`)
@@ -30,7 +30,7 @@
 	for _, other := range []string{"elsewhere", "after", "unread"} {
 		require.NotContains(t, out, other)
 	}
-	_, errs, code := explain(t, "", "explain", "-beside", "late")
+	_, errs, code := runCommand(t, "", "explain", "-beside", "late")
 	require.Equal(t, ExitUsage, code)
 	require.Contains(t, errs, "-log")
 }
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -1,5 +1,6 @@
-// Package ctl is chutectl, the operators' command line: rules, status, audit trail
-// and claims over the operators' addresses of the deployment's instances.
+// Package ctl implements chutectl, the operators' command line tool. It manages
+// rules and claims and shows status and the audit trail through the operators'
+// addresses of the instances, and analyses the daemons' logs.
 package ctl
 
 import (
@@ -25,48 +26,49 @@
 	ExitOK ExitCode = iota
 	ExitFailed
 	ExitUsage
-	// ExitConflict: another version than the one edited is in force.
+	// ExitConflict means that the version in force isn't the one that was edited.
 	ExitConflict
-	// ExitInvalid: the document has problems.
+	// ExitInvalid means that the document has problems.
 	ExitInvalid
-	// ExitUnknown: the publication may be in force, or may still come.
+	// ExitUnknown means that the change may have taken effect or may still do so.
 	ExitUnknown
+	// ExitUnauthorised means that an instance rejected the operator's token.
 	ExitUnauthorised
 )
 
-// Environment is what the program has of its surroundings.
+// Environment holds the standard streams and environment variables of the process.
 type Environment struct {
 	Stdin          io.Reader
 	Stdout, Stderr io.Writer
 	Getenv         func(string) string
 }
 
-// tokenVariable names the environment variable that may hold the token.
+// tokenVariable is the environment variable that may hold the operator's token.
 const tokenVariable = "CHUTE_TOKEN"
 
-// Forms of output.
+// The output formats.
 const (
-	formText = "text"
-	formJSON = "json"
+	formatText = "text"
+	formatJSON = "json"
 )
 
 const defaultTimeout = 30 * time.Second
 
-// session is one run of a command.
+// session holds the state of one command invocation.
 type session struct {
 	Environment
-	form string
-	// settingsFile and tokenFile are read when a command first needs them.
+	format string
+	// settingsFile and tokenFile are read only by commands that need them.
 	settingsFile, tokenFile string
 	instance                string
-	// headerLines is how many lines of the operator's file weren't sent, so that
-	// problems are told with the lines of the file.
+	// headerLines is the number of header lines removed from the operator's file
+	// before sending. Line numbers in problems are shifted by it.
 	headerLines int
 	deployment  *settings.Deployment
 	ctx         context.Context
 }
 
-// exitError ends a command with an exit code. An empty message prints nothing.
+// exitError ends a command with an exit code. An empty message isn't printed.
 type exitError struct {
 	code    ExitCode
 	message string
@@ -78,7 +80,7 @@
 	return &exitError{code: ExitUsage, message: fmt.Sprintf(format, args...)}
 }
 
-// Run runs the command that args name, without the program's name, and returns
+// Run runs the command given by args, which exclude the program name, and returns
 // its exit code.
 func Run(args []string, env Environment) ExitCode {
 	s := &session{Environment: env}
@@ -104,7 +106,7 @@
 	flags.StringVar(&s.settingsFile, "settings", "", "settings `file` of the deployment")
 	flags.StringVar(&s.tokenFile, "token-file", "", "`file` that holds the operator's token; without it "+tokenVariable+" is used")
 	flags.StringVar(&s.instance, "instance", "", "`name` of the instance to ask first")
-	flags.StringVar(&s.form, "o", formText, "`form` of the output: text or json")
+	flags.StringVar(&s.format, "o", formatText, "`form` of the output: text or json")
 	timeout := flags.Duration("timeout", defaultTimeout, "longest time for the whole command")
 	switch err := flags.Parse(args); {
 	case errors.Is(err, flag.ErrHelp):
@@ -112,8 +114,8 @@
 		return nil
 	case err != nil:
 		return usageError("%v; see chutectl -h", err)
-	case s.form != formText && s.form != formJSON:
-		return usageError("unknown form of output %q; known: text, json", s.form)
+	case s.format != formatText && s.format != formatJSON:
+		return usageError("unknown form of output %q; known: text, json", s.format)
 	}
 	command, rest, err := findCommand(flags.Args())
 	if err != nil {
@@ -125,7 +127,7 @@
 	return s.runCommand(command, rest)
 }
 
-// load reads the settings once.
+// load reads the settings on the first call and returns them.
 func (s *session) load() (*settings.Deployment, error) {
 	if s.deployment != nil {
 		return s.deployment, nil
@@ -141,13 +143,13 @@
 	return d, nil
 }
 
-// token reads the operator's token. No message carries any of it.
+// token reads the operator's token. Error messages never contain any part of it.
 func (s *session) token() (string, error) {
 	text := s.Getenv(tokenVariable)
 	if s.tokenFile != "" {
 		data, err := os.ReadFile(s.tokenFile)
 		if err != nil {
-			return "", eris.Wrap(err, "token can't be read")
+			return "", eris.Wrap(err, "read token")
 		}
 		text = string(data)
 	}
@@ -158,12 +160,12 @@
 	return token, nil
 }
 
-// readFile reads a rule set; "-" is the standard input.
+// readFile reads a rule set from a file, or from standard input if name is "-".
 func (s *session) readFile(name string) ([]byte, error) {
 	if name == "-" {
 		data, err := io.ReadAll(s.Stdin)
-		return data, eris.Wrap(err, "standard input can't be read")
+		return data, eris.Wrap(err, "read standard input")
 	}
 	data, err := os.ReadFile(name)
-	return data, eris.Wrap(err, "rules can't be read")
+	return data, eris.Wrap(err, "read rules")
 }
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -26,9 +26,9 @@
 	"tamarackchute/rules"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-const settingsForm = `{
+const settingsTemplate = `{
   "name": "test",
   "data_centres": [{"name": "cesis-a"}],
   "instances": [
@@ -46,77 +46,79 @@
   "security": {"peer_secret_file": "peer.secret"},
 }`
 
-// bench is a deployment of two instances over one log, and a folder of files.
-type bench struct {
-	t      *testing.T
-	folder string
-	log    *journaltest.Log
-	// stops end each instance's HTTP server.
-	stops []func()
-	// addresses are those of the HTTP servers, in the same order.
+// fixture is a deployment of two instances that share one log, with a directory for
+// settings, token and rule files.
+type fixture struct {
+	t   *testing.T
+	dir string
+	log *journaltest.Log
+	// stopServers holds a function per instance that stops its HTTP server.
+	stopServers []func()
+	// addresses holds the addresses of the HTTP servers in the same order.
 	addresses     []string
 	first, second *operatortest.Instance
 }
 
-func newBench(t *testing.T) *bench { return newBenchOver(t, journaltest.NewLog()) }
+func newFixture(t *testing.T) *fixture { return newFixtureWithLog(t, journaltest.NewLog()) }
 
-// ownAddress returns a loopback address that other processes don't listen at: one
-// of theirs could take the port of an instance that has been stopped, and answer
-// in its place.
-func ownAddress() string {
+// unusedAddress returns a loopback address that other processes are unlikely to use.
+// Otherwise another process could get the port of a stopped instance and answer in its
+// place.
+func unusedAddress() string {
 	return fmt.Sprintf("127.%d.%d.1:0", 200+rand.IntN(50), rand.IntN(250))
 }
 
-func newBenchOver(t *testing.T, log *journaltest.Log) *bench {
-	b := &bench{t: t, folder: t.TempDir(), log: log}
+func newFixtureWithLog(t *testing.T, log *journaltest.Log) *fixture {
+	f := &fixture{t: t, dir: t.TempDir(), log: log}
 	for _, name := range []string{"c1", "c2"} {
-		i := operatortest.Start(b.log, name, slog.New(slog.DiscardHandler))
-		if b.first == nil {
-			b.first = i
+		i := operatortest.Start(f.log, name, slog.New(slog.DiscardHandler))
+		if f.first == nil {
+			f.first = i
 		} else {
-			b.second = i
+			f.second = i
 		}
-		l, err := net.Listen("tcp", ownAddress())
+		l, err := net.Listen("tcp", unusedAddress())
 		require.NoError(t, err)
-		b.addresses = append(b.addresses, l.Addr().String())
+		f.addresses = append(f.addresses, l.Addr().String())
 		ctx, cancel := context.WithCancel(t.Context())
-		ended := make(chan struct{})
-		go func() { defer close(ended); _ = httpx.Serve(ctx, i.App, l, time.Second) }()
-		stop := func() { cancel(); <-ended }
-		b.stops = append(b.stops, stop)
+		done := make(chan struct{})
+		go func() { defer close(done); _ = httpx.Serve(ctx, i.App, l, time.Second) }()
+		stop := func() { cancel(); <-done }
+		f.stopServers = append(f.stopServers, stop)
 		t.Cleanup(func() { stop(); i.Stop() })
 	}
-	b.write("settings.json", fmt.Sprintf(settingsForm, b.addresses[0], b.addresses[1]))
-	b.write("token", operatortest.Token+"\n")
-	return b
+	f.write("settings.json", fmt.Sprintf(settingsTemplate, f.addresses[0], f.addresses[1]))
+	f.write("token", operatortest.Token+"\n")
+	return f
 }
 
-func (b *bench) write(name, content string) {
-	require.NoError(b.t, os.WriteFile(filepath.Join(b.folder, name), []byte(content), 0o600))
+func (f *fixture) write(name, content string) {
+	require.NoError(f.t, os.WriteFile(filepath.Join(f.dir, name), []byte(content), 0o600))
 }
 
-// run runs chutectl; words that end in .json are files of the bench.
-func (b *bench) run(line string) (ExitCode, string, string) {
-	args := []string{"-settings", filepath.Join(b.folder, "settings.json"), "-timeout", "10s"}
+// run runs chutectl; words that end in .json are files in the fixture's directory.
+func (f *fixture) run(line string) (ExitCode, string, string) {
+	args := []string{"-settings", filepath.Join(f.dir, "settings.json"), "-timeout", "10s"}
 	if !strings.Contains(line, "-token-file") {
-		args = append(args, "-token-file", filepath.Join(b.folder, "token"))
+		args = append(args, "-token-file", filepath.Join(f.dir, "token"))
 	}
 	for _, word := range strings.Fields(line) {
 		if strings.HasSuffix(word, ".json") {
-			word = filepath.Join(b.folder, word)
+			word = filepath.Join(f.dir, word)
 		}
 		args = append(args, word)
 	}
 	var out, errs bytes.Buffer
 	exit := Run(args, Environment{Stdin: strings.NewReader(""), Stdout: &out, Stderr: &errs, Getenv: func(string) string { return "" }})
-	require.NotContains(b.t, out.String()+errs.String(), operatortest.Token)
+	require.NotContains(f.t, out.String()+errs.String(), operatortest.Token)
 	return exit, out.String(), errs.String()
 }
 
-// variable is what differs from run to run.
-var variable = []struct {
-	form *regexp.Regexp
-	by   string
+// volatileText lists patterns of output that differs between runs, with their
+// replacements in golden files.
+var volatileText = []struct {
+	pattern     *regexp.Regexp
+	replacement string
 }{
 	{regexp.MustCompile(`\d{4}-\d\d-\d\dT[\d:.]+(Z|[+-]\d\d:\d\d)`), "2026-05-04T03:02:01Z"},
 	{regexp.MustCompile(`[0-9a-f]{8}(-[0-9a-f]{4}){3}-[0-9a-f]{12}`), "ID"},
@@ -124,27 +126,29 @@
 	{regexp.MustCompile(`/\S+/(\w+\.json)`), "$1"},
 }
 
-func (b *bench) golden(name string, sessions ...string) {
+// golden runs the command lines and compares their output and exit codes with a
+// golden file.
+func (f *fixture) golden(name string, commandLines ...string) {
 	var got strings.Builder
-	for _, line := range sessions {
-		exit, out, errs := b.run(line)
+	for _, line := range commandLines {
+		exit, out, errs := f.run(line)
 		fmt.Fprintf(&got, "$ chutectl %s\n%s%s(exit code %d)\n\n", line, out, errs, exit)
 	}
 	text := got.String()
-	for _, v := range variable {
-		text = v.form.ReplaceAllString(text, v.by)
+	for _, v := range volatileText {
+		text = v.pattern.ReplaceAllString(text, v.replacement)
 	}
 	file := filepath.Join("testdata", name+".golden")
 	if *update {
-		require.NoError(b.t, os.WriteFile(file, []byte(text), 0o644))
+		require.NoError(f.t, os.WriteFile(file, []byte(text), 0o644))
 	}
 	want, err := os.ReadFile(file)
-	require.NoError(b.t, err)
-	require.Equal(b.t, string(want), text, "session %s; run with -update if the change is meant", name)
+	require.NoError(f.t, err)
+	require.Equal(f.t, string(want), text, "session %s; run with -update if the change is intended", name)
 }
 
 const (
-	editedByAnna = `// chutectl: version none
+	annasRules = `// chutectl: version none
 {
   "rules": [
     // Bookings run once.
@@ -153,7 +157,7 @@
   ],
 }
 `
-	editedByBen = `// chutectl: version none
+	bensRules = `// chutectl: version none
 {"rules": [{"name": "rest", "when": "model == \"soil\"", "then": {"pool": "agronomy", "class": "short"}}]}`
 	invalid = `// chutectl: version none
 {"rules": [
@@ -162,84 +166,84 @@
 ]}`
 )
 
-func TestSessions(t *testing.T) {
-	b := newBench(t)
-	b.write("anna.json", editedByAnna)
-	b.write("ben.json", editedByBen)
-	b.write("invalid.json", invalid)
-	b.write("bare.json", `{"rules": []}`)
-	b.golden("help", "-h", "rules publish -h", "rules move -h", "claims accept-gap -h")
-	b.golden("usage", "", "rule get", "-o xml status", "rules publish", "rules publish bare.json", "rules move book",
+func TestCommandOutput(t *testing.T) {
+	f := newFixture(t)
+	f.write("anna.json", annasRules)
+	f.write("ben.json", bensRules)
+	f.write("invalid.json", invalid)
+	f.write("bare.json", `{"rules": []}`)
+	f.golden("help", "-h", "rules publish -h", "rules move -h", "claims accept-gap -h")
+	f.golden("usage", "", "rule get", "-o xml status", "rules publish", "rules publish bare.json", "rules move book",
 		"rules move book -first -last", "rules publish -base x anna.json", "-instance c9 status", "audit -x",
 		"claims accept-gap")
-	b.golden("publish", "rules get", "rules validate invalid.json", "-o json rules validate -local invalid.json",
+	f.golden("publish", "rules get", "rules validate invalid.json", "-o json rules validate -local invalid.json",
 		"rules validate anna.json", "rules publish invalid.json", "rules publish -note first anna.json",
 		"rules diff ben.json", "rules publish ben.json", "-o json rules publish ben.json", "rules get",
 		"rules move book -last", "rules move rest -before book -note back", "rules move gone -first", "rules get",
 		"rules publish -base 1.0 bare.json", "rules history -n 3")
-	b.golden("lists", "status", "-o json rules get", "-o json status", "audit -n 2", "-o json audit -n 1", "-token-file settings.json status",
+	f.golden("lists", "status", "-o json rules get", "-o json status", "audit -n 2", "-o json audit -n 1", "-token-file settings.json status",
 		"-token-file settings.json rules get")
 }
 
-// A test stops an instance right after its start and finds it answering: the
-// stop came before the server had begun to serve, stopped nothing, and the server
-// began afterwards. A stopped instance must refuse connections, however early.
-func TestStopEndsAServerThatHasJustStarted(t *testing.T) {
+// A stop that comes before the server has begun to serve could have no effect, and
+// the server would start afterwards. A stopped instance must refuse connections, even
+// if it is stopped right after its start.
+func TestStopRightAfterStart(t *testing.T) {
 	for range 50 {
-		b := newBench(t)
-		b.stops[0]()
-		b.stops[1]()
-		for _, address := range b.addresses {
+		f := newFixture(t)
+		f.stopServers[0]()
+		f.stopServers[1]()
+		for _, address := range f.addresses {
 			_, err := net.DialTimeout("tcp", address, time.Second)
 			require.ErrorIs(t, err, syscall.ECONNREFUSED)
 		}
 	}
 }
 
-// The first instance is gone, or the log is: chutectl must go on to the next,
-// and must not say "not published" of what may be in force.
-func TestInstancesFail(t *testing.T) {
-	b := newBench(t)
-	b.write("anna.json", editedByAnna)
-	b.write("ben.json", editedByBen)
-	b.stops[0]()
-	b.golden("failover", "rules publish anna.json", "-instance c2 rules history", "-instance c1 status")
-	b.log.Outage(true)
-	b.golden("outage", "rules publish -base 1.0 ben.json")
-	b.log.Outage(false)
-	b.log.Hang(true)
-	b.golden("unknown", "rules publish -base 1.0 ben.json", "-o json rules publish -base 1.0 ben.json")
-	b.log.Hang(false)
-	b.stops[1]()
-	b.golden("down", "rules get", "rules publish anna.json", "status")
+// With an instance or the log unavailable, chutectl must try the next instance, and
+// must not print "not published" for a publication that may be in force.
+func TestInstanceAndLogFailures(t *testing.T) {
+	f := newFixture(t)
+	f.write("anna.json", annasRules)
+	f.write("ben.json", bensRules)
+	f.stopServers[0]()
+	f.golden("failover", "rules publish anna.json", "-instance c2 rules history", "-instance c1 status")
+	f.log.Outage(true)
+	f.golden("outage", "rules publish -base 1.0 ben.json")
+	f.log.Outage(false)
+	f.log.Hang(true)
+	f.golden("unknown", "rules publish -base 1.0 ben.json", "-o json rules publish -base 1.0 ben.json")
+	f.log.Hang(false)
+	f.stopServers[1]()
+	f.golden("down", "rules get", "rules publish anna.json", "status")
 }
 
-// The log was in use before the first start, so both instances refuse plain keys.
-// The operator accepts the gap, and once it is closed a second try is refused: a
-// complete history must not be thrown away. Nor may the gap be accepted while an
-// instance that may know more is out of reach.
-func TestClaimsSessions(t *testing.T) {
-	b := newBenchOver(t, gapped())
-	b.golden("claims", "claims status", "claims accept-gap -reason first-start")
-	for _, i := range []*operatortest.Instance{b.first, b.second} {
+// The log was in use before the first start, so both instances refuse plain keys until
+// the operator accepts the gap. Accepting again is refused, as it would discard a
+// complete history, and so is accepting without -force while an instance that may
+// have the complete history is unreachable.
+func TestAcceptGap(t *testing.T) {
+	f := newFixtureWithLog(t, logWithGap())
+	f.golden("claims", "claims status", "claims accept-gap -reason first-start")
+	for _, i := range []*operatortest.Instance{f.first, f.second} {
 		require.Eventually(t, func() bool { return i.Claims.Stats().Complete }, 5*time.Second, time.Millisecond)
 	}
-	b.golden("claims-accepted", "claims status", "-o json claims status", "audit -n 1", "claims accept-gap -reason again")
-	fresh := newBenchOver(t, gapped())
-	fresh.stops[0]()
-	fresh.golden("claims-down", "claims status", "claims accept-gap -reason x", "-o json claims accept-gap -reason x -force")
+	f.golden("claims-accepted", "claims status", "-o json claims status", "audit -n 1", "claims accept-gap -reason again")
+	partial := newFixtureWithLog(t, logWithGap())
+	partial.stopServers[0]()
+	partial.golden("claims-down", "claims status", "claims accept-gap -reason x", "-o json claims accept-gap -reason x -force")
 }
 
 // gapped returns a log whose first record has expired.
-func gapped() *journaltest.Log {
+func logWithGap() *journaltest.Log {
 	log := journaltest.NewLog()
 	log.Put([]byte("expired"))
 	log.Trim(2)
 	return log
 }
 
-// The first rule set of each deployment must pass the check that publication
-// makes, or the trial script fails at its start.
+// The initial rules of each deployment must pass the validation of a publication;
+// otherwise the trial script fails at its start.
 func TestSampleRulesAreValid(t *testing.T) {
 	for _, name := range []string{"kalku-rinda", "regnbrunnur"} {
 		folder := filepath.Join("..", "..", "deploy", name)
--- a/internal/ctl/daemons.go
+++ b/internal/ctl/daemons.go
@@ -14,10 +14,10 @@
 	"tamarackchute/internal/daemonstatus"
 )
 
-// daemonReport is what was learnt of one daemon.
+// daemonReport is the status of one daemon, or the error of asking it.
 type daemonReport struct {
 	Address string `json:"address"`
-	// Error is set if it didn't answer.
+	// Error is set if the daemon returned no status.
 	Error  string               `json:"error,omitempty"`
 	Status *daemonstatus.Daemon `json:"status,omitempty"`
 }
@@ -26,7 +26,7 @@
 	return func(s *session, operands []string) error { return s.showDaemons(strings.Split(operands[0], ",")) }
 }
 
-// showDaemons asks all daemons at once. It fails if none answers.
+// showDaemons queries all daemons concurrently. It fails if none answers.
 func (s *session) showDaemons(addresses []string) error {
 	reports := make([]daemonReport, len(addresses))
 	var wg conc.WaitGroup
@@ -34,19 +34,19 @@
 		wg.Go(func() { reports[i] = s.askDaemon(address) })
 	}
 	wg.Wait()
-	var teller *daemonstatus.Daemon
+	var responder *daemonstatus.Daemon
 	for i := range reports {
-		if reports[i].Status != nil && teller == nil {
-			teller = reports[i].Status
+		if reports[i].Status != nil && responder == nil {
+			responder = reports[i].Status
 		}
 	}
-	if teller == nil {
+	if responder == nil {
 		return &exitError{code: ExitFailed, message: "no daemon answers: " + reports[0].Error}
 	}
-	if s.form == formJSON {
+	if s.format == formatJSON {
 		return s.printJSON(reports)
 	}
-	return s.printDaemons(reports, teller)
+	return s.printDaemons(reports, responder)
 }
 
 func (s *session) askDaemon(address string) daemonReport {
@@ -77,27 +77,27 @@
 	return status, nil
 }
 
-func (s *session) printDaemons(reports []daemonReport, teller *daemonstatus.Daemon) error {
+func (s *session) printDaemons(reports []daemonReport, responder *daemonstatus.Daemon) error {
 	t := s.table("DAEMON", "DATA CENTRE", "STATE", "LEASE", "CONFIGURATION", "STORE ERA", "LIST READ", "REQUESTS")
 	for _, r := range reports {
 		if r.Status == nil {
 			t.row(r.Address, "", "no answer: "+r.Error)
 			continue
 		}
-		t.row(r.Status.Instance, r.Status.DataCentre, daemonState(r.Status), leaseOf(r.Status.Lease),
-			strconv.FormatUint(r.Status.ConfigVersion, 10), strconv.FormatUint(r.Status.StoreEra, 10), ago(r.Status.UpstreamsAgeMS), strconv.FormatInt(r.Status.Requests, 10))
+		t.row(r.Status.Instance, r.Status.DataCentre, daemonState(r.Status), leaseState(r.Status.Lease),
+			strconv.FormatUint(r.Status.ConfigVersion, 10), strconv.FormatUint(r.Status.StoreEra, 10), formatAge(r.Status.UpstreamsAgeMS), strconv.FormatInt(r.Status.Requests, 10))
 	}
-	if err := t.end(); err != nil {
+	if err := t.flush(); err != nil {
 		return err
 	}
-	fmt.Fprintf(s.Stdout, "\nas %s knows:\n", teller.Instance)
-	if err := s.printPeers(teller.Peers); err != nil {
+	fmt.Fprintf(s.Stdout, "\nas %s knows:\n", responder.Instance)
+	if err := s.printPeers(responder.Peers); err != nil {
 		return err
 	}
-	if err := s.printServers(teller.Upstreams); err != nil {
+	if err := s.printServers(responder.Upstreams); err != nil {
 		return err
 	}
-	return s.printBudgets(teller.Budgets)
+	return s.printBudgets(responder.Budgets)
 }
 
 func daemonState(d *daemonstatus.Daemon) string {
@@ -111,7 +111,7 @@
 	}
 }
 
-func leaseOf(l daemonstatus.Lease) string {
+func leaseState(l daemonstatus.Lease) string {
 	switch {
 	case l.Held:
 		return "holder, fence " + strconv.FormatUint(l.FencingToken, 10)
@@ -122,7 +122,7 @@
 	}
 }
 
-func ago(ms float64) string { return strconv.FormatFloat(ms/1000, 'f', 1, 64) + " s ago" }
+func formatAge(ms float64) string { return strconv.FormatFloat(ms/1000, 'f', 1, 64) + " s ago" }
 
 func (s *session) printPeers(peers []daemonstatus.Peer) error {
 	t := s.table("PEER", "DATA CENTRE", "STATE", "CONFIGURATION", "HEARD")
@@ -134,9 +134,9 @@
 		case p.Up:
 			state = "up"
 		}
-		t.row(p.Instance, p.DataCentre, state, strconv.FormatUint(p.ConfigVersion, 10), ago(p.UpdateAgeMS))
+		t.row(p.Instance, p.DataCentre, state, strconv.FormatUint(p.ConfigVersion, 10), formatAge(p.UpdateAgeMS))
 	}
-	return t.end()
+	return t.flush()
 }
 
 func (s *session) printServers(servers []daemonstatus.Upstream) error {
@@ -152,7 +152,7 @@
 		}
 		t.row(u.ID, u.Pool, u.DataCentre, u.Address, u.Role, state, fmt.Sprintf("%d of %d", u.Running, u.Slots))
 	}
-	return t.end()
+	return t.flush()
 }
 
 func (s *session) printBudgets(budgets []daemonstatus.Budget) error {
@@ -161,5 +161,5 @@
 	for _, b := range budgets {
 		t.row(b.Pool, fmt.Sprintf("%.0f", b.Requests), fmt.Sprintf("%.0f", b.Retries), fmt.Sprintf("%.1f", b.Allowed))
 	}
-	return t.end()
+	return t.flush()
 }
--- a/internal/ctl/daemons_test.go
+++ b/internal/ctl/daemons_test.go
@@ -13,7 +13,7 @@
 	"tamarackchute/internal/daemonstatus"
 )
 
-var someDaemon = daemonstatus.Daemon{
+var sampleDaemon = daemonstatus.Daemon{
 	Instance: "a-1", DataCentre: "a", Ready: true, Requests: 7, ConfigVersion: 12, StoreEra: 2, UpstreamsAgeMS: 640,
 	Lease: daemonstatus.Lease{Candidate: true, Held: true, FencingToken: 5},
 	Peers: []daemonstatus.Peer{
@@ -39,10 +39,10 @@
 	return server.Listener.Addr().String()
 }
 
-// Half of the site is down. The table must still tell what the other half knows,
-// and which daemons don't answer.
-func TestDaemonsAreShown(t *testing.T) {
-	out, _, code := explain(t, "", "daemons", statusServer(t, someDaemon)+",127.0.0.1:1")
+// With some daemons down, the table must still show the status of the others and name
+// the daemons that don't answer.
+func TestDaemonsTable(t *testing.T) {
+	out, _, code := runCommand(t, "", "daemons", statusServer(t, sampleDaemon)+",127.0.0.1:1")
 	require.Equal(t, ExitOK, code)
 	golden := filepath.Join("testdata", "daemons.golden")
 	if *update {
@@ -54,20 +54,20 @@
 }
 
 func TestDaemonsAsJSON(t *testing.T) {
-	out, _, code := explain(t, "", "-o", "json", "daemons", statusServer(t, someDaemon))
+	out, _, code := runCommand(t, "", "-o", "json", "daemons", statusServer(t, sampleDaemon))
 	require.Equal(t, ExitOK, code)
 	var got []daemonReport
 	require.NoError(t, json.Unmarshal([]byte(out), &got))
-	require.Equal(t, &someDaemon, got[0].Status)
+	require.Equal(t, &sampleDaemon, got[0].Status)
 }
 
 func TestNoDaemonAnswers(t *testing.T) {
-	_, errs, code := explain(t, "", "daemons", "127.0.0.1:1")
+	_, errs, code := runCommand(t, "", "daemons", "127.0.0.1:1")
 	require.Equal(t, ExitFailed, code)
 	require.Contains(t, errs, "no daemon answers")
 	server := httptest.NewServer(http.NotFoundHandler())
 	defer server.Close()
-	_, errs, code = explain(t, "", "daemons", server.Listener.Addr().String())
+	_, errs, code = runCommand(t, "", "daemons", server.Listener.Addr().String())
 	require.Equal(t, ExitFailed, code)
 	require.Contains(t, errs, "404")
 }
--- a/internal/ctl/explain.go
+++ b/internal/ctl/explain.go
@@ -19,39 +19,39 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxLogLine bounds one line of a log, in bytes.
+// maxLogLine is the maximum length of a log line in bytes.
 const maxLogLine = 1 << 20
 
-// logLine is one line of a daemon's log.
+// logLine is a parsed line of a daemon's log.
 type logLine struct {
 	Time     time.Time
 	Message  string
 	Instance string
-	// Fields are all others, as they stand in the line.
+	// Fields holds the undecoded values of all other keys except the level.
 	Fields map[string]json.RawMessage
-	// raw is the whole line.
+	// raw is the JSON text of the line.
 	raw []byte
 }
 
 func prepareExplain(flags *flag.FlagSet) runner {
-	file := flags.String("log", "-", "`file` with the daemons' log lines, several joined by commas; - is the standard input")
-	beside := flags.Bool("beside", false, "print the prompts too that the same engine read meanwhile; needs files")
+	file := flags.String("log", "-", "`file` with the daemons' log lines, several separated by commas; - is standard input")
+	withConcurrent := flags.Bool("beside", false, "also print the prompts that the same engine prefilled concurrently; needs files")
 	return func(s *session, operands []string) error {
-		if *beside && *file == "-" {
+		if *withConcurrent && *file == "-" {
 			return usageError("explain: -beside reads the logs twice and needs -log")
 		}
 		lines, err := s.explain(operands[0], *file)
-		if err != nil || !*beside {
+		if err != nil || !*withConcurrent {
 			return err
 		}
-		return s.explainBeside(lines, operands[0], *file)
+		return s.explainConcurrent(lines, operands[0], *file)
 	}
 }
 
-// explain prints the life of one request in the order of time, over all daemons
-// whose logs are given, and returns its lines.
+// explain prints the log lines about one request from the given logs of all daemons
+// in chronological order, and returns them.
 func (s *session) explain(id, files string) ([]logLine, error) {
-	lines, err := s.linesAbout(files, id)
+	lines, err := s.requestLines(files, id)
 	if err != nil {
 		return nil, err
 	}
@@ -64,32 +64,33 @@
 	return lines, nil
 }
 
-func (s *session) printLine(l logLine, began time.Time) {
-	if s.form == formJSON {
+func (s *session) printLine(l logLine, start time.Time) {
+	if s.format == formatJSON {
 		fmt.Fprintf(s.Stdout, "%s\n", l.raw)
 		return
 	}
-	fmt.Fprintf(s.Stdout, "%10.3f ms  %-28s %-9s", telemetry.Millis(l.Time.Sub(began)), l.Instance, l.Message)
+	fmt.Fprintf(s.Stdout, "%10.3f ms  %-28s %-9s", telemetry.Millis(l.Time.Sub(start)), l.Instance, l.Message)
 	for _, name := range slices.Sorted(maps.Keys(l.Fields)) {
 		fmt.Fprintf(s.Stdout, " %s=%s", name, l.Fields[name])
 	}
 	fmt.Fprintln(s.Stdout)
 }
 
-// linesAbout returns the lines of all files that are about a request, in order.
-func (s *session) linesAbout(files, id string) ([]logLine, error) {
+// requestLines returns the lines of all files about a request, ordered by time.
+func (s *session) requestLines(files, id string) ([]logLine, error) {
 	quoted, err := json.Marshal(id)
 	if err != nil {
 		return nil, err
 	}
-	return s.linesWhere(files, func(text []byte) (logLine, bool) { return lineOf(text, quoted) })
+	return s.filterLines(files, func(text []byte) (logLine, bool) { return parseRequestLine(text, quoted) })
 }
 
-// linesWhere returns the lines of all files that pick takes, in order.
-func (s *session) linesWhere(files string, pick func(text []byte) (logLine, bool)) ([]logLine, error) {
+// filterLines returns the parsed lines of all files that match accepts, ordered by
+// time.
+func (s *session) filterLines(files string, match func(text []byte) (logLine, bool)) ([]logLine, error) {
 	var lines []logLine
 	for name := range strings.SplitSeq(files, ",") {
-		found, err := s.linesOf(name, pick)
+		found, err := s.readLines(name, match)
 		if err != nil {
 			return nil, err
 		}
@@ -99,12 +100,14 @@
 	return lines, nil
 }
 
-func (s *session) linesOf(name string, pick func(text []byte) (logLine, bool)) ([]logLine, error) {
+// readLines returns the parsed lines of one file, or of standard input if name is
+// "-", that match accepts.
+func (s *session) readLines(name string, match func(text []byte) (logLine, bool)) ([]logLine, error) {
 	var in io.Reader = s.Stdin
 	if name != "-" {
 		file, err := os.Open(name)
 		if err != nil {
-			return nil, eris.Wrap(err, "log")
+			return nil, eris.Wrap(err, "open log")
 		}
 		defer func() { _ = file.Close() }()
 		in = file
@@ -113,15 +116,16 @@
 	scanner := bufio.NewScanner(in)
 	scanner.Buffer(nil, maxLogLine)
 	for scanner.Scan() {
-		if l, ok := pick(scanner.Bytes()); ok {
+		if l, ok := match(scanner.Bytes()); ok {
 			lines = append(lines, l)
 		}
 	}
-	return lines, eris.Wrapf(scanner.Err(), "log %s", name)
+	return lines, eris.Wrapf(scanner.Err(), "read log %s", name)
 }
 
-// lineOf reads a line if it is about the request.
-func lineOf(text, quotedID []byte) (logLine, bool) {
+// parseRequestLine parses a line if it is about the request; quotedID is the request
+// ID as a JSON string. The result lacks the field "request".
+func parseRequestLine(text, quotedID []byte) (logLine, bool) {
 	if !bytes.Contains(text, quotedID) {
 		return logLine{}, false
 	}
@@ -133,8 +137,8 @@
 	return l, true
 }
 
-// parseLine reads a line of any daemon. What a collector of logs has put before the
-// line's object is left out.
+// parseLine parses a line of any daemon. It skips a prefix that a log collector put
+// before the JSON object.
 func parseLine(text []byte) (logLine, bool) {
 	start := bytes.IndexByte(text, '{')
 	if start < 0 {
--- a/internal/ctl/header.go
+++ b/internal/ctl/header.go
@@ -10,11 +10,11 @@
 	"tamarackchute/rules"
 )
 
-// headerLine is the first line of what "rules get" prints.
+// headerLine matches the first line of the output of "rules get".
 var headerLine = regexp.MustCompile(`^// chutectl: version (\S+).*(?:\n|$)`)
 
-// withHeader puts the version in front of a document.
-func withHeader(r api.Rules) string {
+// addHeader puts a comment with the version in front of the document.
+func addHeader(r api.Rules) string {
 	header := "// chutectl: version " + r.Version.String()
 	if !r.Version.IsZero() {
 		note := strings.ReplaceAll(r.Note, "\n", " ")
@@ -23,8 +23,8 @@
 	return header + "\n" + strings.TrimSuffix(r.Document, "\n") + "\n"
 }
 
-// splitHeader takes the header off a document and returns the version it
-// records, if there is one.
+// splitHeader removes the header from a document and returns the version that it
+// records. found is false if there is no valid header.
 func splitHeader(document []byte) (rest []byte, version rules.Version, found bool) {
 	m := headerLine.FindSubmatch(document)
 	if m == nil {
--- a/internal/ctl/lists.go
+++ b/internal/ctl/lists.go
@@ -14,10 +14,10 @@
 	"tamarackchute/internal/operator/api"
 )
 
-// defaultEntries is the length of a list unless -n gives another.
+// defaultEntries is the default of -n, the number of listed entries.
 const defaultEntries = 20
 
-func withCount(path string, n int) string {
+func pathWithCount(path string, n int) string {
 	return path + "?" + url.Values{api.ParamCount: {strconv.Itoa(n)}}.Encode()
 }
 
@@ -25,7 +25,7 @@
 	n := flags.Int("n", defaultEntries, "`number` of publications")
 	return func(s *session, _ []string) error {
 		var history api.History
-		if done, err := s.fetch(withCount(api.PathHistory, *n), &history); done || err != nil {
+		if done, err := s.fetch(pathWithCount(api.PathHistory, *n), &history); done || err != nil {
 			return err
 		}
 		t := s.table("VERSION", "OUTCOME", "BASE", "AT", "BY", "NOTE")
@@ -34,9 +34,9 @@
 			if v.Forced {
 				outcome += ", forced"
 			}
-			t.row(v.Version.String(), outcome, v.Base.String(), clock(v.At), v.Author, v.Note)
+			t.row(v.Version.String(), outcome, v.Base.String(), formatTime(v.At), v.Author, v.Note)
 		}
-		return t.end()
+		return t.flush()
 	}
 }
 
@@ -44,19 +44,19 @@
 	n := flags.Int("n", defaultEntries, "`number` of records")
 	return func(s *session, _ []string) error {
 		var trail api.Audit
-		if done, err := s.fetch(withCount(api.PathAudit, *n), &trail); done || err != nil {
+		if done, err := s.fetch(pathWithCount(api.PathAudit, *n), &trail); done || err != nil {
 			return err
 		}
 		t := s.table("AT", "WHO", "WHAT", "TARGET", "FROM", "TO", "REASON")
 		for _, r := range trail.Records {
-			t.row(clock(r.At), r.Who, string(r.What), r.Target, r.From, r.To, r.Reason)
+			t.row(formatTime(r.At), r.Who, string(r.What), r.Target, r.From, r.To, r.Reason)
 		}
-		return t.end()
+		return t.flush()
 	}
 }
 
-// fetch reads from the first instance that answers. It reports done if it has
-// printed the answer as JSON.
+// fetch decodes the response of the first instance that answers. With JSON output it
+// prints the response itself and reports done.
 func (s *session) fetch(path string, into any) (done bool, err error) {
 	c, err := s.connect()
 	if err != nil {
@@ -66,18 +66,18 @@
 	if err != nil {
 		return false, err
 	}
-	if err := r.into(into); err != nil {
+	if err := r.decode(into); err != nil {
 		return false, err
 	}
-	if s.form == formJSON {
+	if s.format == formatJSON {
 		return true, s.printJSON(into)
 	}
 	return false, nil
 }
 
-func clock(at time.Time) string { return at.UTC().Format(time.RFC3339) }
+func formatTime(at time.Time) string { return at.UTC().Format(time.RFC3339) }
 
-// table prints rows in columns.
+// table prints rows with aligned columns.
 type table struct{ w *tabwriter.Writer }
 
 const columnGap = 2
@@ -88,7 +88,7 @@
 	return t
 }
 
-// row prints one row; "-" stands for an empty cell.
+// row prints one row, with "-" for empty cells.
 func (t table) row(cells ...string) {
 	for i, cell := range cells {
 		if cell == "" {
@@ -98,4 +98,4 @@
 	fmt.Fprintln(t.w, strings.Join(cells, "\t"))
 }
 
-func (t table) end() error { return t.w.Flush() }
+func (t table) flush() error { return t.w.Flush() }
--- a/internal/ctl/predictions.go
+++ b/internal/ctl/predictions.go
@@ -12,64 +12,64 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// errorsOf are how far predictions of a rule's answers were off, as shares of what was
-// predicted.
-type errorsOf struct {
-	first, pause []float64
+// predictionErrors holds the relative errors of the predictions for a rule's requests:
+// the absolute error divided by the predicted value.
+type predictionErrors struct {
+	firstEvent, gap []float64
 }
 
-// predictionErrors compares, by rule, what was expected of answered streams with what
-// came.
-func predictionErrors(lines []logLine, trials map[string]trial) map[string]*errorsOf {
-	byRule := make(map[string]*errorsOf)
+// collectPredictionErrors compares, by rule, the predicted with the measured times of
+// answered streams.
+func collectPredictionErrors(lines []logLine, attempts map[string]attemptLine) map[string]*predictionErrors {
+	byRule := make(map[string]*predictionErrors)
 	for _, l := range lines {
-		var e ending
+		var e endLine
 		if l.Message != "answered" || json.Unmarshal(l.raw, &e) != nil {
 			continue
 		}
-		t, ok := trials[e.Request]
-		if !ok || e.Rule == "" || t.Expected <= 0 || t.First <= 0 {
+		a, ok := attempts[e.Request]
+		if !ok || e.Rule == "" || a.Expected <= 0 || a.First <= 0 {
 			continue
 		}
-		of := byRule[e.Rule]
-		if of == nil {
-			of = &errorsOf{}
-			byRule[e.Rule] = of
+		predictions := byRule[e.Rule]
+		if predictions == nil {
+			predictions = &predictionErrors{}
+			byRule[e.Rule] = predictions
 		}
-		of.first = append(of.first, math.Abs(t.First-t.Expected)/t.Expected)
-		if t.ExpectedGap > 0 && e.Gap > 0 {
-			of.pause = append(of.pause, math.Abs(e.Gap-t.ExpectedGap)/t.ExpectedGap)
+		predictions.firstEvent = append(predictions.firstEvent, math.Abs(a.First-a.Expected)/a.Expected)
+		if a.ExpectedGap > 0 && e.Gap > 0 {
+			predictions.gap = append(predictions.gap, math.Abs(e.Gap-a.ExpectedGap)/a.ExpectedGap)
 		}
 	}
 	return byRule
 }
 
-// lastTrials returns the attempt that each request was answered by.
-func lastTrials(lines []logLine) map[string]trial {
-	trials := make(map[string]trial)
+// finalAttempts returns, by request ID, the attempt that completed the request.
+func finalAttempts(lines []logLine) map[string]attemptLine {
+	attempts := make(map[string]attemptLine)
 	for _, l := range lines {
-		var t trial
-		if l.Message == "attempt" && json.Unmarshal(l.raw, &t) == nil && t.Done {
-			trials[t.Request] = t
+		var a attemptLine
+		if l.Message == "attempt" && json.Unmarshal(l.raw, &a) == nil && a.Done {
+			attempts[a.Request] = a
 		}
 	}
-	return trials
+	return attempts
 }
 
-func printErrors(out io.Writer, byRule map[string]*errorsOf) error {
+func printPredictionErrors(out io.Writer, byRule map[string]*predictionErrors) error {
 	if len(byRule) == 0 {
 		return nil
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "\nRULE\tANSWERS\tFIRST EVENT OFF BY (P50, P90)\tPAUSE OFF BY (P50, P90)")
 	for _, rule := range slices.Sorted(maps.Keys(byRule)) {
-		of := byRule[rule]
-		fmt.Fprintf(w, "%s\t%d\t%s\t%s\n", rule, len(of.first), quantiles(of.first), quantiles(of.pause))
+		predictions := byRule[rule]
+		fmt.Fprintf(w, "%s\t%d\t%s\t%s\n", rule, len(predictions.firstEvent), quantiles(predictions.firstEvent), quantiles(predictions.gap))
 	}
 	return w.Flush()
 }
 
-// quantiles writes the median and the ninth decile.
+// quantiles formats the median and the 90th percentile.
 func quantiles(values []float64) string {
 	if len(values) == 0 {
 		return "-"
--- a/internal/ctl/publish.go
+++ b/internal/ctl/publish.go
@@ -49,20 +49,20 @@
 	flags.BoolVar(&to.Last, "last", false, "put it behind all")
 	note := flags.String("note", "", "`text` for the history and the audit trail")
 	return func(s *session, operands []string) error {
-		places := 0
+		targets := 0
 		for _, given := range []bool{to.Before != "", to.First, to.Last} {
 			if given {
-				places++
+				targets++
 			}
 		}
-		if places != 1 {
+		if targets != 1 {
 			return usageError("rules move needs one of -before, -first and -last")
 		}
 		c, err := s.connect()
 		if err != nil {
 			return err
 		}
-		current, err := c.inForce(s)
+		current, err := c.currentRules(s)
 		if err != nil {
 			return err
 		}
@@ -77,10 +77,10 @@
 	}
 }
 
-// publish sends a publication to one instance after the other until one tells
-// its verdict. All copies have one ID, so they count once: a reply that was lost
-// on the way, or an instance that waits for the log in vain, is settled by the
-// next.
+// publish sends a publication to one instance after the other until one returns a
+// final outcome. All attempts share one ID, so the publication takes effect at most
+// once: after a lost reply, or an instance that timed out waiting for the log, the
+// next instance can tell the outcome.
 func (c *client) publish(s *session, request api.PublishRequest) error {
 	request.ID = uuid.NewString()
 	maybePublished := false
@@ -92,16 +92,16 @@
 			failures = append(failures, in.Name+": "+cause(err))
 			continue
 		}
-		if decided(r.status) || (!maybePublished && r.status < fasthttp.StatusInternalServerError) {
+		if isDecided(r.status) || (!maybePublished && r.status < fasthttp.StatusInternalServerError) {
 			return s.showPublished(r)
 		}
-		undecided, reason := r.undecided()
+		undecided, reason := r.failureOutcome()
 		maybePublished = maybePublished || undecided
 		failures = append(failures, reason)
 	}
 	reasons := strings.Join(failures, "; ")
 	if maybePublished {
-		if s.form == formJSON {
+		if s.format == formatJSON {
 			unknown := rules.Result{ID: request.ID, Outcome: rules.OutcomeUnknown, Reason: reasons}
 			if err := s.printJSON(api.PublishReply{Result: unknown}); err != nil {
 				return err
@@ -112,18 +112,18 @@
 	return &exitError{code: ExitFailed, message: "not published: " + reasons}
 }
 
-// decided reports whether an answer tells a verdict.
-func decided(status int) bool {
+// isDecided reports whether a response with this status contains a final outcome.
+func isDecided(status int) bool {
 	return status == fasthttp.StatusOK || status == fasthttp.StatusConflict
 }
 
-// undecided reads an answer without a verdict: whether the publication may be in
-// force or may come, and why. An instance that failed in its handler says nothing
-// of that.
-func (r *reply) undecided() (bool, string) {
+// failureOutcome interprets a response without a final outcome. It reports whether
+// the publication may have taken effect or may still do so, and the reason. The
+// outcome of an internal error is unknown.
+func (r *reply) failureOutcome() (bool, string) {
 	var p api.PublishReply
 	if r.status == fasthttp.StatusServiceUnavailable {
-		if r.into(&p) == nil && p.Outcome == rules.OutcomeUnknown {
+		if r.decode(&p) == nil && p.Outcome == rules.OutcomeUnknown {
 			return true, r.instance + ": " + p.Reason
 		}
 		return false, r.failure().Error()
@@ -131,12 +131,12 @@
 	return r.status >= fasthttp.StatusInternalServerError, r.failure().Error()
 }
 
-// showPublished prints an instance's answer to a publication.
+// showPublished prints an instance's response to a publication.
 func (s *session) showPublished(r *reply) error {
 	switch r.status {
 	case fasthttp.StatusUnprocessableEntity:
 		var invalid api.Problems
-		if err := r.into(&invalid); err != nil {
+		if err := r.decode(&invalid); err != nil {
 			return err
 		}
 		for i := range invalid.Problems {
@@ -148,21 +148,21 @@
 		return r.failure()
 	}
 	var published api.PublishReply
-	if err := r.into(&published); err != nil {
+	if err := r.decode(&published); err != nil {
 		return err
 	}
-	if s.form == formJSON {
+	if s.format == formatJSON {
 		if err := s.printJSON(published); err != nil {
 			return err
 		}
 	}
 	if published.Outcome == rules.OutcomeAccepted {
-		if s.form == formText {
+		if s.format == formatText {
 			fmt.Fprintf(s.Stdout, "published as version %s\n", published.Version)
 		}
 		return nil
 	}
-	if s.form == formText {
+	if s.format == formatText {
 		fmt.Fprintf(s.Stdout, "not published: version %s is in force, not the one that you edited.\n"+
 			"From it to yours:\n%s", published.Current, published.Diff)
 	}
--- a/internal/ctl/rules.go
+++ b/internal/ctl/rules.go
@@ -19,29 +19,29 @@
 	if err != nil {
 		return err
 	}
-	r, err := c.inForce(s)
+	r, err := c.currentRules(s)
 	if err != nil {
 		return err
 	}
-	if s.form == formJSON {
+	if s.format == formatJSON {
 		return s.printJSON(r)
 	}
-	fmt.Fprint(s.Stdout, withHeader(r))
+	fmt.Fprint(s.Stdout, addHeader(r))
 	return nil
 }
 
-// inForce returns the rules in force on the first instance that answers.
-func (c *client) inForce(s *session) (api.Rules, error) {
+// currentRules returns the rules in force on the first instance that answers.
+func (c *client) currentRules(s *session) (api.Rules, error) {
 	var r api.Rules
 	answer, err := c.first(s.ctx, fasthttp.MethodGet, api.PathRules, nil)
 	if err != nil {
 		return r, err
 	}
-	return r, answer.into(&r)
+	return r, answer.decode(&r)
 }
 
 func prepareValidate(flags *flag.FlagSet) runner {
-	local := flags.Bool("local", false, "check by the settings alone and ask no instance")
+	local := flags.Bool("local", false, "check against the settings only, without asking an instance")
 	return func(s *session, operands []string) error {
 		document, err := s.readFile(operands[0])
 		if err != nil {
@@ -69,7 +69,7 @@
 		return nil, err
 	}
 	var reply api.Problems
-	return reply.Problems, r.into(&reply)
+	return reply.Problems, r.decode(&reply)
 }
 
 func checkLocally(s *session, document []byte) ([]rules.Problem, error) {
@@ -85,9 +85,10 @@
 	return nil, err
 }
 
-// showProblems prints the result of a check.
+// showProblems prints the result of a validation. It returns an error if there are
+// problems.
 func (s *session) showProblems(problems []rules.Problem) error {
-	if s.form == formJSON {
+	if s.format == formatJSON {
 		if err := s.printJSON(api.Problems{Problems: append([]rules.Problem{}, problems...)}); err != nil {
 			return err
 		}
@@ -99,7 +100,7 @@
 	if len(problems) > 0 {
 		return &exitError{code: ExitInvalid, message: fmt.Sprintf("invalid rules, problems: %d", len(problems))}
 	}
-	if s.form == formText {
+	if s.format == formatText {
 		fmt.Fprintln(s.Stdout, "valid")
 	}
 	return nil
@@ -116,7 +117,7 @@
 	if err != nil {
 		return err
 	}
-	current, err := c.inForce(s)
+	current, err := c.currentRules(s)
 	if err != nil {
 		return err
 	}
@@ -128,7 +129,7 @@
 	if err != nil {
 		return err
 	}
-	if s.form == formJSON {
+	if s.format == formatJSON {
 		return s.printJSON(append(rules.Diff{}, diff...))
 	}
 	if len(diff) == 0 {
@@ -139,7 +140,7 @@
 	return nil
 }
 
-// printJSON prints a value for other programs.
+// printJSON prints a value as indented JSON.
 func (s *session) printJSON(v any) error {
 	out := json.NewEncoder(s.Stdout)
 	out.SetEscapeHTML(false)
--- a/internal/ctl/status.go
+++ b/internal/ctl/status.go
@@ -13,15 +13,15 @@
 	"tamarackchute/rules"
 )
 
-// instanceReport is what was learnt of one instance.
+// instanceReport is the status of one instance, or the error of asking it.
 type instanceReport struct {
 	Name string `json:"name"`
-	// Error is set if it didn't answer.
+	// Error is set if the instance returned no status.
 	Error  string      `json:"error,omitempty"`
 	Status *api.Status `json:"status,omitempty"`
 }
 
-// statusReport is the JSON form of "status".
+// statusReport is the JSON output of "status".
 type statusReport struct {
 	Instances []instanceReport `json:"instances"`
 }
@@ -33,26 +33,26 @@
 	if err != nil {
 		return err
 	}
-	report, err := c.report(s)
+	report, err := c.collectStatus(s)
 	if err != nil {
 		return err
 	}
-	if s.form == formJSON {
+	if s.format == formatJSON {
 		return s.printJSON(report)
 	}
 	return s.printReport(report)
 }
 
-// report asks all instances at once. It fails if none answers, or if they
-// refuse the token.
-func (c *client) report(s *session) (statusReport, error) {
+// collectStatus queries all instances concurrently. It fails if none answers or if
+// one rejects the token.
+func (c *client) collectStatus(s *session) (statusReport, error) {
 	reports := make([]instanceReport, len(c.instances))
 	failures := make([]error, len(c.instances))
 	var wg conc.WaitGroup
 	for i, in := range c.instances {
 		wg.Go(func() {
 			r, err := c.call(s.ctx, in, fasthttp.MethodGet, api.PathStatus, nil)
-			reports[i], failures[i] = newReport(in.Name, r, err)
+			reports[i], failures[i] = newInstanceReport(in.Name, r, err)
 		})
 	}
 	wg.Wait()
@@ -72,7 +72,7 @@
 	return statusReport{Instances: reports}, nil
 }
 
-func newReport(name string, r *reply, err error) (instanceReport, error) {
+func newInstanceReport(name string, r *reply, err error) (instanceReport, error) {
 	if err != nil {
 		return instanceReport{Name: name, Error: cause(err)}, err
 	}
@@ -80,7 +80,7 @@
 		return instanceReport{Name: name, Error: r.failure().Error()}, r.failure()
 	}
 	var status api.Status
-	if err := r.into(&status); err != nil {
+	if err := r.decode(&status); err != nil {
 		return instanceReport{Name: name, Error: err.Error()}, err
 	}
 	return instanceReport{Name: name, Status: &status}, nil
@@ -88,35 +88,35 @@
 
 func (s *session) printReport(report statusReport) error {
 	t := s.table("INSTANCE", "DATA CENTRE", "STATE", "LOG", "RULES", "REQUESTS", "REMARK")
-	var teller *api.Status
+	var responder *api.Status
 	versions := map[rules.Version]int{}
 	for _, r := range report.Instances {
 		if r.Status == nil {
 			t.row(r.Name, "", "no answer", "", "", "", r.Error)
 			continue
 		}
-		if teller == nil {
-			teller = r.Status
+		if responder == nil {
+			responder = r.Status
 		}
 		versions[r.Status.Rules.InForce]++
-		t.row(r.Name, r.Status.DataCentre, stateOf(r.Status), upOrDown(r.Status.LogUp),
+		t.row(r.Name, r.Status.DataCentre, instanceState(r.Status), upOrDown(r.Status.LogUp),
 			r.Status.Rules.InForce.String(), strconv.Itoa(r.Status.Requests), remark(r.Status.Rules))
 	}
-	if err := t.end(); err != nil {
+	if err := t.flush(); err != nil {
 		return err
 	}
 	if len(versions) > 1 {
 		fmt.Fprintf(s.Stdout, "%d versions of the rules are in force\n", len(versions))
 	}
 	fmt.Fprintln(s.Stdout)
-	if err := s.printLeaders(teller); err != nil {
+	if err := s.printLeaders(responder); err != nil {
 		return err
 	}
 	fmt.Fprintln(s.Stdout)
-	return s.printUpstreams(teller)
+	return s.printUpstreams(responder)
 }
 
-func stateOf(st *api.Status) string {
+func instanceState(st *api.Status) string {
 	switch {
 	case st.Leaving:
 		return "leaving"
@@ -134,7 +134,7 @@
 	return "down"
 }
 
-// remark tells what an operator has to know of an instance's rules.
+// remark describes a problem of an instance's rules that needs attention.
 func remark(r rules.Status) string {
 	switch {
 	case r.Problem != "":
@@ -151,9 +151,9 @@
 func (s *session) printLeaders(st *api.Status) error {
 	t := s.table("SCOPE", "LEADER", "FENCING NUMBER", "SINCE")
 	for _, l := range st.Leaders {
-		t.row(l.Scope, l.Holder, strconv.FormatUint(l.Fence, 10), clock(l.Since))
+		t.row(l.Scope, l.Holder, strconv.FormatUint(l.Fence, 10), formatTime(l.Since))
 	}
-	return t.end()
+	return t.flush()
 }
 
 func (s *session) printUpstreams(st *api.Status) error {
@@ -165,5 +165,5 @@
 		}
 		t.row(u.Name, u.Kind, u.DataCentre, u.Pool, u.Role, usable, strconv.Itoa(u.InFlight), u.Change)
 	}
-	return t.end()
+	return t.flush()
 }
--- a/internal/ctl/late_test.go
+++ b/internal/ctl/summary_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Drivers complain that answers come late. The summary of a day's logs says for which
-// rule, how often, and why.
-func TestSummarySaysWhyAnswersWereLate(t *testing.T) {
+// The summary must count each request under its rule and the cause for which it was
+// late, with one request for each cause.
+func TestSummaryCountsLateCauses(t *testing.T) {
 	attempt := func(id, fields string) string {
 		return `{"time":"2026-05-01T10:00:00.010Z","msg":"attempt","instance":"a","request":"` + id + `","done":true,` + fields + `}` + "\n"
 	}
@@ -25,10 +25,10 @@
 		`{"time":"2026-05-01T10:00:00.030Z","msg":"failed","instance":"b","request":"7","rule":"r","reason":"no place","comeback":false}` + "\n" +
 		`{"time":"2026-05-01T10:00:00.040Z","msg":"failed","instance":"b","request":"8","rule":"r","reason":"no place","comeback":true}` + "\n" +
 		"not a line\n"
-	out, _, code := explain(t, log, "summary")
+	out, _, code := runCommand(t, log, "summary")
 	require.Equal(t, ExitOK, code)
 	for _, c := range []lateCause{
-		causeInTime, causePause, causeBehind, causeReading, causeTakeover, causeTried,
+		causeNone, causeLongGap, causeAdmittedLate, causeSlowPrefill, causeSlowTakeover, causeEarlierAttempts,
 		"refused or failed: no place", "refused again: no place",
 	} {
 		require.Contains(t, out, "0.125  "+string(c))
@@ -37,7 +37,7 @@
 	require.Len(t, strings.Split(causes, "\n"), 9)
 	require.Regexp(t, `r +6 +0\.20, 2\.20 +1\.00, 1\.00$`, strings.TrimSpace(errors), "first events off by 0.2 to 2.2")
 
-	_, errs, code := explain(t, "not a line\n", "summary")
+	_, errs, code := runCommand(t, "not a line\n", "summary")
 	require.Equal(t, ExitFailed, code)
 	require.Contains(t, errs, "no line")
 }
