--- a/cmd/chutectl/main.go
+++ b/cmd/chutectl/main.go
@@ -1,4 +1,5 @@
-// Command chutectl is for operators: rules, status and audit trail.
+// Command chutectl is the operators' command line tool. It manages rules and claims,
+// shows status and the audit trail, and analyses the daemons' logs.
 package main
 
 import (
--- a/deploy/samples_test.go
+++ b/deploy/samples_test.go
@@ -1,5 +1,5 @@
-// Package deploy holds the sample deployments; its tests hold that they can be
-// used as they are.
+// Package deploy contains the sample deployments. Its tests check that they can be
+// used without changes.
 package deploy
 
 import (
@@ -16,9 +16,9 @@
 
 var samples = []string{"kalku-rinda", "regnbrunnur"}
 
-// An operator publishes the sample rules and gets problems, or callers' usual
-// requests fall through to "no rule matches".
-func TestSampleRulesServeTheUsualRequests(t *testing.T) {
+// The sample rules must be valid and must match typical requests, which are otherwise
+// refused because no rule matches.
+func TestSampleRulesMatchTypicalRequests(t *testing.T) {
 	for _, name := range samples {
 		d, err := settings.Load(name + "/settings.json")
 		require.NoError(t, err)
@@ -36,8 +36,9 @@
 	}
 }
 
-// Calls that may not be repeated must be protected, whatever the path below.
-func TestSampleRulesProtectWhatMayNotRunTwice(t *testing.T) {
+// Calls that must not run twice must be protected, on subpaths too; lookups must be
+// repeatable.
+func TestSampleRulesProtectNonIdempotentCalls(t *testing.T) {
 	for name, paths := range map[string][]string{
 		"kalku-rinda": {"/bookings", "/bookings/7", "/slips", "/route-sheets"},
 		"regnbrunnur": {"/check-ins", "/check-ins/7", "/alarms/3/acknowledgement"},
@@ -57,27 +58,28 @@
 	}
 }
 
-// Both samples may run on one machine at once, so they share no address.
+// Both samples may run on one machine at the same time, so they must not share an
+// address.
 func TestSamplesShareNoAddress(t *testing.T) {
-	var nets []netip.Prefix
+	var networks []netip.Prefix
 	for _, name := range samples {
 		d, err := settings.Load(name + "/settings.json")
 		require.NoError(t, err)
-		all := []string{d.Platform.Log, d.Platform.Instances, d.Platform.Weights}
+		addresses := []string{d.Platform.Log, d.Platform.Instances, d.Platform.Weights}
 		for _, in := range d.Instances {
-			all = append(all, in.Callers, in.Operators, in.Peers, in.ControllerOperators, in.ControllerPeers)
+			addresses = append(addresses, in.Callers, in.Operators, in.Peers, in.ControllerOperators, in.ControllerPeers)
 		}
 		for _, u := range d.Upstreams {
-			all = append(all, u.Address)
+			addresses = append(addresses, u.Address)
 		}
-		var net netip.Prefix
-		for _, a := range all {
-			of, err := netip.MustParseAddrPort(a).Addr().Prefix(16)
+		var network netip.Prefix
+		for _, a := range addresses {
+			prefix, err := netip.MustParseAddrPort(a).Addr().Prefix(16)
 			require.NoError(t, err)
-			require.True(t, !net.IsValid() || net == of, "one /16 a deployment")
-			net = of
+			require.True(t, !network.IsValid() || network == prefix, "one /16 network for each deployment")
+			network = prefix
 		}
-		require.NotContains(t, nets, net)
-		nets = append(nets, net)
+		require.NotContains(t, networks, network)
+		networks = append(networks, network)
 	}
 }
--- a/internal/ctl/claims.go
+++ b/internal/ctl/claims.go
@@ -138,5 +138,5 @@
 			return in
 		}
 	}
-	panic("ctl: report of unknown instance " + name)
+	panic("ctl: report of an unknown instance")
 }
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -159,7 +159,7 @@
 `
 	bensRules = `// chutectl: version none
 {"rules": [{"name": "rest", "when": "model == \"soil\"", "then": {"pool": "agronomy", "class": "short"}}]}`
-	invalid = `// chutectl: version none
+	invalidRules = `// chutectl: version none
 {"rules": [
   {"name": "rest", "when": "true", "then": {"pool": "agronomie"}},
   {"name": "late", "when": "strem", "then": {"pool": "booking"}},
@@ -170,7 +170,7 @@
 	f := newFixture(t)
 	f.write("anna.json", annasRules)
 	f.write("ben.json", bensRules)
-	f.write("invalid.json", invalid)
+	f.write("invalid.json", invalidRules)
 	f.write("bare.json", `{"rules": []}`)
 	f.golden("help", "-h", "rules publish -h", "rules move -h", "claims accept-gap -h")
 	f.golden("usage", "", "rule get", "-o xml status", "rules publish", "rules publish bare.json", "rules move book",
--- a/internal/notify/notify.go
+++ b/internal/notify/notify.go
@@ -1,34 +1,34 @@
-// Package notify wakes everybody who waits for a change of some state.
+// Package notify wakes all goroutines that wait for a change of some state.
 package notify
 
 import "sync"
 
-// Broadcaster is a channel that closes at the next change, made anew each time. It
-// is safe for use by many goroutines; the zero value is ready.
+// Broadcaster signals changes by closing a channel, which is replaced after each
+// change. It is safe for concurrent use; the zero value is ready to use.
 type Broadcaster struct {
-	mu   sync.Mutex
-	next chan struct{}
+	mu      sync.Mutex
+	changed chan struct{}
 }
 
-// Changed returns a channel that closes with the next change. Take the channel
-// before looking at the state, so that no change falls between the two.
+// Changed returns a channel that is closed at the next change. Get the channel before
+// reading the state, so that no change between the two is missed.
 func (c *Broadcaster) Changed() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.channel()
 }
 
-// Broadcast tells everybody who waits that the state has changed.
+// Broadcast signals a change to all waiting goroutines.
 func (c *Broadcaster) Broadcast() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	close(c.channel())
-	c.next = nil
+	c.changed = nil
 }
 
 func (c *Broadcaster) channel() chan struct{} {
-	if c.next == nil {
-		c.next = make(chan struct{})
+	if c.changed == nil {
+		c.changed = make(chan struct{})
 	}
-	return c.next
+	return c.changed
 }
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -1,5 +1,5 @@
-// Package program starts the daemons of an instance in the same way: flags,
-// settings, log, metrics, secrets and signals.
+// Package program is the common entry point of an instance's daemons. It handles
+// flags, settings, logs, metrics, secrets and signals.
 package program
 
 import (
@@ -18,30 +18,31 @@
 
 // The exit codes of a daemon.
 const (
-	exitFailed = 1
-	exitUsage  = 2
+	exitFailure = 1
+	exitUsage   = 2
 )
 
-// Env is what every daemon starts with.
+// Env is the environment that Main passes to a daemon.
 type Env struct {
 	Deployment *settings.Deployment
 	// Instance names the instance that this process runs on.
 	Instance string
-	// Secret is what the system's processes share.
+	// Secret is the peer secret, shared by the system's processes.
 	Secret []byte
-	// ServerTLS and ClientTLS are nil where the settings have no TLS.
+	// ServerTLS and ClientTLS are nil if TLS is off.
 	ServerTLS, ClientTLS *tls.Config
 	Metrics              *telemetry.Metrics
 	Logger               *slog.Logger
 }
 
-// Daemon works until its context ends, and returns once it has stopped.
+// Daemon is a long-running process.
 type Daemon interface {
+	// Run runs until the context is cancelled and returns once the daemon has stopped.
 	Run(ctx context.Context) error
 }
 
-// Main runs a daemon until SIGTERM or an interrupt and ends the process: with 0
-// after a graceful stop, 1 after an error, 2 if the command line is wrong.
+// Main runs a daemon until SIGTERM or an interrupt. It returns after a graceful stop,
+// and exits with 1 after an error and 2 if the command line is invalid.
 func Main(name string, build func(Env) (Daemon, error)) {
 	file := flag.String("settings", "", "settings `file` of the deployment")
 	instance := flag.String("instance", "", "`name` of the instance that this runs on")
@@ -52,12 +53,12 @@
 	}
 	if err := run(name, *file, *instance, build); err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
-		os.Exit(exitFailed)
+		os.Exit(exitFailure)
 	}
 }
 
 func run(name, file, instance string, build func(Env) (Daemon, error)) error {
-	env, err := load(file, instance)
+	env, err := loadEnv(file, instance)
 	if err != nil {
 		return err
 	}
@@ -76,8 +77,8 @@
 	return d.Run(ctx)
 }
 
-// load reads the settings and the files that they name.
-func load(file, instance string) (Env, error) {
+// loadEnv reads the settings and the files that they refer to.
+func loadEnv(file, instance string) (Env, error) {
 	env := Env{Instance: instance}
 	var err error
 	if env.Deployment, err = settings.Load(file); err != nil {
--- a/internal/settings/types.go
+++ b/internal/settings/types.go
@@ -184,7 +184,7 @@
 // RoleStep sets how many engines of the deployment have each role from a point in
 // time.
 type RoleStep struct {
-	// AtUnixSeconds is the start of the step as a Unix time.
+	// AtUnixSeconds is the start of the step as a Unix time: seconds since 1970.
 	AtUnixSeconds float64 `json:"at_unix_s" validate:"gt=0"`
 	Prefill       int     `json:"prefill" validate:"gte=0"`
 	Decode        int     `json:"decode" validate:"gte=0"`
--- a/internal/telemetry/async.go
+++ b/internal/telemetry/async.go
@@ -8,12 +8,12 @@
 	"sync/atomic"
 )
 
-// asyncLines bounds the lines that wait to be written.
-const asyncLines = 4096
+// maxQueuedLines bounds the lines that are queued for writing.
+const maxQueuedLines = 4096
 
-// AsyncWriter writes lines in the background. A reader that stalls, or a full
-// pipe, loses lines, which are counted and told later; it never holds a request
-// up.
+// AsyncWriter writes lines in the background, so that a stalled reader or a full pipe
+// never blocks a request. When the queue is full, lines are dropped; their number is
+// written to the log once the output accepts data again.
 type AsyncWriter struct {
 	out   io.Writer
 	lines chan []byte
@@ -22,9 +22,9 @@
 	once  sync.Once
 }
 
-// NewAsyncWriter starts a writer in front of out.
+// NewAsyncWriter starts an asynchronous writer to out.
 func NewAsyncWriter(out io.Writer) *AsyncWriter {
-	w := &AsyncWriter{out: out, lines: make(chan []byte, asyncLines), done: make(chan struct{})}
+	w := &AsyncWriter{out: out, lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go w.run()
 	return w
 }
@@ -39,10 +39,11 @@
 	return len(line), nil
 }
 
-// Lost returns the number of lines lost and not yet told of.
+// Lost returns the number of dropped lines that the log doesn't report yet.
 func (w *AsyncWriter) Lost() int64 { return w.lost.Load() }
 
-// Close writes what waits. Lines written after it are lost.
+// Close writes the queued lines and stops the writer. Lines written after Close are
+// lost.
 func (w *AsyncWriter) Close() {
 	w.once.Do(func() { w.lines <- nil })
 	<-w.done
@@ -51,25 +52,25 @@
 func (w *AsyncWriter) run() {
 	defer close(w.done)
 	var batch bytes.Buffer
-	for open := true; open; {
+	for running := true; running; {
 		line := <-w.lines
 		batch.Write(line)
-		open = line != nil && w.gather(&batch)
+		running = line != nil && w.appendQueued(&batch)
 		if n := w.lost.Swap(0); n > 0 {
 			fmt.Fprintf(&batch, "{\"level\":\"WARN\",\"msg\":\"log lines lost\",\"lines\":%d}\n", n)
 		}
-		_, _ = w.out.Write(batch.Bytes()) // there is nowhere else to say it
+		_, _ = w.out.Write(batch.Bytes()) // there is no other place to report the error
 		batch.Reset()
 	}
 }
 
-// batchBytes bounds what is written at once.
-const batchBytes = 16 << 10
+// maxBatchBytes limits the size of a batch: no lines are added beyond it.
+const maxBatchBytes = 16 << 10
 
-// gather adds the lines that wait already, so that they cost one write. It
-// returns false at the end of all lines.
-func (w *AsyncWriter) gather(batch *bytes.Buffer) bool {
-	for batch.Len() < batchBytes {
+// appendQueued adds the queued lines to the batch, so that they share one write. It
+// returns false after the last line.
+func (w *AsyncWriter) appendQueued(batch *bytes.Buffer) bool {
+	for batch.Len() < maxBatchBytes {
 		select {
 		case line := <-w.lines:
 			if line == nil {
--- a/internal/telemetry/async_test.go
+++ b/internal/telemetry/async_test.go
@@ -10,38 +10,38 @@
 	"github.com/stretchr/testify/require"
 )
 
-// stalledWriter takes nothing until it is let go.
+// stalledWriter blocks until release is closed.
 type stalledWriter struct {
-	free chan struct{}
-	mu   sync.Mutex
-	got  bytes.Buffer
+	release chan struct{}
+	mu      sync.Mutex
+	written bytes.Buffer
 }
 
 func (w *stalledWriter) Write(b []byte) (int, error) {
-	<-w.free
+	<-w.release
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.got.Write(b)
+	return w.written.Write(b)
 }
 
-// Whoever reads the log stalls. Requests must go on: lines are lost, their number
-// is told once the reader is back, and those that were kept are whole.
-func TestStalledReaderLosesLinesNotTime(t *testing.T) {
-	out := &stalledWriter{free: make(chan struct{})}
+// If the reader of the log stalls, writes must not block: lines are dropped, their
+// number is logged once the reader resumes, and the other lines stay intact.
+func TestStalledReaderDropsLines(t *testing.T) {
+	out := &stalledWriter{release: make(chan struct{})}
 	w := NewAsyncWriter(out)
-	const lines = 3 * asyncLines
-	for i := range lines {
+	const written = 3 * maxQueuedLines
+	for i := range written {
 		_, err := fmt.Fprintf(w, "line %d\n", i)
 		require.NoError(t, err)
 	}
 	require.Positive(t, w.Lost())
-	close(out.free)
+	close(out.release)
 	w.Close()
-	text := out.got.String()
-	kept := strings.Count(text, "line ")
+	text := out.written.String()
+	count := strings.Count(text, "line ")
 	require.Contains(t, text, "log lines lost")
-	require.Less(t, kept, lines)
-	require.GreaterOrEqual(t, kept, asyncLines)
+	require.Less(t, count, written)
+	require.GreaterOrEqual(t, count, maxQueuedLines)
 	for _, line := range strings.Split(strings.TrimSpace(text), "\n") {
 		require.True(t, strings.HasPrefix(line, "line ") || strings.HasPrefix(line, "{"), line)
 	}
--- a/internal/telemetry/log.go
+++ b/internal/telemetry/log.go
@@ -1,5 +1,5 @@
-// Package telemetry sets up what every program of the system shares for being
-// watched: structured logs, and metrics with a text page.
+// Package telemetry sets up the observability shared by all programs: structured
+// logs, and metrics with a page in the Prometheus text format.
 package telemetry
 
 import (
@@ -10,7 +10,7 @@
 	"tamarackchute/internal/settings"
 )
 
-// logLevels maps the names that the settings allow to slog's levels.
+// logLevels maps the level names of the settings to slog levels.
 var logLevels = map[string]slog.Level{
 	"debug": slog.LevelDebug,
 	"info":  slog.LevelInfo,
@@ -18,9 +18,9 @@
 	"error": slog.LevelError,
 }
 
-// NewLogger returns a logger in the form and at the level of the settings:
-// text and info where they say nothing. Each line carries the program's and
-// the instance's name.
+// NewLogger returns a logger with the format and level of the settings; the
+// defaults are text and info. Each line carries the names of the program and the
+// instance.
 func NewLogger(w io.Writer, s settings.Logging, program, instance string) *slog.Logger {
 	options := &slog.HandlerOptions{Level: logLevels[s.Level]}
 	var handler slog.Handler = slog.NewTextHandler(w, options)
@@ -30,6 +30,6 @@
 	return slog.New(handler).With("program", program, "instance", instance)
 }
 
-// Millis returns a duration in milliseconds, as log lines and status pages tell it:
-// whole microseconds.
+// Millis returns a duration in milliseconds, truncated to whole microseconds, as used
+// in log lines and status pages.
 func Millis(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -7,19 +7,19 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// reportInterval is how often the scope hands its figures to the page, and so
-// the greatest age of a figure on it.
+// reportInterval is the interval at which the scope reports to the page, and so the
+// maximum age of a value on the page.
 const reportInterval = time.Second
 
-// Metrics is a root scope with the page that shows it.
+// Metrics is a root scope and the page that exposes its metrics.
 type Metrics struct {
 	Scope  tally.Scope
 	Page   *Page
 	closer io.Closer
 }
 
-// NewMetrics starts a root scope whose figures all carry the program's and the
-// instance's name. Close ends its reporting.
+// NewMetrics starts a root scope that tags all metrics with the names of the program
+// and the instance. Call Close to stop its reporting.
 func NewMetrics(program, instance string) *Metrics {
 	page := NewPage()
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
@@ -32,5 +32,5 @@
 	return &Metrics{Scope: scope, Page: page, closer: closer}
 }
 
-// Close stops the reporting.
+// Close reports the remaining values and stops the reporting.
 func (m *Metrics) Close() error { return m.closer.Close() }
--- a/internal/telemetry/page.go
+++ b/internal/telemetry/page.go
@@ -15,18 +15,18 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Page is a tally reporter that keeps the latest figures and writes them in
-// the Prometheus text format. It is safe for use by several goroutines.
+// Page is a tally reporter that stores the current values of all metrics and writes
+// them in the Prometheus text format. It is safe for concurrent use.
 type Page struct {
 	mu     sync.Mutex
 	series map[string]*series
 }
 
-// series is one line of the page.
+// series is one time series, which is one line of the page.
 type series struct {
 	name, labels string
 	kind         seriesKind
-	// bits holds an int64 sum for counters and a float64's bits for gauges.
+	// bits holds an int64 sum for counters and the bits of a float64 for gauges.
 	bits atomic.Uint64
 }
 
@@ -40,50 +40,50 @@
 // NewPage returns an empty page.
 func NewPage() *Page { return &Page{series: map[string]*series{}} }
 
-// Capabilities says that the page takes tagged figures.
+// Capabilities implements tally.BaseStatsReporter.
 func (p *Page) Capabilities() tally.Capabilities { return p }
 
-// Reporting reports that the page takes figures.
+// Reporting implements tally.Capabilities: the page accepts values.
 func (p *Page) Reporting() bool { return true }
 
-// Tagging reports that the page keeps tags.
+// Tagging implements tally.Capabilities: the page supports tags.
 func (p *Page) Tagging() bool { return true }
 
-// Flush does nothing: the page is always up to date.
+// Flush does nothing: values are stored as soon as they are reported.
 func (p *Page) Flush() {}
 
-// AllocateCounter returns the line of a counter.
+// AllocateCounter returns the series of a counter.
 func (p *Page) AllocateCounter(name string, tags map[string]string) tally.CachedCount {
-	return p.at(name, tags, counterSeries)
+	return p.lookup(name, tags, counterSeries)
 }
 
-// AllocateGauge returns the line of a gauge.
+// AllocateGauge returns the series of a gauge.
 func (p *Page) AllocateGauge(name string, tags map[string]string) tally.CachedGauge {
-	return p.at(name, tags, gaugeSeries)
+	return p.lookup(name, tags, gaugeSeries)
 }
 
-// AllocateTimer returns the two lines of a timer: its sum in microseconds and
-// its count.
+// AllocateTimer returns the two series of a timer: the sum in microseconds and the
+// count.
 func (p *Page) AllocateTimer(name string, tags map[string]string) tally.CachedTimer {
 	return timerSeries{
-		sum:   p.at(name+"_us_sum", tags, counterSeries),
-		count: p.at(name+"_count", tags, counterSeries),
+		sum:   p.lookup(name+"_us_sum", tags, counterSeries),
+		count: p.lookup(name+"_count", tags, counterSeries),
 	}
 }
 
-// AllocateHistogram returns the lines of a histogram, one a bucket.
+// AllocateHistogram returns a histogram with one series for each bucket.
 func (p *Page) AllocateHistogram(name string, tags map[string]string, _ tally.Buckets) tally.CachedHistogram {
 	return histogramSeries{page: p, name: name, tags: tags}
 }
 
-// WriteTo writes the page, its lines in order of name and labels.
+// WriteTo writes the page, sorted by name and labels.
 func (p *Page) WriteTo(w io.Writer) (int64, error) {
 	var buf bytes.Buffer
-	last := ""
+	lastName := ""
 	for _, s := range p.sorted() {
-		if s.name != last {
+		if s.name != lastName {
 			fmt.Fprintf(&buf, "# TYPE %s %s\n", s.name, s.kind)
-			last = s.name
+			lastName = s.name
 		}
 		fmt.Fprintf(&buf, "%s%s %s\n", s.name, s.labels, s.value())
 	}
@@ -93,20 +93,21 @@
 func (p *Page) sorted() []*series {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	all := make([]*series, 0, len(p.series))
+	list := make([]*series, 0, len(p.series))
 	for _, s := range p.series {
-		all = append(all, s)
+		list = append(list, s)
 	}
-	sort.Slice(all, func(i, j int) bool {
-		if all[i].name != all[j].name {
-			return all[i].name < all[j].name
+	sort.Slice(list, func(i, j int) bool {
+		if list[i].name != list[j].name {
+			return list[i].name < list[j].name
 		}
-		return all[i].labels < all[j].labels
+		return list[i].labels < list[j].labels
 	})
-	return all
+	return list
 }
 
-func (p *Page) at(name string, tags map[string]string, kind seriesKind) *series {
+// lookup returns the series with the given name and tags, which it creates if needed.
+func (p *Page) lookup(name string, tags map[string]string, kind seriesKind) *series {
 	labels := formatLabels(tags)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -119,13 +120,13 @@
 	return s
 }
 
-// ReportCount adds to a counter.
+// ReportCount implements tally.CachedCount.
 func (s *series) ReportCount(value int64) { s.bits.Add(uint64(value)) }
 
-// ReportGauge sets a gauge.
+// ReportGauge implements tally.CachedGauge.
 func (s *series) ReportGauge(value float64) { s.bits.Store(math.Float64bits(value)) }
 
-// ReportSamples adds to a histogram's bucket.
+// ReportSamples implements tally.CachedHistogramBucket.
 func (s *series) ReportSamples(value int64) { s.bits.Add(uint64(value)) }
 
 func (s *series) value() string {
@@ -135,7 +136,7 @@
 	return strconv.FormatInt(int64(s.bits.Load()), 10)
 }
 
-// String names the kind as the text format does.
+// String returns the name of the kind in the Prometheus text format.
 func (k seriesKind) String() string {
 	if k == gaugeSeries {
 		return "gauge"
@@ -145,7 +146,7 @@
 
 type timerSeries struct{ sum, count *series }
 
-// ReportTimer adds one duration.
+// ReportTimer implements tally.CachedTimer.
 func (t timerSeries) ReportTimer(d time.Duration) {
 	t.sum.ReportCount(d.Microseconds())
 	t.count.ReportCount(1)
@@ -157,12 +158,12 @@
 	tags map[string]string
 }
 
-// ValueBucket returns the line of one bucket of plain values.
+// ValueBucket returns the series of a bucket of plain values.
 func (h histogramSeries) ValueBucket(_, upper float64) tally.CachedHistogramBucket {
 	return h.bucket(strconv.FormatFloat(upper, 'g', -1, 64))
 }
 
-// DurationBucket returns the line of one bucket of durations.
+// DurationBucket returns the series of a bucket of durations.
 func (h histogramSeries) DurationBucket(_, upper time.Duration) tally.CachedHistogramBucket {
 	return h.bucket(upper.String())
 }
@@ -172,13 +173,12 @@
 	for k, v := range h.tags {
 		tags[k] = v
 	}
-	// Each line counts its own bucket only; they aren't cumulative.
+	// Unlike the buckets of Prometheus histograms, these aren't cumulative.
 	tags["up_to"] = upTo
-	return h.page.at(h.name+"_bucket", tags, counterSeries)
+	return h.page.lookup(h.name+"_bucket", tags, counterSeries)
 }
 
-// formatLabels writes tags in order of name, so that one set of tags has one
-// form.
+// formatLabels formats tags sorted by name, so that equal tags give equal labels.
 func formatLabels(tags map[string]string) string {
 	if len(tags) == 0 {
 		return ""
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -12,14 +12,14 @@
 	"tamarackchute/internal/settings"
 )
 
-func TestPageShowsFigures(t *testing.T) {
+func TestPageShowsMetrics(t *testing.T) {
 	m := NewMetrics("chute-entry", "e1")
 	m.Scope.Tagged(map[string]string{"reason": `a "b"`}).Counter("refused").Inc(2)
 	m.Scope.Gauge("open_streams").Update(7.5)
 	m.Scope.Timer("wait").Record(3 * time.Millisecond)
 	buckets := tally.DurationBuckets{time.Millisecond, 2 * time.Millisecond}
 	m.Scope.Histogram("first_token", buckets).RecordDuration(1500 * time.Microsecond)
-	require.NoError(t, m.Close(), "closing reports what is left")
+	require.NoError(t, m.Close(), "Close reports the remaining values")
 
 	var out bytes.Buffer
 	_, err := m.Page.WriteTo(&out)
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestLoggerKeepsToSettings(t *testing.T) {
+func TestLoggerFollowsSettings(t *testing.T) {
 	var out bytes.Buffer
 	log := NewLogger(&out, settings.Logging{Format: "json", Level: "warn"}, "chute-entry", "e1")
 	log.Info("not shown")
