--- a/internal/controller/executor.go
+++ b/internal/controller/executor.go
@@ -15,61 +15,62 @@
 	"tamarackchute/upstream"
 )
 
-// Times of an executor.
+// Timing of an executor.
 const (
-	// stepPause is waited when there is nothing to do about an engine.
-	stepPause = 100 * time.Millisecond
-	// callTimeout bounds one call of an engine's control side.
+	// idleInterval is the wait when no step is due.
+	idleInterval = 100 * time.Millisecond
+	// callTimeout bounds one control call to an engine.
 	callTimeout = 2 * time.Second
-	// heardFresh is how long an entry that isn't listed yet is waited for.
-	heardFresh = 5 * time.Second
-	// wantFresh is how long a decision of the policy is good for.
-	wantFresh = 3 * time.Second
+	// unlistedEntryTimeout is how long a status of an entry that isn't listed yet still
+	// holds up a drain.
+	unlistedEntryTimeout = 5 * time.Second
+	// maxRequestAge is how long a decision of the policy remains valid.
+	maxRequestAge = 3 * time.Second
 )
 
-// Executor carries the changes of one engine through their steps while this
-// process leads its scope. It is a suture service.
+// Executor carries the changes of one engine through their steps while this process leads
+// the engine's scope. It is a suture service.
 type Executor struct {
-	engine   string
-	checked  bool
-	control  upstream.Controlled
-	keeper   *lease.Keeper
-	journal  journal.Writer
-	writer   string
-	view     *orders.View
-	presence *Presence
-	statuses *Statuses
-	limits   orders.Limits
-	trail    Trail
-	log      *slog.Logger
-
-	contact orders.Contact
-
-	mu      sync.Mutex
-	want    *orders.Want
-	wantAt  time.Time
-	doing   string
-	state   upstream.EngineState
-	stateAt time.Time
+	engine          string
+	enforcesFencing bool
+	control         upstream.Controlled
+	keeper          *lease.Keeper
+	journal         journal.Writer
+	writer          string
+	view            *orders.View
+	instances       *Presence
+	entryStatuses   *StatusTracker
+	limits          orders.Limits
+	recorder        EventRecorder
+	log             *slog.Logger
+
+	session orders.Session
+
+	mu          sync.Mutex
+	requested   *orders.ChangeRequest
+	requestedAt time.Time
+	activity    string
+	state       upstream.EngineState
+	stateAt     time.Time
 }
 
 // String names the service for the supervisor's log.
 func (x *Executor) String() string { return "orders to " + x.engine }
 
-// Serve works until the context ends, and always finishes the step in hand.
+// Serve works until the context ends, and always finishes the step in progress.
 func (x *Executor) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		changed := x.view.Changed()
 		if x.step() {
 			continue
 		}
-		x.pause(ctx, changed)
+		x.waitForChange(ctx, changed)
 	}
 	return ctx.Err()
 }
 
-func (x *Executor) pause(ctx context.Context, changed <-chan struct{}) {
-	t := time.NewTimer(stepPause)
+func (x *Executor) waitForChange(ctx context.Context, changed <-chan struct{}) {
+	t := time.NewTimer(idleInterval)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
@@ -78,54 +79,54 @@
 	}
 }
 
-// step takes one step and reports whether there may be another one at once.
+// step performs one step and reports whether another one may follow at once.
 func (x *Executor) step() bool {
 	a, done, ok := x.keeper.Use()
 	if !ok {
-		x.note(orders.Action{Reason: "not leading"})
+		x.setActivity(orders.Action{Reason: "not leading"})
 		return false
 	}
 	defer done()
-	action := orders.Next(x.situation(a), &x.contact)
-	x.note(action)
-	// The step in hand is finished even if the program is being stopped; the
-	// authority's end bounds it.
+	action := orders.Next(x.input(a), &x.session)
+	x.setActivity(action)
+	// The step in progress is finished even if the program is being stopped; the end of the
+	// authority bounds it.
 	ctx, cancel := context.WithDeadline(context.Background(), a.Until)
 	defer cancel()
-	return x.carryOut(ctx, a, action)
+	return x.execute(ctx, a, action)
 }
 
-func (x *Executor) situation(a lease.Authority) orders.Situation {
+func (x *Executor) input(a lease.Authority) orders.Input {
 	now := time.Now()
-	s := orders.Situation{
-		Now: now, Authority: a, Checked: x.checked, Limits: x.limits,
+	in := orders.Input{
+		Now: now, Authority: a, EnforcesFencing: x.enforcesFencing, Limits: x.limits,
 		Engine: x.view.Snapshot().Engine(x.engine),
 	}
-	leaving := x.presence.Leaving(x.engine)
-	if leaving {
-		s.Cancel = "the engine is leaving"
+	unavailable := x.instances.TerminatingOrGone(x.engine)
+	if unavailable {
+		in.CancelReason = "the engine is leaving"
 	}
-	if open := s.Engine.Open(); open != nil {
-		s.Drained, s.Waiting = x.drained(open.Drain, now)
-		return s
+	if open := in.Engine.Open(); open != nil {
+		in.Drained, in.WaitReason = x.drained(open.DrainStart, now)
+		return in
 	}
-	if !leaving {
-		s.Want = x.wanted(now)
+	if !unavailable {
+		in.Requested = x.currentRequest(now)
 	}
-	return s
+	return in
 }
 
 func (x *Executor) drained(drain journal.Position, now time.Time) (bool, string) {
-	listed, known := x.presence.Entries()
+	listed, known := x.instances.Entries()
 	if !known {
 		return false, "the instance list has not been read"
 	}
-	return x.statuses.Drained(x.engine, drain, listed, now, wire.StatusFresh, heardFresh)
+	return x.entryStatuses.Drained(x.engine, drain, listed, now, wire.StatusFresh, unlistedEntryTimeout)
 }
 
-func (x *Executor) carryOut(ctx context.Context, a lease.Authority, action orders.Action) bool {
+func (x *Executor) execute(ctx context.Context, a lease.Authority, action orders.Action) bool {
 	switch action.Kind {
-	case orders.ActionRaise:
+	case orders.ActionRaiseToken:
 		return x.raise(ctx, a, action)
 	case orders.ActionRead:
 		return x.read(ctx)
@@ -148,9 +149,9 @@
 		return false
 	}
 	err := x.control.Order(callCtx, action.Order)
-	x.contact.RaiseDone(err, time.Now(), x.limits.Retry)
+	x.session.RaiseDone(err, time.Now(), x.limits.RetryDelay)
 	if err != nil {
-		x.log.Warn("fencing number not raised", "fence", a.FencingToken, "error", err)
+		x.log.Warn("fencing token not raised", "fence", a.FencingToken, "error", err)
 	}
 	return err == nil
 }
@@ -158,92 +159,93 @@
 func (x *Executor) read(ctx context.Context) bool {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	begun := time.Now()
+	started := time.Now()
 	state, err := x.control.State(callCtx)
-	x.contact.ReadDone(state, err, begun, time.Now(), x.limits)
+	x.session.ReadDone(state, err, started, time.Now(), x.limits)
 	if err == nil {
 		x.mu.Lock()
-		x.state, x.stateAt = state, begun
+		x.state, x.stateAt = state, started
 		x.mu.Unlock()
 	}
 	return err == nil
 }
 
 func (x *Executor) append(ctx context.Context, action orders.Action) bool {
-	was := x.view.Snapshot().Engine(x.engine).Believed
+	previous := x.view.Snapshot().Engine(x.engine).Observed
 	p, err := x.journal.Append(ctx, journal.Entry{
 		Kind: journal.KindOrder, ID: uuid.NewString(), Writer: x.writer, Body: action.Record.Encode(),
 	})
 	engine := x.view.Snapshot().Engine(x.engine)
-	accepted := err == nil && engine.Last == p
-	x.contact.AppendDone(accepted, time.Now(), x.limits.Retry)
+	accepted := err == nil && engine.LastPosition == p
+	x.session.AppendDone(accepted, time.Now(), x.limits.RetryDelay)
 	if !accepted {
-		x.log.Warn("step not recorded", "step", action.Reason, "error", err)
+		x.log.Warn("step not confirmed by the journal", "step", action.Reason, "error", err)
 		return false
 	}
 	if action.Record.Change != nil {
-		x.settled(*engine.Change, was, action.Reason)
+		x.recordAccepted(*engine.Change, previous, action.Reason)
 	}
 	return true
 }
 
-// settled reports an accepted step of a change.
-func (x *Executor) settled(c orders.Change, was orders.Settings, reason string) {
+// recordAccepted records an accepted step of a change and clears the request that led to
+// it.
+func (x *Executor) recordAccepted(c orders.Change, previous orders.Settings, reason string) {
 	x.mu.Lock()
-	if x.want != nil && x.want.ID == c.ID {
-		x.want = nil
+	if x.requested != nil && x.requested.ID == c.ID {
+		x.requested = nil
 	}
 	x.mu.Unlock()
 	x.log.Info("change", "id", c.ID, "phase", c.Phase.String(), "kind", c.Kind,
-		"role", c.Target.Role, "fence", c.Fence, "reason", reason)
-	x.trail.Change(c, was, reason)
+		"role", c.Target.Role, "fence", c.FencingToken, "reason", reason)
+	x.recorder.RecordChange(c, previous, reason)
 }
 
-// send sends an order. The look at the clock is the last thing before the
-// write; a pause in between is what fencing numbers, and the passing of
-// unchecked engines by proof alone, guard against.
+// send sends an order. The authority's validity is checked last before the write. If the
+// process is paused in between, fencing tokens protect the engines that check them; for the
+// others, the scope is never taken over on expiry alone.
 func (x *Executor) send(ctx context.Context, a lease.Authority, action orders.Action) bool {
 	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	begun := time.Now()
-	if !a.Valid(begun) {
+	started := time.Now()
+	if !a.Valid(started) {
 		return false
 	}
 	err := x.control.Order(callCtx, action.Order)
-	x.contact.SendDone(action.Change, err, begun, time.Now(), x.limits.Retry)
+	x.session.SendDone(action.Change, err, started, time.Now(), x.limits.RetryDelay)
 	x.log.Info("order sent", "order", action.Order.ID, "fence", action.Order.FencingToken,
 		"attempt", action.Change.Attempt, "error", err)
-	x.trail.Order(err)
+	x.recorder.RecordOrder(err)
 	return err == nil
 }
 
-// Ask hands over a decision of the role policy. A later one replaces it.
-func (x *Executor) Ask(w orders.Want) {
+// Request submits a decision of the role policy. A later request replaces it.
+func (x *Executor) Request(r orders.ChangeRequest) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.want = &w
-	x.wantAt = time.Now()
+	x.requested = &r
+	x.requestedAt = time.Now()
 }
 
-func (x *Executor) wanted(now time.Time) *orders.Want {
+func (x *Executor) currentRequest(now time.Time) *orders.ChangeRequest {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.want != nil && now.Sub(x.wantAt) > wantFresh {
-		x.want = nil
+	if x.requested != nil && now.Sub(x.requestedAt) > maxRequestAge {
+		x.requested = nil
 	}
-	return x.want
+	return x.requested
 }
 
-func (x *Executor) note(a orders.Action) {
+func (x *Executor) setActivity(a orders.Action) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.doing = a.Reason
+	x.activity = a.Reason
 }
 
-// seen returns what the executor is waiting for or doing, and the engine's
-// state as last read.
-func (x *Executor) seen() (doing string, s upstream.EngineState, at time.Time) {
+// lastSeen returns the executor's current activity, and the engine's state as last read
+// with the time of the read.
+func (x *Executor) lastSeen() (activity string, s upstream.EngineState, at time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.doing, x.state, x.stateAt
+	return x.activity, x.state, x.stateAt
 }
--- a/internal/prove/claims/checks.go
+++ b/internal/prove/claims/checks.go
@@ -10,32 +10,32 @@
 
 // The invariants.
 const (
-	atMostOnce       = "a key's call runs at most once"
-	notRunIsTrue     = "a request told \"not run\" never ran and never runs"
-	scopeIsTrue      = "\"not run\" of a whole key: no request with it had run"
-	notRunKnows      = "\"not run\" is not said of a key known as another's"
-	doneIsTheRuns    = "an answer given is the answer of the key's run"
-	readersAgree     = "complete readers at one position agree"
-	reusedIsTrue     = "\"key reused\" is said only of a key with two requests"
-	allAnswered      = "after the faults every request is answered"
-	gapsClose        = "after the faults a reader learns what expired"
-	freshKeyRuns     = "after the faults a new key runs at every process"
-	refusedKeyReruns = "after the faults a refused key runs when sent again"
+	invariantAtMostOnce     = "a key's call runs at most once"
+	invariantNotRunIsTrue   = "a request reported as \"not run\" never ran and never runs"
+	invariantNotRunKeyScope = "\"not run\" for a key: no request with the key had run"
+	invariantNotRunOwnClaim = "\"not run\" is never reported for another process's claim"
+	invariantDoneMatchesRun = "a reported response is the response of the key's run"
+	invariantReadersAgree   = "complete readers at one position agree"
+	invariantReusedIsTrue   = "\"key reused\" is reported only for a key with two requests"
+	invariantAllAnswered    = "after the faults every request is answered"
+	invariantGapsClose      = "after the faults every reader recovers the expired history"
+	invariantFreshKeyRuns   = "after the faults a new key runs at every process"
+	invariantRefusedKeyRuns = "after the faults a refused key runs when sent again"
 )
 
-// checkRun looks at a run before it counts.
-func (w *world) checkRun(s *send, r run) {
-	w.check(atMostOnce, w.mayRun(s.key, r), func() string {
-		return fmt.Sprintf("key %d ran at %v and again at %v", s.key.serial, s.key.runs[0].at, r.at)
+// checkRun checks a run before it is recorded.
+func (w *world) checkRun(req *callerRequest, r run) {
+	w.check(invariantAtMostOnce, w.runAllowed(req.key, r), func() string {
+		return fmt.Sprintf("key %d ran at %v and again at %v", req.key.serial, req.key.runs[0].at, r.at)
 	})
-	w.check(notRunIsTrue, !saysNotRun(s.result), func() string {
-		return fmt.Sprintf("key %d runs after %#v", s.key.serial, s.result)
+	w.check(invariantNotRunIsTrue, !isNotRun(req.result), func() string {
+		return fmt.Sprintf("key %d runs after %#v", req.key.serial, req.result)
 	})
 }
 
-// mayRun is the upstream's view: never twice; a plain key counts as new when
-// the time for which keys are remembered has passed.
-func (w *world) mayRun(k *key, r run) bool {
+// runAllowed is the upstream's rule: a key's call never runs twice, except that a plain key
+// counts as new once the time for which keys are remembered has passed.
+func (w *world) runAllowed(k *key, r run) bool {
 	if len(k.runs) == 0 {
 		return true
 	}
@@ -43,7 +43,7 @@
 	return !k.key.Timed() && r.at.Sub(last.at) > config.KeyTTL*8/10
 }
 
-func saysNotRun(r claim.Result) bool {
+func isNotRun(r claim.Result) bool {
 	switch r.(type) {
 	case claim.NotRun, claim.KeyReused, claim.KeyTooOld:
 		return true
@@ -51,104 +51,103 @@
 	return false
 }
 
-// checkAnswer looks at what a caller is told.
-func (w *world) checkAnswer(p *process, s *send, r claim.Result) {
+// checkAnswer checks a result given to a caller.
+func (w *world) checkAnswer(p *process, req *callerRequest, r claim.Result) {
 	w.report.Event(fmt.Sprintf("answer %T", r))
-	if saysNotRun(r) {
-		w.check(notRunIsTrue, !s.ran, func() string {
-			return fmt.Sprintf("key %d ran before %#v", s.key.serial, r)
+	if isNotRun(r) {
+		w.check(invariantNotRunIsTrue, !req.ran, func() string {
+			return fmt.Sprintf("key %d ran before %#v", req.key.serial, r)
 		})
 	}
 	switch r := r.(type) {
 	case claim.NotRun:
 		w.report.Event("not run: " + string(r.Reason))
-		w.checkNotRun(p, s, r)
+		w.checkNotRun(p, req, r)
 	case claim.Done:
-		w.checkDone(s, r)
+		w.checkDone(req, r)
 	case claim.KeyReused:
-		w.checkReused(s)
+		w.checkReused(req)
 	}
 }
 
-func (w *world) checkNotRun(p *process, s *send, r claim.NotRun) {
+func (w *world) checkNotRun(p *process, req *callerRequest, r claim.NotRun) {
 	if r.Scope == claim.ScopeKey {
-		w.check(scopeIsTrue, !w.ranLately(s.key), func() string {
-			return fmt.Sprintf("key %d had run, and %#v", s.key.serial, r)
+		w.check(invariantNotRunKeyScope, !w.ranRecently(req.key), func() string {
+			return fmt.Sprintf("key %d had run, and %#v", req.key.serial, r)
 		})
 	}
 	if !p.core.Ledger().Complete() {
-		// What seems to be another's claim may have lost to one that expired.
+		// An apparent claim of another process may have lost to a claim that expired.
 		return
 	}
-	state, attempt := p.core.Ledger().Lookup(s.key.key)
+	state, attempt := p.core.Ledger().Lookup(req.key.key)
 	info := w.claims[attempt]
-	own := state == claim.KeyClaimed && info.owner == p && info.writer == p.name
-	w.check(notRunKnows, state == claim.KeyFree || own, func() string {
-		return fmt.Sprintf("key %d is in state %d by %q, and %q says %#v", s.key.serial, state, info.writer, p.name, r)
+	ownClaim := state == claim.KeyClaimed && info.owner == p && info.writer == p.name
+	w.check(invariantNotRunOwnClaim, state == claim.KeyFree || ownClaim, func() string {
+		return fmt.Sprintf("key %d is in state %d by %q, and %q says %#v", req.key.serial, state, info.writer, p.name, r)
 	})
 }
 
-func (w *world) ranLately(k *key) bool {
+func (w *world) ranRecently(k *key) bool {
 	n := len(k.runs)
 	return n > 0 && (k.key.Timed() || w.now.Sub(k.runs[n-1].at) < config.KeyTTL*8/10)
 }
 
-func (w *world) checkDone(s *send, r claim.Done) {
-	w.check(doneIsTheRuns, matchesRun(s, r), func() string {
-		return fmt.Sprintf("key %d: %#v, runs %v", s.key.serial, r, s.key.runs)
+func (w *world) checkDone(req *callerRequest, r claim.Done) {
+	w.check(invariantDoneMatchesRun, matchesRun(req, r), func() string {
+		return fmt.Sprintf("key %d: %#v, runs %v", req.key.serial, r, req.key.runs)
 	})
 	if !r.ResponseComplete {
-		w.report.Event("answer not kept")
+		w.report.Event("response not recorded")
 	}
 }
 
-func matchesRun(s *send, d claim.Done) bool {
-	for _, r := range s.key.runs {
-		same := r.recorded.Status == d.Response.Status && r.digest == s.digest
-		if same && (!d.ResponseComplete || bytes.Equal(r.recorded.Body, d.Response.Body)) {
+func matchesRun(req *callerRequest, d claim.Done) bool {
+	for _, r := range req.key.runs {
+		same := r.response.Status == d.Response.Status && r.digest == req.digest
+		if same && (!d.ResponseComplete || bytes.Equal(r.response.Body, d.Response.Body)) {
 			return true
 		}
 	}
 	return false
 }
 
-func (w *world) checkReused(s *send) {
+func (w *world) checkReused(req *callerRequest) {
 	differs := false
-	for _, o := range s.key.sends {
-		differs = differs || o.digest != s.digest
+	for _, o := range req.key.requests {
+		differs = differs || o.digest != req.digest
 	}
-	w.check(reusedIsTrue, differs, func() string {
-		return fmt.Sprintf("key %d has one request", s.key.serial)
+	w.check(invariantReusedIsTrue, differs, func() string {
+		return fmt.Sprintf("key %d has one request", req.key.serial)
 	})
 }
 
-// checkAgreement compares a complete reader with those that were at its
-// position before.
+// checkAgreement compares a complete reader with earlier complete readers at its position.
 func (w *world) checkAgreement(p *process) {
 	if !p.core.Ledger().Complete() {
 		return
 	}
-	at, print := uint64(p.next-1), p.core.Ledger().Fingerprint()
-	other, ok := w.prints[at]
+	at, fingerprint := uint64(p.nextOffset-1), p.core.Ledger().Fingerprint()
+	other, ok := w.fingerprints[at]
 	if !ok {
-		w.prints[at] = print
+		w.fingerprints[at] = fingerprint
 		return
 	}
-	w.check(readersAgree, print == other, func() string {
+	w.check(invariantReadersAgree, fingerprint == other, func() string {
 		return fmt.Sprintf("%s differs after record %d", p.name, at)
 	})
 }
 
 func (w *world) checkAllAnswered() {
 	for _, p := range w.procs {
-		w.check(allAnswered, len(p.calls) == 0, func() string {
+		w.check(invariantAllAnswered, len(p.calls) == 0, func() string {
 			return fmt.Sprintf("%s: stage %d of key %d", p.name, p.calls[0].stage, p.calls[0].request.key.serial)
 		})
 	}
 }
 
-// checkGapsClose waits for the next checkpoint. If no process has the whole
-// history nobody can write one.
+// checkGapsClose waits for the next checkpoint. If no process has the complete history,
+// none can be written.
 func (w *world) checkGapsClose() {
 	complete := 0
 	for _, p := range w.procs {
@@ -157,26 +156,26 @@
 		}
 	}
 	if complete == 0 {
-		w.report.Event("no process has the whole history")
+		w.report.Event("no process has the complete history")
 		return
 	}
 	for range 40 {
-		w.round(time.Second)
+		w.runRound(time.Second)
 	}
 	for _, p := range w.procs {
-		w.check(gapsClose, p.core.Ledger().Complete(), func() string { return p.name })
+		w.check(invariantGapsClose, p.core.Ledger().Complete(), func() string { return p.name })
 	}
 }
 
 func (w *world) checkFreshKeyRuns() {
 	for _, p := range w.procs {
-		s := &send{key: w.newKey(false), digest: usualDigest}
-		s.key.sends = []*send{s}
-		w.expectRun(p, s, freshKeyRuns)
+		req := &callerRequest{key: w.newKey(false), digest: firstDigest}
+		req.key.requests = []*callerRequest{req}
+		w.checkRuns(p, req, invariantFreshKeyRuns)
 	}
 }
 
-// checkRefusedKeysRun sends the keys again that nobody holds.
+// checkRefusedKeysRun sends the keys again that no process has claimed.
 func (w *world) checkRefusedKeysRun() {
 	p := pick(w, w.procs)
 	for _, k := range w.keys {
@@ -184,22 +183,22 @@
 		if state != claim.KeyFree || k.key.Timed() || !w.mayResend(k) {
 			continue
 		}
-		s := &send{key: k, digest: usualDigest}
-		k.sends = append(k.sends, s)
-		w.expectRun(p, s, refusedKeyReruns)
+		req := &callerRequest{key: k, digest: firstDigest}
+		k.requests = append(k.requests, req)
+		w.checkRuns(p, req, invariantRefusedKeyRuns)
 	}
 }
 
-func (w *world) expectRun(p *process, s *send, invariant string) {
+func (w *world) checkRuns(p *process, req *callerRequest, invariant string) {
 	if !p.core.Ledger().Complete() {
 		return
 	}
-	p.begin(s)
+	p.begin(req)
 	for range 10 {
-		w.round(100 * time.Millisecond)
+		w.runRound(100 * time.Millisecond)
 	}
-	_, done := s.result.(claim.Done)
+	_, done := req.result.(claim.Done)
 	w.check(invariant, done, func() string {
-		return fmt.Sprintf("%s, key %d: %#v", p.name, s.key.serial, s.result)
+		return fmt.Sprintf("%s, key %d: %#v", p.name, req.key.serial, req.result)
 	})
 }
--- a/membership/example_test.go
+++ b/membership/example_test.go
@@ -7,8 +7,8 @@
 	"tamarackchute/membership"
 )
 
-// Two instances of one data centre. The embedder carries messages and passes
-// the time; here the second instance falls silent after a while.
+// Two instances of one data centre. The program that embeds a Machine delivers the
+// messages and supplies the time; here the second instance stops sending.
 func ExampleMachine() {
 	now := time.Unix(0, 0)
 	peers := []membership.Peer{{Name: "a1", DataCentre: "a"}, {Name: "a2", DataCentre: "a"}}
@@ -24,7 +24,7 @@
 		for _, out := range second.Tick(now) {
 			first.ReceiveHeartbeat(out.Message.(membership.Heartbeat), now)
 		}
-		now = now.Add(membership.DefaultBeat)
+		now = now.Add(membership.DefaultHeartbeatInterval)
 	}
 	fmt.Println(first.View().Entries("a"))
 
