--- a/internal/ctl/client.go
+++ b/internal/ctl/client.go
@@ -102,8 +102,8 @@
 	return &reply{instance: in.Name, status: response.StatusCode(), body: slices.Clone(response.Body())}, nil
 }
 
-// first sends a request to one instance after the other until one returns a result
-// or fails otherwise than by an error of the connection or the status 503.
+// first sends a request to one instance after the other until one answers. Instances
+// that can't be reached or answer with status 503 are skipped.
 func (c *client) first(ctx context.Context, method, path string, body any) (*reply, error) {
 	var failures []string
 	for _, in := range c.instances {
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -23,8 +23,11 @@
 
 // The exit codes.
 const (
+	// ExitOK means success.
 	ExitOK ExitCode = iota
+	// ExitFailed means any failure without an exit code of its own.
 	ExitFailed
+	// ExitUsage means that the command line is invalid.
 	ExitUsage
 	// ExitConflict means that the version in force isn't the one that was edited.
 	ExitConflict
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -234,7 +234,7 @@
 	partial.golden("claims-down", "claims status", "claims accept-gap -reason x", "-o json claims accept-gap -reason x -force")
 }
 
-// gapped returns a log whose first record has expired.
+// logWithGap returns a log whose first record has expired.
 func logWithGap() *journaltest.Log {
 	log := journaltest.NewLog()
 	log.Put([]byte("expired"))
