--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -314,7 +314,7 @@
 		engines: c.allEngines(), executors: c.executors, loadReports: c.loadReports, view: c.changes,
 		instances: c.instances, weights: c.cfg.Weights, log: c.log,
 		bytesPerSec:  c.cfg.Deployment.Platform.WeightBytesPerSecond,
-		maxReportAge: seconds(c.cfg.Deployment.Roles.MaxPictureAgeSeconds),
+		maxReportAge: seconds(c.cfg.Deployment.Roles.MaxReportAgeSeconds),
 	}
 }
 
@@ -337,7 +337,7 @@
 	return rolepolicy.New(r.Policy, rolepolicy.Config{
 		ChangeWeight: r.ChangeWeight, Dwell: seconds(r.DwellSeconds),
 		ChangeDuration: seconds(r.ChangeSeconds), MaxAtOnce: r.MaxAtOnce,
-		MaxReportAge: seconds(r.MaxPictureAgeSeconds), Schedule: plan,
+		MaxReportAge: seconds(r.MaxReportAgeSeconds), Schedule: plan,
 	})
 }
 
--- a/internal/load/prepare.go
+++ b/internal/load/prepare.go
@@ -104,7 +104,7 @@
 	r := &d.Roles
 	r.DwellSeconds /= v.Scale
 	r.ChangeSeconds /= v.Scale
-	r.MaxPictureAgeSeconds = max(maxReportAgeFloor, r.MaxPictureAgeSeconds/v.Scale)
+	r.MaxReportAgeSeconds = max(maxReportAgeFloor, r.MaxReportAgeSeconds/v.Scale)
 	if v.Policy != "" {
 		r.Policy = v.Policy
 	}
