--- a/cmd/chute-controller/harness_test.go
+++ b/cmd/chute-controller/harness_test.go
@@ -142,14 +142,14 @@
 
 func (c *cluster) serveStandins() {
 	speed := standin.DefaultSpeed()
-	speed.Change = 400 * time.Millisecond
+	speed.ChangeDuration = 400 * time.Millisecond
 	speed.LoadLag = 100 * time.Millisecond
 	set, err := standin.NewSet(standin.Config{
 		Deployment: c.real, LogAppendsPerSecond: 300, ListLag: 500 * time.Millisecond,
 		WeightBytes: 1 << 20, Speed: speed,
 	})
 	require.NoError(c.t, err)
-	for _, p := range set.Parts() {
+	for _, p := range set.Components() {
 		switch part := p.(type) {
 		case *standin.Engine:
 			c.engines[part.Name()] = part
--- a/cmd/chute-controller/process_test.go
+++ b/cmd/chute-controller/process_test.go
@@ -52,8 +52,8 @@
 	for name, e := range c.engines {
 		n := e.Counters()
 		assert.Zero(c.t, n.ConflictingOrders, name)
-		assert.Zero(c.t, n.OutdatedOrdersTaken, name)
-		assert.Zero(c.t, n.CutByOrder, name)
+		assert.Zero(c.t, n.OutdatedOrdersAccepted, name)
+		assert.Zero(c.t, n.InterruptedByOrder, name)
 	}
 }
 
--- a/cmd/chute-standin/main.go
+++ b/cmd/chute-standin/main.go
@@ -45,7 +45,7 @@
 		fmt.Fprintln(os.Stderr, "chute-standin:", err)
 		return exitFailed
 	}
-	slog.Info("stand-ins are up", "parts", len(set.Parts()), "control", set.ControlAddr())
+	slog.Info("stand-ins are up", "parts", len(set.Components()), "control", set.ControlAddr())
 	if err := set.Serve(ctx); err != nil && ctx.Err() == nil {
 		fmt.Fprintln(os.Stderr, "chute-standin:", err)
 		return exitFailed
@@ -59,7 +59,7 @@
 	f := flag.NewFlagSet("chute-standin", flag.ContinueOnError)
 	file := f.String("settings", "", "settings `file` of the deployment")
 	only := f.String("only", "", "parts to run: platform and `names` of upstreams, by commas; all if empty")
-	f.StringVar(&c.Control, "control", "", "`address` of the page for all parts; none if empty")
+	f.StringVar(&c.ControlAddr, "control", "", "`address` of the page for all parts; none if empty")
 	f.Float64Var(&c.LogAppendsPerSecond, "log-rate", standin.DefaultLogAppendsPerSecond, "appends a second that the log takes")
 	f.DurationVar(&c.Retention, "retention", 0, "how long the log keeps a record; 0 for what the settings say")
 	f.DurationVar(&c.ListLag, "list-lag", standin.DefaultListLag, "how far the list of instances is behind")
@@ -91,13 +91,13 @@
 func speedFlags(f *flag.FlagSet, s *standin.Speed) {
 	f.Float64Var(&s.Scale, "scale", s.Scale, "multiplies every speed of the engines")
 	f.Float64Var(&s.PrefillPerSec, "prefill-rate", s.PrefillPerSec, "prompt tokens a second at full efficiency")
-	f.DurationVar(&s.StepFirst, "step-first", s.StepFirst, "decode step at batch size 1")
-	f.DurationVar(&s.StepFull, "step-full", s.StepFull, "decode step at the largest batch")
+	f.DurationVar(&s.MinStepTime, "step-first", s.MinStepTime, "decode step at batch size 1")
+	f.DurationVar(&s.MaxStepTime, "step-full", s.MaxStepTime, "decode step at the largest batch")
 	f.IntVar(&s.MaxBatch, "max-batch", s.MaxBatch, "sequences in a batch")
 	f.IntVar(&s.KVTokens, "kv-tokens", s.KVTokens, "KV memory of an engine in tokens")
 	f.Int64Var(&s.KVBytesPerToken, "kv-bytes-per-token", s.KVBytesPerToken, "size of KV cache, for its transfer")
 	f.Float64Var(&s.KVBytesPerSec, "kv-bytes-per-s", s.KVBytesPerSec, "speed of a KV transfer")
-	f.DurationVar(&s.Change, "change", s.Change, "how long a change of role takes an engine out of service")
+	f.DurationVar(&s.ChangeDuration, "change", s.ChangeDuration, "how long a change of role takes an engine out of service")
 	f.DurationVar(&s.LoadLag, "load-lag", s.LoadLag, "how old load reports are")
 	f.DurationVar(&s.EventLag, "event-lag", s.EventLag, "how late cache events are")
 	f.Float64Var(&s.EventLoss, "event-loss", s.EventLoss, "fraction of cache events that are lost")
--- a/internal/adapters/engineclient/engineclient_test.go
+++ b/internal/adapters/engineclient/engineclient_test.go
@@ -59,7 +59,7 @@
 func TestGenerateWholeAnswer(t *testing.T) {
 	e := standintest.Engine(t, standin.EngineConfig{})
 	c := client(t, e)
-	want := oracle.For(model, prompt, 40)
+	want := oracle.Expected(model, prompt, 40)
 	for i, id := range []string{"a", "b"} {
 		s, err := c.Generate(t.Context(), request(id))
 		require.NoError(t, err)
@@ -98,7 +98,7 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			e := standintest.Engine(t, standin.EngineConfig{})
-			standintest.Faults(t, e, tc.faults)
+			standintest.SetFaults(t, e, tc.faults)
 			r := request("a")
 			if tc.change != nil {
 				tc.change(&r)
@@ -117,7 +117,7 @@
 // died and another one took up the answer from prompt and tokens sent.
 func TestAnswerGoesOnElsewhere(t *testing.T) {
 	first, second := standintest.Engine(t, standin.EngineConfig{}), standintest.Engine(t, standin.EngineConfig{})
-	standintest.Faults(t, first, `{"break_stream":{"next":1},"break_at":7}`)
+	standintest.SetFaults(t, first, `{"break_stream":{"next":1},"break_at":7}`)
 	s, err := client(t, first).Generate(t.Context(), request("a"))
 	require.NoError(t, err)
 	head, _, err := collect(t, s, 0)
@@ -130,7 +130,7 @@
 	require.NoError(t, err)
 	tail, last, err := collect(t, s, 7)
 	require.NoError(t, err)
-	want := oracle.For(model, prompt, 40)
+	want := oracle.Expected(model, prompt, 40)
 	assert.Equal(t, want.Text(0, want.Tokens), head+tail)
 	assert.Equal(t, want.Finish, last.Finish)
 	assert.Zero(t, second.Counters().WrongPrior)
@@ -139,7 +139,7 @@
 func TestResume(t *testing.T) {
 	e := standintest.Engine(t, standin.EngineConfig{})
 	c := client(t, e)
-	standintest.Faults(t, e, `{"break_stream":{"next":1},"break_at":4}`)
+	standintest.SetFaults(t, e, `{"break_stream":{"next":1},"break_at":4}`)
 	s, err := c.Generate(t.Context(), request("a"))
 	require.NoError(t, err)
 	head, _, err := collect(t, s, 0)
@@ -148,7 +148,7 @@
 	require.NoError(t, err)
 	tail, _, err := collect(t, s, 4)
 	require.NoError(t, err)
-	assert.Equal(t, oracle.For(model, prompt, 40).Text(0, oracle.Length(prompt, 40)), head+tail)
+	assert.Equal(t, oracle.Expected(model, prompt, 40).Text(0, oracle.Length(prompt, 40)), head+tail)
 
 	_, err = c.Resume(t.Context(), "unknown", 0)
 	require.ErrorIs(t, err, upstream.ErrGone)
@@ -158,7 +158,7 @@
 // still wait get their answers late.
 func TestCloseCancelsTheWork(t *testing.T) {
 	e := standintest.Engine(t, standin.EngineConfig{})
-	standintest.Faults(t, e, `{"slow_factor":50}`)
+	standintest.SetFaults(t, e, `{"slow_factor":50}`)
 	c := client(t, e)
 	s, err := c.Generate(t.Context(), request("a"))
 	require.NoError(t, err)
@@ -228,7 +228,7 @@
 		t.Run(name, func(t *testing.T) {
 			prefill := standintest.Engine(t, standin.EngineConfig{Role: upstream.RolePrefill})
 			decode := standintest.Engine(t, standin.EngineConfig{Role: upstream.RoleDecode})
-			standintest.Faults(t, prefill, tc.faults)
+			standintest.SetFaults(t, prefill, tc.faults)
 			kv, err := client(t, prefill).Prefill(t.Context(), request("p"))
 			require.NoError(t, err)
 			assert.Equal(t, prefill.Addr(), kv.Engine)
@@ -241,7 +241,7 @@
 			require.NoError(t, err)
 			text, _, err := collect(t, s, 0)
 			require.NoError(t, err)
-			assert.Equal(t, oracle.For(model, prompt, 40).Text(0, oracle.Length(prompt, 40)), text)
+			assert.Equal(t, oracle.Expected(model, prompt, 40).Text(0, oracle.Length(prompt, 40)), text)
 			assert.Equal(t, tc.imports, decode.Counters().KVImports)
 			if tc.imports > 0 {
 				assert.EqualValues(t, 1, decode.Counters().PrefilledTokens)
@@ -252,7 +252,7 @@
 
 func TestOrders(t *testing.T) {
 	slow := standin.DefaultSpeed()
-	slow.Change = time.Hour
+	slow.ChangeDuration = time.Hour
 	role := func(id string, fence uint64) upstream.Order {
 		return upstream.Order{ID: id, Kind: upstream.OrderRole, Role: upstream.RoleDecode, FencingToken: fence}
 	}
@@ -275,14 +275,14 @@
 			func(c standin.EngineCounters) int64 { return c.FencedOrders }},
 		{"outdated and not checked", false, `{}`,
 			[]upstream.Order{{Kind: upstream.OrderFence, FencingToken: 9}, role("1", 5)}, nil,
-			func(c standin.EngineCounters) int64 { return c.OutdatedOrdersTaken }},
+			func(c standin.EngineCounters) int64 { return c.OutdatedOrdersAccepted }},
 		{"reply lost", true, `{"lose_order_reply":{"next":1}}`, []upstream.Order{role("1", 5)}, upstream.ErrBroken,
 			func(c standin.EngineCounters) int64 { return c.Orders }},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			e := standintest.Engine(t, standin.EngineConfig{ChecksFencing: tc.checks, Speed: slow})
-			standintest.Faults(t, e, tc.faults)
+			standintest.SetFaults(t, e, tc.faults)
 			c := client(t, e)
 			var err error
 			for _, o := range tc.orders {
@@ -319,7 +319,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, []string{model}, load.Models)
 	assert.Equal(t, speed.KVTokens, load.KVTotalTokens)
-	standintest.Faults(t, e, `{"silent_load":true}`)
+	standintest.SetFaults(t, e, `{"silent_load":true}`)
 	_, err = c.Load(t.Context())
 	require.Error(t, err)
 }
--- a/internal/adapters/listclient/listclient_test.go
+++ b/internal/adapters/listclient/listclient_test.go
@@ -35,10 +35,10 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			l, err := standin.NewList(standin.ListConfig{Addr: "127.0.0.1:0", Rows: []infra.Instance{e1, s1}})
+			l, err := standin.NewList(standin.ListConfig{Addr: "127.0.0.1:0", Instances: []infra.Instance{e1, s1}})
 			require.NoError(t, err)
 			standintest.Serve(t, l)
-			standintest.Faults(t, l, tc.faults)
+			standintest.SetFaults(t, l, tc.faults)
 			c := listclient.New(l.Addr(), httpx.Options{Timeout: 200 * time.Millisecond})
 			got, err := c.Instances(t.Context())
 			require.ErrorIs(t, err, tc.err)
--- a/internal/adapters/logclient/logclient_test.go
+++ b/internal/adapters/logclient/logclient_test.go
@@ -88,7 +88,7 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			l := standintest.Log(t, config(1000))
-			standintest.Faults(t, l, tc.faults)
+			standintest.SetFaults(t, l, tc.faults)
 			c := logclient.New(l.Addr(), httpx.Options{Sender: "entry-1", Timeout: 200 * time.Millisecond})
 			_, err := c.Append(t.Context(), []byte("x"))
 			if tc.want == nil {
@@ -97,7 +97,7 @@
 				require.ErrorIs(t, err, tc.want)
 				assert.NotErrorIs(t, err, infra.ErrNotWritten)
 			}
-			standintest.Faults(t, l, `{"outage":"","blocked":[]}`)
+			standintest.SetFaults(t, l, `{"outage":"","blocked":[]}`)
 			wait := time.Duration(0)
 			if tc.lands {
 				wait = 10 * time.Second
@@ -132,7 +132,7 @@
 	} {
 		t.Run(faults, func(t *testing.T) {
 			l := standintest.Log(t, config(1000))
-			standintest.Faults(t, l, faults)
+			standintest.SetFaults(t, l, faults)
 			c := logclient.New(l.Addr(), httpx.Options{Timeout: 100 * time.Millisecond})
 			_, err := c.Read(t.Context(), 1, 10, 0)
 			require.ErrorIs(t, err, infra.ErrUnavailable)
@@ -149,7 +149,7 @@
 		_, err := c.Append(t.Context(), []byte("x"))
 		require.NoError(t, err)
 	}
-	standintest.Faults(t, l, `{"expire_all":true}`)
+	standintest.SetFaults(t, l, `{"expire_all":true}`)
 	_, err := c.Read(t.Context(), 2, 10, 0)
 	var trimmed *infra.TrimmedError
 	require.ErrorAs(t, err, &trimmed)
--- a/internal/adapters/serviceclient/serviceclient_test.go
+++ b/internal/adapters/serviceclient/serviceclient_test.go
@@ -33,9 +33,9 @@
 	}
 }
 
-func decode(t *testing.T, r upstream.ServiceResponse) standin.ServiceAnswer {
+func decode(t *testing.T, r upstream.ServiceResponse) standin.ServiceResponse {
 	t.Helper()
-	var a standin.ServiceAnswer
+	var a standin.ServiceResponse
 	require.NoError(t, json.Unmarshal(r.Body, &a))
 	return a
 }
@@ -122,7 +122,7 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			s := standintest.Service(t, standin.ServiceConfig{})
-			standintest.Faults(t, s, tc.faults)
+			standintest.SetFaults(t, s, tc.faults)
 			c := serviceclient.New(s.Addr(), httpx.Options{Sender: "entry-1"})
 			r := booking("a1", "k1", "field seven")
 			got, err := c.Call(t.Context(), r)
@@ -134,7 +134,7 @@
 			}
 			if tc.status == 200 {
 				a := decode(t, got)
-				assert.Equal(t, oracle.Echo(r.Method, r.Path, r.Body), a.Echo)
+				assert.Equal(t, oracle.RequestDigest(r.Method, r.Path, r.Body), a.RequestDigest)
 				assert.Equal(t, 1, a.Run)
 			}
 			assert.Equal(t, tc.ran, s.Counters().Ran)
@@ -156,7 +156,7 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			s := standintest.Service(t, standin.ServiceConfig{})
-			standintest.Faults(t, s, tc.faults)
+			standintest.SetFaults(t, s, tc.faults)
 			c := serviceclient.New(s.Addr(), httpx.Options{})
 			ctx, cancel := context.WithTimeout(t.Context(), tc.timeout)
 			defer cancel()
@@ -169,7 +169,7 @@
 				r := booking("a", "k", "later "+string(rune('a'+i)))
 				got, err := c.Call(t.Context(), r)
 				require.NoError(t, err)
-				assert.Equal(t, oracle.Echo(r.Method, r.Path, r.Body), decode(t, got).Echo)
+				assert.Equal(t, oracle.RequestDigest(r.Method, r.Path, r.Body), decode(t, got).RequestDigest)
 			}
 		})
 	}
@@ -178,9 +178,9 @@
 // A booking is lost between two services that share their callers: the count
 // of runs must be over both, or a call that ran once on each looks fine.
 func TestRunsAreCountedOverServices(t *testing.T) {
-	ledger := standin.NewLedger()
+	ledger := standin.NewRunCounter()
 	for i := range 2 {
-		s := standintest.Service(t, standin.ServiceConfig{Ledger: ledger})
+		s := standintest.Service(t, standin.ServiceConfig{RunCounter: ledger})
 		got, err := serviceclient.New(s.Addr(), httpx.Options{}).Call(t.Context(), booking("a", "same", "x"))
 		require.NoError(t, err)
 		assert.Equal(t, i+1, decode(t, got).Run)
--- a/internal/adapters/weightclient/weightclient_test.go
+++ b/internal/adapters/weightclient/weightclient_test.go
@@ -30,10 +30,10 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			w, err := standin.NewWeights(standin.WeightsConfig{Addr: "127.0.0.1:0", BytesPerSecond: 100, Versions: stored})
+			w, err := standin.NewWeightStore(standin.WeightStoreConfig{Addr: "127.0.0.1:0", BytesPerSecond: 100, Versions: stored})
 			require.NoError(t, err)
 			standintest.Serve(t, w)
-			standintest.Faults(t, w, tc.faults)
+			standintest.SetFaults(t, w, tc.faults)
 			c := weightclient.New(w.Addr(), httpx.Options{Timeout: 200 * time.Millisecond})
 			got, err := c.Versions(t.Context(), tc.model)
 			require.ErrorIs(t, err, tc.err)
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -52,7 +52,7 @@
 	f.calls.Add(1)
 	var b modelBody
 	_ = json.NewDecoder(r.Body).Decode(&b)
-	a := oracle.For(b.Model, b.Prompt, b.MaxTokens)
+	a := oracle.Expected(b.Model, b.Prompt, b.MaxTokens)
 	var tokens []string
 	for i := range a.Tokens {
 		tokens = append(tokens, a.Token(i))
@@ -132,7 +132,7 @@
 func TestProtectedCallIsResentUnderItsKey(t *testing.T) {
 	echo := func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
-		_ = json.NewEncoder(w).Encode(serviceAnswer{Service: "s", Run: 1, Echo: oracle.Echo(r.Method, r.URL.Path, body)})
+		_ = json.NewEncoder(w).Encode(serviceAnswer{Service: "s", Run: 1, Echo: oracle.RequestDigest(r.Method, r.URL.Path, body)})
 	}
 	notRun := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(headerOutcome, outcomeNotRun)
--- a/internal/load/model.go
+++ b/internal/load/model.go
@@ -24,7 +24,7 @@
 	path    string
 	body    []byte
 	headers http.Header
-	want    oracle.Answer
+	want    oracle.Completion
 	due     time.Time
 	res     Result
 	gaps    []time.Duration
@@ -48,7 +48,7 @@
 			"Content-Type":     {"application/json"},
 			headerOrganisation: {organisation(a.Seed)},
 		},
-		want: oracle.For(c.Model, whole, a.Output),
+		want: oracle.Expected(c.Model, whole, a.Output),
 		res:  Result{Arrival: a, Outcome: NotRun},
 	}
 	if err != nil {
--- a/internal/load/protected.go
+++ b/internal/load/protected.go
@@ -130,7 +130,7 @@
 
 func (s *serviceCall) judge(body []byte) {
 	var got serviceAnswer
-	want := oracle.Echo(s.method, s.path, s.body)
+	want := oracle.RequestDigest(s.method, s.path, s.body)
 	switch {
 	case json.Unmarshal(body, &got) != nil || got.Echo != want:
 		s.res.Outcome, s.res.Detail = Wrong, fmt.Sprintf("answer %.80q, want echo %s", body, want)
--- a/internal/standin/control.go
+++ b/internal/standin/control.go
@@ -11,12 +11,12 @@
 
 // Paths of the control page.
 const (
-	PathParts  = "/parts/" // + name + /counters or /faults
-	PathTotals = "/totals"
+	PathComponents = "/parts/" // + name + /counters or /faults
+	PathTotals     = "/totals"
 )
 
 // PartCounters is the counters of one part.
-type PartCounters struct {
+type ComponentCounters struct {
 	Name     string          `json:"name"`
 	Kind     string          `json:"kind"`
 	Address  string          `json:"address"`
@@ -25,59 +25,59 @@
 
 // Totals sums what engines and services counted.
 type Totals struct {
-	Requests            int64 `json:"requests"`
-	Completed           int64 `json:"completed"`
-	Tokens              int64 `json:"tokens"`
-	CutByOrder          int64 `json:"cut_by_order"`
-	CutByCrash          int64 `json:"cut_by_crash"`
-	Crashes             int64 `json:"crashes"`
-	RoleChanges         int64 `json:"role_changes"`
-	Orders              int64 `json:"orders"`
-	ConflictingOrders   int64 `json:"conflicting_orders"`
-	FencedOrders        int64 `json:"fenced_orders"`
-	OutdatedOrdersTaken int64 `json:"outdated_orders_taken"`
-	WrongPrior          int64 `json:"wrong_prior"`
-	WorkAfterLeaving    int64 `json:"work_after_leaving"`
-	ServiceCalls        int64 `json:"service_calls"`
-	Keys                int64 `json:"keys"`
-	RanTwice            int64 `json:"ran_twice"`
-	LogAppends          int64 `json:"log_appends"`
+	Requests               int64 `json:"requests"`
+	Completed              int64 `json:"completed"`
+	Tokens                 int64 `json:"tokens"`
+	InterruptedByOrder     int64 `json:"cut_by_order"`
+	InterruptedByCrash     int64 `json:"cut_by_crash"`
+	Crashes                int64 `json:"crashes"`
+	RoleChanges            int64 `json:"role_changes"`
+	Orders                 int64 `json:"orders"`
+	ConflictingOrders      int64 `json:"conflicting_orders"`
+	FencedOrders           int64 `json:"fenced_orders"`
+	OutdatedOrdersAccepted int64 `json:"outdated_orders_taken"`
+	WrongPrior             int64 `json:"wrong_prior"`
+	WorkAfterTermination   int64 `json:"work_after_leaving"`
+	ServiceCalls           int64 `json:"service_calls"`
+	Keys                   int64 `json:"keys"`
+	RanTwice               int64 `json:"ran_twice"`
+	LogAppends             int64 `json:"log_appends"`
 }
 
 // Control is a page for all parts at one address, which stays up when a part
 // has crashed.
-type Control struct {
+type ControlServer struct {
 	*node
-	parts []Part
+	parts []Component
 }
 
 // NewControl returns a page that listens already.
-func NewControl(addr string, tlsConfig *tls.Config, parts []Part) (*Control, error) {
+func NewControlServer(addr string, tlsConfig *tls.Config, parts []Component) (*ControlServer, error) {
 	n, err := newNode("control", "control", addr, tlsConfig)
 	if err != nil {
 		return nil, err
 	}
-	return &Control{node: n, parts: parts}, nil
+	return &ControlServer{node: n, parts: parts}, nil
 }
 
 // Serve runs the page until ctx ends.
-func (c *Control) Serve(ctx context.Context) error { return c.serve(ctx, c.handle) }
+func (c *ControlServer) Serve(ctx context.Context) error { return c.serve(ctx, c.handle) }
 
-func (c *Control) handle(ctx *fasthttp.RequestCtx) {
+func (c *ControlServer) handle(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
 	switch {
 	case path == PathCounters:
 		replyJSON(ctx, c.counters())
 	case path == PathTotals:
 		replyJSON(ctx, totals(c.parts))
-	case strings.HasPrefix(path, PathParts):
-		c.handlePart(ctx, strings.TrimPrefix(path, PathParts))
+	case strings.HasPrefix(path, PathComponents):
+		c.handlePart(ctx, strings.TrimPrefix(path, PathComponents))
 	default:
 		ctx.NotFound()
 	}
 }
 
-func (c *Control) handlePart(ctx *fasthttp.RequestCtx, path string) {
+func (c *ControlServer) handlePart(ctx *fasthttp.RequestCtx, path string) {
 	name, page, _ := strings.Cut(path, "/")
 	for _, p := range c.parts {
 		if p.Name() != name {
@@ -91,17 +91,17 @@
 	ctx.NotFound()
 }
 
-func (c *Control) counters() []PartCounters {
-	out := make([]PartCounters, 0, len(c.parts))
+func (c *ControlServer) counters() []ComponentCounters {
+	out := make([]ComponentCounters, 0, len(c.parts))
 	for _, p := range c.parts {
-		out = append(out, PartCounters{
+		out = append(out, ComponentCounters{
 			Name: p.Name(), Kind: p.Kind(), Address: p.Addr(), Counters: p.CountersJSON(),
 		})
 	}
 	return out
 }
 
-func totals(parts []Part) Totals {
+func totals(parts []Component) Totals {
 	var t Totals
 	for _, p := range parts {
 		switch p := p.(type) {
@@ -120,22 +120,22 @@
 	t.Requests += c.Requests
 	t.Completed += c.Completed
 	t.Tokens += c.Tokens
-	t.CutByOrder += c.CutByOrder
-	t.CutByCrash += c.CutByCrash
+	t.InterruptedByOrder += c.InterruptedByOrder
+	t.InterruptedByCrash += c.InterruptedByCrash
 	t.Crashes += c.Crashes
 	t.RoleChanges += c.RoleChanges
 	t.Orders += c.Orders
 	t.ConflictingOrders += c.ConflictingOrders
 	t.FencedOrders += c.FencedOrders
-	t.OutdatedOrdersTaken += c.OutdatedOrdersTaken
+	t.OutdatedOrdersAccepted += c.OutdatedOrdersAccepted
 	t.WrongPrior += c.WrongPrior
-	t.WorkAfterLeaving += c.WorkAfterLeaving
+	t.WorkAfterTermination += c.WorkAfterTermination
 }
 
 // addService takes the ledger's figures once: the services share it.
 func (t *Totals) addService(c ServiceCounters) {
 	t.ServiceCalls += c.Calls
 	t.Crashes += c.Crashes
-	t.WorkAfterLeaving += c.WorkAfterLeaving
+	t.WorkAfterTermination += c.WorkAfterTermination
 	t.Keys, t.RanTwice = c.Keys, c.RanTwice
 }
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -26,8 +26,8 @@
 	ChecksFencing bool
 	// Weights is the address of the weight store; empty means that models
 	// load in the time of a change.
-	Weights string
-	Speed   Speed
+	WeightStoreAddr string
+	Speed           Speed
 }
 
 // Times that the scale doesn't touch.
--- a/internal/standin/engine_batch.go
+++ b/internal/standin/engine_batch.go
@@ -79,7 +79,7 @@
 	}
 	budget := b.speed.ChunkTokens
 	if len(st.decodes) == 0 {
-		budget = b.speed.AloneTokens
+		budget = b.speed.PrefillOnlyTokens
 	}
 	prompt := 0
 	for _, s := range b.running {
--- a/internal/standin/engine_control.go
+++ b/internal/standin/engine_control.go
@@ -147,7 +147,7 @@
 			e.counters.FencedOrders++
 			return upstream.ErrFenced
 		}
-		e.counters.OutdatedOrdersTaken++
+		e.counters.OutdatedOrdersAccepted++
 	}
 	switch {
 	case o.Kind == upstream.OrderFence:
@@ -175,7 +175,7 @@
 	epoch := e.control.epoch
 	if o.Kind != upstream.OrderAdapter {
 		e.control.inService = false
-		e.counters.CutByOrder += int64(e.endAll(cut))
+		e.counters.InterruptedByOrder += int64(e.endAll(cut))
 		e.kv.clear(true)
 	}
 	e.note(time.Now())
@@ -185,17 +185,17 @@
 // change carries an order out.
 func (e *Engine) change(o upstream.Order, epoch int) {
 	begun := time.Now()
-	took := e.config.Speed.scaled(e.config.Speed.Change)
+	took := e.config.Speed.scaled(e.config.Speed.ChangeDuration)
 	if o.Kind == upstream.OrderAdapter {
 		took = time.Duration(float64(took) * adapterShare)
 	}
-	if e.faults.take(func(f *EngineFaults) *Dose { return &f.CrashInChange }) {
+	if e.faults.take(func(f *EngineFaults) *Trigger { return &f.CrashDuringChange }) {
 		e.pause(took / 2)
 		e.crash(Crash{DownMillis: e.faults.get().RestartMillis})
 		return
 	}
 	ok := true
-	if o.Kind == upstream.OrderModel && e.config.Weights != "" {
+	if o.Kind == upstream.OrderModel && e.config.WeightStoreAddr != "" {
 		ok = e.loadWeights(o)
 	} else {
 		e.pause(took)
@@ -230,9 +230,9 @@
 func (e *Engine) loadWeights(o upstream.Order) bool {
 	ctx, cancel := e.untilEnd()
 	defer cancel()
-	load := WeightLoad{Model: o.Model, Version: o.Version, Engine: e.name}
-	_, err := httpx.CallJSON[WeightLoad, WeightLoaded](
-		ctx, e.peers.to(e.config.Weights), fasthttp.MethodPost, PathWeightLoad, load)
+	load := WeightLoadRequest{Model: o.Model, Version: o.Version, Engine: e.name}
+	_, err := httpx.CallJSON[WeightLoadRequest, WeightLoadResponse](
+		ctx, e.peers.to(e.config.WeightStoreAddr), fasthttp.MethodPost, PathWeightLoad, load)
 	return err == nil
 }
 
--- a/internal/standin/engine_http.go
+++ b/internal/standin/engine_http.go
@@ -65,17 +65,17 @@
 		return
 	}
 	r := s.open()
-	if e.faults.take(func(f *EngineFaults) *Dose { return &f.CloseGenerate }) {
+	if e.faults.take(func(f *EngineFaults) *Trigger { return &f.CloseGenerate }) {
 		r.left = e.readerLeft
 		_ = r.Close()
 		hangUp(ctx)
 		return
 	}
-	if e.faults.take(func(f *EngineFaults) *Dose { return &f.BreakStream }) {
+	if e.faults.take(func(f *EngineFaults) *Trigger { return &f.BreakStream }) {
 		r.breakAt = s.first + e.faults.get().BreakAt
 	}
 	attempt := s.id
-	if e.faults.take(func(f *EngineFaults) *Dose { return &f.CrossAnswers }) {
+	if e.faults.take(func(f *EngineFaults) *Trigger { return &f.WrongAttemptID }) {
 		attempt = "crossed-" + attempt
 	}
 	e.stream(ctx, r, attempt)
@@ -88,7 +88,7 @@
 		ctx.Error("request can't be read", fasthttp.StatusBadRequest)
 		return nil
 	}
-	if e.faults.take(func(f *EngineFaults) *Dose { return &f.Refuse }) {
+	if e.faults.take(func(f *EngineFaults) *Trigger { return &f.Refuse }) {
 		refuse(ctx, fasthttp.StatusServiceUnavailable, "engine takes no work")
 		return nil
 	}
@@ -165,7 +165,7 @@
 }
 
 func (e *Engine) handleKV(ctx *fasthttp.RequestCtx, id string) {
-	if e.faults.take(func(f *EngineFaults) *Dose { return &f.FailExports }) {
+	if e.faults.take(func(f *EngineFaults) *Trigger { return &f.FailExports }) {
 		ctx.Error("export failed", fasthttp.StatusInternalServerError)
 		return
 	}
@@ -179,7 +179,7 @@
 }
 
 func (e *Engine) handleLoad(ctx *fasthttp.RequestCtx) {
-	if e.faults.get().SilentLoad {
+	if e.faults.get().FailLoadReports {
 		ctx.Error("no load report", fasthttp.StatusServiceUnavailable)
 		return
 	}
@@ -208,14 +208,14 @@
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
-	if e.faults.take(func(f *EngineFaults) *Dose { return &f.LateOrder }) {
-		delay := time.Duration(e.faults.get().LateOrderMillis) * time.Millisecond
+	if e.faults.take(func(f *EngineFaults) *Trigger { return &f.DelayOrder }) {
+		delay := time.Duration(e.faults.get().OrderDelayMillis) * time.Millisecond
 		time.AfterFunc(delay, func() { _ = e.order(o) })
 		hangUp(ctx)
 		return
 	}
 	err := e.order(o)
-	if e.faults.take(func(f *EngineFaults) *Dose { return &f.LoseOrderReply }) {
+	if e.faults.take(func(f *EngineFaults) *Trigger { return &f.LoseOrderReply }) {
 		hangUp(ctx)
 		return
 	}
@@ -238,11 +238,11 @@
 }
 
 // SetLeaving tells the engine whether the list shows it as leaving.
-func (e *Engine) SetLeaving(leaving bool) { e.leaving.set(time.Now(), leaving) }
+func (e *Engine) SetTerminating(leaving bool) { e.leaving.set(time.Now(), leaving) }
 
 // LeavingSince returns since when the list has shown the engine as leaving;
 // zero if it doesn't.
-func (e *Engine) LeavingSince() time.Time { return e.leaving.begun() }
+func (e *Engine) TerminatingSince() time.Time { return e.leaving.begun() }
 
 // Counters returns the counters.
 func (e *Engine) Counters() EngineCounters {
--- a/internal/standin/engine_lifecycle.go
+++ b/internal/standin/engine_lifecycle.go
@@ -29,10 +29,10 @@
 	defer e.mu.Unlock()
 	e.counters.Requests++
 	if e.leaving.overdue(time.Now()) {
-		e.counters.WorkAfterLeaving++
+		e.counters.WorkAfterTermination++
 	}
 	if err := e.acceptable(m, s); err != nil {
-		e.counters.RefusedRun++
+		e.counters.RefusedNotRun++
 		return nil, err
 	}
 	if m.PriorTokens > 0 && m.Prior != s.answer.Text(0, m.PriorTokens) {
@@ -155,11 +155,11 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.counters.Crashes++
-	e.counters.CutByCrash += int64(e.endAll(cut))
+	e.counters.InterruptedByCrash += int64(e.endAll(cut))
 	clear(e.sequences)
 	e.past = nil
 	e.kv.clear(false)
-	e.control.restart(c.ForgetFence)
+	e.control.restart(c.LoseFencingToken)
 	e.note(time.Now())
 	e.rouse()
 }
--- a/internal/standin/engine_sequence.go
+++ b/internal/standin/engine_sequence.go
@@ -32,7 +32,7 @@
 // engine and are guarded by its lock.
 type sequence struct {
 	id       string
-	answer   oracle.Answer
+	answer   oracle.Completion
 	priority int
 	arrival  uint64
 	model    uint64
@@ -63,7 +63,7 @@
 	prompt := oracle.PromptTokens(m.Prompt)
 	s := &sequence{
 		id:           m.AttemptID,
-		answer:       oracle.For(m.Model, m.Prompt, m.MaxTokens),
+		answer:       oracle.Expected(m.Model, m.Prompt, m.MaxTokens),
 		priority:     m.Priority,
 		model:        modelKey(m.Model),
 		blocks:       blocks,
--- a/internal/standin/engine_speed.go
+++ b/internal/standin/engine_speed.go
@@ -14,18 +14,18 @@
 	PrefillPerSec float64
 	// StepFirst and StepFull are the times of a decode step at batch size 1
 	// and at MaxBatch; between them it grows evenly.
-	StepFirst, StepFull time.Duration
-	MaxBatch            int
+	MinStepTime, MaxStepTime time.Duration
+	MaxBatch                 int
 	// ChunkTokens bounds the prompt tokens of a step that also decodes, and
 	// AloneTokens those of one that doesn't.
-	ChunkTokens, AloneTokens int
+	ChunkTokens, PrefillOnlyTokens int
 	// KVTokens is the size of the KV memory.
 	KVTokens int
 	// KVBytesPerToken and KVBytesPerSec are the cost of moving KV cache.
 	KVBytesPerToken int64
 	KVBytesPerSec   float64
 	// Change is how long a change of role takes the engine out of service.
-	Change time.Duration
+	ChangeDuration time.Duration
 	// LoadLag is how old a load report is, EventLag how late a cache event.
 	LoadLag, EventLag time.Duration
 	// EventLoss is the fraction of cache events that are never told.
@@ -35,20 +35,20 @@
 // DefaultSpeed is an engine of ordinary size.
 func DefaultSpeed() Speed {
 	return Speed{
-		Scale:           1,
-		PrefillPerSec:   8000,
-		StepFirst:       15 * time.Millisecond,
-		StepFull:        30 * time.Millisecond,
-		MaxBatch:        32,
-		ChunkTokens:     256,
-		AloneTokens:     1024,
-		KVTokens:        60_000,
-		KVBytesPerToken: 128 << 10,
-		KVBytesPerSec:   10e9,
-		Change:          5 * time.Second,
-		LoadLag:         time.Second,
-		EventLag:        500 * time.Millisecond,
-		EventLoss:       0.05,
+		Scale:             1,
+		PrefillPerSec:     8000,
+		MinStepTime:       15 * time.Millisecond,
+		MaxStepTime:       30 * time.Millisecond,
+		MaxBatch:          32,
+		ChunkTokens:       256,
+		PrefillOnlyTokens: 1024,
+		KVTokens:          60_000,
+		KVBytesPerToken:   128 << 10,
+		KVBytesPerSec:     10e9,
+		ChangeDuration:    5 * time.Second,
+		LoadLag:           time.Second,
+		EventLag:          500 * time.Millisecond,
+		EventLoss:         0.05,
 	}
 }
 
@@ -72,9 +72,9 @@
 	if batch == 0 {
 		return 0
 	}
-	t := float64(s.StepFirst)
+	t := float64(s.MinStepTime)
 	if s.MaxBatch > 1 {
-		t += float64(s.StepFull-s.StepFirst) * float64(batch-1) / float64(s.MaxBatch-1)
+		t += float64(s.MaxStepTime-s.MinStepTime) * float64(batch-1) / float64(s.MaxBatch-1)
 	}
 	return time.Duration(t / efficiencies[role].decode)
 }
--- a/internal/standin/engine_test.go
+++ b/internal/standin/engine_test.go
@@ -131,7 +131,7 @@
 		st, c := e.State(), e.Counters()
 		assert.Equal(t, upstream.RoleDecode, st.Role)
 		assert.False(t, st.Busy)
-		assert.EqualValues(t, 2, c.CutByOrder)
+		assert.EqualValues(t, 2, c.InterruptedByOrder)
 		assert.EqualValues(t, 1, c.RoleChanges)
 		_, err = io.ReadAll(submit(t, e, message("d", words(10), 5)))
 		require.NoError(t, err)
@@ -182,7 +182,7 @@
 func TestBatchBooks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		speed := DefaultSpeed()
-		speed.KVTokens, speed.MaxBatch, speed.ChunkTokens, speed.AloneTokens = 400, 3, 16, 40
+		speed.KVTokens, speed.MaxBatch, speed.ChunkTokens, speed.PrefillOnlyTokens = 400, 3, 16, 40
 		stored := map[uint64]bool{}
 		kv := newKVCache(speed.KVTokens, func(b uint64, s bool) {
 			if stored[b] == s {
@@ -310,7 +310,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		prompt := rapid.StringMatching(`[a-z]{1,8}( [a-z]{1,8}){0,30}`).Draw(t, "prompt")
 		limit := rapid.IntRange(1, 60).Draw(t, "max tokens")
-		a := oracle.For("m", prompt, limit)
+		a := oracle.Expected("m", prompt, limit)
 		require.LessOrEqual(t, a.Tokens, limit)
 		require.Equal(t, a.Finish == oracle.FinishLength, a.Tokens == limit)
 		from := rapid.IntRange(0, a.Tokens-1).Draw(t, "from")
--- a/internal/standin/fault.go
+++ b/internal/standin/fault.go
@@ -10,14 +10,14 @@
 )
 
 // Dose says how often a fault strikes.
-type Dose struct {
+type Trigger struct {
 	// Next is how many of the coming events are struck; -1 means all.
 	Next int `json:"next"`
 	// Fraction of the events beyond those is struck, drawn from a fixed seed.
 	Fraction float64 `json:"fraction"`
 }
 
-func (d *Dose) take(rng *rand.Rand) bool {
+func (d *Trigger) take(rng *rand.Rand) bool {
 	if d.Next < 0 {
 		return true
 	}
@@ -40,24 +40,24 @@
 )
 
 // Reach says who can reach a part at all.
-type Reach struct {
+type NetworkFaults struct {
 	Outage Outage `json:"outage"`
 	// Blocked names senders, as in the X-Sender header, that are partitioned
 	// from the part: they get no answer.
 	Blocked []string `json:"blocked"`
 }
 
-func (r Reach) reach() Reach { return r }
+func (r NetworkFaults) reach() NetworkFaults { return r }
 
 // of returns what a sender meets.
-func (r Reach) of(sender string) Outage {
+func (r NetworkFaults) of(sender string) Outage {
 	if sender != "" && slices.Contains(r.Blocked, sender) {
 		return OutageHang
 	}
 	return r.Outage
 }
 
-type reachable interface{ reach() Reach }
+type reachable interface{ reach() NetworkFaults }
 
 // Crash ends a part's process, as it were: its address refuses connections and
 // those that it has break off.
@@ -66,7 +66,7 @@
 	// with 0 is set through the control page.
 	DownMillis int `json:"down_ms"`
 	// ForgetFence makes an engine lose its fencing number.
-	ForgetFence bool `json:"forget_fence"`
+	LoseFencingToken bool `json:"forget_fence"`
 }
 
 func (c Crash) down() time.Duration { return time.Duration(c.DownMillis) * time.Millisecond }
@@ -115,7 +115,7 @@
 }
 
 // take uses up a dose of the fault that pick points to.
-func (s *switchboard[F]) take(pick func(*F) *Dose) bool {
+func (s *switchboard[F]) take(pick func(*F) *Trigger) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return pick(&s.faults).take(s.rng)
--- a/internal/standin/golden_test.go
+++ b/internal/standin/golden_test.go
@@ -38,16 +38,16 @@
 	require.ErrorIs(t, err, infra.ErrRateLimited)
 	_, err = c.Read(t.Context(), 1, 10, 0)
 	require.NoError(t, err)
-	standintest.Faults(t, l, `{"fail_reads":{"next":1}}`)
+	standintest.SetFaults(t, l, `{"fail_reads":{"next":1}}`)
 	_, err = c.Read(t.Context(), 1, 10, 0)
 	require.ErrorIs(t, err, infra.ErrUnavailable)
-	standintest.Faults(t, l, `{"expire_all":true}`)
+	standintest.SetFaults(t, l, `{"expire_all":true}`)
 	_, err = c.Read(t.Context(), 1, 10, 0)
 	require.Error(t, err)
-	standintest.Faults(t, l, `{"outage":"error"}`)
+	standintest.SetFaults(t, l, `{"outage":"error"}`)
 	_, err = c.Append(t.Context(), []byte("in the outage"))
 	require.ErrorIs(t, err, infra.ErrUnavailable)
-	standintest.Faults(t, l, `{"outage":"close"}`)
+	standintest.SetFaults(t, l, `{"outage":"close"}`)
 	_, err = c.Append(t.Context(), []byte("closed on"))
 	require.ErrorIs(t, err, infra.ErrUnavailable)
 	r.golden(t, "log")
@@ -55,17 +55,17 @@
 
 func TestListAndWeightsSession(t *testing.T) {
 	row := infra.Instance{Name: "s1", Kind: infra.KindService, DataCentre: "a"}
-	l, err := standin.NewList(standin.ListConfig{Addr: "127.0.0.1:0", Rows: []infra.Instance{row}})
+	l, err := standin.NewList(standin.ListConfig{Addr: "127.0.0.1:0", Instances: []infra.Instance{row}})
 	require.NoError(t, err)
 	standintest.Serve(t, l)
-	w, err := standin.NewWeights(standin.WeightsConfig{Addr: "127.0.0.1:0", BytesPerSecond: 1e9,
+	w, err := standin.NewWeightStore(standin.WeightStoreConfig{Addr: "127.0.0.1:0", BytesPerSecond: 1e9,
 		Versions: []infra.WeightVersion{{Model: "m", Version: "v1", Bytes: 10}}})
 	require.NoError(t, err)
 	standintest.Serve(t, w)
 	var r recorder
 	list, weights := listclient.New(l.Addr(), r.options()), weightclient.New(w.Addr(), r.options())
 	for _, faults := range []string{`{}`, `{"leaving":["s1"]}`, `{"outage":"error"}`} {
-		standintest.Faults(t, l, faults)
+		standintest.SetFaults(t, l, faults)
 		_, _ = list.Instances(t.Context())
 	}
 	for _, model := range []string{"m", "another"} {
@@ -113,7 +113,7 @@
 	require.NoError(t, err)
 	_, err = c.Load(t.Context())
 	require.NoError(t, err)
-	standintest.Faults(t, e, `{"close_generate":{"next":1}}`)
+	standintest.SetFaults(t, e, `{"close_generate":{"next":1}}`)
 	require.ErrorIs(t, ask("attempt-4", standintest.Model), upstream.ErrBroken)
 	r.golden(t, "engine")
 }
@@ -132,7 +132,7 @@
 		{`{"close_after":{"next":1}}`, upstream.ErrBroken},
 		{`{}`, nil},
 	} {
-		standintest.Faults(t, s, step.faults)
+		standintest.SetFaults(t, s, step.faults)
 		_, err := c.Call(t.Context(), upstream.ServiceRequest{
 			AttemptID: "attempt-1", Method: "PUT", Path: "/bookings/7?truck=2", Body: []byte("two tonnes"),
 			Headers: []upstream.Header{{Name: "Idempotency-Key", Value: "key-1"}},
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -16,7 +16,7 @@
 // Ledger counts how often the call of each idempotency key ran. Services that
 // could run the same call share one. It outlives crashes: it belongs to the
 // observer, not to the service.
-type Ledger struct {
+type RunCounter struct {
 	mu sync.Mutex
 	// runs is by the key's hash, to hold millions.
 	runs     map[uint64]int
@@ -25,10 +25,10 @@
 }
 
 // NewLedger returns an empty ledger.
-func NewLedger() *Ledger { return &Ledger{runs: map[uint64]int{}} }
+func NewRunCounter() *RunCounter { return &RunCounter{runs: map[uint64]int{}} }
 
 // ran notes one run and returns its number, from 1.
-func (l *Ledger) ran(key string) int {
+func (l *RunCounter) ran(key string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h := xxhash.Sum64String(key)
@@ -43,7 +43,7 @@
 	return n
 }
 
-func (l *Ledger) totals() (keys, ranTwice int64, doubled []string) {
+func (l *RunCounter) totals() (keys, ranTwice int64, doubled []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return int64(len(l.runs)), l.ranTwice, append([]string{}, l.doubled...)
--- a/internal/standin/list.go
+++ b/internal/standin/list.go
@@ -18,19 +18,19 @@
 	Addr string
 	TLS  *tls.Config
 	// Lag is how far the list is behind the truth.
-	Lag  time.Duration
-	Rows []infra.Instance
+	Lag       time.Duration
+	Instances []infra.Instance
 	// OnLeaving is told, once the lag has passed, which instances the list
 	// now names as leaving.
-	OnLeaving func(names []string)
+	OnTerminating func(names []string)
 }
 
 // ListFaults are the list's faults. The last three change the truth, once.
 type ListFaults struct {
-	Reach
+	NetworkFaults
 	LagMillis int `json:"lag_ms"`
 	// Leaving marks instances as leaving.
-	Leaving []string `json:"leaving"`
+	Terminating []string `json:"leaving"`
 	// Remove takes instances off the list.
 	Remove []string `json:"remove"`
 	// Add puts instances on the list, in place of rows with the same name.
@@ -39,10 +39,10 @@
 
 // ListCounters are the list's counters.
 type ListCounters struct {
-	Reads   int64 `json:"reads"`
-	Changes int64 `json:"changes"`
-	Rows    int   `json:"rows"`
-	Leaving int   `json:"leaving"`
+	Reads       int64 `json:"reads"`
+	Changes     int64 `json:"changes"`
+	Instances   int   `json:"rows"`
+	Terminating int   `json:"leaving"`
 }
 
 // List stands in for the platform's list of instances.
@@ -68,7 +68,7 @@
 		node:    n,
 		config:  c,
 		faults:  newSwitchboard(faults),
-		history: listHistory{{Rows: c.Rows}},
+		history: listHistory{{Rows: c.Instances}},
 	}, nil
 }
 
@@ -105,10 +105,10 @@
 	defer l.mu.Unlock()
 	rows := l.history.latest()
 	return ListCounters{
-		Reads:   l.reads.Load(),
-		Changes: l.changes,
-		Rows:    len(rows),
-		Leaving: len(leavingNames(rows)),
+		Reads:       l.reads.Load(),
+		Changes:     l.changes,
+		Instances:   len(rows),
+		Terminating: len(leavingNames(rows)),
 	}
 }
 
@@ -124,8 +124,8 @@
 		return err
 	}
 	f := l.faults.get()
-	l.faults.set(func(f *ListFaults) { f.Leaving, f.Remove, f.Add = nil, nil, nil })
-	if len(f.Leaving)+len(f.Remove)+len(f.Add) > 0 {
+	l.faults.set(func(f *ListFaults) { f.Terminating, f.Remove, f.Add = nil, nil, nil })
+	if len(f.Terminating)+len(f.Remove)+len(f.Add) > 0 {
 		l.change(f)
 	}
 	return nil
@@ -138,9 +138,9 @@
 	rows := changedRows(l.history.latest(), f)
 	l.history = l.history.add(time.Now(), rows)
 	l.changes++
-	if l.config.OnLeaving != nil {
+	if l.config.OnTerminating != nil {
 		names := leavingNames(rows)
-		time.AfterFunc(time.Duration(f.LagMillis)*time.Millisecond, func() { l.config.OnLeaving(names) })
+		time.AfterFunc(time.Duration(f.LagMillis)*time.Millisecond, func() { l.config.OnTerminating(names) })
 	}
 }
 
@@ -181,7 +181,7 @@
 	for _, r := range f.Add {
 		added[r.Name] = true
 	}
-	removed, leaving := nameSet(f.Remove), nameSet(f.Leaving)
+	removed, leaving := nameSet(f.Remove), nameSet(f.Terminating)
 	var out []infra.Instance
 	for _, r := range rows {
 		if removed[r.Name] || added[r.Name] {
--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -28,32 +28,32 @@
 
 // LogFaults are the log's faults.
 type LogFaults struct {
-	Reach
+	NetworkFaults
 	// SlowMillis delays each append and read.
 	SlowMillis int `json:"slow_ms"`
 	// LoseReply closes the connection after an append took effect.
-	LoseReply Dose `json:"lose_reply"`
+	LoseReply Trigger `json:"lose_reply"`
 	// LandLate answers an append with an error and makes it take effect
 	// LandLateMillis later.
-	LandLate       Dose `json:"land_late"`
-	LandLateMillis int  `json:"land_late_ms"`
+	DelayAppend       Trigger `json:"land_late"`
+	AppendDelayMillis int     `json:"land_late_ms"`
 	// FailReads answers reads with an error.
-	FailReads Dose `json:"fail_reads"`
+	FailReads Trigger `json:"fail_reads"`
 	// ExpireAll drops the records kept at the moment, once.
 	ExpireAll bool `json:"expire_all"`
 }
 
 // LogCounters are the log's counters.
 type LogCounters struct {
-	Appends     int64  `json:"appends"`
-	AppendBytes int64  `json:"append_bytes"`
-	RateLimited int64  `json:"rate_limited"`
-	LostReplies int64  `json:"lost_replies"`
-	LandedLate  int64  `json:"landed_late"`
-	Reads       int64  `json:"reads"`
-	ReadBytes   int64  `json:"read_bytes"`
-	Oldest      uint64 `json:"oldest"`
-	Next        uint64 `json:"next"`
+	Appends        int64  `json:"appends"`
+	AppendBytes    int64  `json:"append_bytes"`
+	RateLimited    int64  `json:"rate_limited"`
+	LostReplies    int64  `json:"lost_replies"`
+	DelayedAppends int64  `json:"landed_late"`
+	Reads          int64  `json:"reads"`
+	ReadBytes      int64  `json:"read_bytes"`
+	Oldest         uint64 `json:"oldest"`
+	Next           uint64 `json:"next"`
 	// Senders gives the same by sender, in order of name.
 	Senders []LogSender `json:"senders"`
 }
@@ -126,13 +126,13 @@
 	}
 	data := append([]byte(nil), ctx.PostBody()...)
 	sender := string(ctx.Request.Header.Peek(httpx.HeaderSender))
-	if l.faults.take(func(f *LogFaults) *Dose { return &f.LandLate }) {
+	if l.faults.take(func(f *LogFaults) *Trigger { return &f.DelayAppend }) {
 		l.landLate(sender, data)
 		ctx.Error("append failed", fasthttp.StatusInternalServerError)
 		return
 	}
 	offset := l.append(sender, data)
-	if l.faults.take(func(f *LogFaults) *Dose { return &f.LoseReply }) {
+	if l.faults.take(func(f *LogFaults) *Trigger { return &f.LoseReply }) {
 		l.count(func(c *LogCounters) { c.LostReplies++ })
 		hangUp(ctx)
 		return
@@ -143,10 +143,10 @@
 // landLate appends after a delay, as a record does that was held up in the
 // log's own network while its writer was told of a failure.
 func (l *Log) landLate(sender string, data []byte) {
-	delay := time.Duration(l.faults.get().LandLateMillis) * time.Millisecond
+	delay := time.Duration(l.faults.get().AppendDelayMillis) * time.Millisecond
 	time.AfterFunc(delay, func() {
 		l.append(sender, data)
-		l.count(func(c *LogCounters) { c.LandedLate++ })
+		l.count(func(c *LogCounters) { c.DelayedAppends++ })
 	})
 }
 
@@ -165,7 +165,7 @@
 }
 
 func (l *Log) handleRead(ctx *fasthttp.RequestCtx) {
-	if l.faults.take(func(f *LogFaults) *Dose { return &f.FailReads }) {
+	if l.faults.take(func(f *LogFaults) *Trigger { return &f.FailReads }) {
 		ctx.Error("read failed", fasthttp.StatusInternalServerError)
 		return
 	}
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -32,7 +32,7 @@
 )
 
 // Part is one stand-in at an address of its own.
-type Part interface {
+type Component interface {
 	Name() string
 	// Kind is "log", "list", "weights", "engine" or "service".
 	Kind() string
@@ -115,7 +115,7 @@
 
 // admin serves the counters and the faults, and reports whether the request
 // was for them.
-func admin(p Part, ctx *fasthttp.RequestCtx) bool {
+func admin(p Component, ctx *fasthttp.RequestCtx) bool {
 	switch string(ctx.Path()) {
 	case PathCounters:
 		replyRaw(ctx, p.CountersJSON())
@@ -127,7 +127,7 @@
 	return true
 }
 
-func serveFaults(p Part, ctx *fasthttp.RequestCtx) {
+func serveFaults(p Component, ctx *fasthttp.RequestCtx) {
 	if !ctx.IsPost() {
 		replyRaw(ctx, p.FaultsJSON())
 		return
--- a/internal/standin/oracle/oracle.go
+++ b/internal/standin/oracle/oracle.go
@@ -26,7 +26,7 @@
 )
 
 // Answer is one engine's whole answer to a prompt.
-type Answer struct {
+type Completion struct {
 	seed uint64
 	// Tokens is the answer's length in tokens.
 	Tokens int
@@ -36,12 +36,12 @@
 
 // For returns the answer of a model to a whole prompt. A maxTokens of 0 or
 // less means DefaultMaxTokens.
-func For(model, prompt string, maxTokens int) Answer {
+func Expected(model, prompt string, maxTokens int) Completion {
 	if maxTokens <= 0 {
 		maxTokens = DefaultMaxTokens
 	}
 	natural := naturalLength(prompt, maxTokens)
-	a := Answer{seed: seed(model, prompt), Tokens: natural, Finish: FinishStop}
+	a := Completion{seed: seed(model, prompt), Tokens: natural, Finish: FinishStop}
 	if natural >= maxTokens {
 		a.Tokens, a.Finish = maxTokens, FinishLength
 	}
@@ -49,7 +49,7 @@
 }
 
 // Token returns the text of token i, counted from 0.
-func (a Answer) Token(i int) string {
+func (a Completion) Token(i int) string {
 	word := words[mix(a.seed+uint64(i))%uint64(len(words))]
 	if i == 0 {
 		return word[1:]
@@ -58,7 +58,7 @@
 }
 
 // Text returns the tokens from from up to but without to, joined.
-func (a Answer) Text(from, to int) string {
+func (a Completion) Text(from, to int) string {
 	var b strings.Builder
 	for i := from; i < to; i++ {
 		b.WriteString(a.Token(i))
@@ -68,11 +68,11 @@
 
 // Token returns the text of token i of a model's answer to a whole prompt.
 func Token(model, prompt string, i int) string {
-	return Answer{seed: seed(model, prompt)}.Token(i)
+	return Completion{seed: seed(model, prompt)}.Token(i)
 }
 
 // Length returns the length in tokens of the answer to a whole prompt.
-func Length(prompt string, maxTokens int) int { return For("", prompt, maxTokens).Tokens }
+func Length(prompt string, maxTokens int) int { return Expected("", prompt, maxTokens).Tokens }
 
 // PromptTokens returns the engines' count of a text's tokens: its words.
 func PromptTokens(text string) int {
@@ -89,7 +89,7 @@
 
 // Echo returns the digest by which a plain service's answer names the request
 // that it belongs to.
-func Echo(method, path string, body []byte) string {
+func RequestDigest(method, path string, body []byte) string {
 	d := xxhash.New()
 	_, _ = d.WriteString(method)
 	_, _ = d.WriteString("\n" + path + "\n")
--- a/internal/standin/platform_test.go
+++ b/internal/standin/platform_test.go
@@ -59,7 +59,7 @@
 // Two data centres load weights at once: together they get the store's rate,
 // not each of them.
 func TestWeightLoadsShareTheRate(t *testing.T) {
-	w := &Weights{config: WeightsConfig{BytesPerSecond: 100}, faults: newSwitchboard(WeightFaults{})}
+	w := &WeightStore{config: WeightStoreConfig{BytesPerSecond: 100}, faults: newSwitchboard(WeightFaults{})}
 	assert.Equal(t, time.Second, w.reserve(noon, 100))
 	assert.Equal(t, 3*time.Second, w.reserve(noon, 200))
 	assert.Equal(t, 3*time.Second, w.reserve(noon.Add(time.Second), 100))
@@ -80,19 +80,19 @@
 
 func TestDose(t *testing.T) {
 	for name, tc := range map[string]struct {
-		dose Dose
+		dose Trigger
 		want int // of 1000
 	}{
-		"none":     {Dose{}, 0},
-		"next 3":   {Dose{Next: 3}, 3},
-		"all":      {Dose{Next: -1}, 1000},
-		"fraction": {Dose{Fraction: 1}, 1000},
+		"none":     {Trigger{}, 0},
+		"next 3":   {Trigger{Next: 3}, 3},
+		"all":      {Trigger{Next: -1}, 1000},
+		"fraction": {Trigger{Fraction: 1}, 1000},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSwitchboard(LogFaults{LoseReply: tc.dose})
 			struck := 0
 			for range 1000 {
-				if s.take(func(f *LogFaults) *Dose { return &f.LoseReply }) {
+				if s.take(func(f *LogFaults) *Trigger { return &f.LoseReply }) {
 					struck++
 				}
 			}
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -29,29 +29,29 @@
 	Latency time.Duration
 	// Ledger counts runs by key over all services that share it; nil makes one
 	// for this service alone.
-	Ledger *Ledger
+	RunCounter *RunCounter
 }
 
 // ServiceFaults are a service's faults. Those with "before" strike before the
 // call has run, those with "after" once it has.
 type ServiceFaults struct {
-	Reach
-	LatencyMillis int  `json:"latency_ms"`
-	CrashBefore   Dose `json:"crash_before"`
-	CrashAfter    Dose `json:"crash_after"`
+	NetworkFaults
+	LatencyMillis int     `json:"latency_ms"`
+	CrashBefore   Trigger `json:"crash_before"`
+	CrashAfter    Trigger `json:"crash_after"`
 	// CloseBefore and CloseAfter close the connection without answering.
-	CloseBefore Dose `json:"close_before"`
-	CloseAfter  Dose `json:"close_after"`
+	CloseBefore Trigger `json:"close_before"`
+	CloseAfter  Trigger `json:"close_after"`
 	// Hang runs the call and never answers.
-	Hang Dose `json:"hang"`
+	Hang Trigger `json:"hang"`
 	// HangMillis answers after that long instead, which is late for most.
 	HangMillis int `json:"hang_ms"`
 	// Refuse answers that the call was not run.
-	Refuse Dose `json:"refuse"`
+	Refuse Trigger `json:"refuse"`
 	// Fail runs the call and answers 500.
-	Fail Dose `json:"fail"`
+	Fail Trigger `json:"fail"`
 	// Stray sends a second response, which nobody asked for, after one.
-	Stray Dose `json:"stray"`
+	DuplicateResponse Trigger `json:"stray"`
 	// Poison is the marker in a body that crashes the service; empty for none.
 	Poison string `json:"poison"`
 	// RestartMillis is how long a crash lasts that names no time of its own.
@@ -62,27 +62,27 @@
 
 // ServiceCounters are a service's counters.
 type ServiceCounters struct {
-	Calls      int64 `json:"calls"`
-	Ran        int64 `json:"ran"`
-	RefusedRun int64 `json:"refused_not_run"`
-	Unanswered int64 `json:"unanswered"`
-	Crashes    int64 `json:"crashes"`
+	Calls         int64 `json:"calls"`
+	Ran           int64 `json:"ran"`
+	RefusedNotRun int64 `json:"refused_not_run"`
+	Unanswered    int64 `json:"unanswered"`
+	Crashes       int64 `json:"crashes"`
 	// WorkAfterLeaving counts calls that came more than 3 s after the list
 	// showed the service as leaving.
-	WorkAfterLeaving int64 `json:"work_after_leaving"`
+	WorkAfterTermination int64 `json:"work_after_leaving"`
 	// Keys, RanTwice and Doubled are those of the ledger, which services of
 	// one process share: keys seen, keys whose call ran more than once, and
 	// the first few of these.
-	Keys     int64    `json:"keys"`
-	RanTwice int64    `json:"ran_twice"`
-	Doubled  []string `json:"doubled"`
+	Keys         int64    `json:"keys"`
+	RanTwice     int64    `json:"ran_twice"`
+	RepeatedKeys []string `json:"doubled"`
 }
 
 // ServiceAnswer is the body of a service's answer.
-type ServiceAnswer struct {
+type ServiceResponse struct {
 	Service string `json:"service"`
 	// Echo is oracle.Echo of the request.
-	Echo string `json:"echo"`
+	RequestDigest string `json:"echo"`
 	// Run is how often a call with this key had run, this time included; 0
 	// without a key.
 	Run int `json:"run"`
@@ -93,7 +93,7 @@
 	*node
 	config  ServiceConfig
 	faults  *switchboard[ServiceFaults]
-	ledger  *Ledger
+	ledger  *RunCounter
 	leaving leavingMark
 
 	calls, ran, refused, unanswered, crashes, afterLeaving atomic.Int64
@@ -108,13 +108,13 @@
 	if err != nil {
 		return nil, err
 	}
-	if c.Ledger == nil {
-		c.Ledger = NewLedger()
+	if c.RunCounter == nil {
+		c.RunCounter = NewRunCounter()
 	}
 	return &Service{
 		node:   n,
 		config: c,
-		ledger: c.Ledger,
+		ledger: c.RunCounter,
 		faults: newSwitchboard(ServiceFaults{
 			LatencyMillis: int(c.Latency.Milliseconds()),
 			Poison:        oracle.PoisonMarker,
@@ -149,13 +149,13 @@
 func (s *Service) strikeBefore(ctx *fasthttp.RequestCtx) bool {
 	poison := s.faults.get().Poison
 	switch {
-	case s.faults.take(func(f *ServiceFaults) *Dose { return &f.Refuse }):
+	case s.faults.take(func(f *ServiceFaults) *Trigger { return &f.Refuse }):
 		s.refused.Add(1)
 		refuse(ctx, fasthttp.StatusServiceUnavailable, "service takes no work")
 	case poison != "" && bytes.Contains(ctx.PostBody(), []byte(poison)),
-		s.faults.take(func(f *ServiceFaults) *Dose { return &f.CrashBefore }):
+		s.faults.take(func(f *ServiceFaults) *Trigger { return &f.CrashBefore }):
 		s.crashInHandler(ctx)
-	case s.faults.take(func(f *ServiceFaults) *Dose { return &f.CloseBefore }):
+	case s.faults.take(func(f *ServiceFaults) *Trigger { return &f.CloseBefore }):
 		s.unanswered.Add(1)
 		hangUp(ctx)
 	default:
@@ -178,14 +178,14 @@
 // and reports whether to answer.
 func (s *Service) strikeAfter(ctx *fasthttp.RequestCtx) bool {
 	switch {
-	case s.faults.take(func(f *ServiceFaults) *Dose { return &f.CrashAfter }):
+	case s.faults.take(func(f *ServiceFaults) *Trigger { return &f.CrashAfter }):
 		s.crashInHandler(ctx)
-	case s.faults.take(func(f *ServiceFaults) *Dose { return &f.CloseAfter }):
+	case s.faults.take(func(f *ServiceFaults) *Trigger { return &f.CloseAfter }):
 		s.unanswered.Add(1)
 		hangUp(ctx)
-	case s.faults.take(func(f *ServiceFaults) *Dose { return &f.Hang }):
+	case s.faults.take(func(f *ServiceFaults) *Trigger { return &f.Hang }):
 		return s.hang(ctx)
-	case s.faults.take(func(f *ServiceFaults) *Dose { return &f.Fail }):
+	case s.faults.take(func(f *ServiceFaults) *Trigger { return &f.Fail }):
 		ctx.Error("service failed", fasthttp.StatusInternalServerError)
 	default:
 		return true
@@ -206,12 +206,12 @@
 }
 
 func (s *Service) answer(ctx *fasthttp.RequestCtx, run int) {
-	echo := oracle.Echo(string(ctx.Method()), string(ctx.RequestURI()), ctx.PostBody())
+	echo := oracle.RequestDigest(string(ctx.Method()), string(ctx.RequestURI()), ctx.PostBody())
 	if attempt := ctx.Request.Header.Peek(httpx.HeaderAttempt); len(attempt) > 0 {
 		ctx.Response.Header.SetBytesV(httpx.HeaderAttempt, attempt)
 	}
-	replyJSON(ctx, ServiceAnswer{Service: s.name, Echo: echo, Run: run})
-	if s.faults.take(func(f *ServiceFaults) *Dose { return &f.Stray }) {
+	replyJSON(ctx, ServiceResponse{Service: s.name, RequestDigest: echo, Run: run})
+	if s.faults.take(func(f *ServiceFaults) *Trigger { return &f.DuplicateResponse }) {
 		sendTwice(ctx)
 	}
 }
@@ -228,19 +228,19 @@
 }
 
 // SetLeaving tells the service whether the list shows it as leaving.
-func (s *Service) SetLeaving(leaving bool) { s.leaving.set(time.Now(), leaving) }
+func (s *Service) SetTerminating(leaving bool) { s.leaving.set(time.Now(), leaving) }
 
 // Counters returns the counters.
 func (s *Service) Counters() ServiceCounters {
 	c := ServiceCounters{
-		Calls:            s.calls.Load(),
-		Ran:              s.ran.Load(),
-		RefusedRun:       s.refused.Load(),
-		Unanswered:       s.unanswered.Load(),
-		Crashes:          s.crashes.Load(),
-		WorkAfterLeaving: s.afterLeaving.Load(),
+		Calls:                s.calls.Load(),
+		Ran:                  s.ran.Load(),
+		RefusedNotRun:        s.refused.Load(),
+		Unanswered:           s.unanswered.Load(),
+		Crashes:              s.crashes.Load(),
+		WorkAfterTermination: s.afterLeaving.Load(),
 	}
-	c.Keys, c.RanTwice, c.Doubled = s.ledger.totals()
+	c.Keys, c.RanTwice, c.RepeatedKeys = s.ledger.totals()
 	return c
 }
 
--- a/internal/standin/set.go
+++ b/internal/standin/set.go
@@ -25,7 +25,7 @@
 	// means all.
 	Only []string
 	// Control is the address of the page for all parts; empty for none.
-	Control string
+	ControlAddr string
 	// TLS is for listening, ClientTLS for calls between parts; nil for plain
 	// TCP.
 	TLS, ClientTLS *tls.Config
@@ -59,21 +59,21 @@
 
 // leaver is a part that wants to know whether the list shows it as leaving.
 type leaver interface {
-	Part
-	SetLeaving(leaving bool)
+	Component
+	SetTerminating(leaving bool)
 }
 
 // Set is the stand-ins of a deployment.
 type Set struct {
-	parts   []Part
+	parts   []Component
 	leavers []leaver
-	control *Control
-	ledger  *Ledger
+	control *ControlServer
+	ledger  *RunCounter
 }
 
 // NewSet makes the stand-ins; they listen already.
 func NewSet(c Config) (*Set, error) {
-	s := &Set{ledger: NewLedger()}
+	s := &Set{ledger: NewRunCounter()}
 	err := s.build(c)
 	if err != nil {
 		s.closeAll()
@@ -99,10 +99,10 @@
 			return err
 		}
 	}
-	if c.Control == "" {
+	if c.ControlAddr == "" {
 		return nil
 	}
-	control, err := NewControl(c.Control, c.TLS, s.parts)
+	control, err := NewControlServer(c.ControlAddr, c.TLS, s.parts)
 	s.control = control
 	return err
 }
@@ -136,13 +136,13 @@
 	}
 	s.parts = append(s.parts, log)
 	list, err := NewList(ListConfig{
-		Addr: p.Instances, TLS: c.TLS, Lag: c.ListLag, Rows: rows(c.Deployment), OnLeaving: s.onLeaving,
+		Addr: p.Instances, TLS: c.TLS, Lag: c.ListLag, Instances: rows(c.Deployment), OnTerminating: s.onLeaving,
 	})
 	if err != nil {
 		return err
 	}
 	s.parts = append(s.parts, list)
-	weights, err := NewWeights(WeightsConfig{
+	weights, err := NewWeightStore(WeightStoreConfig{
 		Addr: p.Weights, TLS: c.TLS, BytesPerSecond: p.WeightBytesPerSecond, Versions: versions(c),
 	})
 	if err != nil {
@@ -157,19 +157,19 @@
 	var err error
 	if u.Kind == settings.KindEngine {
 		part, err = NewEngine(EngineConfig{
-			Name:          u.Name,
-			Addr:          u.Address,
-			TLS:           c.TLS,
-			ClientTLS:     c.ClientTLS,
-			Models:        u.Models,
-			Role:          upstream.Role(u.Role),
-			ChecksFencing: u.Fencing != settings.FencingNone,
-			Weights:       c.Deployment.Platform.Weights,
-			Speed:         c.Speed,
+			Name:            u.Name,
+			Addr:            u.Address,
+			TLS:             c.TLS,
+			ClientTLS:       c.ClientTLS,
+			Models:          u.Models,
+			Role:            upstream.Role(u.Role),
+			ChecksFencing:   u.Fencing != settings.FencingNone,
+			WeightStoreAddr: c.Deployment.Platform.Weights,
+			Speed:           c.Speed,
 		})
 	} else {
 		part, err = NewService(ServiceConfig{
-			Name: u.Name, Addr: u.Address, TLS: c.TLS, Latency: c.ServiceLatency, Ledger: s.ledger,
+			Name: u.Name, Addr: u.Address, TLS: c.TLS, Latency: c.ServiceLatency, RunCounter: s.ledger,
 		})
 	}
 	if err != nil {
@@ -215,12 +215,12 @@
 
 func (s *Set) onLeaving(names []string) {
 	for _, p := range s.leavers {
-		p.SetLeaving(slices.Contains(names, p.Name()))
+		p.SetTerminating(slices.Contains(names, p.Name()))
 	}
 }
 
 // Parts returns the parts.
-func (s *Set) Parts() []Part { return s.parts }
+func (s *Set) Components() []Component { return s.parts }
 
 // ControlAddr returns the address of the control page, or "".
 func (s *Set) ControlAddr() string {
--- a/internal/standin/set_test.go
+++ b/internal/standin/set_test.go
@@ -42,7 +42,7 @@
 
 // startSet runs a set until the returned function or the test's end.
 func startSet(t *testing.T, c standin.Config) (*standin.Set, func() error) {
-	c.Control, c.Speed, c.LogAppendsPerSecond = anyAddress, standin.DefaultSpeed(), 300
+	c.ControlAddr, c.Speed, c.LogAppendsPerSecond = anyAddress, standin.DefaultSpeed(), 300
 	s, err := standin.NewSet(c)
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -63,7 +63,7 @@
 func TestControlPage(t *testing.T) {
 	s, stop := startSet(t, standin.Config{Deployment: deployment()})
 	page := httpx.New(s.ControlAddr(), httpx.Options{})
-	parts, err := httpx.GetJSON[[]standin.PartCounters](t.Context(), page, standin.PathCounters)
+	parts, err := httpx.GetJSON[[]standin.ComponentCounters](t.Context(), page, standin.PathCounters)
 	require.NoError(t, err)
 	require.Len(t, parts, 6)
 	address := map[string]string{}
@@ -81,7 +81,7 @@
 	crash := func(ms int) {
 		faults := standin.ServiceFaults{Poison: "p", Crash: &standin.Crash{DownMillis: ms}}
 		_, err := httpx.CallJSON[standin.ServiceFaults, standin.ServiceFaults](t.Context(), page,
-			fasthttp.MethodPost, standin.PathParts+"service-1"+standin.PathFaults, faults)
+			fasthttp.MethodPost, standin.PathComponents+"service-1"+standin.PathFaults, faults)
 		require.NoError(t, err)
 	}
 	crash(-1)
@@ -98,8 +98,8 @@
 
 func TestOnlySomeParts(t *testing.T) {
 	s, _ := startSet(t, standin.Config{Deployment: deployment(), Only: []string{"engine-1"}})
-	require.Len(t, s.Parts(), 1)
-	assert.Equal(t, "engine-1", s.Parts()[0].Name())
+	require.Len(t, s.Components(), 1)
+	assert.Equal(t, "engine-1", s.Components()[0].Name())
 	_, err := standin.NewSet(standin.Config{Deployment: deployment(), Only: []string{"engine-9"}})
 	require.ErrorContains(t, err, "engine-9")
 }
@@ -108,13 +108,13 @@
 // too late, without anybody telling it beside the list.
 func TestListTellsUpstreamsThatTheyLeave(t *testing.T) {
 	s, _ := startSet(t, standin.Config{Deployment: deployment()})
-	for _, p := range s.Parts() {
+	for _, p := range s.Components() {
 		if p.Kind() == "list" {
-			standintest.Faults(t, p, `{"leaving":["engine-1"]}`)
+			standintest.SetFaults(t, p, `{"leaving":["engine-1"]}`)
 		}
 	}
-	engine := s.Parts()[3].(*standin.Engine)
-	require.Eventually(t, func() bool { return engine.LeavingSince() != time.Time{} }, 10*time.Second, time.Millisecond)
+	engine := s.Components()[3].(*standin.Engine)
+	require.Eventually(t, func() bool { return engine.TerminatingSince() != time.Time{} }, 10*time.Second, time.Millisecond)
 }
 
 func TestModelOrderLoadsWeights(t *testing.T) {
@@ -126,12 +126,12 @@
 		"fails": {`{"fail_loads":{"next":1}}`, "v1", 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w, err := standin.NewWeights(standin.WeightsConfig{Addr: anyAddress, BytesPerSecond: 1e9,
+			w, err := standin.NewWeightStore(standin.WeightStoreConfig{Addr: anyAddress, BytesPerSecond: 1e9,
 				Versions: []infra.WeightVersion{{Model: "m", Version: "v2", Bytes: 100}}})
 			require.NoError(t, err)
 			standintest.Serve(t, w)
-			standintest.Faults(t, w, tc.faults)
-			e := standintest.Engine(t, standin.EngineConfig{Weights: w.Addr()})
+			standintest.SetFaults(t, w, tc.faults)
+			e := standintest.Engine(t, standin.EngineConfig{WeightStoreAddr: w.Addr()})
 			c := engineclient.New(e.Addr(), httpx.Options{})
 			order := upstream.Order{ID: "1", Kind: upstream.OrderModel, Model: "m", Version: "v2", FencingToken: 1}
 			require.NoError(t, c.Order(t.Context(), order))
--- a/internal/standin/standintest/serve.go
+++ b/internal/standin/standintest/serve.go
@@ -12,7 +12,7 @@
 )
 
 // Serve runs a part until the test ends.
-func Serve(t testing.TB, p standin.Part) {
+func Serve(t testing.TB, p standin.Component) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	var running conc.WaitGroup
@@ -67,7 +67,7 @@
 }
 
 // Faults switches faults of a part.
-func Faults(t testing.TB, p standin.Part, doc string) {
+func SetFaults(t testing.TB, p standin.Component, doc string) {
 	t.Helper()
 	require.NoError(t, p.SetFaults([]byte(doc)))
 }
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -17,7 +17,7 @@
 const PathWeightLoad = "/load"
 
 // WeightsConfig sets up the weight store.
-type WeightsConfig struct {
+type WeightStoreConfig struct {
 	Addr string
 	TLS  *tls.Config
 	// BytesPerSecond is shared by all loads.
@@ -27,23 +27,23 @@
 
 // WeightLoad asks for the weights of a version; the response comes when they
 // have been read.
-type WeightLoad struct {
+type WeightLoadRequest struct {
 	Model   string `json:"model"`
 	Version string `json:"version"`
 	Engine  string `json:"engine"`
 }
 
 // WeightLoaded is the response to a load.
-type WeightLoaded struct {
+type WeightLoadResponse struct {
 	Bytes      int64 `json:"bytes"`
 	WaitMillis int64 `json:"wait_ms"`
 }
 
 // WeightFaults are the weight store's faults.
 type WeightFaults struct {
-	Reach
+	NetworkFaults
 	// FailLoads answers loads with an error, after their time.
-	FailLoads Dose `json:"fail_loads"`
+	FailLoads Trigger `json:"fail_loads"`
 	// SlowFactor above 1 makes loads slower.
 	SlowFactor float64 `json:"slow_factor"`
 	// Add stores versions, once.
@@ -59,9 +59,9 @@
 }
 
 // Weights stands in for the platform's weight store.
-type Weights struct {
+type WeightStore struct {
 	*node
-	config WeightsConfig
+	config WeightStoreConfig
 	faults *switchboard[WeightFaults]
 
 	mu       sync.Mutex
@@ -74,12 +74,12 @@
 }
 
 // NewWeights returns a weight store that listens already.
-func NewWeights(c WeightsConfig) (*Weights, error) {
+func NewWeightStore(c WeightStoreConfig) (*WeightStore, error) {
 	n, err := newNode("weights", "weights", c.Addr, c.TLS)
 	if err != nil {
 		return nil, err
 	}
-	return &Weights{
+	return &WeightStore{
 		node:     n,
 		config:   c,
 		faults:   newSwitchboard(WeightFaults{SlowFactor: 1}),
@@ -88,9 +88,9 @@
 }
 
 // Serve implements Part.
-func (w *Weights) Serve(ctx context.Context) error { return w.serve(ctx, w.handle) }
+func (w *WeightStore) Serve(ctx context.Context) error { return w.serve(ctx, w.handle) }
 
-func (w *Weights) handle(ctx *fasthttp.RequestCtx) {
+func (w *WeightStore) handle(ctx *fasthttp.RequestCtx) {
 	if admin(w, ctx) || cutOff(w.node, w.faults, ctx) {
 		return
 	}
@@ -105,7 +105,7 @@
 	}
 }
 
-func (w *Weights) versionsOf(model string) []infra.WeightVersion {
+func (w *WeightStore) versionsOf(model string) []infra.WeightVersion {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	out := []infra.WeightVersion{}
@@ -117,8 +117,8 @@
 	return out
 }
 
-func (w *Weights) handleLoad(ctx *fasthttp.RequestCtx) {
-	var load WeightLoad
+func (w *WeightStore) handleLoad(ctx *fasthttp.RequestCtx) {
+	var load WeightLoadRequest
 	if err := json.Unmarshal(ctx.PostBody(), &load); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
@@ -130,7 +130,7 @@
 	}
 	wait := w.reserve(time.Now(), bytes)
 	w.pause(wait)
-	if w.faults.take(func(f *WeightFaults) *Dose { return &f.FailLoads }) {
+	if w.faults.take(func(f *WeightFaults) *Trigger { return &f.FailLoads }) {
 		w.count(func(c *WeightCounters) { c.FailedLoads++ })
 		ctx.Error("load failed", fasthttp.StatusInternalServerError)
 		return
@@ -140,11 +140,11 @@
 		c.LoadBytes += bytes
 		c.LongestMillis = max(c.LongestMillis, wait.Milliseconds())
 	})
-	replyJSON(ctx, WeightLoaded{Bytes: bytes, WaitMillis: wait.Milliseconds()})
+	replyJSON(ctx, WeightLoadResponse{Bytes: bytes, WaitMillis: wait.Milliseconds()})
 }
 
 // sizeOf finds a version; an empty one means the model's latest.
-func (w *Weights) sizeOf(load WeightLoad) (int64, bool) {
+func (w *WeightStore) sizeOf(load WeightLoadRequest) (int64, bool) {
 	versions := w.versionsOf(load.Model)
 	for i := len(versions) - 1; i >= 0; i-- {
 		if load.Version == "" || versions[i].Version == load.Version {
@@ -155,7 +155,7 @@
 }
 
 // reserve books the time that a load takes and returns how long until its end.
-func (w *Weights) reserve(now time.Time, bytes int64) time.Duration {
+func (w *WeightStore) reserve(now time.Time, bytes int64) time.Duration {
 	slow := max(1, w.faults.get().SlowFactor)
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -167,27 +167,27 @@
 	return w.busyUntil.Sub(now)
 }
 
-func (w *Weights) count(add func(*WeightCounters)) {
+func (w *WeightStore) count(add func(*WeightCounters)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	add(&w.counters)
 }
 
 // Counters returns the counters.
-func (w *Weights) Counters() WeightCounters {
+func (w *WeightStore) Counters() WeightCounters {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.counters
 }
 
 // CountersJSON implements Part.
-func (w *Weights) CountersJSON() []byte { return encode(w.Counters()) }
+func (w *WeightStore) CountersJSON() []byte { return encode(w.Counters()) }
 
 // FaultsJSON implements Part.
-func (w *Weights) FaultsJSON() []byte { return encode(w.faults.get()) }
+func (w *WeightStore) FaultsJSON() []byte { return encode(w.faults.get()) }
 
 // SetFaults implements Part.
-func (w *Weights) SetFaults(doc []byte) error {
+func (w *WeightStore) SetFaults(doc []byte) error {
 	if err := w.faults.merge(doc); err != nil {
 		return err
 	}
