--- a/internal/standin/control.go
+++ b/internal/standin/control.go
@@ -47,17 +47,17 @@
 // Control is a page for all parts at one address, which stays up when a part
 // has crashed.
 type ControlServer struct {
-	*node
-	parts []Component
+	*endpoint
+	components []Component
 }
 
 // NewControl returns a page that listens already.
-func NewControlServer(addr string, tlsConfig *tls.Config, parts []Component) (*ControlServer, error) {
-	n, err := newNode("control", "control", addr, tlsConfig)
+func NewControlServer(addr string, tlsConfig *tls.Config, components []Component) (*ControlServer, error) {
+	n, err := newEndpoint("control", "control", addr, tlsConfig)
 	if err != nil {
 		return nil, err
 	}
-	return &ControlServer{node: n, parts: parts}, nil
+	return &ControlServer{endpoint: n, components: components}, nil
 }
 
 // Serve runs the page until ctx ends.
@@ -69,22 +69,22 @@
 	case path == PathCounters:
 		replyJSON(ctx, c.counters())
 	case path == PathTotals:
-		replyJSON(ctx, totals(c.parts))
+		replyJSON(ctx, totals(c.components))
 	case strings.HasPrefix(path, PathComponents):
-		c.handlePart(ctx, strings.TrimPrefix(path, PathComponents))
+		c.handleComponent(ctx, strings.TrimPrefix(path, PathComponents))
 	default:
 		ctx.NotFound()
 	}
 }
 
-func (c *ControlServer) handlePart(ctx *fasthttp.RequestCtx, path string) {
-	name, page, _ := strings.Cut(path, "/")
-	for _, p := range c.parts {
+func (c *ControlServer) handleComponent(ctx *fasthttp.RequestCtx, path string) {
+	name, subpath, _ := strings.Cut(path, "/")
+	for _, p := range c.components {
 		if p.Name() != name {
 			continue
 		}
-		ctx.Request.SetRequestURI("/" + page)
-		if admin(p, ctx) {
+		ctx.Request.SetRequestURI("/" + subpath)
+		if serveAdmin(p, ctx) {
 			return
 		}
 	}
@@ -92,8 +92,8 @@
 }
 
 func (c *ControlServer) counters() []ComponentCounters {
-	out := make([]ComponentCounters, 0, len(c.parts))
-	for _, p := range c.parts {
+	out := make([]ComponentCounters, 0, len(c.components))
+	for _, p := range c.components {
 		out = append(out, ComponentCounters{
 			Name: p.Name(), Kind: p.Kind(), Address: p.Addr(), Counters: p.CountersJSON(),
 		})
@@ -101,9 +101,9 @@
 	return out
 }
 
-func totals(parts []Component) Totals {
+func totals(components []Component) Totals {
 	var t Totals
-	for _, p := range parts {
+	for _, p := range components {
 		switch p := p.(type) {
 		case *Engine:
 			t.addEngine(p.Counters())
--- a/internal/standin/gate.go
+++ b/internal/standin/crash_listener.go
@@ -8,37 +8,37 @@
 
 // gate is a listener that can be crashed and revived. Between the two its
 // address refuses connections.
-type gate struct {
-	mu     sync.Mutex
-	addr   string
-	inner  net.Listener
-	conns  map[*gateConn]struct{}
-	up     chan struct{} // closed while the gate is up
-	revive *time.Timer
-	shut   bool
+type crashListener struct {
+	mu           sync.Mutex
+	addr         string
+	inner        net.Listener
+	conns        map[*trackedConn]struct{}
+	up           chan struct{} // closed while the gate is up
+	restartTimer *time.Timer
+	closed       bool
 }
 
 // relistenPause is waited before the address is tried again after a failure.
-const relistenPause = 20 * time.Millisecond
+const relistenDelay = 20 * time.Millisecond
 
-func openGate(addr string) (*gate, error) {
+func newCrashListener(addr string) (*crashListener, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
 	up := make(chan struct{})
 	close(up)
-	return &gate{
+	return &crashListener{
 		addr:  ln.Addr().String(),
 		inner: ln,
-		conns: map[*gateConn]struct{}{},
+		conns: map[*trackedConn]struct{}{},
 		up:    up,
 	}, nil
 }
 
 // Accept implements net.Listener. It lasts through crashes and fails only
 // after Close.
-func (g *gate) Accept() (net.Conn, error) {
+func (g *crashListener) Accept() (net.Conn, error) {
 	for {
 		ln, up := g.current()
 		if ln == nil {
@@ -57,32 +57,32 @@
 	}
 }
 
-func (g *gate) current() (net.Listener, <-chan struct{}) {
+func (g *crashListener) current() (net.Listener, <-chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.shut {
+	if g.closed {
 		return nil, nil
 	}
 	return g.inner, g.up
 }
 
-func (g *gate) track(conn net.Conn, from net.Listener) *gateConn {
+func (g *crashListener) track(conn net.Conn, from net.Listener) *trackedConn {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.shut || g.inner != from {
+	if g.closed || g.inner != from {
 		return nil
 	}
-	c := &gateConn{Conn: conn, gate: g}
+	c := &trackedConn{Conn: conn, listener: g}
 	g.conns[c] = struct{}{}
 	return c
 }
 
 // crash closes the address and breaks all connections. After down the address
 // listens again, unless down is negative.
-func (g *gate) crash(down time.Duration) {
+func (g *crashListener) crash(down time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.shut {
+	if g.closed {
 		return
 	}
 	select {
@@ -91,32 +91,32 @@
 	default:
 	}
 	_ = g.inner.Close()
-	g.breakAll()
-	if g.revive != nil {
-		g.revive.Stop()
-		g.revive = nil
+	g.resetConns()
+	if g.restartTimer != nil {
+		g.restartTimer.Stop()
+		g.restartTimer = nil
 	}
 	if down >= 0 {
-		g.revive = time.AfterFunc(down, g.relisten)
+		g.restartTimer = time.AfterFunc(down, g.relisten)
 	}
 }
 
-func (g *gate) breakAll() {
+func (g *crashListener) resetConns() {
 	for c := range g.conns {
 		c.reset()
 	}
 	clear(g.conns)
 }
 
-func (g *gate) relisten() {
+func (g *crashListener) relisten() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.shut {
+	if g.closed {
 		return
 	}
 	ln, err := net.Listen("tcp", g.addr)
 	if err != nil {
-		g.revive = time.AfterFunc(relistenPause, g.relisten)
+		g.restartTimer = time.AfterFunc(relistenDelay, g.relisten)
 		return
 	}
 	g.inner = ln
@@ -124,49 +124,49 @@
 }
 
 // Close implements net.Listener; it breaks all connections.
-func (g *gate) Close() error {
+func (g *crashListener) Close() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.shut {
+	if g.closed {
 		return nil
 	}
-	g.shut = true
-	if g.revive != nil {
-		g.revive.Stop()
+	g.closed = true
+	if g.restartTimer != nil {
+		g.restartTimer.Stop()
 	}
 	select {
 	case <-g.up:
 	default:
 		close(g.up)
 	}
-	g.breakAll()
+	g.resetConns()
 	return g.inner.Close()
 }
 
 // Addr implements net.Listener.
-func (g *gate) Addr() net.Addr {
+func (g *crashListener) Addr() net.Addr {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.inner.Addr()
 }
 
 // gateConn is a connection that its gate knows.
-type gateConn struct {
+type trackedConn struct {
 	net.Conn
-	gate *gate
+	listener *crashListener
 }
 
 // Close implements net.Conn.
-func (c *gateConn) Close() error {
-	c.gate.mu.Lock()
-	delete(c.gate.conns, c)
-	c.gate.mu.Unlock()
+func (c *trackedConn) Close() error {
+	c.listener.mu.Lock()
+	delete(c.listener.conns, c)
+	c.listener.mu.Unlock()
 	return c.Conn.Close()
 }
 
 // reset closes the connection as a dying process does, without sending what
 // is buffered.
-func (c *gateConn) reset() {
+func (c *trackedConn) reset() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -33,35 +33,35 @@
 // Times that the scale doesn't touch.
 const (
 	// streamKeep is how long an ended stream can be taken up again.
-	streamKeep = 15 * time.Second
+	streamRetention = 15 * time.Second
 	// loneliness is how long a running stream lasts with nobody reading it.
-	loneliness = 5 * time.Second
+	abandonTimeout = 5 * time.Second
 	// kvKeep is how long exported KV cache is kept.
-	kvKeep = 30 * time.Second
+	exportRetention = 30 * time.Second
 	// maxBehind bounds the time that an engine catches up with after it was
 	// late, such as after a pause of the process.
-	maxBehind = 250 * time.Millisecond
+	maxCatchUp = 250 * time.Millisecond
 )
 
 // maxQueued bounds an engine's queue.
-const maxQueued = 4096
+const maxQueueLength = 4096
 
 // Engine stands in for a model engine that batches continuously.
 type Engine struct {
-	*node
+	*endpoint
 	config EngineConfig
-	faults *switchboard[EngineFaults]
+	faults *faultState[EngineFaults]
 	peers  peerClients
 	tasks  conc.WaitGroup
 	// wake rouses the loop after a change.
-	wake    chan struct{}
-	leaving leavingMark
+	wake        chan struct{}
+	termination terminationMark
 
 	mu        sync.Mutex
 	batch     batch
 	kv        *kvCache
 	sequences map[string]*sequence
-	past      []endedSequence // in order of their end
+	retained  []endedSequence // in order of their end
 	// stopped says that no task may be started any more.
 	stopped  bool
 	exports  map[string]*export
@@ -79,21 +79,21 @@
 
 // export is KV cache kept for another engine.
 type export struct {
-	seq    *sequence
-	handle upstream.KVHandle
-	until  time.Time
+	seq     *sequence
+	handle  upstream.KVHandle
+	expires time.Time
 }
 
 // NewEngine returns an engine that listens already.
 func NewEngine(c EngineConfig) (*Engine, error) {
-	n, err := newNode(c.Name, "engine", c.Addr, c.TLS)
+	n, err := newEndpoint(c.Name, "engine", c.Addr, c.TLS)
 	if err != nil {
 		return nil, err
 	}
 	e := &Engine{
-		node:      n,
+		endpoint:  n,
 		config:    c,
-		faults:    newSwitchboard(newEngineFaults()),
+		faults:    newFaultState(newEngineFaults()),
 		peers:     peerClients{tls: c.ClientTLS},
 		wake:      make(chan struct{}, 1),
 		sequences: map[string]*sequence{},
@@ -104,7 +104,7 @@
 	e.kv = newKVCache(c.Speed.KVTokens, e.cacheEvent)
 	e.batch = batch{speed: c.Speed, kv: e.kv}
 	e.control = newControlState(c)
-	e.note(time.Now())
+	e.recordLoad(time.Now())
 	return e, nil
 }
 
@@ -129,7 +129,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.stopped = true
-	e.endAll(cut)
+	e.endAll(statusInterrupted)
 }
 
 // run makes steps until ctx ends. Each step ends when its time on the clock
@@ -142,15 +142,15 @@
 	for ctx.Err() == nil {
 		st, ok := e.nextStep()
 		if !ok {
-			e.rest(ctx)
+			e.waitForWork(ctx)
 			due = time.Now()
 			continue
 		}
 		now := time.Now()
-		if now.Sub(due) > maxBehind {
+		if now.Sub(due) > maxCatchUp {
 			due = now
 		}
-		due = due.Add(e.lasts(st))
+		due = due.Add(e.stepDuration(st))
 		if wait := due.Sub(now); wait > 0 {
 			timer.Reset(wait)
 			select {
@@ -164,13 +164,13 @@
 }
 
 // lasts is how long a step takes on the clock.
-func (e *Engine) lasts(st step) time.Duration {
+func (e *Engine) stepDuration(st step) time.Duration {
 	slow := max(1, e.faults.get().SlowFactor)
 	return time.Duration(float64(e.config.Speed.scaled(st.prefill+st.decode)) * slow)
 }
 
 // rest waits until there may be work.
-func (e *Engine) rest(ctx context.Context) {
+func (e *Engine) waitForWork(ctx context.Context) {
 	_, changed := e.faults.watch()
 	select {
 	case <-e.wake:
@@ -179,7 +179,7 @@
 	}
 }
 
-func (e *Engine) rouse() {
+func (e *Engine) wakeLoop() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
@@ -220,17 +220,17 @@
 		c.PrefilledTokens += int64(ch.tokens)
 	}
 	for _, s := range done {
-		if s.keepKV {
-			e.keepExport(now, s)
+		if s.exportKV {
+			e.addExport(now, s)
 		}
 		c.Completed++
-		e.end(now, s, finished)
+		e.end(now, s, statusFinished)
 	}
-	e.note(now)
+	e.recordLoad(now)
 }
 
 // note records the load for later reports. It is called with the lock held.
-func (e *Engine) note(now time.Time) {
+func (e *Engine) recordLoad(now time.Time) {
 	prefill, decode := e.config.Speed.rates(e.control.state.Role)
 	e.load.add(upstream.LoadReport{
 		At:              now,
@@ -257,12 +257,12 @@
 	clients map[string]*httpx.Client
 }
 
-func (p *peerClients) to(addr string) *httpx.Client {
+func (p *peerClients) client(addr string) *httpx.Client {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c := p.clients[addr]
 	if c == nil {
-		c = httpx.New(addr, httpx.Options{TLS: p.tls, Timeout: loadTimeout})
+		c = httpx.New(addr, httpx.Options{TLS: p.tls, Timeout: peerTimeout})
 		if p.clients == nil {
 			p.clients = map[string]*httpx.Client{}
 		}
@@ -272,4 +272,4 @@
 }
 
 // loadTimeout bounds a load of weights and a transfer of KV cache.
-const loadTimeout = 10 * time.Minute
+const peerTimeout = 10 * time.Minute
--- a/internal/standin/engine_batch.go
+++ b/internal/standin/engine_batch.go
@@ -8,11 +8,11 @@
 // batch is what an engine works on: a queue in order of priority, and the
 // sequences in its running batch. It has no clock and no goroutine.
 type batch struct {
-	speed   Speed
-	kv      *kvCache
-	queue   sequenceQueue
-	running []*sequence
-	arrived uint64
+	speed    Speed
+	kv       *kvCache
+	queue    sequenceQueue
+	running  []*sequence
+	arrivals uint64
 	// queuedPrompt is the prompt tokens still to be worked through, in the
 	// queue and in the batch.
 	queuedPrompt int
@@ -37,9 +37,9 @@
 func (s step) empty() bool { return len(s.chunks) == 0 && len(s.decodes) == 0 }
 
 func (b *batch) enqueue(s *sequence) {
-	b.arrived++
-	s.arrival = b.arrived
-	b.queuedPrompt += s.todo
+	b.arrivals++
+	s.arrival = b.arrivals
+	b.queuedPrompt += s.remaining
 	heap.Push(&b.queue, s)
 }
 
@@ -48,23 +48,23 @@
 func (b *batch) admit() {
 	for len(b.running) < b.speed.MaxBatch && b.queue.Len() > 0 {
 		s := b.queue[0]
-		hits, ok := b.kv.reserve(s.model, s.blocks, s.private)
+		cachedBlocks, ok := b.kv.reserve(s.model, s.blocks, s.privateTokens)
 		if !ok {
 			return
 		}
 		heap.Pop(&b.queue)
-		b.begin(s, hits)
+		b.start(s, cachedBlocks)
 	}
 }
 
 // begin puts a sequence into the batch. At least one token of its prompt has
 // to be worked through to make the first one.
-func (b *batch) begin(s *sequence, hits int) {
+func (b *batch) start(s *sequence, cachedBlocks int) {
 	s.admitted = true
-	s.cachedTokens = min(hits*blockTokens, s.promptTokens)
-	saved := min(max(s.cachedTokens, s.importedTokens), s.todo-1)
-	s.todo -= saved
-	b.queuedPrompt -= saved
+	s.cachedTokens = min(cachedBlocks*blockTokens, s.promptTokens)
+	skipped := min(max(s.cachedTokens, s.importedTokens), s.remaining-1)
+	s.remaining -= skipped
+	b.queuedPrompt -= skipped
 	b.running = append(b.running, s)
 }
 
@@ -73,7 +73,7 @@
 	b.admit()
 	var st step
 	for _, s := range b.running {
-		if s.todo == 0 {
+		if s.remaining == 0 {
 			st.decodes = append(st.decodes, s)
 		}
 	}
@@ -83,7 +83,7 @@
 	}
 	prompt := 0
 	for _, s := range b.running {
-		n := min(s.todo, budget-prompt)
+		n := min(s.remaining, budget-prompt)
 		if n <= 0 {
 			continue
 		}
@@ -101,13 +101,13 @@
 		if !c.seq.admitted {
 			continue
 		}
-		c.seq.todo -= c.tokens
+		c.seq.remaining -= c.tokens
 		b.queuedPrompt -= c.tokens
-		if c.seq.todo > 0 {
+		if c.seq.remaining > 0 {
 			continue
 		}
-		if c.seq.keepKV {
-			b.leave(c.seq)
+		if c.seq.exportKV {
+			b.removeRunning(c.seq)
 			done = append(done, c.seq)
 			continue
 		}
@@ -119,7 +119,7 @@
 		}
 		tokens++
 		if s.produce() {
-			b.leave(s)
+			b.removeRunning(s)
 			b.free(s)
 			done = append(done, s)
 		}
@@ -130,21 +130,21 @@
 // drop takes a sequence out, wherever it is.
 func (b *batch) drop(s *sequence) {
 	if s.admitted {
-		b.queuedPrompt -= s.todo
-		b.leave(s)
+		b.queuedPrompt -= s.remaining
+		b.removeRunning(s)
 		b.free(s)
 		return
 	}
 	for i, q := range b.queue {
 		if q == s {
-			b.queuedPrompt -= s.todo
+			b.queuedPrompt -= s.remaining
 			heap.Remove(&b.queue, i)
 			return
 		}
 	}
 }
 
-func (b *batch) leave(s *sequence) {
+func (b *batch) removeRunning(s *sequence) {
 	s.admitted = false
 	for i, r := range b.running {
 		if r == s {
@@ -157,16 +157,16 @@
 // free gives back a sequence's KV memory. Blocks that weren't worked through
 // hold nothing.
 func (b *batch) free(s *sequence) {
-	computed := len(s.blocks)
-	if s.todo > 0 {
-		through := max(0, s.promptTokens-s.todo)
-		computed = min(computed, through/blockTokens)
+	prefilledBlocks := len(s.blocks)
+	if s.remaining > 0 {
+		prefilled := max(0, s.promptTokens-s.remaining)
+		prefilledBlocks = min(prefilledBlocks, prefilled/blockTokens)
 	}
-	b.kv.release(s.model, s.blocks, computed, s.private)
+	b.kv.release(s.model, s.blocks, prefilledBlocks, s.privateTokens)
 }
 
 // empty forgets everything.
-func (b *batch) empty() {
+func (b *batch) reset() {
 	b.queue = nil
 	b.running = nil
 	b.queuedPrompt = 0
--- a/internal/standin/engine_control.go
+++ b/internal/standin/engine_control.go
@@ -16,7 +16,7 @@
 
 // adapterShare is how long an adapter loads, as a share of a role change. The
 // engine stays in service meanwhile.
-const adapterShare = 0.2
+const adapterLoadFraction = 0.2
 
 // controlState is what orders change.
 type controlState struct {
@@ -28,7 +28,7 @@
 	// highest is the highest fencing number ever seen. An engine that doesn't
 	// check neither reports nor uses it; it is there to count what such an
 	// engine lets through.
-	highest uint64
+	highestToken uint64
 	// epoch changes with each change and crash, so that the end of a change
 	// which a crash has overtaken is ignored.
 	epoch int
@@ -52,30 +52,30 @@
 }
 
 // restart brings the engine back as it was before any change under way.
-func (c *controlState) restart(forgetFence bool) {
+func (c *controlState) restart(loseToken bool) {
 	c.epoch++
 	c.state.Busy = false
 	c.state.LastOrder = ""
 	c.state.Incarnation = uuid.NewString()
 	c.inService = true
-	if forgetFence {
+	if loseToken {
 		c.state.FencingToken = 0
 	}
 }
 
 // raise notes a fencing number and reports whether it is outdated.
-func (c *controlState) raise(fence uint64) (outdated bool) {
-	outdated = fence < c.highest
-	c.highest = max(c.highest, fence)
+func (c *controlState) observeToken(token uint64) (outdated bool) {
+	outdated = token < c.highestToken
+	c.highestToken = max(c.highestToken, token)
 	if c.checksFencing {
-		outdated = fence < c.state.FencingToken
-		c.state.FencingToken = max(c.state.FencingToken, fence)
+		outdated = token < c.state.FencingToken
+		c.state.FencingToken = max(c.state.FencingToken, token)
 	}
 	return outdated
 }
 
 // satisfied reports whether an order asks for what is there already.
-func (c *controlState) satisfied(o upstream.Order) bool {
+func (c *controlState) alreadyApplied(o upstream.Order) bool {
 	switch o.Kind {
 	case upstream.OrderRole:
 		return o.Role == c.state.Role
@@ -140,9 +140,9 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	defer func() { e.note(time.Now()) }()
+	defer func() { e.recordLoad(time.Now()) }()
 	e.counters.Orders++
-	if e.control.raise(o.FencingToken) {
+	if e.control.observeToken(o.FencingToken) {
 		if e.control.checksFencing {
 			e.counters.FencedOrders++
 			return upstream.ErrFenced
@@ -160,37 +160,37 @@
 		return upstream.ErrBusy
 	}
 	e.control.state.LastOrder = o.ID
-	if e.control.satisfied(o) {
+	if e.control.alreadyApplied(o) {
 		e.control.completed++
 		return nil
 	}
-	e.begin(o)
+	e.startChange(o)
 	return nil
 }
 
 // begin starts a change. It is called with the lock held.
-func (e *Engine) begin(o upstream.Order) {
+func (e *Engine) startChange(o upstream.Order) {
 	e.control.epoch++
 	e.control.state.Busy = true
 	epoch := e.control.epoch
 	if o.Kind != upstream.OrderAdapter {
 		e.control.inService = false
-		e.counters.InterruptedByOrder += int64(e.endAll(cut))
+		e.counters.InterruptedByOrder += int64(e.endAll(statusInterrupted))
 		e.kv.clear(true)
 	}
-	e.note(time.Now())
-	e.tasks.Go(func() { e.change(o, epoch) })
+	e.recordLoad(time.Now())
+	e.tasks.Go(func() { e.executeOrder(o, epoch) })
 }
 
 // change carries an order out.
-func (e *Engine) change(o upstream.Order, epoch int) {
-	begun := time.Now()
-	took := e.config.Speed.scaled(e.config.Speed.ChangeDuration)
+func (e *Engine) executeOrder(o upstream.Order, epoch int) {
+	started := time.Now()
+	duration := e.config.Speed.scaled(e.config.Speed.ChangeDuration)
 	if o.Kind == upstream.OrderAdapter {
-		took = time.Duration(float64(took) * adapterShare)
+		duration = time.Duration(float64(duration) * adapterLoadFraction)
 	}
-	if e.faults.take(func(f *EngineFaults) *Trigger { return &f.CrashDuringChange }) {
-		e.pause(took / 2)
+	if e.faults.trigger(func(f *EngineFaults) *Trigger { return &f.CrashDuringChange }) {
+		e.sleep(duration / 2)
 		e.crash(Crash{DownMillis: e.faults.get().RestartMillis})
 		return
 	}
@@ -198,7 +198,7 @@
 	if o.Kind == upstream.OrderModel && e.config.WeightStoreAddr != "" {
 		ok = e.loadWeights(o)
 	} else {
-		e.pause(took)
+		e.sleep(duration)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -206,7 +206,7 @@
 		return
 	}
 	e.finishChange(o, ok)
-	e.counters.ChangeMillis += time.Since(begun).Milliseconds()
+	e.counters.ChangeMillis += time.Since(started).Milliseconds()
 }
 
 // finishChange is called with the lock held.
@@ -223,21 +223,21 @@
 		e.control.state.LastOrder = ""
 		e.counters.FailedOrders++
 	}
-	e.note(time.Now())
-	e.rouse()
+	e.recordLoad(time.Now())
+	e.wakeLoop()
 }
 
 func (e *Engine) loadWeights(o upstream.Order) bool {
-	ctx, cancel := e.untilEnd()
+	ctx, cancel := e.lifetimeContext()
 	defer cancel()
 	load := WeightLoadRequest{Model: o.Model, Version: o.Version, Engine: e.name}
 	_, err := httpx.CallJSON[WeightLoadRequest, WeightLoadResponse](
-		ctx, e.peers.to(e.config.WeightStoreAddr), fasthttp.MethodPost, PathWeightLoad, load)
+		ctx, e.peers.client(e.config.WeightStoreAddr), fasthttp.MethodPost, PathWeightLoad, load)
 	return err == nil
 }
 
 // untilEnd returns a context that ends with the engine.
-func (e *Engine) untilEnd() (context.Context, context.CancelFunc) {
+func (e *Engine) lifetimeContext() (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var watch conc.WaitGroup
 	watch.Go(func() {
--- a/internal/standin/engine_http.go
+++ b/internal/standin/engine_http.go
@@ -16,11 +16,11 @@
 const contentLines = "application/x-ndjson"
 
 func (e *Engine) handle(ctx *fasthttp.RequestCtx) {
-	if admin(e, ctx) || cutOff(e.node, e.faults, ctx) {
+	if serveAdmin(e, ctx) || applyOutage(e.endpoint, e.faults, ctx) {
 		return
 	}
-	if !e.thawed("") {
-		hangUp(ctx)
+	if !e.awaitUnfrozen("") {
+		dropConnection(ctx)
 		return
 	}
 	path := string(ctx.Path())
@@ -48,9 +48,9 @@
 
 // thawed waits while the engine is frozen or a sender is partitioned from it;
 // it reports false once the engine has ended.
-func (e *Engine) thawed(sender string) bool {
+func (e *Engine) awaitUnfrozen(sender string) bool {
 	f, changed := e.faults.watch()
-	for f.Freeze || f.of(sender) == OutageHang {
+	for f.Freeze || f.outageFor(sender) == OutageHang {
 		if !e.await(changed) {
 			return false
 		}
@@ -60,36 +60,36 @@
 }
 
 func (e *Engine) handleGenerate(ctx *fasthttp.RequestCtx) {
-	s := e.submitted(ctx, false)
+	s := e.submitRequest(ctx, false)
 	if s == nil {
 		return
 	}
 	r := s.open()
-	if e.faults.take(func(f *EngineFaults) *Trigger { return &f.CloseGenerate }) {
-		r.left = e.readerLeft
+	if e.faults.trigger(func(f *EngineFaults) *Trigger { return &f.CloseGenerate }) {
+		r.onUnread = e.readerClosed
 		_ = r.Close()
-		hangUp(ctx)
+		dropConnection(ctx)
 		return
 	}
-	if e.faults.take(func(f *EngineFaults) *Trigger { return &f.BreakStream }) {
-		r.breakAt = s.first + e.faults.get().BreakAt
+	if e.faults.trigger(func(f *EngineFaults) *Trigger { return &f.BreakStream }) {
+		r.breakAt = s.firstToken + e.faults.get().BreakAt
 	}
 	attempt := s.id
-	if e.faults.take(func(f *EngineFaults) *Trigger { return &f.WrongAttemptID }) {
+	if e.faults.trigger(func(f *EngineFaults) *Trigger { return &f.WrongAttemptID }) {
 		attempt = "crossed-" + attempt
 	}
 	e.stream(ctx, r, attempt)
 }
 
 // submitted takes a request in, or answers why not and returns nil.
-func (e *Engine) submitted(ctx *fasthttp.RequestCtx, keepKV bool) *sequence {
+func (e *Engine) submitRequest(ctx *fasthttp.RequestCtx, keepKV bool) *sequence {
 	var m engineclient.GenerateMessage
 	if err := json.Unmarshal(ctx.PostBody(), &m); err != nil || m.AttemptID == "" {
 		ctx.Error("request can't be read", fasthttp.StatusBadRequest)
 		return nil
 	}
-	if e.faults.take(func(f *EngineFaults) *Trigger { return &f.Refuse }) {
-		refuse(ctx, fasthttp.StatusServiceUnavailable, "engine takes no work")
+	if e.faults.trigger(func(f *EngineFaults) *Trigger { return &f.Refuse }) {
+		replyNotRun(ctx, fasthttp.StatusServiceUnavailable, "engine takes no work")
 		return nil
 	}
 	s, err := e.submit(m, keepKV)
@@ -97,9 +97,9 @@
 	case err == nil:
 		return s
 	case errors.Is(err, errOutOfService), errors.Is(err, errNoModel):
-		refuse(ctx, fasthttp.StatusServiceUnavailable, err.Error())
+		replyNotRun(ctx, fasthttp.StatusServiceUnavailable, err.Error())
 	case errors.Is(err, errQueueFull):
-		refuse(ctx, fasthttp.StatusTooManyRequests, err.Error())
+		replyNotRun(ctx, fasthttp.StatusTooManyRequests, err.Error())
 	case errors.Is(err, errDuplicate):
 		ctx.Error(err.Error(), fasthttp.StatusConflict)
 	default:
@@ -110,8 +110,8 @@
 
 func (e *Engine) stream(ctx *fasthttp.RequestCtx, r *tokenReader, attempt string) {
 	sender := string(ctx.Request.Header.Peek(httpx.HeaderSender))
-	r.gate = func() bool { return e.thawed(sender) }
-	r.left = e.readerLeft
+	r.awaitUnfrozen = func() bool { return e.awaitUnfrozen(sender) }
+	r.onUnread = e.readerClosed
 	ctx.SetContentType(contentLines)
 	ctx.Response.Header.Set(httpx.HeaderAttempt, attempt)
 	ctx.Response.ImmediateHeaderFlush = true
@@ -119,7 +119,7 @@
 }
 
 func (e *Engine) handlePrefill(ctx *fasthttp.RequestCtx) {
-	s := e.submitted(ctx, true)
+	s := e.submitRequest(ctx, true)
 	if s == nil {
 		return
 	}
@@ -129,7 +129,7 @@
 	}
 	handle, ok := e.exportOf(s)
 	if !ok {
-		hangUp(ctx)
+		dropConnection(ctx)
 		return
 	}
 	replyJSON(ctx, handle)
@@ -165,7 +165,7 @@
 }
 
 func (e *Engine) handleKV(ctx *fasthttp.RequestCtx, id string) {
-	if e.faults.take(func(f *EngineFaults) *Trigger { return &f.FailExports }) {
+	if e.faults.trigger(func(f *EngineFaults) *Trigger { return &f.FailExports }) {
 		ctx.Error("export failed", fasthttp.StatusInternalServerError)
 		return
 	}
@@ -208,15 +208,15 @@
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
-	if e.faults.take(func(f *EngineFaults) *Trigger { return &f.DelayOrder }) {
+	if e.faults.trigger(func(f *EngineFaults) *Trigger { return &f.DelayOrder }) {
 		delay := time.Duration(e.faults.get().OrderDelayMillis) * time.Millisecond
 		time.AfterFunc(delay, func() { _ = e.order(o) })
-		hangUp(ctx)
+		dropConnection(ctx)
 		return
 	}
 	err := e.order(o)
-	if e.faults.take(func(f *EngineFaults) *Trigger { return &f.LoseOrderReply }) {
-		hangUp(ctx)
+	if e.faults.trigger(func(f *EngineFaults) *Trigger { return &f.LoseOrderReply }) {
+		dropConnection(ctx)
 		return
 	}
 	switch {
@@ -238,11 +238,11 @@
 }
 
 // SetLeaving tells the engine whether the list shows it as leaving.
-func (e *Engine) SetTerminating(leaving bool) { e.leaving.set(time.Now(), leaving) }
+func (e *Engine) SetTerminating(leaving bool) { e.termination.set(time.Now(), leaving) }
 
 // LeavingSince returns since when the list has shown the engine as leaving;
 // zero if it doesn't.
-func (e *Engine) TerminatingSince() time.Time { return e.leaving.begun() }
+func (e *Engine) TerminatingSince() time.Time { return e.termination.start() }
 
 // Counters returns the counters.
 func (e *Engine) Counters() EngineCounters {
--- a/internal/standin/engine_kv.go
+++ b/internal/standin/engine_kv.go
@@ -24,10 +24,10 @@
 // shared between sequences; a block that no sequence uses stays cached until
 // its room is wanted, the least recently used first.
 type kvCache struct {
-	total   int
-	private int // tokens that belong to one sequence each
-	pinned  map[blockKey]int
-	idle    *simplelru.LRU[blockKey, struct{}]
+	total         int
+	privateTokens int // tokens that belong to one sequence each
+	pinned        map[blockKey]int
+	idle          *simplelru.LRU[blockKey, struct{}]
 	// event is told of each block stored or dropped.
 	event func(block uint64, stored bool)
 }
@@ -41,11 +41,11 @@
 }
 
 // used returns the tokens that can't be dropped.
-func (c *kvCache) used() int { return len(c.pinned)*blockTokens + c.private }
+func (c *kvCache) used() int { return len(c.pinned)*blockTokens + c.privateTokens }
 
 // reserve pins a sequence's blocks and takes private tokens for it. It returns
 // how many leading blocks were there already; without room it takes nothing.
-func (c *kvCache) reserve(model uint64, blocks []uint64, private int) (hits int, ok bool) {
+func (c *kvCache) reserve(model uint64, blocks []uint64, privateTokens int) (hits int, ok bool) {
 	hits = c.hits(model, blocks)
 	unpinned := 0
 	for _, b := range blocks {
@@ -53,13 +53,13 @@
 			unpinned++
 		}
 	}
-	if c.used()+unpinned*blockTokens+private > c.total {
+	if c.used()+unpinned*blockTokens+privateTokens > c.total {
 		return 0, false
 	}
 	for _, b := range blocks {
 		c.pin(blockKey{model, b})
 	}
-	c.private += private
+	c.privateTokens += privateTokens
 	c.evict()
 	return hits, true
 }
@@ -83,15 +83,15 @@
 
 // release gives back what reserve took. Only the first computed blocks hold
 // valid cache; the rest is dropped.
-func (c *kvCache) release(model uint64, blocks []uint64, computed, private int) {
-	c.private -= private
+func (c *kvCache) release(model uint64, blocks []uint64, prefilledBlocks, privateTokens int) {
+	c.privateTokens -= privateTokens
 	for i, b := range blocks {
 		k := blockKey{model, b}
 		if c.pinned[k]--; c.pinned[k] > 0 {
 			continue
 		}
 		delete(c.pinned, k)
-		if i < computed {
+		if i < prefilledBlocks {
 			c.idle.Add(k, struct{}{})
 			continue
 		}
@@ -112,8 +112,8 @@
 }
 
 // clear drops everything; with announce it says so.
-func (c *kvCache) clear(announce bool) {
-	if announce {
+func (c *kvCache) clear(notify bool) {
+	if notify {
 		for _, k := range c.idle.Keys() {
 			c.event(k.hash, false)
 		}
@@ -123,5 +123,5 @@
 	}
 	c.idle.Purge()
 	clear(c.pinned)
-	c.private = 0
+	c.privateTokens = 0
 }
--- a/internal/standin/engine_lifecycle.go
+++ b/internal/standin/engine_lifecycle.go
@@ -10,32 +10,32 @@
 
 // Errors of a submission; none of them has run anything.
 var (
-	errOutOfService = errors.New("engine is out of service")
-	errQueueFull    = errors.New("engine's queue is full")
-	errNoModel      = errors.New("model is not loaded")
-	errDuplicate    = errors.New("attempt is known already")
-	errTooLarge     = errors.New("request exceeds the KV memory")
-	errNothingLeft  = errors.New("prior tokens are the whole answer already")
+	errOutOfService  = errors.New("engine is out of service")
+	errQueueFull     = errors.New("engine's queue is full")
+	errNoModel       = errors.New("model is not loaded")
+	errDuplicate     = errors.New("attempt is known already")
+	errTooLarge      = errors.New("request exceeds the KV memory")
+	errPriorComplete = errors.New("prior tokens are the whole answer already")
 )
 
 // submit takes a request in.
 func (e *Engine) submit(m engineclient.GenerateMessage, keepKV bool) (*sequence, error) {
 	s := newSequence(m, e.faults.get().Poison)
-	s.keepKV = keepKV
+	s.exportKV = keepKV
 	if keepKV {
-		s.private -= s.answer.Tokens
+		s.privateTokens -= s.completion.Tokens
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.counters.Requests++
-	if e.leaving.overdue(time.Now()) {
+	if e.termination.graceExpired(time.Now()) {
 		e.counters.WorkAfterTermination++
 	}
-	if err := e.acceptable(m, s); err != nil {
+	if err := e.checkRequest(m, s); err != nil {
 		e.counters.RefusedNotRun++
 		return nil, err
 	}
-	if m.PriorTokens > 0 && m.Prior != s.answer.Text(0, m.PriorTokens) {
+	if m.PriorTokens > 0 && m.Prior != s.completion.Text(0, m.PriorTokens) {
 		e.counters.WrongPrior++
 	}
 	e.counters.PromptTokens += int64(s.promptTokens)
@@ -48,21 +48,21 @@
 	return s, nil
 }
 
-func (e *Engine) acceptable(m engineclient.GenerateMessage, s *sequence) error {
-	need := len(s.blocks)*blockTokens + s.private
+func (e *Engine) checkRequest(m engineclient.GenerateMessage, s *sequence) error {
+	needed := len(s.blocks)*blockTokens + s.privateTokens
 	switch {
 	case !e.control.inService, e.stopped:
 		return errOutOfService
 	case !slices.Contains(e.control.models, m.Model):
 		return errNoModel
-	case e.batch.queue.Len() >= maxQueued:
+	case e.batch.queue.Len() >= maxQueueLength:
 		return errQueueFull
 	case e.sequences[s.id] != nil:
 		return errDuplicate
-	case need > e.config.Speed.KVTokens:
+	case needed > e.config.Speed.KVTokens:
 		return errTooLarge
-	case m.PriorTokens >= s.answer.Tokens:
-		return errNothingLeft
+	case m.PriorTokens >= s.completion.Tokens:
+		return errPriorComplete
 	}
 	return nil
 }
@@ -70,17 +70,17 @@
 // enqueue is called with the lock held.
 func (e *Engine) enqueue(s *sequence) {
 	e.batch.enqueue(s)
-	e.note(time.Now())
-	e.rouse()
+	e.recordLoad(time.Now())
+	e.wakeLoop()
 }
 
 // end ends a sequence that has left the batch. It is called with the lock held.
-func (e *Engine) end(now time.Time, s *sequence, how ending) {
-	s.finish(how)
-	e.past = append(e.past, endedSequence{seq: s, at: now})
-	for len(e.past) > 0 && now.Sub(e.past[0].at) > streamKeep {
-		e.forget(e.past[0].seq)
-		e.past = e.past[1:]
+func (e *Engine) end(now time.Time, s *sequence, status sequenceStatus) {
+	s.finish(status)
+	e.retained = append(e.retained, endedSequence{seq: s, at: now})
+	for len(e.retained) > 0 && now.Sub(e.retained[0].at) > streamRetention {
+		e.forget(e.retained[0].seq)
+		e.retained = e.retained[1:]
 	}
 }
 
@@ -98,68 +98,68 @@
 	if s == nil {
 		return
 	}
-	if how, _ := s.state(); how != running {
+	if status, _ := s.state(); status != statusRunning {
 		return
 	}
 	e.counters.Cancelled++
-	e.dropSequence(s, cancelled)
+	e.dropSequence(s, statusCancelled)
 }
 
 // dropSequence is called with the lock held.
-func (e *Engine) dropSequence(s *sequence, how ending) {
+func (e *Engine) dropSequence(s *sequence, status sequenceStatus) {
 	now := time.Now()
 	e.batch.drop(s)
-	e.end(now, s, how)
-	e.note(now)
-	e.rouse()
+	e.end(now, s, status)
+	e.recordLoad(now)
+	e.wakeLoop()
 }
 
 // readerLeft gives a stream some time to be taken up again.
-func (e *Engine) readerLeft(s *sequence) {
-	time.AfterFunc(loneliness, func() {
+func (e *Engine) readerClosed(s *sequence) {
+	time.AfterFunc(abandonTimeout, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		how, lonely := s.state()
-		if how != running || lonely.IsZero() || time.Since(lonely) < loneliness {
+		status, unreadSince := s.state()
+		if status != statusRunning || unreadSince.IsZero() || time.Since(unreadSince) < abandonTimeout {
 			return
 		}
 		e.counters.Abandoned++
-		e.dropSequence(s, cancelled)
+		e.dropSequence(s, statusCancelled)
 	})
 }
 
 // endAll ends all sequences and returns how many of them somebody waited
 // for.
-func (e *Engine) endAll(how ending) int {
+func (e *Engine) endAll(status sequenceStatus) int {
 	now := time.Now()
-	waitedFor := 0
+	interrupted := 0
 	for _, s := range e.sequences {
-		state, lonely := s.state()
-		if state != running {
+		state, unreadSince := s.state()
+		if state != statusRunning {
 			continue
 		}
-		if lonely.IsZero() {
-			waitedFor++
+		if unreadSince.IsZero() {
+			interrupted++
 		}
 		s.admitted = false
-		e.end(now, s, how)
+		e.end(now, s, status)
 	}
-	e.batch.empty()
+	e.batch.reset()
 	clear(e.exports)
-	return waitedFor
+	return interrupted
 }
 
 // crash loses all that the engine has in memory. The cache events don't tell.
 func (e *Engine) crash(c Crash) {
-	e.gate.crash(c.down())
+	e.listener.crash(c.down())
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.counters.Crashes++
-	e.counters.InterruptedByCrash += int64(e.endAll(cut))
+	e.counters.InterruptedByCrash += int64(e.endAll(statusInterrupted))
 	clear(e.sequences)
-	e.past = nil
+	e.retained = nil
 	e.kv.clear(false)
 	e.control.restart(c.LoseFencingToken)
-	e.note(time.Now())
-	e.rouse()
+	e.recordLoad(time.Now())
+	e.wakeLoop()
 }
--- a/internal/standin/engine_sequence.go
+++ b/internal/standin/engine_sequence.go
@@ -14,48 +14,48 @@
 )
 
 // ending is how a sequence ended.
-type ending int
+type sequenceStatus int
 
 const (
-	running ending = iota
-	finished
-	cancelled
-	cut // by a crash or by an order
+	statusRunning sequenceStatus = iota
+	statusFinished
+	statusCancelled
+	statusInterrupted // by a crash or by an order
 )
 
 var (
-	errCut      = errors.New("stand-in: answer was cut off")
-	errReplaced = errors.New("stand-in: stream was taken up again elsewhere")
+	errInterrupted = errors.New("stand-in: answer was cut off")
+	errReplaced    = errors.New("stand-in: stream was taken up again elsewhere")
 )
 
 // sequence is one request in an engine. The fields up to mu belong to the
 // engine and are guarded by its lock.
 type sequence struct {
-	id       string
-	answer   oracle.Completion
-	priority int
-	arrival  uint64
-	model    uint64
-	blocks   []uint64
+	id         string
+	completion oracle.Completion
+	priority   int
+	arrival    uint64
+	model      uint64
+	blocks     []uint64
 	// promptTokens counts the prompt; prefix cache and import save some of it.
 	promptTokens, cachedTokens, importedTokens int
 	// todo are the tokens still to be worked through before the first token.
-	todo int
+	remaining int
 	// private are the KV tokens taken beside the blocks.
-	private int
+	privateTokens int
 	// keepKV marks a prefill whose cache is kept for export.
-	keepKV   bool
+	exportKV bool
 	poisoned bool
 	admitted bool
 
-	mu     sync.Mutex
-	first  int // index of the first token of this attempt
-	next   int // index of the token to be made next
-	end    ending
-	reader *tokenReader
+	mu         sync.Mutex
+	firstToken int // index of the first token of this attempt
+	nextToken  int // index of the token to be made next
+	status     sequenceStatus
+	reader     *tokenReader
 	// lonely is since when nobody has read the stream.
-	lonely time.Time
-	done   chan struct{} // closed at the end
+	unreadSince time.Time
+	done        chan struct{} // closed at the end
 }
 
 func newSequence(m engineclient.GenerateMessage, poison string) *sequence {
@@ -63,18 +63,18 @@
 	prompt := oracle.PromptTokens(m.Prompt)
 	s := &sequence{
 		id:           m.AttemptID,
-		answer:       oracle.Expected(m.Model, m.Prompt, m.MaxTokens),
+		completion:   oracle.Expected(m.Model, m.Prompt, m.MaxTokens),
 		priority:     m.Priority,
 		model:        modelKey(m.Model),
 		blocks:       blocks,
 		promptTokens: prompt,
-		first:        m.PriorTokens,
-		next:         m.PriorTokens,
+		firstToken:   m.PriorTokens,
+		nextToken:    m.PriorTokens,
 		poisoned:     poison != "" && strings.Contains(m.Prompt, poison),
 		done:         make(chan struct{}),
 	}
-	s.todo = prompt + m.PriorTokens
-	s.private = prompt - len(blocks)*blockTokens + s.answer.Tokens
+	s.remaining = prompt + m.PriorTokens
+	s.privateTokens = prompt - len(blocks)*blockTokens + s.completion.Tokens
 	return s
 }
 
@@ -82,7 +82,7 @@
 func (s *sequence) open() *tokenReader {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.attach(s.first)
+	return s.attach(s.firstToken)
 }
 
 // attach makes a reader from a token index; an older reader ends. It is called
@@ -90,10 +90,10 @@
 func (s *sequence) attach(from int) *tokenReader {
 	if s.reader != nil {
 		s.reader.replaced = true
-		s.reader.rouse()
+		s.reader.wakeReader()
 	}
-	s.reader = &tokenReader{seq: s, at: from, start: true, breakAt: -1, wake: make(chan struct{}, 1)}
-	s.lonely = time.Time{}
+	s.reader = &tokenReader{seq: s, nextToken: from, firstLine: true, breakAt: -1, wake: make(chan struct{}, 1)}
+	s.unreadSince = time.Time{}
 	return s.reader
 }
 
@@ -102,7 +102,7 @@
 func (s *sequence) resume(from int) *tokenReader {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if from < s.first || from > s.next || from >= s.answer.Tokens || s.end == cancelled || s.end == cut {
+	if from < s.firstToken || from > s.nextToken || from >= s.completion.Tokens || s.status == statusCancelled || s.status == statusInterrupted {
 		return nil
 	}
 	return s.attach(from)
@@ -112,32 +112,32 @@
 func (s *sequence) produce() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.next++
+	s.nextToken++
 	if s.reader != nil {
-		s.reader.rouse()
+		s.reader.wakeReader()
 	}
-	return s.next >= s.answer.Tokens
+	return s.nextToken >= s.completion.Tokens
 }
 
 // finish ends the sequence, once.
-func (s *sequence) finish(how ending) {
+func (s *sequence) finish(status sequenceStatus) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.end != running {
+	if s.status != statusRunning {
 		return
 	}
-	s.end = how
+	s.status = status
 	close(s.done)
 	if s.reader != nil {
-		s.reader.rouse()
+		s.reader.wakeReader()
 	}
 }
 
 // state returns how the sequence stands and since when nobody reads it.
-func (s *sequence) state() (ending, time.Time) {
+func (s *sequence) state() (sequenceStatus, time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.end, s.lonely
+	return s.status, s.unreadSince
 }
 
 // tokenReader is the body of a streamed answer: one JSON line a token. It
@@ -147,23 +147,23 @@
 	wake chan struct{}
 	// gate holds reads back while the engine is frozen; nil for none. It
 	// reports false once the engine has ended.
-	gate func() bool
+	awaitUnfrozen func() bool
 	// left is told when the reader is closed before the answer's end.
-	left func(*sequence)
+	onUnread func(*sequence)
 
 	// The rest is guarded by seq.mu.
-	at       int // index of the next token to send
-	start    bool
-	replaced bool
-	breakAt  int // index before which a fault breaks off; -1 for none
+	nextToken int // index of the next token to send
+	firstLine bool
+	replaced  bool
+	breakAt   int // index before which a fault breaks off; -1 for none
 	// rest is the rest of a line that didn't fit the last Read.
-	rest []byte
+	pending []byte
 }
 
 // maxTokenLine is more than a token line usually takes, in bytes.
 const maxTokenLine = 192
 
-func (r *tokenReader) rouse() {
+func (r *tokenReader) wakeReader() {
 	select {
 	case r.wake <- struct{}{}:
 	default:
@@ -173,8 +173,8 @@
 // Read implements io.Reader; it waits for the next token.
 func (r *tokenReader) Read(p []byte) (int, error) {
 	for {
-		if r.gate != nil && !r.gate() {
-			return 0, errCut
+		if r.awaitUnfrozen != nil && !r.awaitUnfrozen() {
+			return 0, errInterrupted
 		}
 		n, err := r.fill(p)
 		if n > 0 || err != nil {
@@ -192,48 +192,48 @@
 	if r.replaced {
 		return 0, errReplaced
 	}
-	out := p[:copy(p, r.rest)]
-	r.rest = r.rest[len(out):]
-	for len(out) < len(p) && r.at < s.next && r.at != r.breakAt {
-		out = r.put(out, len(p))
+	out := p[:copy(p, r.pending)]
+	r.pending = r.pending[len(out):]
+	for len(out) < len(p) && r.nextToken < s.nextToken && r.nextToken != r.breakAt {
+		out = r.appendLine(out, len(p))
 	}
 	switch {
 	case len(out) > 0:
 		return len(out), nil
-	case r.at >= s.answer.Tokens:
+	case r.nextToken >= s.completion.Tokens:
 		return 0, io.EOF
-	case r.at == r.breakAt, s.end == cancelled, s.end == cut:
-		return 0, errCut
+	case r.nextToken == r.breakAt, s.status == statusCancelled, s.status == statusInterrupted:
+		return 0, errInterrupted
 	default:
 		return 0, nil
 	}
 }
 
 // put appends the next line to out, as far as limit allows.
-func (r *tokenReader) put(out []byte, limit int) []byte {
+func (r *tokenReader) appendLine(out []byte, limit int) []byte {
 	var space [maxTokenLine]byte
-	line := r.line(space[:0])
-	r.at++
-	r.start = false
+	line := r.encodeLine(space[:0])
+	r.nextToken++
+	r.firstLine = false
 	fits := min(len(line), limit-len(out))
-	r.rest = append(r.rest[:0], line[fits:]...)
+	r.pending = append(r.pending[:0], line[fits:]...)
 	return append(out, line[:fits]...)
 }
 
 // line appends the line of the token at r.at. The vocabulary needs no escapes.
-func (r *tokenReader) line(b []byte) []byte {
+func (r *tokenReader) encodeLine(b []byte) []byte {
 	s := r.seq
 	b = append(b, `{"i":`...)
-	b = strconv.AppendInt(b, int64(r.at), 10)
+	b = strconv.AppendInt(b, int64(r.nextToken), 10)
 	b = append(b, `,"t":"`...)
-	b = append(b, s.answer.Token(r.at)...)
+	b = append(b, s.completion.Token(r.nextToken)...)
 	b = append(b, '"')
-	if r.at == s.answer.Tokens-1 {
+	if r.nextToken == s.completion.Tokens-1 {
 		b = append(b, `,"f":"`...)
-		b = append(b, s.answer.Finish...)
+		b = append(b, s.completion.Finish...)
 		b = append(b, '"')
 	}
-	if r.start {
+	if r.firstLine {
 		b = append(b, `,"p":`...)
 		b = strconv.AppendInt(b, int64(s.promptTokens), 10)
 		b = append(b, `,"c":`...)
@@ -250,12 +250,12 @@
 	current := s.reader == r
 	if current {
 		s.reader = nil
-		s.lonely = time.Now()
+		s.unreadSince = time.Now()
 	}
-	unread := current && s.end == running
+	unread := current && s.status == statusRunning
 	s.mu.Unlock()
-	if unread && r.left != nil {
-		r.left(s)
+	if unread && r.onUnread != nil {
+		r.onUnread(s)
 	}
 	return nil
 }
--- a/internal/standin/engine_test.go
+++ b/internal/standin/engine_test.go
@@ -33,7 +33,7 @@
 	t.Cleanup(func() {
 		cancel()
 		<-ended
-		e.closeGate()
+		e.closeListener()
 		close(e.ended)
 		e.tasks.Wait()
 	})
@@ -76,7 +76,7 @@
 				speed := DefaultSpeed()
 				speed.Scale = tc.scale
 				e := startLoop(t, EngineConfig{Name: "e", Role: tc.role, Speed: speed})
-				begun := time.Now()
+				started := time.Now()
 				var readers []*tokenReader
 				for i := range tc.batch {
 					readers = append(readers, submit(t, e, message(fmt.Sprint(i), words(tc.words), 50)))
@@ -92,7 +92,7 @@
 				_, err := readers[tc.batch-1].Read(buf[:])
 				require.NoError(t, err)
 				if tc.batch == 1 {
-					assert.InDelta(t, tc.prefill+19*tc.step, at20.Sub(begun), float64(time.Millisecond))
+					assert.InDelta(t, tc.prefill+19*tc.step, at20.Sub(started), float64(time.Millisecond))
 				}
 				assert.InDelta(t, tc.step, time.Since(at20), float64(time.Microsecond))
 			})
@@ -103,7 +103,7 @@
 // A role change that isn't preceded by a drain cuts answers off; the stand-in
 // must count exactly those that somebody waits for, or "cut by a planned stop"
 // is 0 for nothing.
-func TestRoleChangeCutsAndCounts(t *testing.T) {
+func TestRoleChangeInterruptsAndCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := startLoop(t, EngineConfig{Name: "e", Role: upstream.RoleMixed, Speed: DefaultSpeed()})
 		readers := []*tokenReader{
@@ -113,14 +113,14 @@
 		done := submit(t, e, message("done", words(10), 2))
 		_, err := io.ReadAll(done)
 		require.NoError(t, err)
-		gone := submit(t, e, message("gone", words(10), 500))
-		require.NoError(t, gone.Close())
+		abandoned := submit(t, e, message("gone", words(10), 500))
+		require.NoError(t, abandoned.Close())
 
 		order := upstream.Order{ID: "1", Kind: upstream.OrderRole, Role: upstream.RoleDecode, FencingToken: 1}
 		require.NoError(t, e.order(order))
 		for _, r := range readers {
 			_, err := io.ReadAll(r)
-			require.ErrorIs(t, err, errCut)
+			require.ErrorIs(t, err, errInterrupted)
 		}
 		_, err = e.submit(message("c", words(10), 5), false)
 		require.ErrorIs(t, err, errOutOfService)
@@ -140,7 +140,7 @@
 
 // A controller reads an engine back after the engine crashed halfway through a
 // change: the order must not look as if it were carried out.
-func TestCrashInChange(t *testing.T) {
+func TestCrashDuringChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := startLoop(t, EngineConfig{Name: "e", Role: upstream.RoleMixed, ChecksFencing: true, Speed: DefaultSpeed()})
 		require.NoError(t, e.SetFaults([]byte(`{"crash_in_change":{"next":1}}`)))
@@ -162,13 +162,13 @@
 	})
 }
 
-func TestStreamNobodyReadsIsDropped(t *testing.T) {
+func TestUnreadStreamIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := startLoop(t, EngineConfig{Name: "e", Speed: DefaultSpeed()})
 		r := submit(t, e, message("a", words(10), 5000))
-		r.left = e.readerLeft
+		r.onUnread = e.readerClosed
 		require.NoError(t, r.Close())
-		time.Sleep(loneliness - time.Millisecond)
+		time.Sleep(abandonTimeout - time.Millisecond)
 		assert.Equal(t, 1, e.State().Running)
 		time.Sleep(2 * time.Millisecond)
 		synctest.Wait()
@@ -179,7 +179,7 @@
 
 // TestBatchBooks drives the batch at random and checks its books: what is
 // queued, what memory is taken, and that the cache events tell what is cached.
-func TestBatchBooks(t *testing.T) {
+func TestBatchAccounting(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		speed := DefaultSpeed()
 		speed.KVTokens, speed.MaxBatch, speed.ChunkTokens, speed.PrefillOnlyTokens = 400, 3, 16, 40
@@ -192,7 +192,7 @@
 		})
 		b := batch{speed: speed, kv: kv}
 		var live []*sequence
-		idle := func(int, int) (time.Duration, time.Duration) { return 0, 0 }
+		zeroStepTime := func(int, int) (time.Duration, time.Duration) { return 0, 0 }
 		for i := range rapid.IntRange(5, 60).Draw(t, "operations") {
 			switch rapid.SampledFrom([]string{"arrive", "step", "drop"}).Draw(t, "operation") {
 			case "arrive":
@@ -205,7 +205,7 @@
 				b.enqueue(s)
 				live = append(live, s)
 			case "step":
-				done, _ := b.complete(b.plan(idle))
+				done, _ := b.complete(b.plan(zeroStepTime))
 				for _, s := range done {
 					live = without(live, s)
 				}
@@ -216,15 +216,15 @@
 					live = without(live, s)
 				}
 			}
-			checkBooks(t, &b, live, stored)
+			checkAccounting(t, &b, live, stored)
 		}
 		for len(live) > 0 {
-			done, _ := b.complete(b.plan(idle))
+			done, _ := b.complete(b.plan(zeroStepTime))
 			for _, s := range done {
 				live = without(live, s)
 			}
 		}
-		checkBooks(t, &b, nil, stored)
+		checkAccounting(t, &b, nil, stored)
 	})
 }
 
@@ -238,15 +238,15 @@
 	return out
 }
 
-func checkBooks(t *rapid.T, b *batch, live []*sequence, stored map[uint64]bool) {
-	todo, private := 0, 0
+func checkAccounting(t *rapid.T, b *batch, live []*sequence, stored map[uint64]bool) {
+	remaining, privateTokens := 0, 0
 	pins := map[uint64]bool{}
 	for _, s := range live {
-		todo += s.todo
+		remaining += s.remaining
 		if !s.admitted {
 			continue
 		}
-		private += s.private
+		privateTokens += s.privateTokens
 		for _, h := range s.blocks {
 			pins[h] = true
 		}
@@ -257,14 +257,14 @@
 			cached++
 		}
 	}
-	require.Equal(t, todo, b.queuedPrompt)
-	require.Equal(t, private, b.kv.private)
+	require.Equal(t, remaining, b.queuedPrompt)
+	require.Equal(t, privateTokens, b.kv.privateTokens)
 	require.Len(t, b.kv.pinned, len(pins))
 	require.Equal(t, cached, len(b.kv.pinned)+b.kv.idle.Len())
-	require.LessOrEqual(t, private+cached*blockTokens, b.kv.total)
+	require.LessOrEqual(t, privateTokens+cached*blockTokens, b.kv.total)
 }
 
-func TestQueueGoesByPriorityThenArrival(t *testing.T) {
+func TestQueueOrderIsPriorityThenArrival(t *testing.T) {
 	b := batch{speed: DefaultSpeed(), kv: newKVCache(1000, func(uint64, bool) {})}
 	for i, priority := range []int{0, 5, 0, 9, 5} {
 		s := newSequence(message(fmt.Sprint(i), "x", 5), "")
@@ -280,12 +280,12 @@
 }
 
 func TestLoadReportLags(t *testing.T) {
-	begun := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
+	start := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	h := newLoadHistory(time.Second)
 	for i := range 100 {
-		h.add(upstream.LoadReport{At: begun.Add(time.Duration(i) * 100 * time.Millisecond), Running: i})
+		h.add(upstream.LoadReport{At: start.Add(time.Duration(i) * 100 * time.Millisecond), Running: i})
 	}
-	last := begun.Add(9900 * time.Millisecond)
+	last := start.Add(9900 * time.Millisecond)
 	for name, tc := range map[string]struct {
 		now     time.Time
 		running int
@@ -315,10 +315,10 @@
 		require.Equal(t, a.Finish == oracle.FinishLength, a.Tokens == limit)
 		from := rapid.IntRange(0, a.Tokens-1).Draw(t, "from")
 		s := newSequence(message("a", prompt, limit), "")
-		for s.next < a.Tokens {
+		for s.nextToken < a.Tokens {
 			s.produce()
 		}
-		s.finish(finished)
+		s.finish(statusFinished)
 		out, err := io.ReadAll(s.resume(from))
 		require.NoError(t, err)
 		var want strings.Builder
--- a/internal/standin/engine_transfer.go
+++ b/internal/standin/engine_transfer.go
@@ -13,15 +13,15 @@
 
 // keepExport keeps a prefill's KV cache for another engine. It is called with
 // the lock held.
-func (e *Engine) keepExport(now time.Time, s *sequence) {
+func (e *Engine) addExport(now time.Time, s *sequence) {
 	handle := upstream.KVHandle{
 		Engine: e.Addr(),
 		ID:     uuid.NewString(),
 		Tokens: s.promptTokens,
 		Bytes:  int64(s.promptTokens) * e.config.Speed.KVBytesPerToken,
 	}
-	e.exports[s.id] = &export{seq: s, handle: handle, until: now.Add(kvKeep)}
-	time.AfterFunc(kvKeep, func() { e.takeExport(handle.ID) })
+	e.exports[s.id] = &export{seq: s, handle: handle, expires: now.Add(exportRetention)}
+	time.AfterFunc(exportRetention, func() { e.takeExport(handle.ID) })
 }
 
 // exportOf returns the handle that a prefill has made.
@@ -46,8 +46,8 @@
 		}
 		delete(e.exports, attempt)
 		e.batch.free(x.seq)
-		e.note(time.Now())
-		e.rouse()
+		e.recordLoad(time.Now())
+		e.wakeLoop()
 		return x.handle, true
 	}
 	return upstream.KVHandle{}, false
@@ -57,13 +57,13 @@
 // lets the sequence join the queue. If that fails, the prompt is worked
 // through here.
 func (e *Engine) importKV(s *sequence, from upstream.KVHandle) {
-	whole, end := e.untilEnd()
-	defer end()
-	ctx, cancel := context.WithTimeout(whole, importTimeout)
+	lifetime, cancelLifetime := e.lifetimeContext()
+	defer cancelLifetime()
+	ctx, cancel := context.WithTimeout(lifetime, importTimeout)
 	defer cancel()
-	got, err := httpx.GetJSON[upstream.KVHandle](ctx, e.peers.to(from.Engine), engineclient.PathKV+from.ID)
+	got, err := httpx.GetJSON[upstream.KVHandle](ctx, e.peers.client(from.Engine), engineclient.PathKV+from.ID)
 	if err == nil {
-		e.pause(e.config.Speed.transferTime(got.Bytes))
+		e.sleep(e.config.Speed.transferTime(got.Bytes))
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -74,7 +74,7 @@
 	} else {
 		e.counters.KVImportsFailed++
 	}
-	if how, _ := s.state(); how == running {
+	if status, _ := s.state(); status == statusRunning {
 		e.enqueue(s)
 	}
 }
--- a/internal/standin/fault.go
+++ b/internal/standin/fault.go
@@ -17,7 +17,7 @@
 	Fraction float64 `json:"fraction"`
 }
 
-func (d *Trigger) take(rng *rand.Rand) bool {
+func (d *Trigger) fires(rng *rand.Rand) bool {
 	if d.Next < 0 {
 		return true
 	}
@@ -47,17 +47,17 @@
 	Blocked []string `json:"blocked"`
 }
 
-func (r NetworkFaults) reach() NetworkFaults { return r }
+func (r NetworkFaults) networkFaults() NetworkFaults { return r }
 
 // of returns what a sender meets.
-func (r NetworkFaults) of(sender string) Outage {
+func (r NetworkFaults) outageFor(sender string) Outage {
 	if sender != "" && slices.Contains(r.Blocked, sender) {
 		return OutageHang
 	}
 	return r.Outage
 }
 
-type reachable interface{ reach() NetworkFaults }
+type networkFaulty interface{ networkFaults() NetworkFaults }
 
 // Crash ends a part's process, as it were: its address refuses connections and
 // those that it has break off.
@@ -72,7 +72,7 @@
 func (c Crash) down() time.Duration { return time.Duration(c.DownMillis) * time.Millisecond }
 
 // switchboard holds the faults of a part. F is the part's own type.
-type switchboard[F any] struct {
+type faultState[F any] struct {
 	mu     sync.Mutex
 	faults F
 	rng    *rand.Rand
@@ -83,8 +83,8 @@
 // faultSeed fixes what fractions draw.
 const faultSeed = 20
 
-func newSwitchboard[F any](initial F) *switchboard[F] {
-	return &switchboard[F]{
+func newFaultState[F any](initial F) *faultState[F] {
+	return &faultState[F]{
 		faults:  initial,
 		rng:     rand.New(rand.NewPCG(faultSeed, faultSeed)),
 		changed: make(chan struct{}),
@@ -92,21 +92,21 @@
 }
 
 // get returns a copy of the faults.
-func (s *switchboard[F]) get() F {
+func (s *faultState[F]) get() F {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
 // watch returns a copy with the channel that closes at the next change.
-func (s *switchboard[F]) watch() (F, <-chan struct{}) {
+func (s *faultState[F]) watch() (F, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults, s.changed
 }
 
 // set changes the faults in place.
-func (s *switchboard[F]) set(change func(*F)) {
+func (s *faultState[F]) set(change func(*F)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(&s.faults)
@@ -115,14 +115,14 @@
 }
 
 // take uses up a dose of the fault that pick points to.
-func (s *switchboard[F]) take(pick func(*F) *Trigger) bool {
+func (s *faultState[F]) trigger(pick func(*F) *Trigger) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return pick(&s.faults).take(s.rng)
+	return pick(&s.faults).fires(s.rng)
 }
 
 // merge sets the fields that a JSON document names and leaves the others.
-func (s *switchboard[F]) merge(doc []byte) error {
+func (s *faultState[F]) merge(doc []byte) error {
 	var err error
 	s.set(func(f *F) {
 		// Copies handed out before share the old value's slices.
--- a/internal/standin/golden_test.go
+++ b/internal/standin/golden_test.go
@@ -54,8 +54,8 @@
 }
 
 func TestListAndWeightsSession(t *testing.T) {
-	row := infra.Instance{Name: "s1", Kind: infra.KindService, DataCentre: "a"}
-	l, err := standin.NewList(standin.ListConfig{Addr: "127.0.0.1:0", Instances: []infra.Instance{row}})
+	instance := infra.Instance{Name: "s1", Kind: infra.KindService, DataCentre: "a"}
+	l, err := standin.NewList(standin.ListConfig{Addr: "127.0.0.1:0", Instances: []infra.Instance{instance}})
 	require.NoError(t, err)
 	standintest.Serve(t, l)
 	w, err := standin.NewWeightStore(standin.WeightStoreConfig{Addr: "127.0.0.1:0", BytesPerSecond: 1e9,
--- a/internal/standin/list.go
+++ b/internal/standin/list.go
@@ -47,9 +47,9 @@
 
 // List stands in for the platform's list of instances.
 type List struct {
-	*node
+	*endpoint
 	config ListConfig
-	faults *switchboard[ListFaults]
+	faults *faultState[ListFaults]
 	reads  atomic.Int64
 
 	mu      sync.Mutex
@@ -59,16 +59,16 @@
 
 // NewList returns a list that listens already.
 func NewList(c ListConfig) (*List, error) {
-	n, err := newNode("list", "list", c.Addr, c.TLS)
+	n, err := newEndpoint("list", "list", c.Addr, c.TLS)
 	if err != nil {
 		return nil, err
 	}
 	faults := ListFaults{LagMillis: int(c.Lag.Milliseconds())}
 	return &List{
-		node:    n,
-		config:  c,
-		faults:  newSwitchboard(faults),
-		history: listHistory{{Rows: c.Instances}},
+		endpoint: n,
+		config:   c,
+		faults:   newFaultState(faults),
+		history:  listHistory{{Instances: c.Instances}},
 	}, nil
 }
 
@@ -76,7 +76,7 @@
 func (l *List) Serve(ctx context.Context) error { return l.serve(ctx, l.handle) }
 
 func (l *List) handle(ctx *fasthttp.RequestCtx) {
-	if admin(l, ctx) || cutOff(l.node, l.faults, ctx) {
+	if serveAdmin(l, ctx) || applyOutage(l.endpoint, l.faults, ctx) {
 		return
 	}
 	if string(ctx.Path()) != listclient.PathInstances {
@@ -84,7 +84,7 @@
 		return
 	}
 	l.reads.Add(1)
-	replyJSON(ctx, listclient.Reply{Instances: l.seen(time.Now())})
+	replyJSON(ctx, listclient.Reply{Instances: l.visible(time.Now())})
 }
 
 func (l *List) lag() time.Duration {
@@ -92,7 +92,7 @@
 }
 
 // seen returns what the list says at a time.
-func (l *List) seen(now time.Time) []infra.Instance {
+func (l *List) visible(now time.Time) []infra.Instance {
 	lag := l.lag()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -103,12 +103,12 @@
 func (l *List) Counters() ListCounters {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	rows := l.history.latest()
+	instances := l.history.latest()
 	return ListCounters{
 		Reads:       l.reads.Load(),
 		Changes:     l.changes,
-		Instances:   len(rows),
-		Terminating: len(leavingNames(rows)),
+		Instances:   len(instances),
+		Terminating: len(terminatingNames(instances)),
 	}
 }
 
@@ -135,19 +135,19 @@
 func (l *List) change(f ListFaults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	rows := changedRows(l.history.latest(), f)
-	l.history = l.history.add(time.Now(), rows)
+	instances := applyChanges(l.history.latest(), f)
+	l.history = l.history.add(time.Now(), instances)
 	l.changes++
 	if l.config.OnTerminating != nil {
-		names := leavingNames(rows)
+		names := terminatingNames(instances)
 		time.AfterFunc(time.Duration(f.LagMillis)*time.Millisecond, func() { l.config.OnTerminating(names) })
 	}
 }
 
 // listState is the truth from a time on.
 type listState struct {
-	From time.Time
-	Rows []infra.Instance
+	From      time.Time
+	Instances []infra.Instance
 }
 
 // listHistory holds the states that the list may still show, oldest first; the
@@ -157,33 +157,33 @@
 // maxListHistory bounds the states kept.
 const maxListHistory = 256
 
-func (h listHistory) latest() []infra.Instance { return h[len(h)-1].Rows }
+func (h listHistory) latest() []infra.Instance { return h[len(h)-1].Instances }
 
 func (h listHistory) at(t time.Time) []infra.Instance {
 	for i := len(h) - 1; i > 0; i-- {
 		if !h[i].From.After(t) {
-			return h[i].Rows
+			return h[i].Instances
 		}
 	}
-	return h[0].Rows
+	return h[0].Instances
 }
 
-func (h listHistory) add(from time.Time, rows []infra.Instance) listHistory {
-	h = append(h, listState{From: from, Rows: rows})
+func (h listHistory) add(from time.Time, instances []infra.Instance) listHistory {
+	h = append(h, listState{From: from, Instances: instances})
 	if len(h) > maxListHistory {
 		h = h[1:]
 	}
 	return h
 }
 
-func changedRows(rows []infra.Instance, f ListFaults) []infra.Instance {
+func applyChanges(instances []infra.Instance, f ListFaults) []infra.Instance {
 	added := nameSet(nil)
 	for _, r := range f.Add {
 		added[r.Name] = true
 	}
 	removed, leaving := nameSet(f.Remove), nameSet(f.Terminating)
 	var out []infra.Instance
-	for _, r := range rows {
+	for _, r := range instances {
 		if removed[r.Name] || added[r.Name] {
 			continue
 		}
@@ -201,9 +201,9 @@
 	return set
 }
 
-func leavingNames(rows []infra.Instance) []string {
+func terminatingNames(instances []infra.Instance) []string {
 	var names []string
-	for _, r := range rows {
+	for _, r := range instances {
 		if r.Terminating {
 			names = append(names, r.Name)
 		}
--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -69,13 +69,13 @@
 
 // Log stands in for the platform's log.
 type Log struct {
-	*node
-	faults  *switchboard[LogFaults]
+	*endpoint
+	faults  *faultState[LogFaults]
 	limiter *rate.Limiter
 
 	mu       sync.Mutex
 	store    logStore
-	grown    chan struct{} // closed and replaced with each append
+	appended chan struct{} // closed and replaced with each append
 	counters LogCounters
 	senders  map[string]*LogSender
 }
@@ -85,18 +85,18 @@
 
 // NewLog returns a log that listens already.
 func NewLog(c LogConfig) (*Log, error) {
-	n, err := newNode("log", "log", c.Addr, c.TLS)
+	n, err := newEndpoint("log", "log", c.Addr, c.TLS)
 	if err != nil {
 		return nil, err
 	}
 	burst := max(1, int(c.AppendsPerSecond*burstSeconds))
 	return &Log{
-		node:    n,
-		faults:  newSwitchboard(LogFaults{}),
-		limiter: rate.NewLimiter(rate.Limit(c.AppendsPerSecond), burst),
-		store:   logStore{next: 1, oldest: 1, retention: c.Retention},
-		grown:   make(chan struct{}),
-		senders: map[string]*LogSender{},
+		endpoint: n,
+		faults:   newFaultState(LogFaults{}),
+		limiter:  rate.NewLimiter(rate.Limit(c.AppendsPerSecond), burst),
+		store:    logStore{next: 1, oldest: 1, retention: c.Retention},
+		appended: make(chan struct{}),
+		senders:  map[string]*LogSender{},
 	}, nil
 }
 
@@ -104,10 +104,10 @@
 func (l *Log) Serve(ctx context.Context) error { return l.serve(ctx, l.handle) }
 
 func (l *Log) handle(ctx *fasthttp.RequestCtx) {
-	if admin(l, ctx) || cutOff(l.node, l.faults, ctx) {
+	if serveAdmin(l, ctx) || applyOutage(l.endpoint, l.faults, ctx) {
 		return
 	}
-	l.pause(time.Duration(l.faults.get().SlowMillis) * time.Millisecond)
+	l.sleep(time.Duration(l.faults.get().SlowMillis) * time.Millisecond)
 	switch string(ctx.Path()) {
 	case logclient.PathAppend:
 		l.handleAppend(ctx)
@@ -121,20 +121,20 @@
 func (l *Log) handleAppend(ctx *fasthttp.RequestCtx) {
 	if !l.limiter.Allow() {
 		l.count(func(c *LogCounters) { c.RateLimited++ })
-		refuse(ctx, fasthttp.StatusTooManyRequests, "append rate limit")
+		replyNotRun(ctx, fasthttp.StatusTooManyRequests, "append rate limit")
 		return
 	}
 	data := append([]byte(nil), ctx.PostBody()...)
 	sender := string(ctx.Request.Header.Peek(httpx.HeaderSender))
-	if l.faults.take(func(f *LogFaults) *Trigger { return &f.DelayAppend }) {
-		l.landLate(sender, data)
+	if l.faults.trigger(func(f *LogFaults) *Trigger { return &f.DelayAppend }) {
+		l.delayAppend(sender, data)
 		ctx.Error("append failed", fasthttp.StatusInternalServerError)
 		return
 	}
 	offset := l.append(sender, data)
-	if l.faults.take(func(f *LogFaults) *Trigger { return &f.LoseReply }) {
+	if l.faults.trigger(func(f *LogFaults) *Trigger { return &f.LoseReply }) {
 		l.count(func(c *LogCounters) { c.LostReplies++ })
-		hangUp(ctx)
+		dropConnection(ctx)
 		return
 	}
 	ctx.Response.Header.Set(logclient.HeaderOffset, strconv.FormatUint(offset, 10))
@@ -142,7 +142,7 @@
 
 // landLate appends after a delay, as a record does that was held up in the
 // log's own network while its writer was told of a failure.
-func (l *Log) landLate(sender string, data []byte) {
+func (l *Log) delayAppend(sender string, data []byte) {
 	delay := time.Duration(l.faults.get().AppendDelayMillis) * time.Millisecond
 	time.AfterFunc(delay, func() {
 		l.append(sender, data)
@@ -154,8 +154,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	offset := l.store.append(time.Now(), data)
-	close(l.grown)
-	l.grown = make(chan struct{})
+	close(l.appended)
+	l.appended = make(chan struct{})
 	s := l.sender(sender)
 	l.counters.Appends++
 	s.Appends++
@@ -165,7 +165,7 @@
 }
 
 func (l *Log) handleRead(ctx *fasthttp.RequestCtx) {
-	if l.faults.take(func(f *LogFaults) *Trigger { return &f.FailReads }) {
+	if l.faults.trigger(func(f *LogFaults) *Trigger { return &f.FailReads }) {
 		ctx.Error("read failed", fasthttp.StatusInternalServerError)
 		return
 	}
@@ -173,8 +173,8 @@
 	from := uint64(args.GetUintOrZero("from"))
 	limit := args.GetUintOrZero("max")
 	wait := time.Duration(args.GetUintOrZero("wait_ms")) * time.Millisecond
-	reply, trimmed := l.readWaiting(from, limit, wait)
-	if cutOff(l.node, l.faults, ctx) {
+	reply, trimmed := l.longPoll(from, limit, wait)
+	if applyOutage(l.endpoint, l.faults, ctx) {
 		return
 	}
 	doc, err := msgpack.Marshal(&reply)
@@ -191,7 +191,7 @@
 
 // readWaiting reads, and waits for the first record if there is none yet. A
 // change of the faults ends the wait, as an outage breaks off waiting reads.
-func (l *Log) readWaiting(from uint64, limit int, wait time.Duration) (logclient.ReadReply, bool) {
+func (l *Log) longPoll(from uint64, limit int, wait time.Duration) (logclient.ReadReply, bool) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	_, changed := l.faults.watch()
@@ -216,7 +216,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	reply, trimmed := l.store.read(time.Now(), from, limit)
-	return reply, trimmed, l.grown
+	return reply, trimmed, l.appended
 }
 
 func (l *Log) count(add func(*LogCounters)) {
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -50,54 +50,54 @@
 }
 
 // node is the HTTP side of a part.
-type node struct {
+type endpoint struct {
 	name, kind string
-	gate       *gate
+	listener   *crashListener
 	tls        *tls.Config
 	server     *fasthttp.Server
 	// ended is closed when the part ends.
 	ended chan struct{}
 }
 
-func newNode(name, kind, addr string, tlsConfig *tls.Config) (*node, error) {
-	g, err := openGate(addr)
+func newEndpoint(name, kind, addr string, tlsConfig *tls.Config) (*endpoint, error) {
+	g, err := newCrashListener(addr)
 	if err != nil {
 		return nil, eris.Wrapf(err, "stand-in %s", name)
 	}
-	return &node{name: name, kind: kind, gate: g, tls: tlsConfig, ended: make(chan struct{})}, nil
+	return &endpoint{name: name, kind: kind, listener: g, tls: tlsConfig, ended: make(chan struct{})}, nil
 }
 
 // Name implements Part.
-func (n *node) Name() string { return n.name }
+func (n *endpoint) Name() string { return n.name }
 
 // String names the part in the supervisor's messages. Without it the
 // supervisor would print the whole part by reflection, and race with its work.
-func (n *node) String() string { return n.kind + " " + n.name }
+func (n *endpoint) String() string { return n.kind + " " + n.name }
 
 // Kind implements Part.
-func (n *node) Kind() string { return n.kind }
+func (n *endpoint) Kind() string { return n.kind }
 
 // Addr implements Part.
-func (n *node) Addr() string { return n.gate.addr }
+func (n *endpoint) Addr() string { return n.listener.addr }
 
 // serve answers requests until ctx ends.
-func (n *node) serve(ctx context.Context, handler fasthttp.RequestHandler) error {
+func (n *endpoint) serve(ctx context.Context, handler fasthttp.RequestHandler) error {
 	n.server = &fasthttp.Server{
 		Handler:               handler,
 		MaxRequestBodySize:    maxRequestBody,
 		NoDefaultServerHeader: true,
 		NoDefaultDate:         true,
 		IdleTimeout:           time.Minute,
-		Logger:                silent{},
+		Logger:                discardLogger{},
 	}
 	stop := context.AfterFunc(ctx, func() {
 		close(n.ended)
-		_ = n.gate.Close()
+		_ = n.listener.Close()
 	})
 	defer stop()
-	var ln net.Listener = n.gate
+	var ln net.Listener = n.listener
 	if n.tls != nil {
-		ln = tls.NewListener(n.gate, n.tls)
+		ln = tls.NewListener(n.listener, n.tls)
 	}
 	err := n.server.Serve(ln)
 	if ctx.Err() != nil {
@@ -108,14 +108,14 @@
 
 // silent drops the server's log lines: a crashed part breaks connections on
 // purpose.
-type silent struct{}
+type discardLogger struct{}
 
 // Printf implements fasthttp.Logger.
-func (silent) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
 // admin serves the counters and the faults, and reports whether the request
 // was for them.
-func admin(p Component, ctx *fasthttp.RequestCtx) bool {
+func serveAdmin(p Component, ctx *fasthttp.RequestCtx) bool {
 	switch string(ctx.Path()) {
 	case PathCounters:
 		replyRaw(ctx, p.CountersJSON())
@@ -158,13 +158,13 @@
 }
 
 // refuse answers that the request did not run and won't.
-func refuse(ctx *fasthttp.RequestCtx, status int, why string) {
-	ctx.Error(why, status)
+func replyNotRun(ctx *fasthttp.RequestCtx, status int, reason string) {
+	ctx.Error(reason, status)
 	ctx.Response.Header.Set(httpx.HeaderNotRun, "true")
 }
 
 // hangUp closes the connection without a response.
-func hangUp(ctx *fasthttp.RequestCtx) {
+func dropConnection(ctx *fasthttp.RequestCtx) {
 	ctx.HijackSetNoResponse(true)
 	ctx.Hijack(func(net.Conn) {})
 }
@@ -172,27 +172,27 @@
 // cutOff acts out an outage or a partition for a request and reports whether
 // there is one. A partitioned sender, as in an outage of the hanging sort,
 // gets no answer; its connection closes once it is over.
-func cutOff[F reachable](n *node, s *switchboard[F], ctx *fasthttp.RequestCtx) bool {
+func applyOutage[F networkFaulty](n *endpoint, s *faultState[F], ctx *fasthttp.RequestCtx) bool {
 	sender := string(ctx.Request.Header.Peek(httpx.HeaderSender))
 	f, changed := s.watch()
-	switch f.reach().of(sender) {
+	switch f.networkFaults().outageFor(sender) {
 	case OutageNone:
 		return false
 	case OutageError:
 		ctx.Error("outage", fasthttp.StatusServiceUnavailable)
 		return true
 	case OutageHang:
-		for f.reach().of(sender) == OutageHang && n.await(changed) {
+		for f.networkFaults().outageFor(sender) == OutageHang && n.await(changed) {
 			f, changed = s.watch()
 		}
 	}
-	hangUp(ctx)
+	dropConnection(ctx)
 	return true
 }
 
 // await waits for a channel to close, and reports false if the part ended
 // first.
-func (n *node) await(c <-chan struct{}) bool {
+func (n *endpoint) await(c <-chan struct{}) bool {
 	select {
 	case <-c:
 		return true
@@ -202,7 +202,7 @@
 }
 
 // pause waits for d, or until the part ends.
-func (n *node) pause(d time.Duration) {
+func (n *endpoint) sleep(d time.Duration) {
 	if d <= 0 {
 		return
 	}
@@ -218,4 +218,4 @@
 	return strconv.ParseUint(string(ctx.QueryArgs().Peek(name)), 10, 64)
 }
 
-func (n *node) closeGate() { _ = n.gate.Close() }
+func (n *endpoint) closeListener() { _ = n.listener.Close() }
--- a/internal/standin/oracle/oracle.go
+++ b/internal/standin/oracle/oracle.go
@@ -40,7 +40,7 @@
 	if maxTokens <= 0 {
 		maxTokens = DefaultMaxTokens
 	}
-	natural := naturalLength(prompt, maxTokens)
+	natural := unboundedLength(prompt, maxTokens)
 	a := Completion{seed: seed(model, prompt), Tokens: natural, Finish: FinishStop}
 	if natural >= maxTokens {
 		a.Tokens, a.Finish = maxTokens, FinishLength
@@ -50,7 +50,7 @@
 
 // Token returns the text of token i, counted from 0.
 func (a Completion) Token(i int) string {
-	word := words[mix(a.seed+uint64(i))%uint64(len(words))]
+	word := words[splitmix64(a.seed+uint64(i))%uint64(len(words))]
 	if i == 0 {
 		return word[1:]
 	}
@@ -98,9 +98,9 @@
 }
 
 // naturalLength spreads evenly from half of maxTokens to a quarter above it.
-func naturalLength(prompt string, maxTokens int) int {
+func unboundedLength(prompt string, maxTokens int) int {
 	spread := maxTokens*3/4 + 1
-	h := mix(xxhash.Sum64String(prompt) + lengthSalt)
+	h := splitmix64(xxhash.Sum64String(prompt) + lengthSalt)
 	return max(1, maxTokens/2+int(h%uint64(spread)))
 }
 
@@ -116,7 +116,7 @@
 }
 
 // mix is the finaliser of splitmix64.
-func mix(x uint64) uint64 {
+func splitmix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9
 	x = (x ^ (x >> 27)) * 0x94d049bb133111eb
--- a/internal/standin/platform_test.go
+++ b/internal/standin/platform_test.go
@@ -47,19 +47,19 @@
 }
 
 func TestListHistory(t *testing.T) {
-	row := func(name string) []infra.Instance { return []infra.Instance{{Name: name}} }
-	h := listHistory{{Rows: row("first")}}
-	h = h.add(noon, row("second"))
-	h = h.add(noon.Add(time.Second), row("third"))
-	assert.Equal(t, row("first"), h.at(noon.Add(-time.Nanosecond)))
-	assert.Equal(t, row("second"), h.at(noon))
-	assert.Equal(t, row("third"), h.at(noon.Add(time.Hour)))
+	instances := func(name string) []infra.Instance { return []infra.Instance{{Name: name}} }
+	h := listHistory{{Instances: instances("first")}}
+	h = h.add(noon, instances("second"))
+	h = h.add(noon.Add(time.Second), instances("third"))
+	assert.Equal(t, instances("first"), h.at(noon.Add(-time.Nanosecond)))
+	assert.Equal(t, instances("second"), h.at(noon))
+	assert.Equal(t, instances("third"), h.at(noon.Add(time.Hour)))
 }
 
 // Two data centres load weights at once: together they get the store's rate,
 // not each of them.
 func TestWeightLoadsShareTheRate(t *testing.T) {
-	w := &WeightStore{config: WeightStoreConfig{BytesPerSecond: 100}, faults: newSwitchboard(WeightFaults{})}
+	w := &WeightStore{config: WeightStoreConfig{BytesPerSecond: 100}, faults: newFaultState(WeightFaults{})}
 	assert.Equal(t, time.Second, w.reserve(noon, 100))
 	assert.Equal(t, 3*time.Second, w.reserve(noon, 200))
 	assert.Equal(t, 3*time.Second, w.reserve(noon.Add(time.Second), 100))
@@ -67,7 +67,7 @@
 }
 
 func TestFaultDocuments(t *testing.T) {
-	s := newSwitchboard(LogFaults{SlowMillis: 5})
+	s := newFaultState(LogFaults{SlowMillis: 5})
 	require.NoError(t, s.merge([]byte(`{"outage":"hang","blocked":["a","b"]}`)))
 	before := s.get()
 	require.NoError(t, s.merge([]byte(`{"blocked":["c"]}`)))
@@ -78,10 +78,10 @@
 	assert.Equal(t, OutageHang, s.get().Outage)
 }
 
-func TestDose(t *testing.T) {
+func TestTrigger(t *testing.T) {
 	for name, tc := range map[string]struct {
-		dose Trigger
-		want int // of 1000
+		trigger Trigger
+		want    int // of 1000
 	}{
 		"none":     {Trigger{}, 0},
 		"next 3":   {Trigger{Next: 3}, 3},
@@ -89,25 +89,25 @@
 		"fraction": {Trigger{Fraction: 1}, 1000},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newSwitchboard(LogFaults{LoseReply: tc.dose})
-			struck := 0
+			s := newFaultState(LogFaults{LoseReply: tc.trigger})
+			fired := 0
 			for range 1000 {
-				if s.take(func(f *LogFaults) *Trigger { return &f.LoseReply }) {
-					struck++
+				if s.trigger(func(f *LogFaults) *Trigger { return &f.LoseReply }) {
+					fired++
 				}
 			}
-			assert.Equal(t, tc.want, struck)
+			assert.Equal(t, tc.want, fired)
 		})
 	}
 }
 
-func TestLeavingMark(t *testing.T) {
-	var m leavingMark
-	assert.False(t, m.overdue(noon))
+func TestTerminationMark(t *testing.T) {
+	var m terminationMark
+	assert.False(t, m.graceExpired(noon))
 	m.set(noon, true)
 	m.set(noon.Add(time.Minute), true)
-	assert.False(t, m.overdue(noon.Add(leavingGrace)))
-	assert.True(t, m.overdue(noon.Add(leavingGrace+1)))
+	assert.False(t, m.graceExpired(noon.Add(terminationGrace)))
+	assert.True(t, m.graceExpired(noon.Add(terminationGrace+1)))
 	m.set(noon, false)
-	assert.False(t, m.overdue(noon.Add(time.Hour)))
+	assert.False(t, m.graceExpired(noon.Add(time.Hour)))
 }
--- a/internal/standin/ledger.go
+++ b/internal/standin/run_counter.go
@@ -11,7 +11,7 @@
 )
 
 // maxDoubled bounds the doubled keys that are kept by name.
-const maxDoubled = 20
+const maxRepeatedKeys = 20
 
 // Ledger counts how often the call of each idempotency key ran. Services that
 // could run the same call share one. It outlives crashes: it belongs to the
@@ -19,16 +19,16 @@
 type RunCounter struct {
 	mu sync.Mutex
 	// runs is by the key's hash, to hold millions.
-	runs     map[uint64]int
-	ranTwice int64
-	doubled  []string
+	runs         map[uint64]int
+	ranTwice     int64
+	repeatedKeys []string
 }
 
 // NewLedger returns an empty ledger.
 func NewRunCounter() *RunCounter { return &RunCounter{runs: map[uint64]int{}} }
 
 // ran notes one run and returns its number, from 1.
-func (l *RunCounter) ran(key string) int {
+func (l *RunCounter) record(key string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h := xxhash.Sum64String(key)
@@ -36,8 +36,8 @@
 	n := l.runs[h]
 	if n == 2 {
 		l.ranTwice++
-		if len(l.doubled) < maxDoubled {
-			l.doubled = append(l.doubled, key)
+		if len(l.repeatedKeys) < maxRepeatedKeys {
+			l.repeatedKeys = append(l.repeatedKeys, key)
 		}
 	}
 	return n
@@ -46,16 +46,16 @@
 func (l *RunCounter) totals() (keys, ranTwice int64, doubled []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return int64(len(l.runs)), l.ranTwice, append([]string{}, l.doubled...)
+	return int64(len(l.runs)), l.ranTwice, append([]string{}, l.repeatedKeys...)
 }
 
 // leavingMark remembers since when the list has shown a part as leaving.
-type leavingMark struct {
+type terminationMark struct {
 	mu    sync.Mutex
 	since time.Time
 }
 
-func (m *leavingMark) set(now time.Time, leaving bool) {
+func (m *terminationMark) set(now time.Time, leaving bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch {
@@ -66,28 +66,28 @@
 	}
 }
 
-func (m *leavingMark) begun() time.Time {
+func (m *terminationMark) start() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.since
 }
 
-func (m *leavingMark) overdue(now time.Time) bool {
+func (m *terminationMark) graceExpired(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return !m.since.IsZero() && now.Sub(m.since) > leavingGrace
+	return !m.since.IsZero() && now.Sub(m.since) > terminationGrace
 }
 
 // sendTwice sends the response, and then once more on the same connection, as
 // a confused server does that answers a request of long ago.
-func sendTwice(ctx *fasthttp.RequestCtx) {
-	var again fasthttp.Response
-	ctx.Response.CopyTo(&again)
+func sendDuplicate(ctx *fasthttp.RequestCtx) {
+	var duplicate fasthttp.Response
+	ctx.Response.CopyTo(&duplicate)
 	ctx.HijackSetNoResponse(true)
 	ctx.Hijack(func(c net.Conn) {
 		w := bufio.NewWriter(c)
-		_ = again.Write(w)
-		_ = again.Write(w)
+		_ = duplicate.Write(w)
+		_ = duplicate.Write(w)
 		_ = w.Flush()
 		// The connection stays open until its far end has had enough.
 		_, _ = c.Read(make([]byte, 1))
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -18,7 +18,7 @@
 
 // leavingGrace is how long after the list shows an upstream as leaving it may
 // still be given new work.
-const leavingGrace = 3 * time.Second
+const terminationGrace = 3 * time.Second
 
 // ServiceConfig sets up a plain service.
 type ServiceConfig struct {
@@ -90,13 +90,13 @@
 
 // Service stands in for a plain service.
 type Service struct {
-	*node
-	config  ServiceConfig
-	faults  *switchboard[ServiceFaults]
-	ledger  *RunCounter
-	leaving leavingMark
+	*endpoint
+	config      ServiceConfig
+	faults      *faultState[ServiceFaults]
+	runs        *RunCounter
+	termination terminationMark
 
-	calls, ran, refused, unanswered, crashes, afterLeaving atomic.Int64
+	calls, ran, refused, unanswered, crashes, afterTermination atomic.Int64
 }
 
 // Defaults of the service's faults.
@@ -104,7 +104,7 @@
 
 // NewService returns a service that listens already.
 func NewService(c ServiceConfig) (*Service, error) {
-	n, err := newNode(c.Name, "service", c.Addr, c.TLS)
+	n, err := newEndpoint(c.Name, "service", c.Addr, c.TLS)
 	if err != nil {
 		return nil, err
 	}
@@ -112,10 +112,10 @@
 		c.RunCounter = NewRunCounter()
 	}
 	return &Service{
-		node:   n,
-		config: c,
-		ledger: c.RunCounter,
-		faults: newSwitchboard(ServiceFaults{
+		endpoint: n,
+		config:   c,
+		runs:     c.RunCounter,
+		faults: newFaultState(ServiceFaults{
 			LatencyMillis: int(c.Latency.Milliseconds()),
 			Poison:        oracle.PoisonMarker,
 			RestartMillis: defaultRestartMillis,
@@ -127,37 +127,37 @@
 func (s *Service) Serve(ctx context.Context) error { return s.serve(ctx, s.handle) }
 
 func (s *Service) handle(ctx *fasthttp.RequestCtx) {
-	if admin(s, ctx) || cutOff(s.node, s.faults, ctx) {
+	if serveAdmin(s, ctx) || applyOutage(s.endpoint, s.faults, ctx) {
 		return
 	}
 	s.calls.Add(1)
-	if s.leaving.overdue(time.Now()) {
-		s.afterLeaving.Add(1)
+	if s.termination.graceExpired(time.Now()) {
+		s.afterTermination.Add(1)
 	}
-	if !s.strikeBefore(ctx) {
+	if !s.faultBeforeRun(ctx) {
 		return
 	}
-	s.pause(time.Duration(s.faults.get().LatencyMillis) * time.Millisecond)
+	s.sleep(time.Duration(s.faults.get().LatencyMillis) * time.Millisecond)
 	run := s.run(ctx)
-	if s.strikeAfter(ctx) {
-		s.answer(ctx, run)
+	if s.faultAfterRun(ctx) {
+		s.respond(ctx, run)
 	}
 }
 
 // strikeBefore acts out the faults that keep a call from running, and reports
 // whether it is to run.
-func (s *Service) strikeBefore(ctx *fasthttp.RequestCtx) bool {
+func (s *Service) faultBeforeRun(ctx *fasthttp.RequestCtx) bool {
 	poison := s.faults.get().Poison
 	switch {
-	case s.faults.take(func(f *ServiceFaults) *Trigger { return &f.Refuse }):
+	case s.faults.trigger(func(f *ServiceFaults) *Trigger { return &f.Refuse }):
 		s.refused.Add(1)
-		refuse(ctx, fasthttp.StatusServiceUnavailable, "service takes no work")
+		replyNotRun(ctx, fasthttp.StatusServiceUnavailable, "service takes no work")
 	case poison != "" && bytes.Contains(ctx.PostBody(), []byte(poison)),
-		s.faults.take(func(f *ServiceFaults) *Trigger { return &f.CrashBefore }):
+		s.faults.trigger(func(f *ServiceFaults) *Trigger { return &f.CrashBefore }):
 		s.crashInHandler(ctx)
-	case s.faults.take(func(f *ServiceFaults) *Trigger { return &f.CloseBefore }):
+	case s.faults.trigger(func(f *ServiceFaults) *Trigger { return &f.CloseBefore }):
 		s.unanswered.Add(1)
-		hangUp(ctx)
+		dropConnection(ctx)
 	default:
 		return true
 	}
@@ -171,21 +171,21 @@
 	if len(key) == 0 {
 		return 0
 	}
-	return s.ledger.ran(string(key))
+	return s.runs.record(string(key))
 }
 
 // strikeAfter acts out the faults that keep a call's answer from its caller,
 // and reports whether to answer.
-func (s *Service) strikeAfter(ctx *fasthttp.RequestCtx) bool {
+func (s *Service) faultAfterRun(ctx *fasthttp.RequestCtx) bool {
 	switch {
-	case s.faults.take(func(f *ServiceFaults) *Trigger { return &f.CrashAfter }):
+	case s.faults.trigger(func(f *ServiceFaults) *Trigger { return &f.CrashAfter }):
 		s.crashInHandler(ctx)
-	case s.faults.take(func(f *ServiceFaults) *Trigger { return &f.CloseAfter }):
+	case s.faults.trigger(func(f *ServiceFaults) *Trigger { return &f.CloseAfter }):
 		s.unanswered.Add(1)
-		hangUp(ctx)
-	case s.faults.take(func(f *ServiceFaults) *Trigger { return &f.Hang }):
+		dropConnection(ctx)
+	case s.faults.trigger(func(f *ServiceFaults) *Trigger { return &f.Hang }):
 		return s.hang(ctx)
-	case s.faults.take(func(f *ServiceFaults) *Trigger { return &f.Fail }):
+	case s.faults.trigger(func(f *ServiceFaults) *Trigger { return &f.Fail }):
 		ctx.Error("service failed", fasthttp.StatusInternalServerError)
 	default:
 		return true
@@ -195,40 +195,40 @@
 
 // hang keeps the answer back, for good or for the time that is set.
 func (s *Service) hang(ctx *fasthttp.RequestCtx) bool {
-	if late := s.faults.get().HangMillis; late > 0 {
-		s.pause(time.Duration(late) * time.Millisecond)
+	if delay := s.faults.get().HangMillis; delay > 0 {
+		s.sleep(time.Duration(delay) * time.Millisecond)
 		return true
 	}
 	s.unanswered.Add(1)
 	<-s.ended
-	hangUp(ctx)
+	dropConnection(ctx)
 	return false
 }
 
-func (s *Service) answer(ctx *fasthttp.RequestCtx, run int) {
+func (s *Service) respond(ctx *fasthttp.RequestCtx, run int) {
 	echo := oracle.RequestDigest(string(ctx.Method()), string(ctx.RequestURI()), ctx.PostBody())
 	if attempt := ctx.Request.Header.Peek(httpx.HeaderAttempt); len(attempt) > 0 {
 		ctx.Response.Header.SetBytesV(httpx.HeaderAttempt, attempt)
 	}
 	replyJSON(ctx, ServiceResponse{Service: s.name, RequestDigest: echo, Run: run})
-	if s.faults.take(func(f *ServiceFaults) *Trigger { return &f.DuplicateResponse }) {
-		sendTwice(ctx)
+	if s.faults.trigger(func(f *ServiceFaults) *Trigger { return &f.DuplicateResponse }) {
+		sendDuplicate(ctx)
 	}
 }
 
 func (s *Service) crashInHandler(ctx *fasthttp.RequestCtx) {
 	s.unanswered.Add(1)
 	s.crash(time.Duration(s.faults.get().RestartMillis) * time.Millisecond)
-	hangUp(ctx)
+	dropConnection(ctx)
 }
 
 func (s *Service) crash(down time.Duration) {
 	s.crashes.Add(1)
-	s.gate.crash(down)
+	s.listener.crash(down)
 }
 
 // SetLeaving tells the service whether the list shows it as leaving.
-func (s *Service) SetTerminating(leaving bool) { s.leaving.set(time.Now(), leaving) }
+func (s *Service) SetTerminating(leaving bool) { s.termination.set(time.Now(), leaving) }
 
 // Counters returns the counters.
 func (s *Service) Counters() ServiceCounters {
@@ -238,9 +238,9 @@
 		RefusedNotRun:        s.refused.Load(),
 		Unanswered:           s.unanswered.Load(),
 		Crashes:              s.crashes.Load(),
-		WorkAfterTermination: s.afterLeaving.Load(),
+		WorkAfterTermination: s.afterTermination.Load(),
 	}
-	c.Keys, c.RanTwice, c.RepeatedKeys = s.ledger.totals()
+	c.Keys, c.RanTwice, c.RepeatedKeys = s.runs.totals()
 	return c
 }
 
--- a/internal/standin/session_test.go
+++ b/internal/standin/session_test.go
@@ -30,55 +30,55 @@
 // recorder keeps the bytes of a session, request by response. Its calls come
 // one at a time, whichever connection they use.
 type recorder struct {
-	mu    sync.Mutex
-	parts []recorded
+	mu        sync.Mutex
+	exchanges []exchange
 }
 
-type recorded struct {
+type exchange struct {
 	sent  bool
 	bytes []byte
 }
 
-func (r *recorder) note(sent bool, b []byte) {
+func (r *recorder) record(sent bool, b []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if n := len(r.parts); n > 0 && r.parts[n-1].sent == sent {
-		r.parts[n-1].bytes = append(r.parts[n-1].bytes, b...)
+	if n := len(r.exchanges); n > 0 && r.exchanges[n-1].sent == sent {
+		r.exchanges[n-1].bytes = append(r.exchanges[n-1].bytes, b...)
 		return
 	}
-	r.parts = append(r.parts, recorded{sent, bytes.Clone(b)})
+	r.exchanges = append(r.exchanges, exchange{sent, bytes.Clone(b)})
 }
 
 func (r *recorder) options() httpx.Options {
 	return httpx.Options{Sender: "entry-1", Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 		var d net.Dialer
 		c, err := d.DialContext(ctx, "tcp", addr)
-		return &recordedConn{Conn: c, rec: r}, err
+		return &recordedConn{Conn: c, recorder: r}, err
 	}}
 }
 
 type recordedConn struct {
 	net.Conn
-	rec *recorder
+	recorder *recorder
 }
 
 func (c *recordedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
-		c.rec.note(false, p[:n])
+		c.recorder.record(false, p[:n])
 	}
 	return n, err
 }
 
 func (c *recordedConn) Write(p []byte) (int, error) {
-	c.rec.note(true, p)
+	c.recorder.record(true, p)
 	return c.Conn.Write(p)
 }
 
 // volatile is what differs from run to run.
 var volatile = []struct {
-	pattern *regexp.Regexp
-	put     string
+	pattern     *regexp.Regexp
+	replacement string
 }{
 	{regexp.MustCompile(`127\.0\.0\.1:\d+`), "<address>"},
 	{regexp.MustCompile(`[0-9a-f]{8}(-[0-9a-f]{4}){3}-[0-9a-f]{12}`), "<uuid>"},
@@ -92,7 +92,7 @@
 	var b strings.Builder
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for i, part := range r.parts {
+	for i, part := range r.exchanges {
 		in := bufio.NewReader(bytes.NewReader(part.bytes))
 		if !part.sent {
 			resp, err := http.ReadResponse(in, nil)
@@ -100,7 +100,7 @@
 			writeMessage(t, &b, "<", fmt.Sprint(resp.StatusCode), resp.Header, resp.Body)
 			continue
 		}
-		if i > 0 && r.parts[i-1].sent {
+		if i > 0 && r.exchanges[i-1].sent {
 			b.WriteString("< closed\n")
 		}
 		for {
@@ -114,12 +114,12 @@
 			}
 		}
 	}
-	if n := len(r.parts); n > 0 && r.parts[n-1].sent {
+	if n := len(r.exchanges); n > 0 && r.exchanges[n-1].sent {
 		b.WriteString("< closed\n")
 	}
 	out := b.String()
 	for _, v := range volatile {
-		out = v.pattern.ReplaceAllString(out, v.put)
+		out = v.pattern.ReplaceAllString(out, v.replacement)
 	}
 	return out
 }
--- a/internal/standin/set.go
+++ b/internal/standin/set.go
@@ -58,22 +58,22 @@
 )
 
 // leaver is a part that wants to know whether the list shows it as leaving.
-type leaver interface {
+type terminable interface {
 	Component
 	SetTerminating(leaving bool)
 }
 
 // Set is the stand-ins of a deployment.
 type Set struct {
-	parts   []Component
-	leavers []leaver
-	control *ControlServer
-	ledger  *RunCounter
+	components []Component
+	upstreams  []terminable
+	control    *ControlServer
+	runs       *RunCounter
 }
 
 // NewSet makes the stand-ins; they listen already.
 func NewSet(c Config) (*Set, error) {
-	s := &Set{ledger: NewRunCounter()}
+	s := &Set{runs: NewRunCounter()}
 	err := s.build(c)
 	if err != nil {
 		s.closeAll()
@@ -83,16 +83,16 @@
 }
 
 func (s *Set) build(c Config) error {
-	if err := unknownNames(c); err != nil {
+	if err := checkNames(c); err != nil {
 		return err
 	}
-	if c.wants(NamePlatform) {
+	if c.includes(NamePlatform) {
 		if err := s.buildPlatform(c); err != nil {
 			return err
 		}
 	}
 	for _, u := range c.Deployment.Upstreams {
-		if !c.wants(u.Name) {
+		if !c.includes(u.Name) {
 			continue
 		}
 		if err := s.buildUpstream(c, u); err != nil {
@@ -102,16 +102,16 @@
 	if c.ControlAddr == "" {
 		return nil
 	}
-	control, err := NewControlServer(c.ControlAddr, c.TLS, s.parts)
+	control, err := NewControlServer(c.ControlAddr, c.TLS, s.components)
 	s.control = control
 	return err
 }
 
-func (c Config) wants(name string) bool {
+func (c Config) includes(name string) bool {
 	return len(c.Only) == 0 || slices.Contains(c.Only, name)
 }
 
-func unknownNames(c Config) error {
+func checkNames(c Config) error {
 	for _, name := range c.Only {
 		known := name == NamePlatform || slices.ContainsFunc(c.Deployment.Upstreams,
 			func(u settings.Upstream) bool { return u.Name == name })
@@ -134,29 +134,29 @@
 	if err != nil {
 		return err
 	}
-	s.parts = append(s.parts, log)
+	s.components = append(s.components, log)
 	list, err := NewList(ListConfig{
-		Addr: p.Instances, TLS: c.TLS, Lag: c.ListLag, Instances: rows(c.Deployment), OnTerminating: s.onLeaving,
+		Addr: p.Instances, TLS: c.TLS, Lag: c.ListLag, Instances: listedInstances(c.Deployment), OnTerminating: s.onTerminating,
 	})
 	if err != nil {
 		return err
 	}
-	s.parts = append(s.parts, list)
+	s.components = append(s.components, list)
 	weights, err := NewWeightStore(WeightStoreConfig{
 		Addr: p.Weights, TLS: c.TLS, BytesPerSecond: p.WeightBytesPerSecond, Versions: versions(c),
 	})
 	if err != nil {
 		return err
 	}
-	s.parts = append(s.parts, weights)
+	s.components = append(s.components, weights)
 	return nil
 }
 
 func (s *Set) buildUpstream(c Config, u settings.Upstream) error {
-	var part leaver
+	var component terminable
 	var err error
 	if u.Kind == settings.KindEngine {
-		part, err = NewEngine(EngineConfig{
+		component, err = NewEngine(EngineConfig{
 			Name:            u.Name,
 			Addr:            u.Address,
 			TLS:             c.TLS,
@@ -168,31 +168,31 @@
 			Speed:           c.Speed,
 		})
 	} else {
-		part, err = NewService(ServiceConfig{
-			Name: u.Name, Addr: u.Address, TLS: c.TLS, Latency: c.ServiceLatency, RunCounter: s.ledger,
+		component, err = NewService(ServiceConfig{
+			Name: u.Name, Addr: u.Address, TLS: c.TLS, Latency: c.ServiceLatency, RunCounter: s.runs,
 		})
 	}
 	if err != nil {
 		return err
 	}
-	s.parts = append(s.parts, part)
-	s.leavers = append(s.leavers, part)
+	s.components = append(s.components, component)
+	s.upstreams = append(s.upstreams, component)
 	return nil
 }
 
-func rows(d *settings.Deployment) []infra.Instance {
-	var out []infra.Instance
+func listedInstances(d *settings.Deployment) []infra.Instance {
+	var instances []infra.Instance
 	for _, i := range d.Instances {
-		out = append(out, infra.Instance{Name: i.Name, Kind: infra.KindEntry, DataCentre: i.DataCentre})
+		instances = append(instances, infra.Instance{Name: i.Name, Kind: infra.KindEntry, DataCentre: i.DataCentre})
 	}
 	for _, u := range d.Upstreams {
 		kind := infra.KindService
 		if u.Kind == settings.KindEngine {
 			kind = infra.KindEngine
 		}
-		out = append(out, infra.Instance{Name: u.Name, Kind: kind, DataCentre: u.DataCentre})
+		instances = append(instances, infra.Instance{Name: u.Name, Kind: kind, DataCentre: u.DataCentre})
 	}
-	return out
+	return instances
 }
 
 // versions gives each model of the deployment two versions.
@@ -213,14 +213,14 @@
 	return out
 }
 
-func (s *Set) onLeaving(names []string) {
-	for _, p := range s.leavers {
+func (s *Set) onTerminating(names []string) {
+	for _, p := range s.upstreams {
 		p.SetTerminating(slices.Contains(names, p.Name()))
 	}
 }
 
 // Parts returns the parts.
-func (s *Set) Components() []Component { return s.parts }
+func (s *Set) Components() []Component { return s.components }
 
 // ControlAddr returns the address of the control page, or "".
 func (s *Set) ControlAddr() string {
@@ -235,7 +235,7 @@
 	sup := suture.New("standin", suture.Spec{EventHook: func(e suture.Event) {
 		slog.Error("stand-in", "event", e.String())
 	}})
-	for _, p := range s.parts {
+	for _, p := range s.components {
 		sup.Add(p)
 	}
 	if s.control != nil {
@@ -246,7 +246,7 @@
 
 // closeAll closes what listens, after a failure to make the rest.
 func (s *Set) closeAll() {
-	for _, p := range s.parts {
+	for _, p := range s.components {
 		if g, ok := p.(interface{ closeGate() }); ok {
 			g.closeGate()
 		}
--- a/internal/standin/set_test.go
+++ b/internal/standin/set_test.go
@@ -25,7 +25,7 @@
 
 const anyAddress = "127.0.0.1:0"
 
-func deployment() *settings.Deployment {
+func testDeployment() *settings.Deployment {
 	return &settings.Deployment{
 		Platform: settings.Platform{
 			Log: anyAddress, Instances: anyAddress, Weights: anyAddress,
@@ -60,14 +60,14 @@
 
 // A crashed part can't be asked what it did: the page for all parts must say
 // it, and bring the part back.
-func TestControlPage(t *testing.T) {
-	s, stop := startSet(t, standin.Config{Deployment: deployment()})
-	page := httpx.New(s.ControlAddr(), httpx.Options{})
-	parts, err := httpx.GetJSON[[]standin.ComponentCounters](t.Context(), page, standin.PathCounters)
+func TestControlServer(t *testing.T) {
+	s, stop := startSet(t, standin.Config{Deployment: testDeployment()})
+	control := httpx.New(s.ControlAddr(), httpx.Options{})
+	components, err := httpx.GetJSON[[]standin.ComponentCounters](t.Context(), control, standin.PathCounters)
 	require.NoError(t, err)
-	require.Len(t, parts, 6)
+	require.Len(t, components, 6)
 	address := map[string]string{}
-	for _, p := range parts {
+	for _, p := range components {
 		address[p.Name] = p.Address
 	}
 	call := func(service string) error {
@@ -80,7 +80,7 @@
 	require.NoError(t, call("service-2"))
 	crash := func(ms int) {
 		faults := standin.ServiceFaults{Poison: "p", Crash: &standin.Crash{DownMillis: ms}}
-		_, err := httpx.CallJSON[standin.ServiceFaults, standin.ServiceFaults](t.Context(), page,
+		_, err := httpx.CallJSON[standin.ServiceFaults, standin.ServiceFaults](t.Context(), control,
 			fasthttp.MethodPost, standin.PathComponents+"service-1"+standin.PathFaults, faults)
 		require.NoError(t, err)
 	}
@@ -89,25 +89,25 @@
 	crash(0)
 	require.Eventually(t, func() bool { return call("service-1") == nil }, 10*time.Second, time.Millisecond)
 
-	totals, err := httpx.GetJSON[standin.Totals](t.Context(), page, standin.PathTotals)
+	totals, err := httpx.GetJSON[standin.Totals](t.Context(), control, standin.PathTotals)
 	require.NoError(t, err)
 	assert.EqualValues(t, 1, totals.RanTwice)
 	assert.EqualValues(t, 2, totals.Crashes)
 	require.ErrorIs(t, stop(), context.Canceled)
 }
 
-func TestOnlySomeParts(t *testing.T) {
-	s, _ := startSet(t, standin.Config{Deployment: deployment(), Only: []string{"engine-1"}})
+func TestOnlySelectedComponents(t *testing.T) {
+	s, _ := startSet(t, standin.Config{Deployment: testDeployment(), Only: []string{"engine-1"}})
 	require.Len(t, s.Components(), 1)
 	assert.Equal(t, "engine-1", s.Components()[0].Name())
-	_, err := standin.NewSet(standin.Config{Deployment: deployment(), Only: []string{"engine-9"}})
+	_, err := standin.NewSet(standin.Config{Deployment: testDeployment(), Only: []string{"engine-9"}})
 	require.ErrorContains(t, err, "engine-9")
 }
 
 // An upstream that the list shows as leaving must count the work that comes
 // too late, without anybody telling it beside the list.
-func TestListTellsUpstreamsThatTheyLeave(t *testing.T) {
-	s, _ := startSet(t, standin.Config{Deployment: deployment()})
+func TestListNotifiesTerminatingUpstreams(t *testing.T) {
+	s, _ := startSet(t, standin.Config{Deployment: testDeployment()})
 	for _, p := range s.Components() {
 		if p.Kind() == "list" {
 			standintest.SetFaults(t, p, `{"leaving":["engine-1"]}`)
@@ -144,12 +144,12 @@
 }
 
 func TestTLS(t *testing.T) {
-	certified := httptest.NewTLSServer(http.NotFoundHandler())
-	t.Cleanup(certified.Close)
-	s := standintest.Service(t, standin.ServiceConfig{TLS: certified.TLS.Clone()})
+	tlsServer := httptest.NewTLSServer(http.NotFoundHandler())
+	t.Cleanup(tlsServer.Close)
+	s := standintest.Service(t, standin.ServiceConfig{TLS: tlsServer.TLS.Clone()})
 	dials := 0
 	c := serviceclient.New(s.Addr(), httpx.Options{
-		TLS: certified.Client().Transport.(*http.Transport).TLSClientConfig,
+		TLS: tlsServer.Client().Transport.(*http.Transport).TLSClientConfig,
 		Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 			dials++
 			var d net.Dialer
--- a/internal/standin/standintest/serve.go
+++ b/internal/standin/standintest/serve.go
@@ -45,7 +45,7 @@
 	}
 	if c.Speed.Scale == 0 {
 		c.Speed = standin.DefaultSpeed()
-		c.Speed.Scale = fast
+		c.Speed.Scale = testScale
 	}
 	e, err := standin.NewEngine(c)
 	require.NoError(t, err)
@@ -78,5 +78,5 @@
 const (
 	loopback = "127.0.0.1:0"
 	// fast makes engines quick enough for tests.
-	fast = 20
+	testScale = 20
 )
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -60,9 +60,9 @@
 
 // Weights stands in for the platform's weight store.
 type WeightStore struct {
-	*node
+	*endpoint
 	config WeightStoreConfig
-	faults *switchboard[WeightFaults]
+	faults *faultState[WeightFaults]
 
 	mu       sync.Mutex
 	versions []infra.WeightVersion
@@ -75,14 +75,14 @@
 
 // NewWeights returns a weight store that listens already.
 func NewWeightStore(c WeightStoreConfig) (*WeightStore, error) {
-	n, err := newNode("weights", "weights", c.Addr, c.TLS)
+	n, err := newEndpoint("weights", "weights", c.Addr, c.TLS)
 	if err != nil {
 		return nil, err
 	}
 	return &WeightStore{
-		node:     n,
+		endpoint: n,
 		config:   c,
-		faults:   newSwitchboard(WeightFaults{SlowFactor: 1}),
+		faults:   newFaultState(WeightFaults{SlowFactor: 1}),
 		versions: c.Versions,
 	}, nil
 }
@@ -91,7 +91,7 @@
 func (w *WeightStore) Serve(ctx context.Context) error { return w.serve(ctx, w.handle) }
 
 func (w *WeightStore) handle(ctx *fasthttp.RequestCtx) {
-	if admin(w, ctx) || cutOff(w.node, w.faults, ctx) {
+	if serveAdmin(w, ctx) || applyOutage(w.endpoint, w.faults, ctx) {
 		return
 	}
 	switch string(ctx.Path()) {
@@ -129,8 +129,8 @@
 		return
 	}
 	wait := w.reserve(time.Now(), bytes)
-	w.pause(wait)
-	if w.faults.take(func(f *WeightFaults) *Trigger { return &f.FailLoads }) {
+	w.sleep(wait)
+	if w.faults.trigger(func(f *WeightFaults) *Trigger { return &f.FailLoads }) {
 		w.count(func(c *WeightCounters) { c.FailedLoads++ })
 		ctx.Error("load failed", fasthttp.StatusInternalServerError)
 		return
