--- a/internal/standin/bench_test.go
+++ b/internal/standin/bench_test.go
@@ -18,8 +18,8 @@
 	"tamarackchute/upstream"
 )
 
-// BenchmarkService is a call to a plain service without latency, both ends
-// and their sockets included.
+// BenchmarkService calls a plain service without latency; client and server run in this
+// process.
 func BenchmarkService(b *testing.B) {
 	s := standintest.Service(b, standin.ServiceConfig{})
 	c := serviceclient.New(s.Addr(), httpx.Options{})
@@ -35,8 +35,8 @@
 	})
 }
 
-// BenchmarkStream is a streamed answer of 50 to 100 tokens from an engine
-// whose steps take next to no time, both ends included.
+// BenchmarkStream streams a response of 50 to 100 tokens from an engine with negligible
+// step times; client and server run in this process.
 func BenchmarkStream(b *testing.B) {
 	speed := standin.DefaultSpeed()
 	speed.Scale, speed.MaxBatch, speed.KVTokens = 1e4, 256, 1e6
--- a/internal/standin/control.go
+++ b/internal/standin/control.go
@@ -9,13 +9,13 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Paths of the control page.
+// Paths of the control API.
 const (
 	PathComponents = "/parts/" // + name + /counters or /faults
 	PathTotals     = "/totals"
 )
 
-// PartCounters is the counters of one part.
+// ComponentCounters holds the counters of one component.
 type ComponentCounters struct {
 	Name     string          `json:"name"`
 	Kind     string          `json:"kind"`
@@ -23,7 +23,7 @@
 	Counters json.RawMessage `json:"counters"`
 }
 
-// Totals sums what engines and services counted.
+// Totals sums the counters of engines and services, and holds the log's appends.
 type Totals struct {
 	Requests               int64 `json:"requests"`
 	Completed              int64 `json:"completed"`
@@ -44,23 +44,23 @@
 	LogAppends             int64 `json:"log_appends"`
 }
 
-// Control is a page for all parts at one address, which stays up when a part
-// has crashed.
+// ControlServer serves the control API: the counters and faults of all components at one
+// address, which stays up when a component has crashed.
 type ControlServer struct {
 	*endpoint
 	components []Component
 }
 
-// NewControl returns a page that listens already.
+// NewControlServer returns a server that is already listening.
 func NewControlServer(addr string, tlsConfig *tls.Config, components []Component) (*ControlServer, error) {
-	n, err := newEndpoint("control", "control", addr, tlsConfig)
+	base, err := newEndpoint("control", "control", addr, tlsConfig)
 	if err != nil {
 		return nil, err
 	}
-	return &ControlServer{endpoint: n, components: components}, nil
+	return &ControlServer{endpoint: base, components: components}, nil
 }
 
-// Serve runs the page until ctx ends.
+// Serve handles requests until ctx ends.
 func (c *ControlServer) Serve(ctx context.Context) error { return c.serve(ctx, c.handle) }
 
 func (c *ControlServer) handle(ctx *fasthttp.RequestCtx) {
@@ -132,7 +132,8 @@
 	t.WorkAfterTermination += c.WorkAfterTermination
 }
 
-// addService takes the ledger's figures once: the services share it.
+// addService adds a service's counters. Keys and RanTwice are those of the run counter that
+// all services share, so they are not summed.
 func (t *Totals) addService(c ServiceCounters) {
 	t.ServiceCalls += c.Calls
 	t.Crashes += c.Crashes
--- a/internal/standin/crash_listener.go
+++ b/internal/standin/crash_listener.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// gate is a listener that can be crashed and revived. Between the two its
-// address refuses connections.
+// crashListener is a listener that can crash and restart. Between the two its address
+// refuses connections.
 type crashListener struct {
 	mu           sync.Mutex
 	addr         string
 	inner        net.Listener
 	conns        map[*trackedConn]struct{}
-	up           chan struct{} // closed while the gate is up
+	up           chan struct{} // closed while the listener is up
 	restartTimer *time.Timer
 	closed       bool
 }
 
-// relistenPause is waited before the address is tried again after a failure.
+// relistenDelay is the delay before listening is tried again after a failure.
 const relistenDelay = 20 * time.Millisecond
 
 func newCrashListener(addr string) (*crashListener, error) {
@@ -36,11 +36,11 @@
 	}, nil
 }
 
-// Accept implements net.Listener. It lasts through crashes and fails only
-// after Close.
-func (g *crashListener) Accept() (net.Conn, error) {
+// Accept implements net.Listener. It keeps waiting through crashes and fails only after
+// Close.
+func (l *crashListener) Accept() (net.Conn, error) {
 	for {
-		ln, up := g.current()
+		ln, up := l.current()
 		if ln == nil {
 			return nil, net.ErrClosed
 		}
@@ -50,107 +50,107 @@
 			time.Sleep(time.Millisecond)
 			continue
 		}
-		if tracked := g.track(conn, ln); tracked != nil {
+		if tracked := l.track(conn, ln); tracked != nil {
 			return tracked, nil
 		}
 		_ = conn.Close()
 	}
 }
 
-func (g *crashListener) current() (net.Listener, <-chan struct{}) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.closed {
+func (l *crashListener) current() (net.Listener, <-chan struct{}) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.closed {
 		return nil, nil
 	}
-	return g.inner, g.up
+	return l.inner, l.up
 }
 
-func (g *crashListener) track(conn net.Conn, from net.Listener) *trackedConn {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.closed || g.inner != from {
+func (l *crashListener) track(conn net.Conn, from net.Listener) *trackedConn {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.closed || l.inner != from {
 		return nil
 	}
-	c := &trackedConn{Conn: conn, listener: g}
-	g.conns[c] = struct{}{}
+	c := &trackedConn{Conn: conn, listener: l}
+	l.conns[c] = struct{}{}
 	return c
 }
 
-// crash closes the address and breaks all connections. After down the address
-// listens again, unless down is negative.
-func (g *crashListener) crash(down time.Duration) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.closed {
+// crash closes the listener and resets all connections. After down it listens again, unless
+// down is negative.
+func (l *crashListener) crash(down time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.closed {
 		return
 	}
 	select {
-	case <-g.up:
-		g.up = make(chan struct{})
+	case <-l.up:
+		l.up = make(chan struct{})
 	default:
 	}
-	_ = g.inner.Close()
-	g.resetConns()
-	if g.restartTimer != nil {
-		g.restartTimer.Stop()
-		g.restartTimer = nil
+	_ = l.inner.Close()
+	l.resetConns()
+	if l.restartTimer != nil {
+		l.restartTimer.Stop()
+		l.restartTimer = nil
 	}
 	if down >= 0 {
-		g.restartTimer = time.AfterFunc(down, g.relisten)
+		l.restartTimer = time.AfterFunc(down, l.relisten)
 	}
 }
 
-func (g *crashListener) resetConns() {
-	for c := range g.conns {
+func (l *crashListener) resetConns() {
+	for c := range l.conns {
 		c.reset()
 	}
-	clear(g.conns)
+	clear(l.conns)
 }
 
-func (g *crashListener) relisten() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.closed {
+func (l *crashListener) relisten() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.closed {
 		return
 	}
-	ln, err := net.Listen("tcp", g.addr)
+	ln, err := net.Listen("tcp", l.addr)
 	if err != nil {
-		g.restartTimer = time.AfterFunc(relistenDelay, g.relisten)
+		l.restartTimer = time.AfterFunc(relistenDelay, l.relisten)
 		return
 	}
-	g.inner = ln
-	close(g.up)
+	l.inner = ln
+	close(l.up)
 }
 
-// Close implements net.Listener; it breaks all connections.
-func (g *crashListener) Close() error {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.closed {
+// Close implements net.Listener and resets all connections.
+func (l *crashListener) Close() error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.closed {
 		return nil
 	}
-	g.closed = true
-	if g.restartTimer != nil {
-		g.restartTimer.Stop()
+	l.closed = true
+	if l.restartTimer != nil {
+		l.restartTimer.Stop()
 	}
 	select {
-	case <-g.up:
+	case <-l.up:
 	default:
-		close(g.up)
+		close(l.up)
 	}
-	g.resetConns()
-	return g.inner.Close()
+	l.resetConns()
+	return l.inner.Close()
 }
 
 // Addr implements net.Listener.
-func (g *crashListener) Addr() net.Addr {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.inner.Addr()
+func (l *crashListener) Addr() net.Addr {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.inner.Addr()
 }
 
-// gateConn is a connection that its gate knows.
+// trackedConn is a connection that a crash of its listener resets.
 type trackedConn struct {
 	net.Conn
 	listener *crashListener
@@ -164,8 +164,8 @@
 	return c.Conn.Close()
 }
 
-// reset closes the connection as a dying process does, without sending what
-// is buffered.
+// reset closes the connection as the kernel does for a killed process, without sending
+// buffered data.
 func (c *trackedConn) reset() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
--- a/internal/standin/node.go
+++ b/internal/standin/endpoint.go
@@ -1,7 +1,7 @@
-// Package standin holds small stand-ins for what surrounds the system: the
-// platform's log, instance list and weight store, model engines and plain
-// services. They are for tests and trials. Each part has its own address with
-// counters at GET /counters and its faults at /faults.
+// Package standin implements stand-ins for the system's environment: the platform's log,
+// instance list and weight store, model engines and plain services. They are for tests and
+// trials. Each component listens on its own address and serves its counters at GET
+// /counters and its faults at /faults.
 package standin
 
 import (
@@ -20,7 +20,7 @@
 	"tamarackchute/internal/adapters/httpx"
 )
 
-// Paths that every part serves beside its own.
+// Paths that every component serves in addition to its own.
 const (
 	PathCounters = "/counters"
 	PathFaults   = "/faults"
@@ -31,58 +31,57 @@
 	contentJSON    = "application/json"
 )
 
-// Part is one stand-in at an address of its own.
+// Component is one stand-in with its own address.
 type Component interface {
 	Name() string
 	// Kind is "log", "list", "weights", "engine" or "service".
 	Kind() string
-	// Addr is the address that the part listens on.
+	// Addr is the address that the component listens on.
 	Addr() string
-	// Serve runs the part until ctx ends. It is called once.
+	// Serve runs the component until ctx ends. It may be called only once.
 	Serve(ctx context.Context) error
-	// CountersJSON returns the part's counters.
+	// CountersJSON returns the component's counters.
 	CountersJSON() []byte
-	// FaultsJSON returns the faults now switched on.
+	// FaultsJSON returns the current faults.
 	FaultsJSON() []byte
-	// SetFaults switches faults by a JSON document; fields that it doesn't
-	// name stay as they are.
+	// SetFaults sets faults from a JSON document; fields missing from it keep their values.
 	SetFaults(doc []byte) error
 }
 
-// node is the HTTP side of a part.
+// endpoint is the HTTP server of a component.
 type endpoint struct {
 	name, kind string
 	listener   *crashListener
 	tls        *tls.Config
 	server     *fasthttp.Server
-	// ended is closed when the part ends.
+	// ended is closed when the component ends.
 	ended chan struct{}
 }
 
 func newEndpoint(name, kind, addr string, tlsConfig *tls.Config) (*endpoint, error) {
-	g, err := newCrashListener(addr)
+	listener, err := newCrashListener(addr)
 	if err != nil {
 		return nil, eris.Wrapf(err, "stand-in %s", name)
 	}
-	return &endpoint{name: name, kind: kind, listener: g, tls: tlsConfig, ended: make(chan struct{})}, nil
+	return &endpoint{name: name, kind: kind, listener: listener, tls: tlsConfig, ended: make(chan struct{})}, nil
 }
 
-// Name implements Part.
-func (n *endpoint) Name() string { return n.name }
+// Name implements Component.
+func (e *endpoint) Name() string { return e.name }
 
-// String names the part in the supervisor's messages. Without it the
-// supervisor would print the whole part by reflection, and race with its work.
-func (n *endpoint) String() string { return n.kind + " " + n.name }
+// String names the component in the supervisor's messages. Without it the supervisor would
+// format the component by reflection, a data race with its other goroutines.
+func (e *endpoint) String() string { return e.kind + " " + e.name }
 
-// Kind implements Part.
-func (n *endpoint) Kind() string { return n.kind }
+// Kind implements Component.
+func (e *endpoint) Kind() string { return e.kind }
 
-// Addr implements Part.
-func (n *endpoint) Addr() string { return n.listener.addr }
+// Addr implements Component.
+func (e *endpoint) Addr() string { return e.listener.addr }
 
-// serve answers requests until ctx ends.
-func (n *endpoint) serve(ctx context.Context, handler fasthttp.RequestHandler) error {
-	n.server = &fasthttp.Server{
+// serve handles requests until ctx ends.
+func (e *endpoint) serve(ctx context.Context, handler fasthttp.RequestHandler) error {
+	e.server = &fasthttp.Server{
 		Handler:               handler,
 		MaxRequestBodySize:    maxRequestBody,
 		NoDefaultServerHeader: true,
@@ -91,30 +90,30 @@
 		Logger:                discardLogger{},
 	}
 	stop := context.AfterFunc(ctx, func() {
-		close(n.ended)
-		_ = n.listener.Close()
+		close(e.ended)
+		_ = e.listener.Close()
 	})
 	defer stop()
-	var ln net.Listener = n.listener
-	if n.tls != nil {
-		ln = tls.NewListener(n.listener, n.tls)
+	var ln net.Listener = e.listener
+	if e.tls != nil {
+		ln = tls.NewListener(e.listener, e.tls)
 	}
-	err := n.server.Serve(ln)
+	err := e.server.Serve(ln)
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	return eris.Wrapf(errors.Join(err, suture.ErrTerminateSupervisorTree), "stand-in %s", n.name)
+	return eris.Wrapf(errors.Join(err, suture.ErrTerminateSupervisorTree), "stand-in %s", e.name)
 }
 
-// silent drops the server's log lines: a crashed part breaks connections on
+// discardLogger discards the server's log lines, because components break connections on
 // purpose.
 type discardLogger struct{}
 
 // Printf implements fasthttp.Logger.
 func (discardLogger) Printf(string, ...any) {}
 
-// admin serves the counters and the faults, and reports whether the request
-// was for them.
+// serveAdmin serves counters and faults, and reports whether the request was for one of
+// them.
 func serveAdmin(p Component, ctx *fasthttp.RequestCtx) bool {
 	switch string(ctx.Path()) {
 	case PathCounters:
@@ -148,7 +147,7 @@
 	replyRaw(ctx, encode(v))
 }
 
-// encode marshals one of the package's own types, which can't fail.
+// encode marshals one of the package's own types, which cannot fail.
 func encode[T any](v T) []byte {
 	doc, err := json.Marshal(v)
 	if err != nil {
@@ -157,22 +156,22 @@
 	return doc
 }
 
-// refuse answers that the request did not run and won't.
+// replyNotRun answers that the request has not run and will not run.
 func replyNotRun(ctx *fasthttp.RequestCtx, status int, reason string) {
 	ctx.Error(reason, status)
 	ctx.Response.Header.Set(httpx.HeaderNotRun, "true")
 }
 
-// hangUp closes the connection without a response.
+// dropConnection closes the connection without a response.
 func dropConnection(ctx *fasthttp.RequestCtx) {
 	ctx.HijackSetNoResponse(true)
 	ctx.Hijack(func(net.Conn) {})
 }
 
-// cutOff acts out an outage or a partition for a request and reports whether
-// there is one. A partitioned sender, as in an outage of the hanging sort,
-// gets no answer; its connection closes once it is over.
-func applyOutage[F networkFaulty](n *endpoint, s *faultState[F], ctx *fasthttp.RequestCtx) bool {
+// applyOutage applies an outage or a partition to a request and reports whether there is
+// one. With OutageHang or from a partitioned sender, the request gets no response and its
+// connection is closed when the fault ends.
+func applyOutage[F networkFaulty](e *endpoint, s *faultState[F], ctx *fasthttp.RequestCtx) bool {
 	sender := string(ctx.Request.Header.Peek(httpx.HeaderSender))
 	f, changed := s.watch()
 	switch f.networkFaults().outageFor(sender) {
@@ -182,7 +181,7 @@
 		ctx.Error("outage", fasthttp.StatusServiceUnavailable)
 		return true
 	case OutageHang:
-		for f.networkFaults().outageFor(sender) == OutageHang && n.await(changed) {
+		for f.networkFaults().outageFor(sender) == OutageHang && e.await(changed) {
 			f, changed = s.watch()
 		}
 	}
@@ -190,19 +189,18 @@
 	return true
 }
 
-// await waits for a channel to close, and reports false if the part ended
-// first.
-func (n *endpoint) await(c <-chan struct{}) bool {
+// await waits until the channel is closed; it reports false if the component ends first.
+func (e *endpoint) await(c <-chan struct{}) bool {
 	select {
 	case <-c:
 		return true
-	case <-n.ended:
+	case <-e.ended:
 		return false
 	}
 }
 
-// pause waits for d, or until the part ends.
-func (n *endpoint) sleep(d time.Duration) {
+// sleep waits for d, or until the component ends.
+func (e *endpoint) sleep(d time.Duration) {
 	if d <= 0 {
 		return
 	}
@@ -210,7 +208,7 @@
 	defer t.Stop()
 	select {
 	case <-t.C:
-	case <-n.ended:
+	case <-e.ended:
 	}
 }
 
@@ -218,4 +216,4 @@
 	return strconv.ParseUint(string(ctx.QueryArgs().Peek(name)), 10, 64)
 }
 
-func (n *endpoint) closeListener() { _ = n.listener.Close() }
+func (e *endpoint) closeListener() { _ = e.listener.Close() }
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -13,47 +13,47 @@
 	"tamarackchute/upstream"
 )
 
-// EngineConfig sets up an engine.
+// EngineConfig configures an engine.
 type EngineConfig struct {
 	Name string
 	Addr string
 	TLS  *tls.Config
-	// ClientTLS is for the engine's own calls to engines and the weight store.
+	// ClientTLS is used for the engine's requests to other engines and the weight store.
 	ClientTLS *tls.Config
 	Models    []string
 	Role      upstream.Role
-	// ChecksFencing says whether orders with an old number are refused.
+	// ChecksFencing says whether orders with an outdated fencing token are refused.
 	ChecksFencing bool
-	// Weights is the address of the weight store; empty means that models
-	// load in the time of a change.
+	// WeightStoreAddr is the address of the weight store. If it is empty, loading a model
+	// takes ChangeDuration.
 	WeightStoreAddr string
 	Speed           Speed
 }
 
-// Times that the scale doesn't touch.
+// Durations that Speed.Scale does not affect.
 const (
-	// streamKeep is how long an ended stream can be taken up again.
+	// streamRetention is how long a finished stream can be resumed.
 	streamRetention = 15 * time.Second
-	// loneliness is how long a running stream lasts with nobody reading it.
+	// abandonTimeout is how long a running stream without a reader is kept.
 	abandonTimeout = 5 * time.Second
-	// kvKeep is how long exported KV cache is kept.
+	// exportRetention is how long an exported KV cache is kept.
 	exportRetention = 30 * time.Second
-	// maxBehind bounds the time that an engine catches up with after it was
-	// late, such as after a pause of the process.
+	// maxCatchUp is the longest delay that the step loop makes up for by skipping waits. A
+	// longer one, such as after a pause of the process, is dropped.
 	maxCatchUp = 250 * time.Millisecond
 )
 
-// maxQueued bounds an engine's queue.
+// maxQueueLength bounds an engine's queue of requests.
 const maxQueueLength = 4096
 
-// Engine stands in for a model engine that batches continuously.
+// Engine stands in for a model engine with continuous batching.
 type Engine struct {
 	*endpoint
 	config EngineConfig
 	faults *faultState[EngineFaults]
 	peers  peerClients
 	tasks  conc.WaitGroup
-	// wake rouses the loop after a change.
+	// wake wakes the step loop after a change.
 	wake        chan struct{}
 	termination terminationMark
 
@@ -62,7 +62,7 @@
 	kv        *kvCache
 	sequences map[string]*sequence
 	retained  []endedSequence // in order of their end
-	// stopped says that no task may be started any more.
+	// stopped says that no further task may be started.
 	stopped  bool
 	exports  map[string]*export
 	control  controlState
@@ -77,21 +77,21 @@
 	at  time.Time
 }
 
-// export is KV cache kept for another engine.
+// export is a KV cache kept until another engine imports it.
 type export struct {
 	seq     *sequence
 	handle  upstream.KVHandle
 	expires time.Time
 }
 
-// NewEngine returns an engine that listens already.
+// NewEngine returns an engine that is already listening.
 func NewEngine(c EngineConfig) (*Engine, error) {
-	n, err := newEndpoint(c.Name, "engine", c.Addr, c.TLS)
+	base, err := newEndpoint(c.Name, "engine", c.Addr, c.TLS)
 	if err != nil {
 		return nil, err
 	}
 	e := &Engine{
-		endpoint:  n,
+		endpoint:  base,
 		config:    c,
 		faults:    newFaultState(newEngineFaults()),
 		peers:     peerClients{tls: c.ClientTLS},
@@ -108,13 +108,14 @@
 	return e, nil
 }
 
-// cacheEvent is called with the lock held.
+// cacheEvent records a cache event, or loses it at the rate of Speed.EventLoss. The caller
+// holds e.mu.
 func (e *Engine) cacheEvent(block uint64, stored bool) {
 	lost := e.rng.Float64() < e.config.Speed.EventLoss
 	e.events.add(time.Now(), block, stored, lost)
 }
 
-// Serve implements Part.
+// Serve implements Component.
 func (e *Engine) Serve(ctx context.Context) error {
 	var loop conc.WaitGroup
 	loop.Go(func() { e.run(ctx) })
@@ -132,9 +133,8 @@
 	e.endAll(statusInterrupted)
 }
 
-// run makes steps until ctx ends. Each step ends when its time on the clock
-// has come; one that is late doesn't put off the next, so the speed is kept
-// whatever the timer's grain.
+// run executes steps until ctx ends. Each step ends at a scheduled time, and a late step
+// doesn't delay the next, so the speed doesn't depend on the timer's resolution.
 func (e *Engine) run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -163,13 +163,13 @@
 	}
 }
 
-// lasts is how long a step takes on the clock.
+// stepDuration returns a step's duration on the clock.
 func (e *Engine) stepDuration(st step) time.Duration {
 	slow := max(1, e.faults.get().SlowFactor)
 	return time.Duration(float64(e.config.Speed.scaled(st.prefill+st.decode)) * slow)
 }
 
-// rest waits until there may be work.
+// waitForWork waits until there may be work.
 func (e *Engine) waitForWork(ctx context.Context) {
 	_, changed := e.faults.watch()
 	select {
@@ -229,7 +229,7 @@
 	e.recordLoad(now)
 }
 
-// note records the load for later reports. It is called with the lock held.
+// recordLoad records the load for later reports. The caller holds e.mu.
 func (e *Engine) recordLoad(now time.Time) {
 	prefill, decode := e.config.Speed.rates(e.control.state.Role)
 	e.load.add(upstream.LoadReport{
@@ -250,7 +250,7 @@
 	})
 }
 
-// peerClients keeps clients for the engine's own calls.
+// peerClients caches clients for the engine's own requests.
 type peerClients struct {
 	tls     *tls.Config
 	mu      sync.Mutex
@@ -271,5 +271,5 @@
 	return c
 }
 
-// loadTimeout bounds a load of weights and a transfer of KV cache.
+// peerTimeout bounds a load of weights or a KV transfer.
 const peerTimeout = 10 * time.Minute
--- a/internal/standin/engine_batch.go
+++ b/internal/standin/engine_batch.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// batch is what an engine works on: a queue in order of priority, and the
-// sequences in its running batch. It has no clock and no goroutine.
+// batch is the scheduler of an engine: a priority queue and the running batch. It has no
+// clock and no goroutine.
 type batch struct {
 	speed    Speed
 	kv       *kvCache
 	queue    sequenceQueue
 	running  []*sequence
 	arrivals uint64
-	// queuedPrompt is the prompt tokens still to be worked through, in the
-	// queue and in the batch.
+	// queuedPrompt is the number of prompt tokens still to be prefilled, in the queue and
+	// in the batch.
 	queuedPrompt int
 }
 
-// chunk is the part of a prompt that one step works through.
+// chunk is the part of a prompt that one step prefills.
 type chunk struct {
 	seq    *sequence
 	tokens int
 }
 
-// step is one round of the engine.
+// step is one iteration of the engine: prompt chunks to prefill and sequences to decode.
 type step struct {
 	chunks  []chunk
 	decodes []*sequence
 	prefill time.Duration
 	decode  time.Duration
-	// poisoned says that a sequence in it crashes the engine.
+	// poisoned says that the step contains a sequence that crashes the engine.
 	poisoned bool
 }
 
@@ -43,8 +43,8 @@
 	heap.Push(&b.queue, s)
 }
 
-// admit moves sequences from the queue to the batch while there is room. The
-// first that finds no room holds up those behind it.
+// admit moves sequences from the queue to the batch while they fit. The first one that
+// doesn't fit blocks those behind it.
 func (b *batch) admit() {
 	for len(b.running) < b.speed.MaxBatch && b.queue.Len() > 0 {
 		s := b.queue[0]
@@ -57,8 +57,8 @@
 	}
 }
 
-// begin puts a sequence into the batch. At least one token of its prompt has
-// to be worked through to make the first one.
+// start puts a sequence into the batch. At least one token of its prompt must be prefilled
+// to produce the first output token, even if the whole prompt is cached.
 func (b *batch) start(s *sequence, cachedBlocks int) {
 	s.admitted = true
 	s.cachedTokens = min(cachedBlocks*blockTokens, s.promptTokens)
@@ -68,7 +68,7 @@
 	b.running = append(b.running, s)
 }
 
-// plan returns the next step in a role.
+// plan returns the next step; speedOf returns the prefill and decode time of a step.
 func (b *batch) plan(speedOf func(prompt, batch int) (prefill, decode time.Duration)) step {
 	b.admit()
 	var st step
@@ -95,7 +95,8 @@
 	return st
 }
 
-// complete carries out a step and returns the sequences that it finished.
+// complete applies a step and returns the sequences it finished and the number of tokens it
+// decoded.
 func (b *batch) complete(st step) (done []*sequence, tokens int) {
 	for _, c := range st.chunks {
 		if !c.seq.admitted {
@@ -127,7 +128,7 @@
 	return done, tokens
 }
 
-// drop takes a sequence out, wherever it is.
+// drop removes a sequence from the queue or the batch.
 func (b *batch) drop(s *sequence) {
 	if s.admitted {
 		b.queuedPrompt -= s.remaining
@@ -154,8 +155,8 @@
 	}
 }
 
-// free gives back a sequence's KV memory. Blocks that weren't worked through
-// hold nothing.
+// free releases a sequence's KV memory. Blocks that were not prefilled stay out of the
+// cache.
 func (b *batch) free(s *sequence) {
 	prefilledBlocks := len(s.blocks)
 	if s.remaining > 0 {
@@ -165,14 +166,14 @@
 	b.kv.release(s.model, s.blocks, prefilledBlocks, s.privateTokens)
 }
 
-// empty forgets everything.
+// reset removes all sequences.
 func (b *batch) reset() {
 	b.queue = nil
 	b.running = nil
 	b.queuedPrompt = 0
 }
 
-// sequenceQueue is a heap: higher priority first, then earlier arrival.
+// sequenceQueue is a heap ordered by priority, highest first, then by arrival.
 type sequenceQueue []*sequence
 
 func (q sequenceQueue) Len() int { return len(q) }
--- a/internal/standin/engine_control.go
+++ b/internal/standin/engine_control.go
@@ -14,23 +14,23 @@
 	"tamarackchute/upstream"
 )
 
-// adapterShare is how long an adapter loads, as a share of a role change. The
+// adapterLoadFraction is the time to load an adapter as a fraction of a role change. The
 // engine stays in service meanwhile.
 const adapterLoadFraction = 0.2
 
-// controlState is what orders change.
+// controlState is the part of an engine's state that orders change.
 type controlState struct {
 	checksFencing bool
 	state         upstream.EngineState
 	models        []string
 	inService     bool
 	completed     uint64
-	// highest is the highest fencing number ever seen. An engine that doesn't
-	// check neither reports nor uses it; it is there to count what such an
-	// engine lets through.
+	// highestToken is the highest fencing token received so far. An engine that doesn't
+	// check tokens neither reports nor enforces it; it only counts the outdated orders that
+	// such an engine accepts.
 	highestToken uint64
-	// epoch changes with each change and crash, so that the end of a change
-	// which a crash has overtaken is ignored.
+	// epoch changes with each order and crash. An order that finishes after a crash is
+	// recognised by its old epoch and ignored.
 	epoch int
 }
 
@@ -51,7 +51,7 @@
 	}
 }
 
-// restart brings the engine back as it was before any change under way.
+// restart resets the state to that before the order in progress.
 func (c *controlState) restart(loseToken bool) {
 	c.epoch++
 	c.state.Busy = false
@@ -63,7 +63,7 @@
 	}
 }
 
-// raise notes a fencing number and reports whether it is outdated.
+// observeToken records a fencing token and reports whether it is outdated.
 func (c *controlState) observeToken(token uint64) (outdated bool) {
 	outdated = token < c.highestToken
 	c.highestToken = max(c.highestToken, token)
@@ -74,7 +74,7 @@
 	return outdated
 }
 
-// satisfied reports whether an order asks for what is there already.
+// alreadyApplied reports whether the state is already the one that an order asks for.
 func (c *controlState) alreadyApplied(o upstream.Order) bool {
 	switch o.Kind {
 	case upstream.OrderRole:
@@ -88,7 +88,7 @@
 	}
 }
 
-// apply makes a change true.
+// apply makes the change of an order effective.
 func (c *controlState) apply(o upstream.Order) {
 	switch o.Kind {
 	case upstream.OrderRole:
@@ -101,8 +101,8 @@
 	}
 }
 
-// loadModel puts a model in the place of the one that orders last named,
-// unless it is loaded already.
+// loadModel replaces the model named by the last model order, or the first configured one,
+// unless the model is loaded already.
 func (c *controlState) loadModel(model string) {
 	if slices.Contains(c.models, model) {
 		return
@@ -132,8 +132,8 @@
 	}
 }
 
-// order takes an order. It returns upstream.ErrFenced, upstream.ErrBusy or
-// errUnknownOrder if it doesn't.
+// order accepts an order, or returns upstream.ErrFenced, upstream.ErrBusy or
+// errUnknownOrder.
 func (e *Engine) order(o upstream.Order) error {
 	if !validOrder(o) {
 		return errUnknownOrder
@@ -168,7 +168,7 @@
 	return nil
 }
 
-// begin starts a change. It is called with the lock held.
+// startChange starts to execute an order. The caller holds e.mu.
 func (e *Engine) startChange(o upstream.Order) {
 	e.control.epoch++
 	e.control.state.Busy = true
@@ -182,7 +182,7 @@
 	e.tasks.Go(func() { e.executeOrder(o, epoch) })
 }
 
-// change carries an order out.
+// executeOrder executes an order and blocks until it is finished.
 func (e *Engine) executeOrder(o upstream.Order, epoch int) {
 	started := time.Now()
 	duration := e.config.Speed.scaled(e.config.Speed.ChangeDuration)
@@ -209,7 +209,8 @@
 	e.counters.ChangeMillis += time.Since(started).Milliseconds()
 }
 
-// finishChange is called with the lock held.
+// finishChange applies an executed order, or records its failure, and puts the engine back
+// into service. The caller holds e.mu.
 func (e *Engine) finishChange(o upstream.Order, ok bool) {
 	e.control.state.Busy = false
 	e.control.inService = true
@@ -227,6 +228,7 @@
 	e.wakeLoop()
 }
 
+// loadWeights loads a model's weights from the weight store and reports success.
 func (e *Engine) loadWeights(o upstream.Order) bool {
 	ctx, cancel := e.lifetimeContext()
 	defer cancel()
@@ -236,7 +238,7 @@
 	return err == nil
 }
 
-// untilEnd returns a context that ends with the engine.
+// lifetimeContext returns a context that is cancelled when the engine ends.
 func (e *Engine) lifetimeContext() (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var watch conc.WaitGroup
@@ -250,7 +252,7 @@
 	return ctx, cancel
 }
 
-// State returns the engine's state as its control side reports it.
+// State returns the engine's state as reported by its control API.
 func (e *Engine) State() upstream.EngineState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/engine_http.go
+++ b/internal/standin/engine_http.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// thawed waits while the engine is frozen or a sender is partitioned from it;
-// it reports false once the engine has ended.
+// awaitUnfrozen blocks while the engine is frozen or the sender is partitioned from it; it
+// reports false once the engine has ended.
 func (e *Engine) awaitUnfrozen(sender string) bool {
 	f, changed := e.faults.watch()
 	for f.Freeze || f.outageFor(sender) == OutageHang {
@@ -81,7 +81,7 @@
 	e.stream(ctx, r, attempt)
 }
 
-// submitted takes a request in, or answers why not and returns nil.
+// submitRequest submits the request in the body, or answers with an error and returns nil.
 func (e *Engine) submitRequest(ctx *fasthttp.RequestCtx, keepKV bool) *sequence {
 	var m engineclient.GenerateMessage
 	if err := json.Unmarshal(ctx.PostBody(), &m); err != nil || m.AttemptID == "" {
@@ -237,11 +237,11 @@
 	add(&e.counters)
 }
 
-// SetLeaving tells the engine whether the list shows it as leaving.
+// SetTerminating records whether the list shows the engine as terminating.
 func (e *Engine) SetTerminating(leaving bool) { e.termination.set(time.Now(), leaving) }
 
-// LeavingSince returns since when the list has shown the engine as leaving;
-// zero if it doesn't.
+// TerminatingSince returns since when the list has shown the engine as terminating; zero if
+// it doesn't.
 func (e *Engine) TerminatingSince() time.Time { return e.termination.start() }
 
 // Counters returns the counters.
@@ -251,13 +251,13 @@
 	return e.counters
 }
 
-// CountersJSON implements Part.
+// CountersJSON implements Component.
 func (e *Engine) CountersJSON() []byte { return encode(e.Counters()) }
 
-// FaultsJSON implements Part.
+// FaultsJSON implements Component.
 func (e *Engine) FaultsJSON() []byte { return encode(e.faults.get()) }
 
-// SetFaults implements Part.
+// SetFaults implements Component.
 func (e *Engine) SetFaults(doc []byte) error {
 	if err := e.faults.merge(doc); err != nil {
 		return err
--- a/internal/standin/engine_kv.go
+++ b/internal/standin/engine_kv.go
@@ -12,7 +12,7 @@
 // blockTokens is the length of a prefix block.
 const blockTokens = router.BlockTokens
 
-// blockKey names a cached prefix block of one model.
+// blockKey identifies a cached prefix block of a model.
 type blockKey struct {
 	model uint64
 	hash  uint64
@@ -20,15 +20,15 @@
 
 func modelKey(model string) uint64 { return xxhash.Sum64String(model) }
 
-// kvCache accounts for an engine's KV memory, in tokens. Prefix blocks are
-// shared between sequences; a block that no sequence uses stays cached until
-// its room is wanted, the least recently used first.
+// kvCache tracks an engine's KV memory, in tokens. Sequences share prefix blocks; a block
+// that no sequence uses stays cached until its memory is needed, and the least recently
+// used is evicted first.
 type kvCache struct {
 	total         int
-	privateTokens int // tokens that belong to one sequence each
+	privateTokens int // tokens that aren't shared between sequences
 	pinned        map[blockKey]int
 	idle          *simplelru.LRU[blockKey, struct{}]
-	// event is told of each block stored or dropped.
+	// event is called for each block that is stored or removed.
 	event func(block uint64, stored bool)
 }
 
@@ -40,11 +40,12 @@
 	return &kvCache{total: total, pinned: map[blockKey]int{}, idle: idle, event: event}
 }
 
-// used returns the tokens that can't be dropped.
+// used returns the tokens that can't be evicted.
 func (c *kvCache) used() int { return len(c.pinned)*blockTokens + c.privateTokens }
 
-// reserve pins a sequence's blocks and takes private tokens for it. It returns
-// how many leading blocks were there already; without room it takes nothing.
+// reserve pins a sequence's blocks and allocates its private tokens. It returns how many
+// leading blocks were cached, or allocates nothing and returns false if the memory doesn't
+// suffice.
 func (c *kvCache) reserve(model uint64, blocks []uint64, privateTokens int) (hits int, ok bool) {
 	hits = c.hits(model, blocks)
 	unpinned := 0
@@ -81,8 +82,8 @@
 	c.pinned[k]++
 }
 
-// release gives back what reserve took. Only the first computed blocks hold
-// valid cache; the rest is dropped.
+// release frees what reserve allocated. Only the first prefilledBlocks hold a valid cache;
+// the others are removed.
 func (c *kvCache) release(model uint64, blocks []uint64, prefilledBlocks, privateTokens int) {
 	c.privateTokens -= privateTokens
 	for i, b := range blocks {
@@ -100,7 +101,7 @@
 	c.evict()
 }
 
-// evict drops idle blocks until all fits.
+// evict removes unpinned blocks until the memory suffices.
 func (c *kvCache) evict() {
 	for c.used()+c.idle.Len()*blockTokens > c.total {
 		k, _, ok := c.idle.RemoveOldest()
@@ -111,7 +112,7 @@
 	}
 }
 
-// clear drops everything; with announce it says so.
+// clear removes everything; with notify it emits an event for each block.
 func (c *kvCache) clear(notify bool) {
 	if notify {
 		for _, k := range c.idle.Keys() {
--- a/internal/standin/engine_lifecycle.go
+++ b/internal/standin/engine_lifecycle.go
@@ -8,7 +8,7 @@
 	"tamarackchute/internal/adapters/engineclient"
 )
 
-// Errors of a submission; none of them has run anything.
+// Errors of submit; the request has not run.
 var (
 	errOutOfService  = errors.New("engine is out of service")
 	errQueueFull     = errors.New("engine's queue is full")
@@ -18,7 +18,8 @@
 	errPriorComplete = errors.New("prior tokens are the whole answer already")
 )
 
-// submit takes a request in.
+// submit accepts a request. With exportKV it only prefills the prompt and keeps the KV
+// cache.
 func (e *Engine) submit(m engineclient.GenerateMessage, keepKV bool) (*sequence, error) {
 	s := newSequence(m, e.faults.get().Poison)
 	s.exportKV = keepKV
@@ -67,14 +68,15 @@
 	return nil
 }
 
-// enqueue is called with the lock held.
+// enqueue adds a sequence to the queue. The caller holds e.mu.
 func (e *Engine) enqueue(s *sequence) {
 	e.batch.enqueue(s)
 	e.recordLoad(time.Now())
 	e.wakeLoop()
 }
 
-// end ends a sequence that has left the batch. It is called with the lock held.
+// end sets the final status of a sequence that is no longer in the batch, and forgets those
+// whose streams can no longer be resumed. The caller holds e.mu.
 func (e *Engine) end(now time.Time, s *sequence, status sequenceStatus) {
 	s.finish(status)
 	e.retained = append(e.retained, endedSequence{seq: s, at: now})
@@ -90,7 +92,7 @@
 	}
 }
 
-// cancel drops an attempt; it is idempotent.
+// cancel ends an attempt; it is idempotent.
 func (e *Engine) cancel(id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -105,7 +107,7 @@
 	e.dropSequence(s, statusCancelled)
 }
 
-// dropSequence is called with the lock held.
+// dropSequence removes a running sequence and ends it. The caller holds e.mu.
 func (e *Engine) dropSequence(s *sequence, status sequenceStatus) {
 	now := time.Now()
 	e.batch.drop(s)
@@ -114,7 +116,7 @@
 	e.wakeLoop()
 }
 
-// readerLeft gives a stream some time to be taken up again.
+// readerClosed drops the sequence unless its stream is resumed within abandonTimeout.
 func (e *Engine) readerClosed(s *sequence) {
 	time.AfterFunc(abandonTimeout, func() {
 		e.mu.Lock()
@@ -128,8 +130,8 @@
 	})
 }
 
-// endAll ends all sequences and returns how many of them somebody waited
-// for.
+// endAll ends all sequences and returns how many of them a caller still waited for. The
+// caller holds e.mu.
 func (e *Engine) endAll(status sequenceStatus) int {
 	now := time.Now()
 	interrupted := 0
@@ -149,7 +151,7 @@
 	return interrupted
 }
 
-// crash loses all that the engine has in memory. The cache events don't tell.
+// crash loses the engine's in-memory state. No cache event is emitted for the lost blocks.
 func (e *Engine) crash(c Crash) {
 	e.listener.crash(c.down())
 	e.mu.Lock()
--- a/internal/standin/engine_report.go
+++ b/internal/standin/engine_report.go
@@ -7,15 +7,15 @@
 	"tamarackchute/upstream"
 )
 
-// loadHistory keeps what load reports said, so that a report can be as late
-// as the lag says. Within a bucket of time only the last state is kept.
+// loadHistory keeps past load reports, so that reports can be delayed by the lag. It keeps
+// only the last report in each time bucket.
 type loadHistory struct {
 	bucket  time.Duration
 	lag     time.Duration
 	reports []upstream.LoadReport
 }
 
-// lagBuckets is into how many buckets a lag is cut.
+// lagBuckets is the number of buckets within one lag.
 const lagBuckets = 20
 
 func newLoadHistory(lag time.Duration) loadHistory {
@@ -32,20 +32,21 @@
 	h.trim(r.At)
 }
 
-// trim drops the reports that are older than any answer needs.
+// trim removes the reports that are too old to be returned.
 func (h *loadHistory) trim(now time.Time) {
 	keep := h.index(now)
 	h.reports = h.reports[max(keep, 0):]
 }
 
-// index finds the latest report that is at least lag old; -1 if none is.
+// index returns the index of the latest report that is at least lag old; -1 if there is
+// none.
 func (h *loadHistory) index(now time.Time) int {
 	limit := now.Add(-h.lag)
 	return sort.Search(len(h.reports), func(i int) bool { return h.reports[i].At.After(limit) }) - 1
 }
 
-// at returns what the engine says at a time. Since the report was made nothing
-// had changed until lag before now, so its figures count as lag old.
+// at returns the report as of now minus lag. The load didn't change between the last report
+// before that time and that time, so an older report is dated to it.
 func (h *loadHistory) at(now time.Time) upstream.LoadReport {
 	i := max(h.index(now), 0)
 	r := h.reports[i]
@@ -56,7 +57,7 @@
 	return r
 }
 
-// eventLog keeps cache events until they may be told.
+// eventLog keeps cache events until they are old enough to be returned.
 type eventLog struct {
 	seq    uint64
 	events []timedEvent
@@ -72,7 +73,7 @@
 	maxEventReply = 2048
 )
 
-// add notes an event. A lost one takes a number and leaves a gap.
+// add records an event. A lost event uses a sequence number and leaves a gap.
 func (l *eventLog) add(now time.Time, block uint64, stored, lost bool) {
 	l.seq++
 	if lost {
@@ -87,7 +88,7 @@
 	}
 }
 
-// after returns the events past a number that happened before a time.
+// after returns the events with a higher sequence number that happened before a time.
 func (l *eventLog) after(seq uint64, before time.Time) []upstream.CacheEvent {
 	from := sort.Search(len(l.events), func(i int) bool { return l.events[i].event.Seq > seq })
 	out := []upstream.CacheEvent{}
--- a/internal/standin/engine_sequence.go
+++ b/internal/standin/engine_sequence.go
@@ -13,7 +13,7 @@
 	"tamarackchute/router"
 )
 
-// ending is how a sequence ended.
+// sequenceStatus says whether a sequence is running or how it ended.
 type sequenceStatus int
 
 const (
@@ -24,12 +24,12 @@
 )
 
 var (
-	errInterrupted = errors.New("stand-in: answer was cut off")
-	errReplaced    = errors.New("stand-in: stream was taken up again elsewhere")
+	errInterrupted = errors.New("stand-in: response was interrupted")
+	errReplaced    = errors.New("stand-in: stream was resumed by another reader")
 )
 
-// sequence is one request in an engine. The fields up to mu belong to the
-// engine and are guarded by its lock.
+// sequence is one request in an engine. The fields before mu belong to the engine and are
+// guarded by its lock.
 type sequence struct {
 	id         string
 	completion oracle.Completion
@@ -37,23 +37,26 @@
 	arrival    uint64
 	model      uint64
 	blocks     []uint64
-	// promptTokens counts the prompt; prefix cache and import save some of it.
+	// promptTokens is the prompt's length; cachedTokens and importedTokens are the tokens
+	// of it that the prefix cache and a KV import provide.
 	promptTokens, cachedTokens, importedTokens int
-	// todo are the tokens still to be worked through before the first token.
+	// remaining is the number of tokens still to be prefilled before the first output
+	// token.
 	remaining int
-	// private are the KV tokens taken beside the blocks.
+	// privateTokens is the KV memory used in addition to the prefix blocks.
 	privateTokens int
-	// keepKV marks a prefill whose cache is kept for export.
+	// exportKV marks a prefill whose KV cache is kept for export.
 	exportKV bool
 	poisoned bool
 	admitted bool
 
 	mu         sync.Mutex
 	firstToken int // index of the first token of this attempt
-	nextToken  int // index of the token to be made next
+	nextToken  int // index of the next token to produce
 	status     sequenceStatus
 	reader     *tokenReader
-	// lonely is since when nobody has read the stream.
+	// unreadSince is when the last reader was closed; zero while the stream has a reader or
+	// has never had one.
 	unreadSince time.Time
 	done        chan struct{} // closed at the end
 }
@@ -78,15 +81,15 @@
 	return s
 }
 
-// open makes the first reader of a stream.
+// open returns the stream's first reader.
 func (s *sequence) open() *tokenReader {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.attach(s.firstToken)
 }
 
-// attach makes a reader from a token index; an older reader ends. It is called
-// with the lock held.
+// attach returns a reader that starts at a token index and replaces any older reader. The
+// caller holds s.mu.
 func (s *sequence) attach(from int) *tokenReader {
 	if s.reader != nil {
 		s.reader.replaced = true
@@ -97,8 +100,8 @@
 	return s.reader
 }
 
-// resume makes a reader from a token index that lies within what this attempt
-// has made or may still make.
+// resume returns a reader that starts at a token index, or nil if this attempt can't serve
+// the stream from there.
 func (s *sequence) resume(from int) *tokenReader {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,7 +111,7 @@
 	return s.attach(from)
 }
 
-// produce makes one token and reports whether it was the last.
+// produce decodes one token and reports whether it was the last.
 func (s *sequence) produce() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,7 +122,7 @@
 	return s.nextToken >= s.completion.Tokens
 }
 
-// finish ends the sequence, once.
+// finish sets the final status; later calls have no effect.
 func (s *sequence) finish(status sequenceStatus) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -133,34 +136,34 @@
 	}
 }
 
-// state returns how the sequence stands and since when nobody reads it.
+// state returns the sequence's status and the time since when it has had no reader.
 func (s *sequence) state() (sequenceStatus, time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.status, s.unreadSince
 }
 
-// tokenReader is the body of a streamed answer: one JSON line a token. It
-// makes the lines when they are asked for, so a slow reader costs no memory.
+// tokenReader is the body of a streamed response with one JSON line per token. It encodes
+// lines on demand, so that a slow reader needs no buffer.
 type tokenReader struct {
 	seq  *sequence
 	wake chan struct{}
-	// gate holds reads back while the engine is frozen; nil for none. It
-	// reports false once the engine has ended.
+	// awaitUnfrozen blocks while the engine is frozen, and reports false once the engine
+	// has ended; nil for no check.
 	awaitUnfrozen func() bool
-	// left is told when the reader is closed before the answer's end.
+	// onUnread is called when the reader is closed before the end of the response.
 	onUnread func(*sequence)
 
-	// The rest is guarded by seq.mu.
+	// The fields below are guarded by seq.mu.
 	nextToken int // index of the next token to send
 	firstLine bool
 	replaced  bool
-	breakAt   int // index before which a fault breaks off; -1 for none
-	// rest is the rest of a line that didn't fit the last Read.
+	breakAt   int // index before which a fault breaks the stream; -1 for none
+	// pending is the rest of a line that didn't fit into the last Read.
 	pending []byte
 }
 
-// maxTokenLine is more than a token line usually takes, in bytes.
+// maxTokenLine is the buffer size for one line, in bytes; a usual line is shorter.
 const maxTokenLine = 192
 
 func (r *tokenReader) wakeReader() {
@@ -170,7 +173,7 @@
 	}
 }
 
-// Read implements io.Reader; it waits for the next token.
+// Read implements io.Reader and waits for the next token.
 func (r *tokenReader) Read(p []byte) (int, error) {
 	for {
 		if r.awaitUnfrozen != nil && !r.awaitUnfrozen() {
@@ -184,7 +187,7 @@
 	}
 }
 
-// fill puts the lines that are ready into p.
+// fill copies the available lines to p.
 func (r *tokenReader) fill(p []byte) (int, error) {
 	s := r.seq
 	s.mu.Lock()
@@ -209,7 +212,7 @@
 	}
 }
 
-// put appends the next line to out, as far as limit allows.
+// appendLine appends the next line to out, up to limit bytes; the rest becomes pending.
 func (r *tokenReader) appendLine(out []byte, limit int) []byte {
 	var space [maxTokenLine]byte
 	line := r.encodeLine(space[:0])
@@ -220,7 +223,8 @@
 	return append(out, line[:fits]...)
 }
 
-// line appends the line of the token at r.at. The vocabulary needs no escapes.
+// encodeLine appends the line of the next token to b. No word of the vocabulary needs
+// escaping.
 func (r *tokenReader) encodeLine(b []byte) []byte {
 	s := r.seq
 	b = append(b, `{"i":`...)
@@ -242,8 +246,8 @@
 	return append(b, "}\n"...)
 }
 
-// Close implements io.Closer. The server calls it when the response is over or
-// its connection has broken.
+// Close implements io.Closer. The server calls it when the response has ended or its
+// connection has broken.
 func (r *tokenReader) Close() error {
 	s := r.seq
 	s.mu.Lock()
--- a/internal/standin/engine_speed.go
+++ b/internal/standin/engine_speed.go
@@ -6,33 +6,33 @@
 	"tamarackchute/upstream"
 )
 
-// Speed sets how fast an engine works. Scale multiplies every speed, so that a
-// shift of 20 minutes runs in 2 with a scale of 10.
+// Speed sets how fast an engine works. Scale multiplies every speed: with a scale of 10, a
+// load profile of 20 minutes runs in 2.
 type Speed struct {
 	Scale float64
-	// PrefillPerSec is the prompt tokens a second at full efficiency.
+	// PrefillPerSec is the number of prompt tokens per second at full efficiency.
 	PrefillPerSec float64
-	// StepFirst and StepFull are the times of a decode step at batch size 1
-	// and at MaxBatch; between them it grows evenly.
+	// MinStepTime and MaxStepTime are the durations of a decode step at batch size 1 and at
+	// MaxBatch; between them the duration grows linearly.
 	MinStepTime, MaxStepTime time.Duration
 	MaxBatch                 int
-	// ChunkTokens bounds the prompt tokens of a step that also decodes, and
-	// AloneTokens those of one that doesn't.
+	// ChunkTokens bounds the prompt tokens of a step that also decodes, PrefillOnlyTokens
+	// those of a step that doesn't.
 	ChunkTokens, PrefillOnlyTokens int
-	// KVTokens is the size of the KV memory.
+	// KVTokens is the size of the KV memory in tokens.
 	KVTokens int
-	// KVBytesPerToken and KVBytesPerSec are the cost of moving KV cache.
+	// KVBytesPerToken and KVBytesPerSec determine the duration of a KV transfer.
 	KVBytesPerToken int64
 	KVBytesPerSec   float64
-	// Change is how long a change of role takes the engine out of service.
+	// ChangeDuration is how long a role change takes the engine out of service.
 	ChangeDuration time.Duration
-	// LoadLag is how old a load report is, EventLag how late a cache event.
+	// LoadLag is the age of a load report, EventLag the delay of a cache event.
 	LoadLag, EventLag time.Duration
-	// EventLoss is the fraction of cache events that are never told.
+	// EventLoss is the fraction of cache events that are lost.
 	EventLoss float64
 }
 
-// DefaultSpeed is an engine of ordinary size.
+// DefaultSpeed returns the speed of a medium-sized engine.
 func DefaultSpeed() Speed {
 	return Speed{
 		Scale:             1,
@@ -52,7 +52,7 @@
 	}
 }
 
-// efficiency is how much of its full speed an engine has in a role.
+// efficiency is the fraction of its full speed that an engine reaches in a role.
 type efficiency struct{ prefill, decode float64 }
 
 var efficiencies = map[upstream.Role]efficiency{
@@ -61,13 +61,13 @@
 	upstream.RoleMixed:   {prefill: 0.6, decode: 0.6},
 }
 
-// prefillTime is how long prompt tokens take, without the scale.
+// prefillTime returns how long prefilling takes, before scaling.
 func (s Speed) prefillTime(role upstream.Role, tokens int) time.Duration {
 	rate := s.PrefillPerSec * efficiencies[role].prefill
 	return time.Duration(float64(tokens) / rate * float64(time.Second))
 }
 
-// decodeTime is how long a decode step takes, without the scale.
+// decodeTime returns how long a decode step takes, before scaling.
 func (s Speed) decodeTime(role upstream.Role, batch int) time.Duration {
 	if batch == 0 {
 		return 0
@@ -79,7 +79,7 @@
 	return time.Duration(t / efficiencies[role].decode)
 }
 
-// scaled turns an engine's time into time on the clock.
+// scaled converts a duration of the simulated engine to a duration on the clock.
 func (s Speed) scaled(d time.Duration) time.Duration {
 	if s.Scale <= 0 {
 		return d
@@ -87,15 +87,15 @@
 	return time.Duration(float64(d) / s.Scale)
 }
 
-// rates returns what the engine can do in a role, in tokens a second on the
-// clock: prompt tokens, and decoded tokens with a full batch.
+// rates returns the engine's capacity in a role, in tokens per second on the clock:
+// prefilled tokens, and decoded tokens with a full batch.
 func (s Speed) rates(role upstream.Role) (prefill, decode float64) {
 	prefill = float64(time.Second) / float64(s.scaled(s.prefillTime(role, 1)))
 	decode = float64(s.MaxBatch) * float64(time.Second) / float64(s.scaled(s.decodeTime(role, s.MaxBatch)))
 	return prefill, decode
 }
 
-// transferTime is how long KV cache takes to move, on the clock.
+// transferTime returns the duration of a KV transfer on the clock.
 func (s Speed) transferTime(bytes int64) time.Duration {
 	return s.scaled(time.Duration(float64(bytes) / s.KVBytesPerSec * float64(time.Second)))
 }
--- a/internal/standin/engine_test.go
+++ b/internal/standin/engine_test.go
@@ -19,7 +19,7 @@
 	"tamarackchute/upstream"
 )
 
-// startLoop runs an engine's loop without its HTTP side.
+// startLoop runs an engine's step loop without its HTTP server.
 func startLoop(t *testing.T, c EngineConfig) *Engine {
 	c.Addr, c.Models = "127.0.0.1:0", []string{"m"}
 	e, err := NewEngine(c)
@@ -53,8 +53,8 @@
 	return s.open()
 }
 
-// TestSpeed checks the engine's speed to the microsecond, on a fake clock: the
-// whole of the role policy is measured against it.
+// TestSpeed checks the duration of a decode step to the microsecond and that of a prefill
+// to the millisecond, on a fake clock. The evaluation of role policies depends on them.
 func TestSpeed(t *testing.T) {
 	cases := []struct {
 		role    upstream.Role
@@ -100,9 +100,9 @@
 	}
 }
 
-// A role change that isn't preceded by a drain cuts answers off; the stand-in
-// must count exactly those that somebody waits for, or "cut by a planned stop"
-// is 0 for nothing.
+// A role change without a preceding drain interrupts responses. The stand-in must count
+// exactly those that a caller waits for; otherwise a count of 0 would prove nothing about
+// planned stops.
 func TestRoleChangeInterruptsAndCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := startLoop(t, EngineConfig{Name: "e", Role: upstream.RoleMixed, Speed: DefaultSpeed()})
@@ -138,8 +138,8 @@
 	})
 }
 
-// A controller reads an engine back after the engine crashed halfway through a
-// change: the order must not look as if it were carried out.
+// A controller reads an engine's state after the engine crashed in the middle of a role
+// change. The order must not appear to have been executed.
 func TestCrashDuringChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := startLoop(t, EngineConfig{Name: "e", Role: upstream.RoleMixed, ChecksFencing: true, Speed: DefaultSpeed()})
@@ -155,7 +155,7 @@
 		assert.Empty(t, after.LastOrder)
 		assert.EqualValues(t, 7, after.FencingToken)
 		assert.NotEqual(t, before.Incarnation, after.Incarnation)
-		require.NoError(t, e.order(order), "the same order again is carried out")
+		require.NoError(t, e.order(order), "the same order sent again is executed")
 		time.Sleep(6 * time.Second)
 		synctest.Wait()
 		assert.Equal(t, upstream.RoleDecode, e.State().Role)
@@ -177,8 +177,8 @@
 	})
 }
 
-// TestBatchBooks drives the batch at random and checks its books: what is
-// queued, what memory is taken, and that the cache events tell what is cached.
+// TestBatchAccounting drives the batch at random and checks its accounting: the queued
+// prompt tokens, the allocated memory, and that the cache events match the cached blocks.
 func TestBatchAccounting(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		speed := DefaultSpeed()
@@ -304,9 +304,9 @@
 	assert.LessOrEqual(t, len(h.reports), 2*lagBuckets)
 }
 
-// TestAnswerIsAFunctionOfTheRequest checks that a stream, read in whatever
-// pieces, is the oracle's answer.
-func TestAnswerIsAFunctionOfTheRequest(t *testing.T) {
+// TestStreamMatchesOracle checks that a stream, started at any token, is the completion
+// that the oracle computes.
+func TestStreamMatchesOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		prompt := rapid.StringMatching(`[a-z]{1,8}( [a-z]{1,8}){0,30}`).Draw(t, "prompt")
 		limit := rapid.IntRange(1, 60).Draw(t, "max tokens")
--- a/internal/standin/engine_transfer.go
+++ b/internal/standin/engine_transfer.go
@@ -11,8 +11,7 @@
 	"tamarackchute/upstream"
 )
 
-// keepExport keeps a prefill's KV cache for another engine. It is called with
-// the lock held.
+// addExport keeps the KV cache of a prefill for another engine. The caller holds e.mu.
 func (e *Engine) addExport(now time.Time, s *sequence) {
 	handle := upstream.KVHandle{
 		Engine: e.Addr(),
@@ -24,7 +23,7 @@
 	time.AfterFunc(exportRetention, func() { e.takeExport(handle.ID) })
 }
 
-// exportOf returns the handle that a prefill has made.
+// exportOf returns the handle of a prefill's KV cache.
 func (e *Engine) exportOf(s *sequence) (upstream.KVHandle, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -35,8 +34,8 @@
 	return x.handle, true
 }
 
-// takeExport hands out a kept KV cache, once, and frees its memory: the prompt
-// stays in the prefix cache.
+// takeExport returns an exported KV cache once and frees its memory; the prompt's blocks
+// stay in the prefix cache.
 func (e *Engine) takeExport(id string) (upstream.KVHandle, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -53,9 +52,8 @@
 	return upstream.KVHandle{}, false
 }
 
-// importKV fetches a sequence's KV cache from the engine that has it, then
-// lets the sequence join the queue. If that fails, the prompt is worked
-// through here.
+// importKV transfers a sequence's KV cache from the engine that holds it and then enqueues
+// the sequence. If the transfer fails, this engine prefills the prompt.
 func (e *Engine) importKV(s *sequence, from upstream.KVHandle) {
 	lifetime, cancelLifetime := e.lifetimeContext()
 	defer cancelLifetime()
@@ -79,5 +77,5 @@
 	}
 }
 
-// importTimeout bounds the request for KV cache, beside its transfer.
+// importTimeout bounds the request for a KV cache, not counting the transfer.
 const importTimeout = 2 * time.Second
--- a/internal/standin/fault.go
+++ b/internal/standin/fault.go
@@ -9,78 +9,78 @@
 	"time"
 )
 
-// Dose says how often a fault strikes.
+// Trigger decides which events a fault affects.
 type Trigger struct {
-	// Next is how many of the coming events are struck; -1 means all.
+	// Next is the number of upcoming events that are affected; -1 means all.
 	Next int `json:"next"`
-	// Fraction of the events beyond those is struck, drawn from a fixed seed.
+	// Fraction of the events after those is affected, drawn with a fixed seed.
 	Fraction float64 `json:"fraction"`
 }
 
-func (d *Trigger) fires(rng *rand.Rand) bool {
-	if d.Next < 0 {
+func (t *Trigger) fires(rng *rand.Rand) bool {
+	if t.Next < 0 {
 		return true
 	}
-	if d.Next > 0 {
-		d.Next--
+	if t.Next > 0 {
+		t.Next--
 		return true
 	}
-	return d.Fraction > 0 && rng.Float64() < d.Fraction
+	return t.Fraction > 0 && rng.Float64() < t.Fraction
 }
 
-// Outage is how a part that is out behaves.
+// Outage says how a component behaves during an outage.
 type Outage string
 
-// The forms of an outage.
+// Kinds of outage.
 const (
 	OutageNone  Outage = ""
-	OutageError Outage = "error" // answers 503, which leaves open what happened
-	OutageClose Outage = "close" // closes the connection without answering
-	OutageHang  Outage = "hang"  // doesn't answer until the outage ends
+	OutageError Outage = "error" // answers 503, which doesn't say whether the request ran
+	OutageClose Outage = "close" // closes the connection without a response
+	OutageHang  Outage = "hang"  // doesn't respond until the outage ends
 )
 
-// Reach says who can reach a part at all.
+// NetworkFaults says which senders can reach a component.
 type NetworkFaults struct {
 	Outage Outage `json:"outage"`
-	// Blocked names senders, as in the X-Sender header, that are partitioned
-	// from the part: they get no answer.
+	// Blocked names senders, as in the X-Sender header, that are partitioned from the
+	// component and get no response.
 	Blocked []string `json:"blocked"`
 }
 
-func (r NetworkFaults) networkFaults() NetworkFaults { return r }
+func (n NetworkFaults) networkFaults() NetworkFaults { return n }
 
-// of returns what a sender meets.
-func (r NetworkFaults) outageFor(sender string) Outage {
-	if sender != "" && slices.Contains(r.Blocked, sender) {
+// outageFor returns the outage that a sender sees.
+func (n NetworkFaults) outageFor(sender string) Outage {
+	if sender != "" && slices.Contains(n.Blocked, sender) {
 		return OutageHang
 	}
-	return r.Outage
+	return n.Outage
 }
 
 type networkFaulty interface{ networkFaults() NetworkFaults }
 
-// Crash ends a part's process, as it were: its address refuses connections and
-// those that it has break off.
+// Crash simulates the end of a component's process: its open connections are reset and new
+// ones refused.
 type Crash struct {
-	// DownMillis is how long it is gone; -1 means until a later crash fault
-	// with 0 is set through the control page.
+	// DownMillis is the downtime; -1 means until another crash with a downtime of 0 is set
+	// through the control API.
 	DownMillis int `json:"down_ms"`
-	// ForgetFence makes an engine lose its fencing number.
+	// LoseFencingToken makes an engine lose its fencing token.
 	LoseFencingToken bool `json:"forget_fence"`
 }
 
 func (c Crash) down() time.Duration { return time.Duration(c.DownMillis) * time.Millisecond }
 
-// switchboard holds the faults of a part. F is the part's own type.
+// faultState holds the current faults of a component. F is the component's fault type.
 type faultState[F any] struct {
 	mu     sync.Mutex
 	faults F
 	rng    *rand.Rand
-	// changed is closed and replaced with each change.
+	// changed is closed and replaced at each change.
 	changed chan struct{}
 }
 
-// faultSeed fixes what fractions draw.
+// faultSeed makes the draws for Trigger.Fraction reproducible.
 const faultSeed = 20
 
 func newFaultState[F any](initial F) *faultState[F] {
@@ -98,7 +98,7 @@
 	return s.faults
 }
 
-// watch returns a copy with the channel that closes at the next change.
+// watch returns a copy of the faults and a channel that is closed at the next change.
 func (s *faultState[F]) watch() (F, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -114,18 +114,19 @@
 	s.changed = make(chan struct{})
 }
 
-// take uses up a dose of the fault that pick points to.
+// trigger reports whether the fault that pick selects affects this event, and counts the
+// event.
 func (s *faultState[F]) trigger(pick func(*F) *Trigger) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return pick(&s.faults).fires(s.rng)
 }
 
-// merge sets the fields that a JSON document names and leaves the others.
+// merge sets the fields that a JSON document contains and keeps the others.
 func (s *faultState[F]) merge(doc []byte) error {
 	var err error
 	s.set(func(f *F) {
-		// Copies handed out before share the old value's slices.
+		// Copies returned earlier share the slices of the old value.
 		next := clone(*f)
 		d := json.NewDecoder(bytes.NewReader(doc))
 		d.DisallowUnknownFields()
--- a/internal/standin/list.go
+++ b/internal/standin/list.go
@@ -13,31 +13,32 @@
 	"tamarackchute/internal/adapters/listclient"
 )
 
-// ListConfig sets up the list of instances.
+// ListConfig configures the instance list.
 type ListConfig struct {
 	Addr string
 	TLS  *tls.Config
-	// Lag is how far the list is behind the truth.
+	// Lag is how long the list takes to show a change.
 	Lag       time.Duration
 	Instances []infra.Instance
-	// OnLeaving is told, once the lag has passed, which instances the list
-	// now names as leaving.
+	// OnTerminating is called with the names of the terminating instances once the list
+	// shows them, that is after the lag.
 	OnTerminating func(names []string)
 }
 
-// ListFaults are the list's faults. The last three change the truth, once.
+// ListFaults are the faults of the list. Terminating, Remove and Add change the actual
+// state once and are then cleared.
 type ListFaults struct {
 	NetworkFaults
 	LagMillis int `json:"lag_ms"`
-	// Leaving marks instances as leaving.
+	// Terminating marks instances as terminating.
 	Terminating []string `json:"leaving"`
-	// Remove takes instances off the list.
+	// Remove removes instances from the list.
 	Remove []string `json:"remove"`
-	// Add puts instances on the list, in place of rows with the same name.
+	// Add adds instances to the list and replaces those with the same names.
 	Add []infra.Instance `json:"add"`
 }
 
-// ListCounters are the list's counters.
+// ListCounters are the counters of the list.
 type ListCounters struct {
 	Reads       int64 `json:"reads"`
 	Changes     int64 `json:"changes"`
@@ -45,7 +46,7 @@
 	Terminating int   `json:"leaving"`
 }
 
-// List stands in for the platform's list of instances.
+// List stands in for the platform's instance list.
 type List struct {
 	*endpoint
 	config ListConfig
@@ -57,22 +58,22 @@
 	changes int64
 }
 
-// NewList returns a list that listens already.
+// NewList returns a list that is already listening.
 func NewList(c ListConfig) (*List, error) {
-	n, err := newEndpoint("list", "list", c.Addr, c.TLS)
+	base, err := newEndpoint("list", "list", c.Addr, c.TLS)
 	if err != nil {
 		return nil, err
 	}
 	faults := ListFaults{LagMillis: int(c.Lag.Milliseconds())}
 	return &List{
-		endpoint: n,
+		endpoint: base,
 		config:   c,
 		faults:   newFaultState(faults),
 		history:  listHistory{{Instances: c.Instances}},
 	}, nil
 }
 
-// Serve implements Part.
+// Serve implements Component.
 func (l *List) Serve(ctx context.Context) error { return l.serve(ctx, l.handle) }
 
 func (l *List) handle(ctx *fasthttp.RequestCtx) {
@@ -91,7 +92,7 @@
 	return time.Duration(l.faults.get().LagMillis) * time.Millisecond
 }
 
-// seen returns what the list says at a time.
+// visible returns the instances that the list shows at a time.
 func (l *List) visible(now time.Time) []infra.Instance {
 	lag := l.lag()
 	l.mu.Lock()
@@ -112,13 +113,13 @@
 	}
 }
 
-// CountersJSON implements Part.
+// CountersJSON implements Component.
 func (l *List) CountersJSON() []byte { return encode(l.Counters()) }
 
-// FaultsJSON implements Part.
+// FaultsJSON implements Component.
 func (l *List) FaultsJSON() []byte { return encode(l.faults.get()) }
 
-// SetFaults implements Part.
+// SetFaults implements Component.
 func (l *List) SetFaults(doc []byte) error {
 	if err := l.faults.merge(doc); err != nil {
 		return err
@@ -131,7 +132,7 @@
 	return nil
 }
 
-// change alters the truth; the list shows it after the lag.
+// change applies changes to the actual state; the list shows them after the lag.
 func (l *List) change(f ListFaults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -144,17 +145,17 @@
 	}
 }
 
-// listState is the truth from a time on.
+// listState is the actual state from a time on.
 type listState struct {
 	From      time.Time
 	Instances []infra.Instance
 }
 
-// listHistory holds the states that the list may still show, oldest first; the
-// first is valid from ever.
+// listHistory holds the states that the list may still show, oldest first. The first one
+// also applies to all earlier times.
 type listHistory []listState
 
-// maxListHistory bounds the states kept.
+// maxListHistory bounds the number of states.
 const maxListHistory = 256
 
 func (h listHistory) latest() []infra.Instance { return h[len(h)-1].Instances }
--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -16,7 +16,7 @@
 	"tamarackchute/internal/adapters/logclient"
 )
 
-// LogConfig sets up the log.
+// LogConfig configures the log.
 type LogConfig struct {
 	Addr string
 	TLS  *tls.Config
@@ -26,24 +26,24 @@
 	Retention time.Duration
 }
 
-// LogFaults are the log's faults.
+// LogFaults are the faults of the log.
 type LogFaults struct {
 	NetworkFaults
 	// SlowMillis delays each append and read.
 	SlowMillis int `json:"slow_ms"`
 	// LoseReply closes the connection after an append took effect.
 	LoseReply Trigger `json:"lose_reply"`
-	// LandLate answers an append with an error and makes it take effect
-	// LandLateMillis later.
+	// DelayAppend answers an append with an error and makes it take effect
+	// AppendDelayMillis later.
 	DelayAppend       Trigger `json:"land_late"`
 	AppendDelayMillis int     `json:"land_late_ms"`
 	// FailReads answers reads with an error.
 	FailReads Trigger `json:"fail_reads"`
-	// ExpireAll drops the records kept at the moment, once.
+	// ExpireAll expires all current records; the field is then cleared.
 	ExpireAll bool `json:"expire_all"`
 }
 
-// LogCounters are the log's counters.
+// LogCounters are the counters of the log.
 type LogCounters struct {
 	Appends        int64  `json:"appends"`
 	AppendBytes    int64  `json:"append_bytes"`
@@ -54,11 +54,11 @@
 	ReadBytes      int64  `json:"read_bytes"`
 	Oldest         uint64 `json:"oldest"`
 	Next           uint64 `json:"next"`
-	// Senders gives the same by sender, in order of name.
+	// Senders breaks the counters down by sender, ordered by name.
 	Senders []LogSender `json:"senders"`
 }
 
-// LogSender counts one sender's use of the log.
+// LogSender counts the requests of one sender.
 type LogSender struct {
 	Sender      string `json:"sender"`
 	Appends     int64  `json:"appends"`
@@ -75,23 +75,23 @@
 
 	mu       sync.Mutex
 	store    logStore
-	appended chan struct{} // closed and replaced with each append
+	appended chan struct{} // closed and replaced at each append
 	counters LogCounters
 	senders  map[string]*LogSender
 }
 
-// burstSeconds of the rate limit may be appended at once.
+// burstSeconds is the rate limiter's burst, in seconds of the rate limit.
 const burstSeconds = 0.1
 
-// NewLog returns a log that listens already.
+// NewLog returns a log that is already listening.
 func NewLog(c LogConfig) (*Log, error) {
-	n, err := newEndpoint("log", "log", c.Addr, c.TLS)
+	base, err := newEndpoint("log", "log", c.Addr, c.TLS)
 	if err != nil {
 		return nil, err
 	}
 	burst := max(1, int(c.AppendsPerSecond*burstSeconds))
 	return &Log{
-		endpoint: n,
+		endpoint: base,
 		faults:   newFaultState(LogFaults{}),
 		limiter:  rate.NewLimiter(rate.Limit(c.AppendsPerSecond), burst),
 		store:    logStore{next: 1, oldest: 1, retention: c.Retention},
@@ -100,7 +100,7 @@
 	}, nil
 }
 
-// Serve implements Part.
+// Serve implements Component.
 func (l *Log) Serve(ctx context.Context) error { return l.serve(ctx, l.handle) }
 
 func (l *Log) handle(ctx *fasthttp.RequestCtx) {
@@ -140,8 +140,8 @@
 	ctx.Response.Header.Set(logclient.HeaderOffset, strconv.FormatUint(offset, 10))
 }
 
-// landLate appends after a delay, as a record does that was held up in the
-// log's own network while its writer was told of a failure.
+// delayAppend appends after a delay: it simulates a record that the log accepts after its
+// writer has been sent an error.
 func (l *Log) delayAppend(sender string, data []byte) {
 	delay := time.Duration(l.faults.get().AppendDelayMillis) * time.Millisecond
 	time.AfterFunc(delay, func() {
@@ -189,8 +189,8 @@
 	ctx.SetBody(doc)
 }
 
-// readWaiting reads, and waits for the first record if there is none yet. A
-// change of the faults ends the wait, as an outage breaks off waiting reads.
+// longPoll reads records and waits until there is at least one. A change of the faults ends
+// the wait, so that an outage also affects pending reads.
 func (l *Log) longPoll(from uint64, limit int, wait time.Duration) (logclient.ReadReply, bool) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -257,13 +257,13 @@
 	return c
 }
 
-// CountersJSON implements Part.
+// CountersJSON implements Component.
 func (l *Log) CountersJSON() []byte { return encode(l.Counters()) }
 
-// FaultsJSON implements Part.
+// FaultsJSON implements Component.
 func (l *Log) FaultsJSON() []byte { return encode(l.faults.get()) }
 
-// SetFaults implements Part.
+// SetFaults implements Component.
 func (l *Log) SetFaults(doc []byte) error {
 	if err := l.faults.merge(doc); err != nil {
 		return err
--- a/internal/standin/logstore.go
+++ b/internal/standin/logstore.go
@@ -6,10 +6,10 @@
 	"tamarackchute/internal/adapters/logclient"
 )
 
-// maxReadBytes bounds the records of one read.
+// maxReadBytes bounds the data of the records returned by one read.
 const maxReadBytes = 4 << 20
 
-// logStore keeps the log's records. Offsets start at 1.
+// logStore holds the log's records. Offsets start at 1.
 type logStore struct {
 	retention time.Duration
 	records   []logclient.Record
@@ -25,8 +25,8 @@
 	return offset
 }
 
-// read returns records from an offset on; the second result says that they
-// have expired. A from of 0 means the first record there ever was.
+// read returns records starting at an offset; the second result says that the record at
+// that offset has expired. An offset of 0 means the first record ever appended.
 func (s *logStore) read(now time.Time, from uint64, limit int) (logclient.ReadReply, bool) {
 	s.expire(now)
 	from = max(from, 1)
@@ -55,7 +55,7 @@
 	s.trim(s.oldest + uint64(keep))
 }
 
-// trim drops the records before an offset.
+// trim removes the records before an offset.
 func (s *logStore) trim(oldest uint64) {
 	n := oldest - s.oldest
 	if n == 0 {
--- a/internal/standin/oracle/oracle.go
+++ b/internal/standin/oracle/oracle.go
@@ -1,7 +1,6 @@
-// Package oracle says what the stand-in engines and services answer. The
-// answers are pure functions of the request, so that a load generator can
-// check them whole, and so that an answer begun on one engine goes on exactly
-// on another.
+// Package oracle computes the expected responses of the stand-in engines and services. They
+// are pure functions of the request, so that a load generator can verify them completely,
+// and a response that one engine started can be continued exactly by another.
 package oracle
 
 import (
@@ -13,29 +12,29 @@
 )
 
 const (
-	// DefaultMaxTokens bounds an answer whose request names no bound.
+	// DefaultMaxTokens bounds a completion whose request sets no bound.
 	DefaultMaxTokens = 128
-	// PoisonMarker in a prompt or a body crashes the stand-in that runs it.
+	// PoisonMarker in a prompt or a body crashes the stand-in that processes it.
 	PoisonMarker = "crash-this-upstream"
 )
 
-// The two reasons for which an answer ends.
+// Reasons why a completion ends.
 const (
 	FinishStop   = "stop"
 	FinishLength = "length"
 )
 
-// Answer is one engine's whole answer to a prompt.
+// Completion is an engine's complete response to a prompt.
 type Completion struct {
 	seed uint64
-	// Tokens is the answer's length in tokens.
+	// Tokens is the length of the completion in tokens.
 	Tokens int
-	// Finish is why it ends there.
+	// Finish is FinishStop or FinishLength.
 	Finish string
 }
 
-// For returns the answer of a model to a whole prompt. A maxTokens of 0 or
-// less means DefaultMaxTokens.
+// Expected returns a model's completion of a prompt. A maxTokens of 0 or less means
+// DefaultMaxTokens.
 func Expected(model, prompt string, maxTokens int) Completion {
 	if maxTokens <= 0 {
 		maxTokens = DefaultMaxTokens
@@ -57,7 +56,7 @@
 	return word
 }
 
-// Text returns the tokens from from up to but without to, joined.
+// Text returns the joined text of the tokens in [from, to).
 func (a Completion) Text(from, to int) string {
 	var b strings.Builder
 	for i := from; i < to; i++ {
@@ -66,15 +65,15 @@
 	return b.String()
 }
 
-// Token returns the text of token i of a model's answer to a whole prompt.
+// Token returns the text of token i of a model's completion of a prompt.
 func Token(model, prompt string, i int) string {
 	return Completion{seed: seed(model, prompt)}.Token(i)
 }
 
-// Length returns the length in tokens of the answer to a whole prompt.
+// Length returns the length in tokens of the completion of a prompt.
 func Length(prompt string, maxTokens int) int { return Expected("", prompt, maxTokens).Tokens }
 
-// PromptTokens returns the engines' count of a text's tokens: its words.
+// PromptTokens returns the number of tokens that the engines count in a text: its words.
 func PromptTokens(text string) int {
 	n, inWord := 0, false
 	for i := range len(text) {
@@ -87,8 +86,8 @@
 	return n
 }
 
-// Echo returns the digest by which a plain service's answer names the request
-// that it belongs to.
+// RequestDigest returns a digest by which a plain service's response identifies its
+// request.
 func RequestDigest(method, path string, body []byte) string {
 	d := xxhash.New()
 	_, _ = d.WriteString(method)
@@ -97,7 +96,8 @@
 	return strconv.FormatUint(d.Sum64(), 16)
 }
 
-// naturalLength spreads evenly from half of maxTokens to a quarter above it.
+// unboundedLength returns the length of a completion before maxTokens cuts it. It is
+// uniformly distributed from half of maxTokens to a quarter above it.
 func unboundedLength(prompt string, maxTokens int) int {
 	spread := maxTokens*3/4 + 1
 	h := splitmix64(xxhash.Sum64String(prompt) + lengthSalt)
@@ -115,7 +115,7 @@
 	return d.Sum64()
 }
 
-// mix is the finaliser of splitmix64.
+// splitmix64 is the finaliser of the SplitMix64 generator.
 func splitmix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9
@@ -125,7 +125,7 @@
 
 func isSpace(c byte) bool { return c == ' ' || c == '\n' || c == '\t' || c == '\r' }
 
-// words holds the vocabulary, each with a space before it.
+// words holds the vocabulary, each word with a leading space.
 var words = vocabulary()
 
 func vocabulary() []string {
--- a/internal/standin/platform_test.go
+++ b/internal/standin/platform_test.go
@@ -25,10 +25,10 @@
 		first   uint64 // 0 if none
 		trimmed bool
 	}{
-		{"all kept so far", 90 * time.Second, 4, 4, 4, false},
-		{"the oldest has gone", 91 * time.Second, 4, 5, 0, true},
-		{"from the end", 91 * time.Second, 11, 5, 0, false},
-		{"all have gone", time.Hour, 11, 11, 0, false},
+		{"none expired", 90 * time.Second, 4, 4, 4, false},
+		{"oldest expired", 91 * time.Second, 4, 5, 0, true},
+		{"read at the end", 91 * time.Second, 11, 5, 0, false},
+		{"all expired", time.Hour, 11, 11, 0, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -56,9 +56,9 @@
 	assert.Equal(t, instances("third"), h.at(noon.Add(time.Hour)))
 }
 
-// Two data centres load weights at once: together they get the store's rate,
-// not each of them.
-func TestWeightLoadsShareTheRate(t *testing.T) {
+// Concurrent loads, such as from two data centres, share the store's bandwidth; each of
+// them alone doesn't get all of it.
+func TestWeightLoadsShareBandwidth(t *testing.T) {
 	w := &WeightStore{config: WeightStoreConfig{BytesPerSecond: 100}, faults: newFaultState(WeightFaults{})}
 	assert.Equal(t, time.Second, w.reserve(noon, 100))
 	assert.Equal(t, 3*time.Second, w.reserve(noon, 200))
@@ -71,7 +71,7 @@
 	require.NoError(t, s.merge([]byte(`{"outage":"hang","blocked":["a","b"]}`)))
 	before := s.get()
 	require.NoError(t, s.merge([]byte(`{"blocked":["c"]}`)))
-	assert.Equal(t, []string{"a", "b"}, before.Blocked, "a copy handed out doesn't change")
+	assert.Equal(t, []string{"a", "b"}, before.Blocked, "a copy returned earlier does not change")
 	assert.Equal(t, OutageHang, s.get().Outage)
 	assert.Equal(t, 5, s.get().SlowMillis)
 	require.Error(t, s.merge([]byte(`{"outtage":"hang"}`)))
--- a/internal/standin/run_counter.go
+++ b/internal/standin/run_counter.go
@@ -10,46 +10,47 @@
 	"github.com/valyala/fasthttp"
 )
 
-// maxDoubled bounds the doubled keys that are kept by name.
+// maxRepeatedKeys bounds the list of keys whose call ran more than once.
 const maxRepeatedKeys = 20
 
-// Ledger counts how often the call of each idempotency key ran. Services that
-// could run the same call share one. It outlives crashes: it belongs to the
-// observer, not to the service.
+// RunCounter counts how often the call of each idempotency key ran. All services that can
+// run the same call share one. It is an observer outside the services, so their crashes
+// don't reset it.
 type RunCounter struct {
 	mu sync.Mutex
-	// runs is by the key's hash, to hold millions.
+	// runs is keyed by the hash of the idempotency key, so that millions of keys fit in
+	// memory.
 	runs         map[uint64]int
 	ranTwice     int64
 	repeatedKeys []string
 }
 
-// NewLedger returns an empty ledger.
+// NewRunCounter returns an empty counter.
 func NewRunCounter() *RunCounter { return &RunCounter{runs: map[uint64]int{}} }
 
-// ran notes one run and returns its number, from 1.
-func (l *RunCounter) record(key string) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// record counts a run and returns its number, from 1.
+func (c *RunCounter) record(key string) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	h := xxhash.Sum64String(key)
-	l.runs[h]++
-	n := l.runs[h]
+	c.runs[h]++
+	n := c.runs[h]
 	if n == 2 {
-		l.ranTwice++
-		if len(l.repeatedKeys) < maxRepeatedKeys {
-			l.repeatedKeys = append(l.repeatedKeys, key)
+		c.ranTwice++
+		if len(c.repeatedKeys) < maxRepeatedKeys {
+			c.repeatedKeys = append(c.repeatedKeys, key)
 		}
 	}
 	return n
 }
 
-func (l *RunCounter) totals() (keys, ranTwice int64, doubled []string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return int64(len(l.runs)), l.ranTwice, append([]string{}, l.repeatedKeys...)
+func (c *RunCounter) totals() (keys, ranTwice int64, repeatedKeys []string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return int64(len(c.runs)), c.ranTwice, append([]string{}, c.repeatedKeys...)
 }
 
-// leavingMark remembers since when the list has shown a part as leaving.
+// terminationMark records since when the list has shown a component as terminating.
 type terminationMark struct {
 	mu    sync.Mutex
 	since time.Time
@@ -78,8 +79,8 @@
 	return !m.since.IsZero() && now.Sub(m.since) > terminationGrace
 }
 
-// sendTwice sends the response, and then once more on the same connection, as
-// a confused server does that answers a request of long ago.
+// sendDuplicate sends the response twice on the same connection, like a faulty server that
+// answers an earlier request again.
 func sendDuplicate(ctx *fasthttp.RequestCtx) {
 	var duplicate fasthttp.Response
 	ctx.Response.CopyTo(&duplicate)
@@ -89,7 +90,7 @@
 		_ = duplicate.Write(w)
 		_ = duplicate.Write(w)
 		_ = w.Flush()
-		// The connection stays open until its far end has had enough.
+		// Keep the connection open until the client sends more data or closes it.
 		_, _ = c.Read(make([]byte, 1))
 	})
 }
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -13,78 +13,79 @@
 	"tamarackchute/internal/standin/oracle"
 )
 
-// HeaderIdempotencyKey names the call that may run at most once.
+// HeaderIdempotencyKey identifies a call that may run at most once.
 const HeaderIdempotencyKey = "Idempotency-Key"
 
-// leavingGrace is how long after the list shows an upstream as leaving it may
-// still be given new work.
+// terminationGrace is how long an upstream may still get new work after the list shows it
+// as terminating.
 const terminationGrace = 3 * time.Second
 
-// ServiceConfig sets up a plain service.
+// ServiceConfig configures a plain service.
 type ServiceConfig struct {
 	Name string
 	Addr string
 	TLS  *tls.Config
-	// Latency is how long a call runs.
+	// Latency is the duration of a call.
 	Latency time.Duration
-	// Ledger counts runs by key over all services that share it; nil makes one
-	// for this service alone.
+	// RunCounter counts runs by key over all services that share it; nil for a counter of
+	// this service only.
 	RunCounter *RunCounter
 }
 
-// ServiceFaults are a service's faults. Those with "before" strike before the
-// call has run, those with "after" once it has.
+// ServiceFaults are the faults of a service. Those with "before" apply before the call has
+// run, those with "after" once it has run.
 type ServiceFaults struct {
 	NetworkFaults
 	LatencyMillis int     `json:"latency_ms"`
 	CrashBefore   Trigger `json:"crash_before"`
 	CrashAfter    Trigger `json:"crash_after"`
-	// CloseBefore and CloseAfter close the connection without answering.
+	// CloseBefore and CloseAfter close the connection without a response.
 	CloseBefore Trigger `json:"close_before"`
 	CloseAfter  Trigger `json:"close_after"`
-	// Hang runs the call and never answers.
+	// Hang runs the call and never responds.
 	Hang Trigger `json:"hang"`
-	// HangMillis answers after that long instead, which is late for most.
+	// HangMillis, if positive, makes Hang respond after that time, which is beyond most
+	// deadlines.
 	HangMillis int `json:"hang_ms"`
 	// Refuse answers that the call was not run.
 	Refuse Trigger `json:"refuse"`
 	// Fail runs the call and answers 500.
 	Fail Trigger `json:"fail"`
-	// Stray sends a second response, which nobody asked for, after one.
+	// DuplicateResponse sends the response a second time, unsolicited.
 	DuplicateResponse Trigger `json:"stray"`
-	// Poison is the marker in a body that crashes the service; empty for none.
+	// Poison is a marker: a request whose body contains it crashes the service. Empty
+	// disables it.
 	Poison string `json:"poison"`
-	// RestartMillis is how long a crash lasts that names no time of its own.
+	// RestartMillis is the downtime of a crash that doesn't set its own.
 	RestartMillis int `json:"restart_ms"`
-	// Crash crashes it now, once.
+	// Crash crashes the service at once; the field is then cleared.
 	Crash *Crash `json:"crash"`
 }
 
-// ServiceCounters are a service's counters.
+// ServiceCounters are the counters of a service.
 type ServiceCounters struct {
 	Calls         int64 `json:"calls"`
 	Ran           int64 `json:"ran"`
 	RefusedNotRun int64 `json:"refused_not_run"`
 	Unanswered    int64 `json:"unanswered"`
 	Crashes       int64 `json:"crashes"`
-	// WorkAfterLeaving counts calls that came more than 3 s after the list
-	// showed the service as leaving.
+	// WorkAfterTermination counts calls that arrived more than 3 s after the list showed
+	// the service as terminating.
 	WorkAfterTermination int64 `json:"work_after_leaving"`
-	// Keys, RanTwice and Doubled are those of the ledger, which services of
-	// one process share: keys seen, keys whose call ran more than once, and
-	// the first few of these.
+	// Keys, RanTwice and RepeatedKeys come from the RunCounter, which the services of a
+	// process share: the number of keys, the number of keys whose call ran more than once,
+	// and the first few of those.
 	Keys         int64    `json:"keys"`
 	RanTwice     int64    `json:"ran_twice"`
 	RepeatedKeys []string `json:"doubled"`
 }
 
-// ServiceAnswer is the body of a service's answer.
+// ServiceResponse is the body of a service's response.
 type ServiceResponse struct {
 	Service string `json:"service"`
-	// Echo is oracle.Echo of the request.
+	// RequestDigest is oracle.RequestDigest of the request.
 	RequestDigest string `json:"echo"`
-	// Run is how often a call with this key had run, this time included; 0
-	// without a key.
+	// Run is how often a call with this key has run, including this time; 0 without a key.
 	Run int `json:"run"`
 }
 
@@ -99,12 +100,12 @@
 	calls, ran, refused, unanswered, crashes, afterTermination atomic.Int64
 }
 
-// Defaults of the service's faults.
+// defaultRestartMillis is the default of RestartMillis for services and engines.
 const defaultRestartMillis = 2000
 
-// NewService returns a service that listens already.
+// NewService returns a service that is already listening.
 func NewService(c ServiceConfig) (*Service, error) {
-	n, err := newEndpoint(c.Name, "service", c.Addr, c.TLS)
+	base, err := newEndpoint(c.Name, "service", c.Addr, c.TLS)
 	if err != nil {
 		return nil, err
 	}
@@ -112,7 +113,7 @@
 		c.RunCounter = NewRunCounter()
 	}
 	return &Service{
-		endpoint: n,
+		endpoint: base,
 		config:   c,
 		runs:     c.RunCounter,
 		faults: newFaultState(ServiceFaults{
@@ -123,7 +124,7 @@
 	}, nil
 }
 
-// Serve implements Part.
+// Serve implements Component.
 func (s *Service) Serve(ctx context.Context) error { return s.serve(ctx, s.handle) }
 
 func (s *Service) handle(ctx *fasthttp.RequestCtx) {
@@ -144,8 +145,8 @@
 	}
 }
 
-// strikeBefore acts out the faults that keep a call from running, and reports
-// whether it is to run.
+// faultBeforeRun applies the faults that prevent a call from running, and reports whether
+// the call runs.
 func (s *Service) faultBeforeRun(ctx *fasthttp.RequestCtx) bool {
 	poison := s.faults.get().Poison
 	switch {
@@ -164,7 +165,7 @@
 	return false
 }
 
-// run runs the call and returns the number of its run.
+// run counts a run of the call and returns its number.
 func (s *Service) run(ctx *fasthttp.RequestCtx) int {
 	s.ran.Add(1)
 	key := ctx.Request.Header.Peek(HeaderIdempotencyKey)
@@ -174,8 +175,8 @@
 	return s.runs.record(string(key))
 }
 
-// strikeAfter acts out the faults that keep a call's answer from its caller,
-// and reports whether to answer.
+// faultAfterRun applies the faults that affect a call after it has run, and reports whether
+// to respond.
 func (s *Service) faultAfterRun(ctx *fasthttp.RequestCtx) bool {
 	switch {
 	case s.faults.trigger(func(f *ServiceFaults) *Trigger { return &f.CrashAfter }):
@@ -193,7 +194,8 @@
 	return false
 }
 
-// hang keeps the answer back, for good or for the time that is set.
+// hang delays the response by HangMillis, or without one blocks until the service ends. It
+// reports whether to respond.
 func (s *Service) hang(ctx *fasthttp.RequestCtx) bool {
 	if delay := s.faults.get().HangMillis; delay > 0 {
 		s.sleep(time.Duration(delay) * time.Millisecond)
@@ -227,7 +229,7 @@
 	s.listener.crash(down)
 }
 
-// SetLeaving tells the service whether the list shows it as leaving.
+// SetTerminating records whether the list shows the service as terminating.
 func (s *Service) SetTerminating(leaving bool) { s.termination.set(time.Now(), leaving) }
 
 // Counters returns the counters.
@@ -244,13 +246,13 @@
 	return c
 }
 
-// CountersJSON implements Part.
+// CountersJSON implements Component.
 func (s *Service) CountersJSON() []byte { return encode(s.Counters()) }
 
-// FaultsJSON implements Part.
+// FaultsJSON implements Component.
 func (s *Service) FaultsJSON() []byte { return encode(s.faults.get()) }
 
-// SetFaults implements Part.
+// SetFaults implements Component.
 func (s *Service) SetFaults(doc []byte) error {
 	if err := s.faults.merge(doc); err != nil {
 		return err
--- a/internal/standin/session_test.go
+++ b/internal/standin/session_test.go
@@ -25,10 +25,10 @@
 	"tamarackchute/internal/adapters/logclient"
 )
 
-var update = flag.Bool("update", false, "write the golden files of sessions anew")
+var update = flag.Bool("update", false, "rewrite the golden files of sessions")
 
-// recorder keeps the bytes of a session, request by response. Its calls come
-// one at a time, whichever connection they use.
+// recorder records the bytes of a session as alternating requests and responses. Requests
+// must not be concurrent, but may use several connections.
 type recorder struct {
 	mu        sync.Mutex
 	exchanges []exchange
@@ -75,7 +75,7 @@
 	return c.Conn.Write(p)
 }
 
-// volatile is what differs from run to run.
+// volatile lists the values that differ between runs.
 var volatile = []struct {
 	pattern     *regexp.Regexp
 	replacement string
@@ -86,8 +86,8 @@
 	{regexp.MustCompile(`"age_ms":\d+`), `"age_ms":<age>`},
 }
 
-// text writes the session as lines: requests begin with ">", responses with
-// "<", a connection closed without a response is "< closed".
+// text formats the session as lines: requests start with ">", responses with "<", and "<
+// closed" stands for a connection closed without a response.
 func (r *recorder) text(t *testing.T) string {
 	var b strings.Builder
 	r.mu.Lock()
@@ -153,7 +153,7 @@
 	}
 }
 
-// golden compares a session with its file.
+// golden compares the session with its golden file.
 func (r *recorder) golden(t *testing.T, name string) {
 	t.Helper()
 	path := filepath.Join("testdata", name+".session")
--- a/internal/standin/set.go
+++ b/internal/standin/set.go
@@ -15,35 +15,33 @@
 	"tamarackchute/upstream"
 )
 
-// NamePlatform stands for the log, the list and the weight store.
+// NamePlatform stands for the log, the instance list and the weight store.
 const NamePlatform = "platform"
 
-// Config sets up the stand-ins of a deployment.
+// Config configures the stand-ins of a deployment.
 type Config struct {
 	Deployment *settings.Deployment
-	// Only names the parts to run: NamePlatform and names of upstreams. Empty
-	// means all.
+	// Only names the components to run: NamePlatform and names of upstreams. Empty means
+	// all.
 	Only []string
-	// Control is the address of the page for all parts; empty for none.
+	// ControlAddr is the address of the control API; empty for none.
 	ControlAddr string
-	// TLS is for listening, ClientTLS for calls between parts; nil for plain
-	// TCP.
+	// TLS is for listening, ClientTLS for requests between components; nil for plain TCP.
 	TLS, ClientTLS *tls.Config
-	// LogAppendsPerSecond is the log's limit over all writers.
+	// LogAppendsPerSecond is the log's rate limit over all writers.
 	LogAppendsPerSecond float64
-	// Retention is how long the log keeps a record; 0 means what the settings
-	// say.
+	// Retention is how long the log keeps a record; 0 for the value from the settings.
 	Retention time.Duration
-	// ListLag is how far the list of instances is behind.
+	// ListLag is how long the instance list takes to show a change.
 	ListLag time.Duration
-	// ServiceLatency is how long a call to a plain service runs.
+	// ServiceLatency is the duration of a call to a plain service.
 	ServiceLatency time.Duration
 	// WeightBytes is the size of each version of a model.
 	WeightBytes int64
 	Speed       Speed
 }
 
-// Defaults of Config.
+// Defaults for Config.
 const (
 	DefaultLogAppendsPerSecond = 300
 	DefaultListLag             = 2 * time.Second
@@ -51,19 +49,19 @@
 	DefaultWeightBytes         = 16 << 30
 )
 
-// The versions of each model; engines start with the first.
+// The versions of each model; engines start with the first one.
 const (
 	firstVersion  = "v1"
 	secondVersion = "v2"
 )
 
-// leaver is a part that wants to know whether the list shows it as leaving.
+// terminable is a component that is notified whether the list shows it as terminating.
 type terminable interface {
 	Component
 	SetTerminating(leaving bool)
 }
 
-// Set is the stand-ins of a deployment.
+// Set is all stand-ins of a deployment.
 type Set struct {
 	components []Component
 	upstreams  []terminable
@@ -71,7 +69,7 @@
 	runs       *RunCounter
 }
 
-// NewSet makes the stand-ins; they listen already.
+// NewSet creates the stand-ins, which are already listening.
 func NewSet(c Config) (*Set, error) {
 	s := &Set{runs: NewRunCounter()}
 	err := s.build(c)
@@ -116,7 +114,7 @@
 		known := name == NamePlatform || slices.ContainsFunc(c.Deployment.Upstreams,
 			func(u settings.Upstream) bool { return u.Name == name })
 		if !known {
-			return eris.Errorf("no stand-in is called %q", name)
+			return eris.Errorf("unknown stand-in %q", name)
 		}
 	}
 	return nil
@@ -195,7 +193,7 @@
 	return instances
 }
 
-// versions gives each model of the deployment two versions.
+// versions returns two versions for each model of the deployment.
 func versions(c Config) []infra.WeightVersion {
 	var out []infra.WeightVersion
 	seen := map[string]bool{}
@@ -219,10 +217,10 @@
 	}
 }
 
-// Parts returns the parts.
+// Components returns the components.
 func (s *Set) Components() []Component { return s.components }
 
-// ControlAddr returns the address of the control page, or "".
+// ControlAddr returns the address of the control API, or "" if there is none.
 func (s *Set) ControlAddr() string {
 	if s.control == nil {
 		return ""
@@ -230,10 +228,10 @@
 	return s.control.Addr()
 }
 
-// Serve runs all parts until ctx ends.
+// Serve runs all components until ctx ends.
 func (s *Set) Serve(ctx context.Context) error {
 	sup := suture.New("standin", suture.Spec{EventHook: func(e suture.Event) {
-		slog.Error("stand-in", "event", e.String())
+		slog.Error("stand-in supervisor event", "event", e.String())
 	}})
 	for _, p := range s.components {
 		sup.Add(p)
@@ -244,7 +242,7 @@
 	return sup.Serve(ctx)
 }
 
-// closeAll closes what listens, after a failure to make the rest.
+// closeAll closes the open listeners after NewSet has failed.
 func (s *Set) closeAll() {
 	for _, p := range s.components {
 		if g, ok := p.(interface{ closeGate() }); ok {
--- a/internal/standin/set_test.go
+++ b/internal/standin/set_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// startSet runs a set until the returned function or the test's end.
+// startSet runs a set until the returned function is called or the test ends.
 func startSet(t *testing.T, c standin.Config) (*standin.Set, func() error) {
 	c.ControlAddr, c.Speed, c.LogAppendsPerSecond = anyAddress, standin.DefaultSpeed(), 300
 	s, err := standin.NewSet(c)
@@ -58,8 +58,8 @@
 	return s, stop
 }
 
-// A crashed part can't be asked what it did: the page for all parts must say
-// it, and bring the part back.
+// A crashed component can't report its own counters. The control API must serve them and be
+// able to restart the component.
 func TestControlServer(t *testing.T) {
 	s, stop := startSet(t, standin.Config{Deployment: testDeployment()})
 	control := httpx.New(s.ControlAddr(), httpx.Options{})
@@ -104,8 +104,8 @@
 	require.ErrorContains(t, err, "engine-9")
 }
 
-// An upstream that the list shows as leaving must count the work that comes
-// too late, without anybody telling it beside the list.
+// An upstream that the list shows as terminating must count the requests that arrive too
+// late, with no other notification than the list's.
 func TestListNotifiesTerminatingUpstreams(t *testing.T) {
 	s, _ := startSet(t, standin.Config{Deployment: testDeployment()})
 	for _, p := range s.Components() {
@@ -161,5 +161,5 @@
 		require.NoError(t, err)
 		assert.Equal(t, http.StatusOK, got.Status)
 	}
-	assert.Equal(t, 1, dials, "the connection is kept")
+	assert.Equal(t, 1, dials, "the connection is reused")
 }
--- a/internal/standin/standintest/serve.go
+++ b/internal/standin/standintest/serve.go
@@ -1,4 +1,4 @@
-// Package standintest starts stand-ins within a test.
+// Package standintest runs stand-ins in tests.
 package standintest
 
 import (
@@ -11,7 +11,7 @@
 	"tamarackchute/internal/standin"
 )
 
-// Serve runs a part until the test ends.
+// Serve runs a component until the test ends.
 func Serve(t testing.TB, p standin.Component) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -23,7 +23,7 @@
 	})
 }
 
-// Log runs a log with room for a test's appends.
+// Log runs a log on a loopback address.
 func Log(t testing.TB, c standin.LogConfig) *standin.Log {
 	t.Helper()
 	c.Addr = loopback
@@ -33,7 +33,7 @@
 	return l
 }
 
-// Engine runs an engine; without a name, models or speed it takes defaults.
+// Engine runs an engine; name, models and speed have defaults.
 func Engine(t testing.TB, c standin.EngineConfig) *standin.Engine {
 	t.Helper()
 	c.Addr = loopback
@@ -66,17 +66,17 @@
 	return s
 }
 
-// Faults switches faults of a part.
+// SetFaults sets faults of a component.
 func SetFaults(t testing.TB, p standin.Component, doc string) {
 	t.Helper()
 	require.NoError(t, p.SetFaults([]byte(doc)))
 }
 
-// Model is the model of engines that name none.
+// Model is the default model of engines.
 const Model = "m"
 
 const (
 	loopback = "127.0.0.1:0"
-	// fast makes engines quick enough for tests.
+	// testScale makes engines fast enough for tests.
 	testScale = 20
 )
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -13,44 +13,44 @@
 	"tamarackchute/internal/adapters/weightclient"
 )
 
-// PathWeightLoad is where engines load weights.
+// PathWeightLoad is the path at which engines load weights.
 const PathWeightLoad = "/load"
 
-// WeightsConfig sets up the weight store.
+// WeightStoreConfig configures the weight store.
 type WeightStoreConfig struct {
 	Addr string
 	TLS  *tls.Config
-	// BytesPerSecond is shared by all loads.
+	// BytesPerSecond is the bandwidth shared by all loads.
 	BytesPerSecond float64
 	Versions       []infra.WeightVersion
 }
 
-// WeightLoad asks for the weights of a version; the response comes when they
-// have been read.
+// WeightLoadRequest asks for the weights of a version. The response is sent when the load
+// is complete.
 type WeightLoadRequest struct {
 	Model   string `json:"model"`
 	Version string `json:"version"`
 	Engine  string `json:"engine"`
 }
 
-// WeightLoaded is the response to a load.
+// WeightLoadResponse is the response to a WeightLoadRequest.
 type WeightLoadResponse struct {
 	Bytes      int64 `json:"bytes"`
 	WaitMillis int64 `json:"wait_ms"`
 }
 
-// WeightFaults are the weight store's faults.
+// WeightFaults are the faults of the weight store.
 type WeightFaults struct {
 	NetworkFaults
-	// FailLoads answers loads with an error, after their time.
+	// FailLoads answers loads with an error after their usual duration.
 	FailLoads Trigger `json:"fail_loads"`
 	// SlowFactor above 1 makes loads slower.
 	SlowFactor float64 `json:"slow_factor"`
-	// Add stores versions, once.
+	// Add stores versions; the field is then cleared.
 	Add []infra.WeightVersion `json:"add"`
 }
 
-// WeightCounters are the weight store's counters.
+// WeightCounters are the counters of the weight store.
 type WeightCounters struct {
 	Loads         int64 `json:"loads"`
 	LoadBytes     int64 `json:"load_bytes"`
@@ -58,7 +58,7 @@
 	LongestMillis int64 `json:"longest_load_ms"`
 }
 
-// Weights stands in for the platform's weight store.
+// WeightStore stands in for the platform's weight store.
 type WeightStore struct {
 	*endpoint
 	config WeightStoreConfig
@@ -66,28 +66,27 @@
 
 	mu       sync.Mutex
 	versions []infra.WeightVersion
-	// busyUntil is when the loads taken so far end: they go one after the
-	// other, each at the full rate, which takes them the same time in all as
-	// sharing it would.
+	// busyUntil is when the loads accepted so far end. Loads run one after the other at the
+	// full bandwidth; all of them together take as long as with shared bandwidth.
 	busyUntil time.Time
 	counters  WeightCounters
 }
 
-// NewWeights returns a weight store that listens already.
+// NewWeightStore returns a weight store that is already listening.
 func NewWeightStore(c WeightStoreConfig) (*WeightStore, error) {
-	n, err := newEndpoint("weights", "weights", c.Addr, c.TLS)
+	base, err := newEndpoint("weights", "weights", c.Addr, c.TLS)
 	if err != nil {
 		return nil, err
 	}
 	return &WeightStore{
-		endpoint: n,
+		endpoint: base,
 		config:   c,
 		faults:   newFaultState(WeightFaults{SlowFactor: 1}),
 		versions: c.Versions,
 	}, nil
 }
 
-// Serve implements Part.
+// Serve implements Component.
 func (w *WeightStore) Serve(ctx context.Context) error { return w.serve(ctx, w.handle) }
 
 func (w *WeightStore) handle(ctx *fasthttp.RequestCtx) {
@@ -143,7 +142,7 @@
 	replyJSON(ctx, WeightLoadResponse{Bytes: bytes, WaitMillis: wait.Milliseconds()})
 }
 
-// sizeOf finds a version; an empty one means the model's latest.
+// sizeOf returns the size of a version; an empty version means the model's latest.
 func (w *WeightStore) sizeOf(load WeightLoadRequest) (int64, bool) {
 	versions := w.versionsOf(load.Model)
 	for i := len(versions) - 1; i >= 0; i-- {
@@ -154,7 +153,7 @@
 	return 0, false
 }
 
-// reserve books the time that a load takes and returns how long until its end.
+// reserve schedules a load and returns the time until it ends.
 func (w *WeightStore) reserve(now time.Time, bytes int64) time.Duration {
 	slow := max(1, w.faults.get().SlowFactor)
 	w.mu.Lock()
@@ -180,13 +179,13 @@
 	return w.counters
 }
 
-// CountersJSON implements Part.
+// CountersJSON implements Component.
 func (w *WeightStore) CountersJSON() []byte { return encode(w.Counters()) }
 
-// FaultsJSON implements Part.
+// FaultsJSON implements Component.
 func (w *WeightStore) FaultsJSON() []byte { return encode(w.faults.get()) }
 
-// SetFaults implements Part.
+// SetFaults implements Component.
 func (w *WeightStore) SetFaults(doc []byte) error {
 	if err := w.faults.merge(doc); err != nil {
 		return err
