--- a/cmd/chute-standin/main.go
+++ b/cmd/chute-standin/main.go
@@ -62,7 +62,7 @@
 	f.StringVar(&c.ControlAddr, "control", "", "`address` of the control API; none if empty")
 	f.Float64Var(&c.LogAppendsPerSecond, "log-rate", standin.DefaultLogAppendsPerSecond, "append rate limit of the log per second")
 	f.DurationVar(&c.Retention, "retention", 0, "how long the log keeps a record; 0 for the value from the settings")
-	f.DurationVar(&c.ListLag, "list-lag", standin.DefaultListLag, "how long the instance list takes to show a change")
+	f.DurationVar(&c.ListLag, "list-lag", standin.DefaultListLag, "how long the list of instances takes to show a change")
 	f.DurationVar(&c.ServiceLatency, "service-latency", standin.DefaultServiceLatency, "duration of a call to a plain service")
 	f.Int64Var(&c.WeightBytes, "weight-bytes", standin.DefaultWeightBytes, "size of each version of a model in bytes")
 	speedFlags(f, &c.Speed)
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -61,7 +61,7 @@
 	batch     batch
 	kv        *kvCache
 	sequences map[string]*sequence
-	retained  []endedSequence // in order of their end
+	retained  []endedSequence // ended, still resumable; in order of their end
 	// stopped says that no further task may be started.
 	stopped  bool
 	exports  map[string]*export
--- a/internal/standin/engine_http.go
+++ b/internal/standin/engine_http.go
@@ -82,7 +82,7 @@
 }
 
 // submitRequest submits the request in the body, or answers with an error and returns nil.
-func (e *Engine) submitRequest(ctx *fasthttp.RequestCtx, keepKV bool) *sequence {
+func (e *Engine) submitRequest(ctx *fasthttp.RequestCtx, exportKV bool) *sequence {
 	var m engineclient.GenerateMessage
 	if err := json.Unmarshal(ctx.PostBody(), &m); err != nil || m.AttemptID == "" {
 		ctx.Error("request can't be read", fasthttp.StatusBadRequest)
@@ -92,7 +92,7 @@
 		replyNotRun(ctx, fasthttp.StatusServiceUnavailable, "engine takes no work")
 		return nil
 	}
-	s, err := e.submit(m, keepKV)
+	s, err := e.submit(m, exportKV)
 	switch {
 	case err == nil:
 		return s
--- a/internal/standin/engine_lifecycle.go
+++ b/internal/standin/engine_lifecycle.go
@@ -20,10 +20,10 @@
 
 // submit accepts a request. With exportKV it only prefills the prompt and keeps the KV
 // cache.
-func (e *Engine) submit(m engineclient.GenerateMessage, keepKV bool) (*sequence, error) {
+func (e *Engine) submit(m engineclient.GenerateMessage, exportKV bool) (*sequence, error) {
 	s := newSequence(m, e.faults.get().Poison)
-	s.exportKV = keepKV
-	if keepKV {
+	s.exportKV = exportKV
+	if exportKV {
 		s.privateTokens -= s.completion.Tokens
 	}
 	e.mu.Lock()
--- a/internal/standin/set.go
+++ b/internal/standin/set.go
@@ -231,7 +231,7 @@
 // Serve runs all components until ctx ends.
 func (s *Set) Serve(ctx context.Context) error {
 	sup := suture.New("standin", suture.Spec{EventHook: func(e suture.Event) {
-		slog.Error("stand-in supervisor event", "event", e.String())
+		slog.Error("stand-in", "event", e.String())
 	}})
 	for _, p := range s.components {
 		sup.Add(p)
