--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Commands for developers; .ci/run calls `make test` and `make lint`.
+# Developer commands; .ci/run calls `make build`, `make lint` and `make test`.
 
 .PHONY: build test lint try faults bench prove experiment soak soak-planted
 
@@ -30,18 +30,18 @@
 prove:
 	go run ./cmd/chute-prove -interleavings $(PROVE_INTERLEAVINGS) -seed $(PROVE_SEED)
 
-# Benchmarks: packages first, then the entry's added latency by real processes.
+# Benchmarks: the packages first, then the entry's added latency with real processes.
 bench:
 	go test -run '^$$' -bench . -benchmem ./...
 	internal/entry/entrybench/run.sh
 
-# Real processes between stand-ins, disturbed from outside, with fresh seeds.
-# SOAK_SEED=0 takes the first seed from the time of day.
+# Runs real processes against stand-ins under injected faults, with new seeds.
+# SOAK_SEED=0 derives the first seed from the time of day.
 SOAK_SEEDS ?= 8
 SOAK_SEED ?= 0
 soak: build
 	bin/chute-soak -seeds $(SOAK_SEEDS) -seed $(SOAK_SEED) -jobs 3
 
-# Shows that the soak finds each of the planted faults.
+# Checks that the soak detects each of the planted faults.
 soak-planted:
 	scripts/soak-planted.sh
--- a/scripts/experiment.sh
+++ b/scripts/experiment.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
 # Compares role policies and routing on both deployments with real processes on
-# this machine: for each run the stand-ins, 7 entries and 7 controllers on a
-# loopback range of their own, several runs at once. Prints the table and keeps
-# results and plots in a folder. docs/measurements/role-policy.md explains it.
+# this machine. Each run starts the stand-ins, 7 entries and 7 controllers on a
+# separate loopback network; several runs are concurrent. Prints a table and writes
+# results and plots to a folder. See docs/measurements/role-policy.md.
 #
 #   scripts/experiment.sh
 #
@@ -10,9 +10,10 @@
 #   OUT=out/experiment  SEEDS="1"  SCALE=10  PARALLEL=6
 #   DEPLOYMENTS="kalku-rinda regnbrunnur"  FAULTS="no yes"
 #   POLICIES="fixed-round-robin fixed-least-outstanding threshold hindsight-split known-mix gain"
-#   EXTRA=1   also the steady mix, an overload, and the other deployment's weight
+#   EXTRA=1   adds a steady mix, an overload, and a run with the other deployment's
+#             change weight
 #
-# Needs go, make, bash and the usual core utilities.
+# Requires go, make, bash and the standard core utilities.
 set -uo pipefail
 export LC_ALL=C
 cd "$(dirname "$0")/.."
@@ -28,12 +29,12 @@
 policies=${POLICIES:-fixed-round-robin fixed-least-outstanding threshold hindsight-split known-mix gain}
 extra=${EXTRA:-1}
 
-# The engines are smaller than the stand-ins' default, so that several fleets
-# fit on one machine.
+# Smaller engines than the stand-ins' default, so that several fleets fit on one
+# machine.
 rates=(-prefill-rate 2000 -max-batch 8)
 change_s=4
 load_lag_s=1 faulty_lag_s=5
-# What a fleet needs to come up, before the load starts.
+# Time for a fleet to start before the load does.
 head_start_s=12
 
 say() { printf '%s\n' "== $*"; }
@@ -45,8 +46,8 @@
 
 divided() { awk -v a="$1" -v b="$2" 'BEGIN { printf "%gs", a / b }'; }
 
-# one_run NUMBER DEPLOYMENT POLICY MIX SEED FAULTS WEIGHT LABEL is one run, in a
-# subshell of its own.
+# one_run NUMBER DEPLOYMENT POLICY MIX SEED FAULTS WEIGHT LABEL executes one run. It
+# must be called in a subshell.
 one_run() {
   local number=$1 deployment=$2 policy=$3 mix=$4 seed=$5 faulty=$6 weight=$7 label=$8
   local dir=$out/$deployment/$mix/faults-$faulty/$label/seed-$seed
@@ -65,7 +66,7 @@
   http GET "$network.0.9:7009" /counters >"$dir/counters.json"
 }
 
-# end_now kills a run's processes; their graceful stops are measured elsewhere.
+# end_now kills a run's processes. This script doesn't test graceful shutdown.
 end_now() {
   local name
   for name in "${!pid_of[@]}"; do end KILL "$name"; done
@@ -91,7 +92,8 @@
 }
 
 runs=()
-# Deployments alternate, so that the runs of one policy aren't all late or early.
+# Deployments alternate, so that the runs of one deployment are spread over the whole
+# experiment.
 for seed in $seeds; do
   for faulty in $faults; do
     for policy in $policies; do
@@ -105,15 +107,15 @@
     runs+=("$deployment gain steady $seed no 0 gain")
     runs+=("$deployment gain overload $seed no 0 gain")
   done
-  # Regnbrunnur's fleet and mix under Kaļķu Rinda's weight.
+  # Regnbrunnur's fleet and mix with Kaļķu Rinda's change weight.
   runs+=("regnbrunnur gain shift $seed no 6 gain-weight-6")
 done
 
-# Runs that are under way when the script is ended end with it.
+# Ends the runs in progress when the script ends.
 end_runs() {
   local jobs
   jobs=$(jobs -rp)
-  # shellcheck disable=SC2086 # one word a process
+  # shellcheck disable=SC2086 # one word per process
   [ -z "$jobs" ] || kill $jobs
   wait
 } 2>/dev/null
@@ -129,7 +131,7 @@
 for run in "${runs[@]}"; do
   if [ "$number" -ge "$parallel" ]; then wait -n || failed=$((failed + 1)); fi
   number=$((number + 1))
-  # shellcheck disable=SC2086 # the parts of a run are words
+  # shellcheck disable=SC2086 # a run is a list of words
   (one_run "$number" $run) 2>>"$out/errors.log" || {
     printf 'run failed: %s\n' "$run" >>"$out/errors.log"
     exit 1
--- a/scripts/faults.sh
+++ b/scripts/faults.sh
@@ -1,13 +1,13 @@
 #!/usr/bin/env bash
-# A trial of one deployment with real processes under many faults, some of them at
-# once: processes frozen, killed and cut off, the platform's log losing replies,
-# late or down, its list down, publishers racing, engines and services crashing, a
-# request that crashes engines. The last line is JSON with the figures;
-# docs/measurements/faults.md has the table of faults.
+# Runs one deployment with real processes under many faults, some of them concurrent:
+# frozen, killed and partitioned processes, lost replies, late appends and outages of
+# the platform's log, an outage of its list, concurrent publishers, crashes of engines
+# and services, and a request that crashes engines. The last line is a JSON summary;
+# docs/measurements/faults.md lists the faults.
 #
 #   scripts/faults.sh kalku-rinda|regnbrunnur [SECONDS]
 #
-# Needs go, make, bash and the usual core utilities.
+# Requires go, make, bash and the standard core utilities.
 set -uo pipefail
 export LC_ALL=C
 cd "$(dirname "$0")/.."
@@ -39,7 +39,7 @@
 start fault/entry freeze "entry/$frozen" 4
 
 at_second 7
-# The next leader's first orders get no answer, and arrive when they are old.
+# The next leader's first orders get no reply and reach the engines late.
 for name in "${engines[@]}"; do
   fault "$name" '{"lose_order_reply": {"next": 1}, "late_order": {"next": 1}, "late_order_ms": 5000}'
 done
@@ -67,7 +67,8 @@
 fault log '{"lose_reply": {}, "land_late": {}}'
 
 at_second 20
-# Such a scope must not pass on by time: its engines would take a woken leader's orders.
+# The lease of an unfenced scope must not pass to another leader by expiry: the engines
+# would also accept orders of the old leader after it resumes.
 unfenced=$(scopes | grep -E '/unfenced$' | head -n 1)
 unfenced_leader=
 if [ -n "$unfenced" ]; then
@@ -87,7 +88,7 @@
 send_poison first 9 "${sound[@]}"
 sound_crashes=$poison_crashes sound_refused=$poison_refused
 say "$sound_crashes engines crashed; $sound_refused sends of 9 refused as quarantined"
-# Another one meets the entry that can't tell the others of it.
+# A second one reaches the entry that can't report it to the others.
 send_poison second 3 "$cut"
 cut_crashes=$poison_crashes
 say "another: $cut_crashes engines crashed by 3 sends to $cut"
@@ -157,7 +158,8 @@
   for kind in outage silent; do
     before=$(counted keys)
     answer=$(book "$kind-$name" "$asked")
-    # An answer without a new key at the services would be of a run in the outage.
+    # A response that the call ran, without a new key at the services, is of a run during
+    # the outage.
     if [ "$(outcome <<<"$answer")" = ran ] && [ "$(counted keys)" = "$before" ]; then
       outage_ran=$((outage_ran + 1))
       say "a booking refused in the outage at $name had run"
@@ -197,7 +199,7 @@
 [ "$sound_crashes" -le 2 ] || say "NOTE: the poisonous request crashed $sound_crashes engines, not two"
 [ "$sound_crashes" -le 3 ] || off+=("poison_crashes is $sound_crashes, more than 3")
 [ "$cut_crashes" -le 2 ] || off+=("the entry that was cut off let $cut_crashes engines crash, more than 2")
-# Each side of a partition learns for itself.
+# Each side of a partition detects the request independently.
 [ "$both_crashes" -le 2 ] || say "NOTE: on both sides of the partition $both_crashes engines crashed, not two"
 [ "$both_crashes" -le 4 ] || off+=("poison_crashes_partition is $both_crashes, more than 4")
 for name in "${off[@]}"; do say "WRONG: $name"; done
--- a/scripts/lib/faults.sh
+++ b/scripts/lib/faults.sh
@@ -1,6 +1,6 @@
-# The faults of a trial and the callers that meet them on purpose.
+# Fault injection for a trial, and requests that run into the faults.
 
-# fault PART JSON sets faults of one of the stand-ins' parts.
+# fault COMPONENT JSON sets faults of one stand-in.
 fault() { http POST "$control" "/parts/$1/faults" "$2" >/dev/null || fail "the stand-ins refuse a fault of $1"; }
 
 # upstreams KIND prints the names of all engines or services.
@@ -9,20 +9,20 @@
 # protected_path prints the path of the first protected rule.
 protected_path() { sed -nE 's/.*path startsWith \\"([^\\]+)\\".*/\1/p' "$run/rules.json" | head -n 1; }
 
-# freeze NAME SECONDS stops a process and lets it go on.
+# freeze NAME SECONDS pauses a process and then resumes it.
 freeze() {
   end STOP "$1"
   sleep "$2"
   end CONT "$1"
 }
 
-# scopes prints the deployment's scopes, as the controller on $asked knows them.
+# scopes prints the deployment's scopes as reported by the controller on $asked.
 scopes() {
   http GET "${controllers[$asked]}" /status "" "$token" |
     grep -oE '"scope":"[^"]+","holder"' | sed -E 's/"scope":"([^"]+)".*/\1/'
 }
 
-# leader_of SCOPE prints who leads a scope, as the controller on $asked knows it.
+# leader_of SCOPE prints a scope's leader as reported by the controller on $asked.
 leader_of() {
   http GET "${controllers[$asked]}" /status "" "$token" |
     grep -oE '"scope":"[^"]+","holder":"[^"]+"' | sed -nE "s|\"scope\":\"$1\",\"holder\":\"([^\"]+)\"|\1|p"
@@ -30,23 +30,24 @@
 
 counted() { http GET "$control" /totals | json_value "$1"; }
 
-# book KEY INSTANCE sends a protected call and prints its answer, or its refusal.
+# book KEY INSTANCE sends a protected call and prints the response.
 book() {
   local http_timeout=15
   http POST "${callers[$2]}" "$protected" "{\"reference\":\"$1\"}" "" "$1" || true
 }
 
-# outcome prints whether the answer on stdin says that the call ran.
+# outcome prints the outcome of the call whose response is on stdin: the outcome it
+# states, ran, or none.
 outcome() {
   local answer
   answer=$(cat)
   json_value outcome <<<"$answer" || { [ -n "$(json_value run <<<"$answer")" ] && printf 'ran'; } || printf 'none'
 }
 
-# send_poison WORD SENDS INSTANCE... sends one request, told apart by the word, that
-# crashes engines again and again, at one instance after the other, without a pause.
-# It sets poison_crashes, the engines that crashed meanwhile, and poison_refused, the
-# sends refused as quarantined.
+# send_poison WORD SENDS INSTANCE... repeatedly sends a request that crashes engines,
+# identified by the word, to the instances in turn and without pauses. It sets
+# poison_crashes to the number of engine crashes meanwhile, and poison_refused to the
+# number of requests refused as quarantined.
 send_poison() {
   local word=$1 sends=$2 before body answer name http_timeout=30 n
   shift 2
@@ -62,8 +63,8 @@
   poison_crashes=$(($(counted crashes) - before))
 }
 
-# rejoin INSTANCE VERSION waits for an entry that was cut off to have the version in
-# force and prints the time in ms.
+# rejoin INSTANCE VERSION waits until the version is in force on an entry whose
+# partition has ended, and prints the time in ms.
 rejoin() {
   local from
   from=$(now_ms)
--- a/scripts/lib/http.sh
+++ b/scripts/lib/http.sh
@@ -1,7 +1,7 @@
-# HTTP by bash alone, for the trial script: no other program is needed.
+# An HTTP client in plain bash, so that the trial scripts need no other program.
 
-# http METHOD ADDRESS PATH [BODY [TOKEN [KEY]]] prints the answer's body. It fails if
-# the answer isn't 2xx or doesn't come within http_timeout seconds. KEY is sent as
+# http METHOD ADDRESS PATH [BODY [TOKEN [KEY]]] prints the response's body. It fails if
+# the status isn't 2xx or a read takes longer than http_timeout seconds. KEY is sent as
 # the Idempotency-Key.
 http_timeout=3
 http() {
@@ -22,7 +22,8 @@
   [[ $status == 2* ]]
 } 2>/dev/null
 
-# wait_for SECONDS COMMAND... repeats a command until it succeeds.
+# wait_for SECONDS COMMAND... repeats a command until it succeeds; it fails after
+# SECONDS.
 wait_for() {
   local end=$((SECONDS + $1))
   shift
@@ -32,8 +33,8 @@
   done
 }
 
-# json_value KEY prints the first value of a key in the JSON text on stdin, if it
-# is a number, a word or a string without quotes in it.
+# json_value KEY prints the first value of a key in the JSON text on stdin. The value
+# must be a number, a literal or a string that holds no quote, comma, brace or space.
 json_value() {
   local text
   IFS= read -r -d '' text || true
--- a/scripts/lib/trial.sh
+++ b/scripts/lib/trial.sh
@@ -1,4 +1,4 @@
-# What the trial scripts share. They run from the repository's root.
+# Functions shared by the trial scripts, which run in the repository's root.
 . scripts/lib/http.sh
 . scripts/lib/processes.sh
 
@@ -9,14 +9,14 @@
   exit 1
 }
 
-# begin_trial KIND DEPLOYMENT makes the folder out/KIND/DEPLOYMENT anew, builds the
-# programs and prepares the settings. All processes end when the script does.
+# begin_trial KIND DEPLOYMENT recreates the folder out/KIND/DEPLOYMENT, builds the
+# programs and prepares the settings. All processes end with the script.
 begin_trial() {
   source_dir=deploy/$2
   [ -f "$source_dir/settings.json" ] || fail "no deployment in $source_dir"
   out=out/$1/$2
   logs=$out/logs
-  run=$out/run # the settings' copy and the trial's own secrets
+  run=$out/run # the copy of the settings and the trial's secrets
   rm -rf "$out"
   mkdir -p "$logs" "$run"
   trap 'trap - EXIT INT TERM; end_all' EXIT
@@ -27,7 +27,7 @@
   read_settings
 }
 
-# start_deployment starts everything and publishes the first rules.
+# start_deployment starts all processes and publishes the initial rules.
 start_deployment() {
   local name
   say "starting the stand-ins, ${#instances[@]} entries and ${#instances[@]} controllers"
@@ -43,8 +43,8 @@
 
 random_hex() { od -An -N24 -tx1 /dev/urandom | tr -d ' \n'; }
 
-# prepare_settings copies the sample and puts a secret and operators' tokens of
-# this trial into the copy. None of them is in the repository.
+# prepare_settings copies the sample settings and generates the peers' secret and the
+# operators' token for this trial. The repository holds neither.
 prepare_settings() {
   settings=$run/settings.json
   token=$(random_hex)
@@ -52,13 +52,13 @@
   hash=$(printf %s "$token" | sha256sum)
   hash=${hash%% *}
   (umask 077 && random_hex >"$run/peer.secret" && printf %s "$token" >"$run/operator.token")
-  # The first operator of the sample gets the trial's token.
+  # The first operator in the sample gets the trial's token.
   sed "s/0\{63\}1\"/$hash\"/" "$source_dir/settings.json" >"$settings"
   cp "$source_dir/rules.json" "$run/rules.json"
 }
 
-# read_settings fills in the instances and their addresses from the copy. It relies
-# on the sample's layout of one key a line.
+# read_settings reads the instances and their addresses from the copy. It relies on
+# the sample's format of one key per line.
 read_settings() {
   declare -gA callers operators controllers
   instances=()
@@ -89,13 +89,13 @@
   start "entry/$1" bin/chute-entry -settings "$settings" -instance "$1"
 }
 
-# at PERCENT waits until so much of the load's time has passed.
+# at PERCENT waits until that share of the load's duration has passed.
 at() {
   local when=$((began + seconds * $1 / 100))
   while [ "$SECONDS" -lt "$when" ]; do sleep 0.1; done
 }
 
-# at_second N waits until so many seconds of the load have passed.
+# at_second N waits until N seconds have passed since the start of the load.
 at_second() {
   while [ "$SECONDS" -lt $((began + $1)) ]; do sleep 0.1; done
 }
@@ -106,7 +106,7 @@
 
 chutectl() { bin/chutectl -settings "$settings" -token-file "$run/operator.token" "$@"; }
 
-# live lists the instances whose entries serve.
+# live prints the instances whose entries are running.
 live() {
   local name
   for name in "${instances[@]}"; do
@@ -123,7 +123,7 @@
   local version=$1 name end=$((SECONDS + 20))
   for name in $(live); do
     until [ "$(in_force_on "$name")" = "$version" ]; do
-      # An entry that ends meanwhile isn't live any more.
+      # An entry that ends meanwhile is no longer live.
       running "entry/$name" || break
       [ "$SECONDS" -lt "$end" ] || return 1
       sleep 0.02
@@ -133,8 +133,8 @@
 
 in_force_ms=()
 
-# publish_and_time COMMAND... publishes by a command of chutectl and notes the
-# time from its start until the new version is in force on all live entries.
+# publish_and_time COMMAND... publishes with a chutectl command and records the time
+# from its start until the new version is in force on all live entries.
 publish_and_time() {
   local from version
   from=$(now_ms)
@@ -144,20 +144,21 @@
   in_force_ms+=($(($(now_ms) - from)))
 }
 
-# edited_rules writes the rules in force, with one more in front, to a file.
+# edited_rules writes the rules in force, preceded by one more, to a file.
 edited_rules() {
   local rule='{"name": "trial", "when": "header(\\"X-Trial\\") != \\"\\"", '
   rule+='"then": {"refuse": {"status": 403, "reason": "trial"}}},'
   chutectl rules get | sed "s|\"rules\": \[|&$rule|" >"$run/edited.json"
 }
 
-# expect NAME VALUE WANTED counts a figure that is off.
+# expect NAME VALUE WANTED records a failure if the values differ.
 expect() {
   [ "$2" = "$3" ] && return
   off+=("$1 is ${2:-missing}, not $3")
 }
 
-# expect_zeros counts the load's and the stand-ins' figures that must be 0.
+# expect_zeros records a failure for each counter of the load and the stand-ins that
+# must be 0 but isn't.
 expect_zeros() {
   local name
   for name in wrong_answer cut_by_planned_stop ran_twice not_run_but_ran; do
@@ -168,8 +169,8 @@
   done
 }
 
-# expect_exit_codes NAME... counts processes that ended with another code than 0,
-# except those named.
+# expect_exit_codes NAME... records a failure for each process with a non-zero exit
+# code, except those named.
 expect_exit_codes() {
   local name
   for name in "${!exit_code_of[@]}"; do
@@ -177,8 +178,8 @@
   done
 }
 
-# report prints what was measured; the last line is JSON. It fails if a figure
-# that must be 0 isn't, or if a planned stop went wrong.
+# report prints the results; the last line is a JSON summary. It fails if a counter
+# that must be 0 isn't, or if a process that wasn't killed ended with a non-zero code.
 report() {
   local load_line name slowest=0 ms off=()
   load_line=$(tail -n 1 "$logs/load.log")
--- a/scripts/lib/versions.sh
+++ b/scripts/lib/versions.sh
@@ -1,15 +1,15 @@
-# The rules' versions in a trial: watched on every entry all through, and raced
-# for by two publishers.
+# Rule versions in a trial: monitored on every entry throughout, and published
+# concurrently by two operators.
 
-# version_less A B compares two versions, "offset.index".
+# version_less A B succeeds if version A is older than B; a version is "offset.index".
 version_less() {
   local a=${1%.*} b=${2%.*}
   [ "$a" -lt "$b" ] || { [ "$a" -eq "$b" ] && [ "${1#*.}" -lt "${2#*.}" ]; }
 }
 
-# watch_versions NAME notes each new version in force on an entry, one a line with
-# the time, until the file stop_watching is there. An entry that has just started
-# without any version counts as not seen.
+# watch_versions NAME records each new version in force on an entry, one per line with
+# the time, until the file stop_watching exists. An entry that has no version yet after
+# a start is ignored.
 watch_versions() {
   local now before=
   while [ ! -e "$run/stop_watching" ]; do
@@ -34,9 +34,9 @@
   for name in "${instances[@]}"; do reap_within 10 "watch/$name"; done
 }
 
-# count_reverts sets version_reverts: how often an entry was seen with an older
-# version than before, restarts of its process included; and fewest_versions: the
-# fewest versions seen on an entry, which tells that there was something to watch.
+# count_reverts sets version_reverts to the number of times that an entry had an older
+# version than before, also across restarts of its process. It sets fewest_versions to
+# the lowest number of versions recorded on an entry, to detect that nothing changed.
 count_reverts() {
   local name now before seen
   version_reverts=0 fewest_versions=1000000
@@ -53,15 +53,15 @@
   done
 }
 
-# rules_with NAME FILE writes the first rules with a rule of that name in front.
+# rules_with NAME FILE writes the initial rules, preceded by a rule of that name.
 rules_with() {
   local rule="{\"name\": \"$1\", \"when\": \"header(\\\\\"X-Trial\\\\\") == \\\\\"$1\\\\\"\", "
   rule+='"then": {"refuse": {"status": 403, "reason": "trial"}}},'
   sed "s|\"rules\": \[|&$rule|" "$run/rules.json" >"$2"
 }
 
-# publish_on INSTANCE BASE RULE [OPTION...] publishes with one instance asked first; it
-# notes its exit code and answer under the rule's name, which is the note too.
+# publish_on INSTANCE BASE RULE [OPTION...] publishes through an instance first. It
+# saves the exit code and the output under the rule's name, which is also the note.
 publish_on() {
   local code=0
   rules_with "$3" "$run/$3.json"
@@ -70,9 +70,9 @@
   printf '%s\n' "$code" >"$run/$3.code"
 }
 
-# publish_race ROUND INSTANCE INSTANCE lets two operators publish on one base. It
-# adds to publish_rounds, and to one_winner if one got through, the other met a
-# conflict and all live entries came to the winner's version, a newer one.
+# publish_race ROUND INSTANCE INSTANCE lets two operators publish concurrently on the
+# same base. It increments publish_rounds; and one_winner if one succeeds, the other
+# gets a conflict, and the winner's version is newer and in force on all live entries.
 publish_race() {
   local base codes winner="" name
   base=$(in_force_on "$2")
@@ -97,8 +97,8 @@
   fi
 }
 
-# told_wrong RULE succeeds if the publication's exit code says something else than the
-# history does. Code 5 leaves it open; after 1 it must not have come into force.
+# told_wrong RULE succeeds if the exit code of a publication contradicts the history.
+# Code 5 means an unknown outcome; after code 1 it must not have been accepted.
 told_wrong() {
   local code verdict
   code=$(<"$run/$1.code")
--- a/scripts/recover.sh
+++ b/scripts/recover.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# How soon an instance with empty memory serves: an entry is killed and started
-# again, five times with the log up and five times with it down. The last line is
-# JSON with the slowest times in ms from the start of the process to its first
-# whole answer of a model.
+# Measures how soon an instance without state serves after a start: an entry is
+# killed and restarted five times with the log up and five times with it down. The
+# last line is a JSON summary with the longest times in ms from the start of the
+# process to the first complete response of a model.
 #
 #   scripts/recover.sh kalku-rinda|regnbrunnur
 set -uo pipefail
@@ -21,7 +21,7 @@
     "{\"model\": \"$model\", \"prompt\": \"how sour is the soil\", \"max_tokens\": 1}" >/dev/null
 }
 
-# slowest_start sets slowest to the longest time to the first answer.
+# slowest_start sets slowest to the longest time to the first response.
 slowest_start() {
   local from took
   slowest=0
--- a/scripts/sites.sh
+++ b/scripts/sites.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Derives three deployments that no customer has from a site file of the users'
-# bench: engines of a tenth and of ten times the speed, and many small ones. What
-# callers ask is scaled with the engines, so that each deployment can be served.
+# Derives three synthetic deployments from a site file of the users' bench: one with
+# engines of a tenth of the speed, one with ten times the speed, and one with many
+# small engines. The requests are scaled with the engines, so that the load stays
+# within each deployment's capacity.
 # Usage: scripts/sites.sh SITE.toml FOLDER
 set -euo pipefail
 
@@ -14,10 +15,10 @@
 here=$(cd "$(dirname "$site")" && pwd)
 mkdir -p "$folder"
 
-# derive writes a site: its name, then factors of the engines' reading speed, of the
-# time of a step, of the prompts' tokens, of the engines' memory and of the time aims,
-# then the engines in each data centre, the requests at once, the share that reads at
-# first, and the factor of the requests with long prompts.
+# derive writes a site file. Its arguments are the name; factors for the prefill speed,
+# the step time, the prompt tokens, the KV memory and the latency objectives; the
+# engines per data centre, the slots and batch size of an engine, the initial share of
+# prefill engines; and a factor for the share of requests with long prompts.
 derive() {
   NAME=$1 SPEED=$2 STEP=$3 TOKENS=$4 MEMORY=$5 AIMS=$6 ENGINES=$7 SLOTS=$8 READERS=$9 LONG=${10} HERE=$here \
     perl -pe '
--- a/scripts/soak-planted.sh
+++ b/scripts/soak-planted.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Shows that the soak can fail: each patch of internal/soak/testdata/planted
-# breaks one promise in a copy of the sources, and the soak must say so within a
-# number of seeds. Prints a line for each; fails if one isn't found.
+# Checks that the soak detects faults: each patch in internal/soak/testdata/planted
+# breaks one promise in a copy of the sources, and the soak must report it within a
+# number of seeds. Prints a line per patch; fails if one isn't detected.
 # Usage: scripts/soak-planted.sh [SEEDS] [PATCH...]
 set -uo pipefail
 cd "$(dirname "$0")/.."
@@ -14,8 +14,8 @@
 trap 'rm -rf "$work"' EXIT
 go build -o "$work/chute-soak" ./cmd/chute-soak || exit 1
 
-# finds SEED PROMISE reports whether a seed finds a promise broken. The soak's own
-# exit code says only that something was.
+# finds SEED PROMISE succeeds if the soak with this seed reports this promise as
+# broken. The soak's exit code doesn't tell which promise was broken.
 finds() {
   local out
   out=$("$work/chute-soak" -member "$work/chute-member" -folder "$work/logs" -seed "$1")
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,19 +1,19 @@
 #!/usr/bin/env bash
-# Runs all tests with the race detector. Tests named in KNOWN-RED.txt (one line
-# each: test, cause, issue) are known to fail for a fault not mended yet: they
-# are run, printed, and don't decide the verdict. Any other failure does.
+# Runs all tests with the race detector. Tests listed in KNOWN-RED.txt (one line
+# each: test, cause, issue) fail because of a known bug: they are run and printed
+# but don't affect the exit code. Any other failure does.
 # RAPID_SEED is the seed of the property tests; 0 draws a new one.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 
 RAPID_SEED=${RAPID_SEED:-20261202}
 
-# Only packages that import rapid know its flag.
+# The flag -rapid.seed exists only in packages whose tests import rapid.
 uses_rapid='{{$p := .ImportPath}}{{range .TestImports}}{{if eq . "pgregory.net/rapid"}}{{$p}}{{"\n"}}{{end}}{{end}}{{range .XTestImports}}{{if eq . "pgregory.net/rapid"}}{{$p}}{{"\n"}}{{end}}{{end}}'
 mapfile -t with_rapid < <(go list -f "$uses_rapid" ./... | sed '/^$/d' | sort -u)
 mapfile -t without_rapid < <(go list ./... | sort | comm -23 - <(printf '%s\n' "${with_rapid[@]}"))
 
-# run_all runs `go test` with the given flags on all packages.
+# run_all FLAG... runs `go test` with the flags on all packages.
 run_all() {
   local verdict=0
   go test -race -count=1 "$@" "${without_rapid[@]}" || verdict=$?
@@ -34,7 +34,7 @@
   exit
 fi
 
-# A name may go down to a case: each of its parts stands for itself alone.
+# A name may include subtests; each of its elements must match exactly.
 exact=()
 for name in "${known[@]}"; do
   exact+=("^${name//\//\$/^}\$")
--- a/scripts/try.sh
+++ b/scripts/try.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
-# A trial of one deployment with real processes on this machine: the stand-ins,
-# 7 entries and 7 controllers, mixed traffic, rules published meanwhile, one
-# instance killed, one stopped, one controller killed and started again. The
-# last line is JSON with the figures; docs/operators/deployments.md explains it.
+# Runs one deployment with real processes on this machine: the stand-ins, 7 entries
+# and 7 controllers under mixed traffic. Meanwhile it publishes rules, kills one
+# instance, stops another, and kills and restarts a controller. The last line is a
+# JSON summary; see docs/operators/deployments.md.
 #
 #   scripts/try.sh kalku-rinda|regnbrunnur [SECONDS]
 #
-# Needs go, make, bash and the usual core utilities.
+# Requires go, make, bash and the standard core utilities.
 set -uo pipefail
 export LC_ALL=C
 cd "$(dirname "$0")/.."
@@ -15,8 +15,8 @@
 begin_trial try "${1:?usage: scripts/try.sh kalku-rinda|regnbrunnur [SECONDS]}"
 seconds=${2:-30}
 [ ${#instances[@]} -ge 5 ] || fail "the trial needs 5 instances"
-# One engine and one plain service that the platform marks as leaving. Both go on
-# running: the stand-ins count new work that reaches them 3 s later or more.
+# One engine and one plain service that the platform marks as terminating. Both keep
+# running: the stand-ins count new work that reaches them more than 3 s later.
 mapfile -t leaving < <(leaving_upstreams)
 [ ${#leaving[@]} -eq 2 ] || fail "the sample names no engine or no service"
 restarted=${instances[0]} killed=${instances[1]} stopped=${instances[4]}
@@ -27,7 +27,7 @@
   -seconds "$seconds" -seed 1 -out "$out"
 began=$SECONDS
 
-at 20 # percent of the time
+at 20 # percent of the load's duration
 say "publishing other rules"
 edited_rules
 publish_and_time rules publish -note "a rule more" "$run/edited.json"
@@ -43,7 +43,7 @@
 reap "controller/$restarted"
 sleep 1
 start "controller/$restarted" bin/chute-controller -settings "$settings" -instance "$restarted"
-# The platform notices, and its list shows it after a lag of its own.
+# The platform detects it, and its list shows it after a delay.
 list_change "{\"remove\": [\"$killed\"]}"
 
 at 45
