--- a/internal/standin/control.go
+++ b/internal/standin/control.go
@@ -79,12 +79,12 @@
 
 func (c *ControlServer) handleComponent(ctx *fasthttp.RequestCtx, path string) {
 	name, subpath, _ := strings.Cut(path, "/")
-	for _, p := range c.components {
-		if p.Name() != name {
+	for _, component := range c.components {
+		if component.Name() != name {
 			continue
 		}
 		ctx.Request.SetRequestURI("/" + subpath)
-		if serveAdmin(p, ctx) {
+		if serveAdmin(component, ctx) {
 			return
 		}
 	}
@@ -93,9 +93,9 @@
 
 func (c *ControlServer) counters() []ComponentCounters {
 	out := make([]ComponentCounters, 0, len(c.components))
-	for _, p := range c.components {
+	for _, component := range c.components {
 		out = append(out, ComponentCounters{
-			Name: p.Name(), Kind: p.Kind(), Address: p.Addr(), Counters: p.CountersJSON(),
+			Name: component.Name(), Kind: component.Kind(), Address: component.Addr(), Counters: component.CountersJSON(),
 		})
 	}
 	return out
@@ -103,14 +103,14 @@
 
 func totals(components []Component) Totals {
 	var t Totals
-	for _, p := range components {
-		switch p := p.(type) {
+	for _, component := range components {
+		switch c := component.(type) {
 		case *Engine:
-			t.addEngine(p.Counters())
+			t.addEngine(c.Counters())
 		case *Service:
-			t.addService(p.Counters())
+			t.addService(c.Counters())
 		case *Log:
-			t.LogAppends = p.Counters().Appends
+			t.LogAppends = c.Counters().Appends
 		}
 	}
 	return t
--- a/internal/standin/endpoint.go
+++ b/internal/standin/endpoint.go
@@ -114,28 +114,28 @@
 
 // serveAdmin serves counters and faults, and reports whether the request was for one of
 // them.
-func serveAdmin(p Component, ctx *fasthttp.RequestCtx) bool {
+func serveAdmin(component Component, ctx *fasthttp.RequestCtx) bool {
 	switch string(ctx.Path()) {
 	case PathCounters:
-		replyRaw(ctx, p.CountersJSON())
+		replyRaw(ctx, component.CountersJSON())
 	case PathFaults:
-		serveFaults(p, ctx)
+		serveFaults(component, ctx)
 	default:
 		return false
 	}
 	return true
 }
 
-func serveFaults(p Component, ctx *fasthttp.RequestCtx) {
+func serveFaults(component Component, ctx *fasthttp.RequestCtx) {
 	if !ctx.IsPost() {
-		replyRaw(ctx, p.FaultsJSON())
+		replyRaw(ctx, component.FaultsJSON())
 		return
 	}
-	if err := p.SetFaults(ctx.PostBody()); err != nil {
+	if err := component.SetFaults(ctx.PostBody()); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
 	}
-	replyRaw(ctx, p.FaultsJSON())
+	replyRaw(ctx, component.FaultsJSON())
 }
 
 func replyRaw(ctx *fasthttp.RequestCtx, doc []byte) {
--- a/internal/standin/engine_http.go
+++ b/internal/standin/engine_http.go
@@ -238,7 +238,7 @@
 }
 
 // SetTerminating records whether the list shows the engine as terminating.
-func (e *Engine) SetTerminating(leaving bool) { e.termination.set(time.Now(), leaving) }
+func (e *Engine) SetTerminating(terminating bool) { e.termination.set(time.Now(), terminating) }
 
 // TerminatingSince returns since when the list has shown the engine as terminating; zero if
 // it doesn't.
--- a/internal/standin/list.go
+++ b/internal/standin/list.go
@@ -182,13 +182,13 @@
 	for _, r := range f.Add {
 		added[r.Name] = true
 	}
-	removed, leaving := nameSet(f.Remove), nameSet(f.Terminating)
+	removed, terminating := nameSet(f.Remove), nameSet(f.Terminating)
 	var out []infra.Instance
 	for _, r := range instances {
 		if removed[r.Name] || added[r.Name] {
 			continue
 		}
-		r.Terminating = r.Terminating || leaving[r.Name]
+		r.Terminating = r.Terminating || terminating[r.Name]
 		out = append(out, r)
 	}
 	return append(out, f.Add...)
--- a/internal/standin/run_counter.go
+++ b/internal/standin/run_counter.go
@@ -56,11 +56,11 @@
 	since time.Time
 }
 
-func (m *terminationMark) set(now time.Time, leaving bool) {
+func (m *terminationMark) set(now time.Time, terminating bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch {
-	case !leaving:
+	case !terminating:
 		m.since = time.Time{}
 	case m.since.IsZero():
 		m.since = now
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -230,7 +230,7 @@
 }
 
 // SetTerminating records whether the list shows the service as terminating.
-func (s *Service) SetTerminating(leaving bool) { s.termination.set(time.Now(), leaving) }
+func (s *Service) SetTerminating(terminating bool) { s.termination.set(time.Now(), terminating) }
 
 // Counters returns the counters.
 func (s *Service) Counters() ServiceCounters {
--- a/internal/standin/set.go
+++ b/internal/standin/set.go
@@ -58,7 +58,7 @@
 // terminable is a component that is notified whether the list shows it as terminating.
 type terminable interface {
 	Component
-	SetTerminating(leaving bool)
+	SetTerminating(terminating bool)
 }
 
 // Set is all stand-ins of a deployment.
@@ -212,8 +212,8 @@
 }
 
 func (s *Set) onTerminating(names []string) {
-	for _, p := range s.upstreams {
-		p.SetTerminating(slices.Contains(names, p.Name()))
+	for _, u := range s.upstreams {
+		u.SetTerminating(slices.Contains(names, u.Name()))
 	}
 }
 
@@ -233,8 +233,8 @@
 	sup := suture.New("standin", suture.Spec{EventHook: func(e suture.Event) {
 		slog.Error("stand-in", "event", e.String())
 	}})
-	for _, p := range s.components {
-		sup.Add(p)
+	for _, component := range s.components {
+		sup.Add(component)
 	}
 	if s.control != nil {
 		sup.Add(s.control)
@@ -244,9 +244,9 @@
 
 // closeAll closes the open listeners after NewSet has failed.
 func (s *Set) closeAll() {
-	for _, p := range s.components {
-		if g, ok := p.(interface{ closeGate() }); ok {
-			g.closeGate()
+	for _, component := range s.components {
+		if l, ok := component.(interface{ closeListener() }); ok {
+			l.closeListener()
 		}
 	}
 }
--- a/internal/standin/set_test.go
+++ b/internal/standin/set_test.go
@@ -67,8 +67,8 @@
 	require.NoError(t, err)
 	require.Len(t, components, 6)
 	address := map[string]string{}
-	for _, p := range components {
-		address[p.Name] = p.Address
+	for _, c := range components {
+		address[c.Name] = c.Address
 	}
 	call := func(service string) error {
 		_, err := serviceclient.New(address[service], httpx.Options{}).Call(t.Context(), upstream.ServiceRequest{
@@ -108,9 +108,9 @@
 // late, with no other notification than the list's.
 func TestListNotifiesTerminatingUpstreams(t *testing.T) {
 	s, _ := startSet(t, standin.Config{Deployment: testDeployment()})
-	for _, p := range s.Components() {
-		if p.Kind() == "list" {
-			standintest.SetFaults(t, p, `{"leaving":["engine-1"]}`)
+	for _, c := range s.Components() {
+		if c.Kind() == "list" {
+			standintest.SetFaults(t, c, `{"leaving":["engine-1"]}`)
 		}
 	}
 	engine := s.Components()[3].(*standin.Engine)
