--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -10,15 +10,15 @@
 	"tamarackchute/lease"
 )
 
-func (c *Controller) page() *Page {
-	return &Page{
+func (c *Controller) operatorServer() *OperatorServer {
+	return &OperatorServer{
 		addr: c.self.ControllerOperators, tls: c.cfg.ServerTLS,
 		metrics: c.cfg.Metrics.Page, status: c.Status, ready: c.ready,
 		authorise: operator.RequireToken(c.cfg.Deployment.Security.Operators, c.log),
 	}
 }
 
-// ready reports whether the whole log has been read once.
+// ready reports whether the log has been read to its end once.
 func (c *Controller) ready() bool {
 	select {
 	case <-c.journal.CaughtUp():
@@ -30,7 +30,7 @@
 
 func (c *Controller) scopeNames() []string { return slices.Sorted(maps.Keys(c.keepers)) }
 
-// Status returns what the operators' page shows.
+// Status returns the state that the operators' status page shows.
 func (c *Controller) Status() Status {
 	s := Status{
 		Instance: c.cfg.Instance, DataCentre: c.self.DataCentre, Incarnation: c.incarnation,
@@ -45,30 +45,30 @@
 			s.Engines = append(s.Engines, c.engineStatus(u, x))
 		}
 	}
-	for name, age := range c.statuses.Ages(time.Now()) {
+	for name, age := range c.entryStatuses.Ages(time.Now()) {
 		s.StatusAgeMillis[name] = age.Milliseconds()
 	}
 	return s
 }
 
 func (c *Controller) scopeStatus(s lease.ScopeState) ScopeStatus {
-	out := ScopeStatus{Scope: s.Scope, Fence: s.FencingToken, Since: s.Since, Ground: s.Basis.String()}
+	out := ScopeStatus{Scope: s.Scope, FencingToken: s.FencingToken, Since: s.Since, Basis: s.Basis.String()}
 	if s.Held {
 		out.Holder = s.Holder
 	}
 	if k, ok := c.keepers[s.Scope]; ok {
-		_, out.Led = k.Authority()
+		_, out.Leading = k.Authority()
 	}
 	return out
 }
 
 func (c *Controller) engineStatus(u settings.Upstream, x *Executor) EngineStatus {
 	known := c.changes.Snapshot().Engine(u.Name)
-	doing, state, _ := x.seen()
+	activity, state, _ := x.lastSeen()
 	out := EngineStatus{
-		Engine: u.Name, Scope: ScopeOf(u), Believed: known.Observed, Change: known.Change,
-		Open: known.Open() != nil, Doing: doing, Busy: state.Busy, Running: state.Running,
-		FencingNumber: state.FencingToken, LastOrder: state.LastOrder, Incarnation: state.Incarnation,
+		Engine: u.Name, Scope: ScopeOf(u), Observed: known.Observed, Change: known.Change,
+		Open: known.Open() != nil, Activity: activity, Busy: state.Busy, Running: state.Running,
+		FencingToken: state.FencingToken, LastOrder: state.LastOrder, Incarnation: state.Incarnation,
 	}
 	if known.Change != nil {
 		out.Phase = known.Change.Phase.String()
