--- a/internal/load/model.go
+++ b/internal/load/model.go
@@ -24,7 +24,7 @@
 	path     string
 	body     []byte
 	headers  http.Header
-	expected oracle.Answer
+	expected oracle.Completion
 	dueAt    time.Time
 	result   Result
 	gaps     []time.Duration
@@ -48,7 +48,7 @@
 			"Content-Type":     {"application/json"},
 			headerOrganisation: {organisation(a.Seed)},
 		},
-		expected: oracle.For(c.Model, fullPrompt, a.Output),
+		expected: oracle.Expected(c.Model, fullPrompt, a.Output),
 		result:   Result{Arrival: a, Outcome: NotRun},
 	}
 	if err != nil {
--- a/internal/load/protected.go
+++ b/internal/load/protected.go
@@ -129,7 +129,7 @@
 
 func (s *serviceCall) checkAnswer(body []byte) {
 	var got serviceAnswer
-	want := oracle.Echo(s.method, s.path, s.body)
+	want := oracle.RequestDigest(s.method, s.path, s.body)
 	switch {
 	case json.Unmarshal(body, &got) != nil || got.Echo != want:
 		s.result.Outcome, s.result.Detail = Wrong, fmt.Sprintf("answer %.80q, want echo %s", body, want)
--- a/internal/standin/control.go
+++ b/internal/standin/control.go
@@ -9,108 +9,108 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Paths of the control page.
+// Paths of the control API.
 const (
-	PathParts  = "/parts/" // + name + /counters or /faults
-	PathTotals = "/totals"
+	PathComponents = "/parts/" // + name + /counters or /faults
+	PathTotals     = "/totals"
 )
 
-// PartCounters is the counters of one part.
-type PartCounters struct {
+// ComponentCounters holds the counters of one component.
+type ComponentCounters struct {
 	Name     string          `json:"name"`
 	Kind     string          `json:"kind"`
 	Address  string          `json:"address"`
 	Counters json.RawMessage `json:"counters"`
 }
 
-// Totals sums what engines and services counted.
+// Totals sums the counters of engines and services, and holds the log's appends.
 type Totals struct {
-	Requests            int64 `json:"requests"`
-	Completed           int64 `json:"completed"`
-	Tokens              int64 `json:"tokens"`
-	CutByOrder          int64 `json:"cut_by_order"`
-	CutByCrash          int64 `json:"cut_by_crash"`
-	Crashes             int64 `json:"crashes"`
-	RoleChanges         int64 `json:"role_changes"`
-	Orders              int64 `json:"orders"`
-	ConflictingOrders   int64 `json:"conflicting_orders"`
-	FencedOrders        int64 `json:"fenced_orders"`
-	OutdatedOrdersTaken int64 `json:"outdated_orders_taken"`
-	WrongPrior          int64 `json:"wrong_prior"`
-	WorkAfterLeaving    int64 `json:"work_after_leaving"`
-	ServiceCalls        int64 `json:"service_calls"`
-	Keys                int64 `json:"keys"`
-	RanTwice            int64 `json:"ran_twice"`
-	LogAppends          int64 `json:"log_appends"`
+	Requests               int64 `json:"requests"`
+	Completed              int64 `json:"completed"`
+	Tokens                 int64 `json:"tokens"`
+	InterruptedByOrder     int64 `json:"cut_by_order"`
+	InterruptedByCrash     int64 `json:"cut_by_crash"`
+	Crashes                int64 `json:"crashes"`
+	RoleChanges            int64 `json:"role_changes"`
+	Orders                 int64 `json:"orders"`
+	ConflictingOrders      int64 `json:"conflicting_orders"`
+	FencedOrders           int64 `json:"fenced_orders"`
+	OutdatedOrdersAccepted int64 `json:"outdated_orders_taken"`
+	WrongPrior             int64 `json:"wrong_prior"`
+	WorkAfterTermination   int64 `json:"work_after_leaving"`
+	ServiceCalls           int64 `json:"service_calls"`
+	Keys                   int64 `json:"keys"`
+	RanTwice               int64 `json:"ran_twice"`
+	LogAppends             int64 `json:"log_appends"`
 }
 
-// Control is a page for all parts at one address, which stays up when a part
-// has crashed.
-type Control struct {
-	*node
-	parts []Part
+// ControlServer serves the control API: the counters and faults of all components at one
+// address, which stays up when a component has crashed.
+type ControlServer struct {
+	*endpoint
+	components []Component
 }
 
-// NewControl returns a page that listens already.
-func NewControl(addr string, tlsConfig *tls.Config, parts []Part) (*Control, error) {
-	n, err := newNode("control", "control", addr, tlsConfig)
+// NewControlServer returns a server that is already listening.
+func NewControlServer(addr string, tlsConfig *tls.Config, components []Component) (*ControlServer, error) {
+	base, err := newEndpoint("control", "control", addr, tlsConfig)
 	if err != nil {
 		return nil, err
 	}
-	return &Control{node: n, parts: parts}, nil
+	return &ControlServer{endpoint: base, components: components}, nil
 }
 
-// Serve runs the page until ctx ends.
-func (c *Control) Serve(ctx context.Context) error { return c.serve(ctx, c.handle) }
+// Serve handles requests until ctx ends.
+func (c *ControlServer) Serve(ctx context.Context) error { return c.serve(ctx, c.handle) }
 
-func (c *Control) handle(ctx *fasthttp.RequestCtx) {
+func (c *ControlServer) handle(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
 	switch {
 	case path == PathCounters:
 		replyJSON(ctx, c.counters())
 	case path == PathTotals:
-		replyJSON(ctx, totals(c.parts))
-	case strings.HasPrefix(path, PathParts):
-		c.handlePart(ctx, strings.TrimPrefix(path, PathParts))
+		replyJSON(ctx, totals(c.components))
+	case strings.HasPrefix(path, PathComponents):
+		c.handleComponent(ctx, strings.TrimPrefix(path, PathComponents))
 	default:
 		ctx.NotFound()
 	}
 }
 
-func (c *Control) handlePart(ctx *fasthttp.RequestCtx, path string) {
-	name, page, _ := strings.Cut(path, "/")
-	for _, p := range c.parts {
-		if p.Name() != name {
+func (c *ControlServer) handleComponent(ctx *fasthttp.RequestCtx, path string) {
+	name, subpath, _ := strings.Cut(path, "/")
+	for _, component := range c.components {
+		if component.Name() != name {
 			continue
 		}
-		ctx.Request.SetRequestURI("/" + page)
-		if admin(p, ctx) {
+		ctx.Request.SetRequestURI("/" + subpath)
+		if serveAdmin(component, ctx) {
 			return
 		}
 	}
 	ctx.NotFound()
 }
 
-func (c *Control) counters() []PartCounters {
-	out := make([]PartCounters, 0, len(c.parts))
-	for _, p := range c.parts {
-		out = append(out, PartCounters{
-			Name: p.Name(), Kind: p.Kind(), Address: p.Addr(), Counters: p.CountersJSON(),
+func (c *ControlServer) counters() []ComponentCounters {
+	out := make([]ComponentCounters, 0, len(c.components))
+	for _, component := range c.components {
+		out = append(out, ComponentCounters{
+			Name: component.Name(), Kind: component.Kind(), Address: component.Addr(), Counters: component.CountersJSON(),
 		})
 	}
 	return out
 }
 
-func totals(parts []Part) Totals {
+func totals(components []Component) Totals {
 	var t Totals
-	for _, p := range parts {
-		switch p := p.(type) {
+	for _, component := range components {
+		switch c := component.(type) {
 		case *Engine:
-			t.addEngine(p.Counters())
+			t.addEngine(c.Counters())
 		case *Service:
-			t.addService(p.Counters())
+			t.addService(c.Counters())
 		case *Log:
-			t.LogAppends = p.Counters().Appends
+			t.LogAppends = c.Counters().Appends
 		}
 	}
 	return t
@@ -120,22 +120,23 @@
 	t.Requests += c.Requests
 	t.Completed += c.Completed
 	t.Tokens += c.Tokens
-	t.CutByOrder += c.CutByOrder
-	t.CutByCrash += c.CutByCrash
+	t.InterruptedByOrder += c.InterruptedByOrder
+	t.InterruptedByCrash += c.InterruptedByCrash
 	t.Crashes += c.Crashes
 	t.RoleChanges += c.RoleChanges
 	t.Orders += c.Orders
 	t.ConflictingOrders += c.ConflictingOrders
 	t.FencedOrders += c.FencedOrders
-	t.OutdatedOrdersTaken += c.OutdatedOrdersTaken
+	t.OutdatedOrdersAccepted += c.OutdatedOrdersAccepted
 	t.WrongPrior += c.WrongPrior
-	t.WorkAfterLeaving += c.WorkAfterLeaving
+	t.WorkAfterTermination += c.WorkAfterTermination
 }
 
-// addService takes the ledger's figures once: the services share it.
+// addService adds a service's counters. Keys and RanTwice are those of the run counter that
+// all services share, so they are not summed.
 func (t *Totals) addService(c ServiceCounters) {
 	t.ServiceCalls += c.Calls
 	t.Crashes += c.Crashes
-	t.WorkAfterLeaving += c.WorkAfterLeaving
+	t.WorkAfterTermination += c.WorkAfterTermination
 	t.Keys, t.RanTwice = c.Keys, c.RanTwice
 }
--- a/internal/standin/engine_control.go
+++ b/internal/standin/engine_control.go
@@ -14,23 +14,23 @@
 	"tamarackchute/upstream"
 )
 
-// adapterShare is how long an adapter loads, as a share of a role change. The
+// adapterLoadFraction is the time to load an adapter as a fraction of a role change. The
 // engine stays in service meanwhile.
-const adapterShare = 0.2
+const adapterLoadFraction = 0.2
 
-// controlState is what orders change.
+// controlState is the part of an engine's state that orders change.
 type controlState struct {
 	checksFencing bool
 	state         upstream.EngineState
 	models        []string
 	inService     bool
 	completed     uint64
-	// highest is the highest fencing number ever seen. An engine that doesn't
-	// check neither reports nor uses it; it is there to count what such an
-	// engine lets through.
-	highest uint64
-	// epoch changes with each change and crash, so that the end of a change
-	// which a crash has overtaken is ignored.
+	// highestToken is the highest fencing token received so far. An engine that doesn't
+	// check tokens neither reports nor enforces it; it only counts the outdated orders that
+	// such an engine accepts.
+	highestToken uint64
+	// epoch changes with each order and crash. An order that finishes after a crash is
+	// recognised by its old epoch and ignored.
 	epoch int
 }
 
@@ -51,31 +51,31 @@
 	}
 }
 
-// restart brings the engine back as it was before any change under way.
-func (c *controlState) restart(forgetFence bool) {
+// restart resets the state to that before the order in progress.
+func (c *controlState) restart(loseToken bool) {
 	c.epoch++
 	c.state.Busy = false
 	c.state.LastOrder = ""
 	c.state.Incarnation = uuid.NewString()
 	c.inService = true
-	if forgetFence {
+	if loseToken {
 		c.state.FencingToken = 0
 	}
 }
 
-// raise notes a fencing number and reports whether it is outdated.
-func (c *controlState) raise(fence uint64) (outdated bool) {
-	outdated = fence < c.highest
-	c.highest = max(c.highest, fence)
+// observeToken records a fencing token and reports whether it is outdated.
+func (c *controlState) observeToken(token uint64) (outdated bool) {
+	outdated = token < c.highestToken
+	c.highestToken = max(c.highestToken, token)
 	if c.checksFencing {
-		outdated = fence < c.state.FencingToken
-		c.state.FencingToken = max(c.state.FencingToken, fence)
+		outdated = token < c.state.FencingToken
+		c.state.FencingToken = max(c.state.FencingToken, token)
 	}
 	return outdated
 }
 
-// satisfied reports whether an order asks for what is there already.
-func (c *controlState) satisfied(o upstream.Order) bool {
+// alreadyApplied reports whether the state is already the one that an order asks for.
+func (c *controlState) alreadyApplied(o upstream.Order) bool {
 	switch o.Kind {
 	case upstream.OrderRole:
 		return o.Role == c.state.Role
@@ -88,7 +88,7 @@
 	}
 }
 
-// apply makes a change true.
+// apply makes the change of an order effective.
 func (c *controlState) apply(o upstream.Order) {
 	switch o.Kind {
 	case upstream.OrderRole:
@@ -101,8 +101,8 @@
 	}
 }
 
-// loadModel puts a model in the place of the one that orders last named,
-// unless it is loaded already.
+// loadModel replaces the model named by the last model order, or the first configured one,
+// unless the model is loaded already.
 func (c *controlState) loadModel(model string) {
 	if slices.Contains(c.models, model) {
 		return
@@ -132,22 +132,22 @@
 	}
 }
 
-// order takes an order. It returns upstream.ErrFenced, upstream.ErrBusy or
-// errUnknownOrder if it doesn't.
+// order accepts an order, or returns upstream.ErrFenced, upstream.ErrBusy or
+// errUnknownOrder.
 func (e *Engine) order(o upstream.Order) error {
 	if !validOrder(o) {
 		return errUnknownOrder
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	defer func() { e.note(time.Now()) }()
+	defer func() { e.recordLoad(time.Now()) }()
 	e.counters.Orders++
-	if e.control.raise(o.FencingToken) {
+	if e.control.observeToken(o.FencingToken) {
 		if e.control.checksFencing {
 			e.counters.FencedOrders++
 			return upstream.ErrFenced
 		}
-		e.counters.OutdatedOrdersTaken++
+		e.counters.OutdatedOrdersAccepted++
 	}
 	switch {
 	case o.Kind == upstream.OrderFence:
@@ -160,45 +160,45 @@
 		return upstream.ErrBusy
 	}
 	e.control.state.LastOrder = o.ID
-	if e.control.satisfied(o) {
+	if e.control.alreadyApplied(o) {
 		e.control.completed++
 		return nil
 	}
-	e.begin(o)
+	e.startChange(o)
 	return nil
 }
 
-// begin starts a change. It is called with the lock held.
-func (e *Engine) begin(o upstream.Order) {
+// startChange starts to execute an order. The caller holds e.mu.
+func (e *Engine) startChange(o upstream.Order) {
 	e.control.epoch++
 	e.control.state.Busy = true
 	epoch := e.control.epoch
 	if o.Kind != upstream.OrderAdapter {
 		e.control.inService = false
-		e.counters.CutByOrder += int64(e.endAll(cut))
+		e.counters.InterruptedByOrder += int64(e.endAll(statusInterrupted))
 		e.kv.clear(true)
 	}
-	e.note(time.Now())
-	e.tasks.Go(func() { e.change(o, epoch) })
+	e.recordLoad(time.Now())
+	e.tasks.Go(func() { e.executeOrder(o, epoch) })
 }
 
-// change carries an order out.
-func (e *Engine) change(o upstream.Order, epoch int) {
-	begun := time.Now()
-	took := e.config.Speed.scaled(e.config.Speed.Change)
+// executeOrder executes an order and blocks until it is finished.
+func (e *Engine) executeOrder(o upstream.Order, epoch int) {
+	started := time.Now()
+	duration := e.config.Speed.scaled(e.config.Speed.ChangeDuration)
 	if o.Kind == upstream.OrderAdapter {
-		took = time.Duration(float64(took) * adapterShare)
+		duration = time.Duration(float64(duration) * adapterLoadFraction)
 	}
-	if e.faults.take(func(f *EngineFaults) *Dose { return &f.CrashInChange }) {
-		e.pause(took / 2)
+	if e.faults.trigger(func(f *EngineFaults) *Trigger { return &f.CrashDuringChange }) {
+		e.sleep(duration / 2)
 		e.crash(Crash{DownMillis: e.faults.get().RestartMillis})
 		return
 	}
 	ok := true
-	if o.Kind == upstream.OrderModel && e.config.Weights != "" {
+	if o.Kind == upstream.OrderModel && e.config.WeightStoreAddr != "" {
 		ok = e.loadWeights(o)
 	} else {
-		e.pause(took)
+		e.sleep(duration)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -206,10 +206,11 @@
 		return
 	}
 	e.finishChange(o, ok)
-	e.counters.ChangeMillis += time.Since(begun).Milliseconds()
+	e.counters.ChangeMillis += time.Since(started).Milliseconds()
 }
 
-// finishChange is called with the lock held.
+// finishChange applies an executed order, or records its failure, and puts the engine back
+// into service. The caller holds e.mu.
 func (e *Engine) finishChange(o upstream.Order, ok bool) {
 	e.control.state.Busy = false
 	e.control.inService = true
@@ -223,21 +224,22 @@
 		e.control.state.LastOrder = ""
 		e.counters.FailedOrders++
 	}
-	e.note(time.Now())
-	e.rouse()
+	e.recordLoad(time.Now())
+	e.wakeLoop()
 }
 
+// loadWeights loads a model's weights from the weight store and reports success.
 func (e *Engine) loadWeights(o upstream.Order) bool {
-	ctx, cancel := e.untilEnd()
+	ctx, cancel := e.lifetimeContext()
 	defer cancel()
-	load := WeightLoad{Model: o.Model, Version: o.Version, Engine: e.name}
-	_, err := httpx.CallJSON[WeightLoad, WeightLoaded](
-		ctx, e.peers.to(e.config.Weights), fasthttp.MethodPost, PathWeightLoad, load)
+	load := WeightLoadRequest{Model: o.Model, Version: o.Version, Engine: e.name}
+	_, err := httpx.CallJSON[WeightLoadRequest, WeightLoadResponse](
+		ctx, e.peers.client(e.config.WeightStoreAddr), fasthttp.MethodPost, PathWeightLoad, load)
 	return err == nil
 }
 
-// untilEnd returns a context that ends with the engine.
-func (e *Engine) untilEnd() (context.Context, context.CancelFunc) {
+// lifetimeContext returns a context that is cancelled when the engine ends.
+func (e *Engine) lifetimeContext() (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var watch conc.WaitGroup
 	watch.Go(func() {
@@ -250,7 +252,7 @@
 	return ctx, cancel
 }
 
-// State returns the engine's state as its control side reports it.
+// State returns the engine's state as reported by its control API.
 func (e *Engine) State() upstream.EngineState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/engine_sequence.go
+++ b/internal/standin/engine_sequence.go
@@ -13,49 +13,52 @@
 	"tamarackchute/router"
 )
 
-// ending is how a sequence ended.
-type ending int
+// sequenceStatus says whether a sequence is running or how it ended.
+type sequenceStatus int
 
 const (
-	running ending = iota
-	finished
-	cancelled
-	cut // by a crash or by an order
+	statusRunning sequenceStatus = iota
+	statusFinished
+	statusCancelled
+	statusInterrupted // by a crash or by an order
 )
 
 var (
-	errCut      = errors.New("stand-in: answer was cut off")
-	errReplaced = errors.New("stand-in: stream was taken up again elsewhere")
+	errInterrupted = errors.New("stand-in: response was interrupted")
+	errReplaced    = errors.New("stand-in: stream was resumed by another reader")
 )
 
-// sequence is one request in an engine. The fields up to mu belong to the
-// engine and are guarded by its lock.
+// sequence is one request in an engine. The fields before mu belong to the engine and are
+// guarded by its lock.
 type sequence struct {
-	id       string
-	answer   oracle.Answer
-	priority int
-	arrival  uint64
-	model    uint64
-	blocks   []uint64
-	// promptTokens counts the prompt; prefix cache and import save some of it.
+	id         string
+	completion oracle.Completion
+	priority   int
+	arrival    uint64
+	model      uint64
+	blocks     []uint64
+	// promptTokens is the prompt's length; cachedTokens and importedTokens are the tokens
+	// of it that the prefix cache and a KV import provide.
 	promptTokens, cachedTokens, importedTokens int
-	// todo are the tokens still to be worked through before the first token.
-	todo int
-	// private are the KV tokens taken beside the blocks.
-	private int
-	// keepKV marks a prefill whose cache is kept for export.
-	keepKV   bool
+	// remaining is the number of tokens still to be prefilled before the first output
+	// token.
+	remaining int
+	// privateTokens is the KV memory used in addition to the prefix blocks.
+	privateTokens int
+	// exportKV marks a prefill whose KV cache is kept for export.
+	exportKV bool
 	poisoned bool
 	admitted bool
 
-	mu     sync.Mutex
-	first  int // index of the first token of this attempt
-	next   int // index of the token to be made next
-	end    ending
-	reader *tokenReader
-	// lonely is since when nobody has read the stream.
-	lonely time.Time
-	done   chan struct{} // closed at the end
+	mu         sync.Mutex
+	firstToken int // index of the first token of this attempt
+	nextToken  int // index of the next token to produce
+	status     sequenceStatus
+	reader     *tokenReader
+	// unreadSince is when the last reader was closed; zero while the stream has a reader or
+	// has never had one.
+	unreadSince time.Time
+	done        chan struct{} // closed at the end
 }
 
 func newSequence(m engineclient.GenerateMessage, poison string) *sequence {
@@ -63,118 +66,118 @@
 	prompt := oracle.PromptTokens(m.Prompt)
 	s := &sequence{
 		id:           m.AttemptID,
-		answer:       oracle.For(m.Model, m.Prompt, m.MaxTokens),
+		completion:   oracle.Expected(m.Model, m.Prompt, m.MaxTokens),
 		priority:     m.Priority,
 		model:        modelKey(m.Model),
 		blocks:       blocks,
 		promptTokens: prompt,
-		first:        m.PriorTokens,
-		next:         m.PriorTokens,
+		firstToken:   m.PriorTokens,
+		nextToken:    m.PriorTokens,
 		poisoned:     poison != "" && strings.Contains(m.Prompt, poison),
 		done:         make(chan struct{}),
 	}
-	s.todo = prompt + m.PriorTokens
-	s.private = prompt - len(blocks)*blockTokens + s.answer.Tokens
+	s.remaining = prompt + m.PriorTokens
+	s.privateTokens = prompt - len(blocks)*blockTokens + s.completion.Tokens
 	return s
 }
 
-// open makes the first reader of a stream.
+// open returns the stream's first reader.
 func (s *sequence) open() *tokenReader {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.attach(s.first)
+	return s.attach(s.firstToken)
 }
 
-// attach makes a reader from a token index; an older reader ends. It is called
-// with the lock held.
+// attach returns a reader that starts at a token index and replaces any older reader. The
+// caller holds s.mu.
 func (s *sequence) attach(from int) *tokenReader {
 	if s.reader != nil {
 		s.reader.replaced = true
-		s.reader.rouse()
+		s.reader.wakeReader()
 	}
-	s.reader = &tokenReader{seq: s, at: from, start: true, breakAt: -1, wake: make(chan struct{}, 1)}
-	s.lonely = time.Time{}
+	s.reader = &tokenReader{seq: s, nextToken: from, firstLine: true, breakAt: -1, wake: make(chan struct{}, 1)}
+	s.unreadSince = time.Time{}
 	return s.reader
 }
 
-// resume makes a reader from a token index that lies within what this attempt
-// has made or may still make.
+// resume returns a reader that starts at a token index, or nil if this attempt can't serve
+// the stream from there.
 func (s *sequence) resume(from int) *tokenReader {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if from < s.first || from > s.next || from >= s.answer.Tokens || s.end == cancelled || s.end == cut {
+	if from < s.firstToken || from > s.nextToken || from >= s.completion.Tokens || s.status == statusCancelled || s.status == statusInterrupted {
 		return nil
 	}
 	return s.attach(from)
 }
 
-// produce makes one token and reports whether it was the last.
+// produce decodes one token and reports whether it was the last.
 func (s *sequence) produce() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.next++
+	s.nextToken++
 	if s.reader != nil {
-		s.reader.rouse()
+		s.reader.wakeReader()
 	}
-	return s.next >= s.answer.Tokens
+	return s.nextToken >= s.completion.Tokens
 }
 
-// finish ends the sequence, once.
-func (s *sequence) finish(how ending) {
+// finish sets the final status; later calls have no effect.
+func (s *sequence) finish(status sequenceStatus) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.end != running {
+	if s.status != statusRunning {
 		return
 	}
-	s.end = how
+	s.status = status
 	close(s.done)
 	if s.reader != nil {
-		s.reader.rouse()
+		s.reader.wakeReader()
 	}
 }
 
-// state returns how the sequence stands and since when nobody reads it.
-func (s *sequence) state() (ending, time.Time) {
+// state returns the sequence's status and the time since when it has had no reader.
+func (s *sequence) state() (sequenceStatus, time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.end, s.lonely
+	return s.status, s.unreadSince
 }
 
-// tokenReader is the body of a streamed answer: one JSON line a token. It
-// makes the lines when they are asked for, so a slow reader costs no memory.
+// tokenReader is the body of a streamed response with one JSON line per token. It encodes
+// lines on demand, so that a slow reader needs no buffer.
 type tokenReader struct {
 	seq  *sequence
 	wake chan struct{}
-	// gate holds reads back while the engine is frozen; nil for none. It
-	// reports false once the engine has ended.
-	gate func() bool
-	// left is told when the reader is closed before the answer's end.
-	left func(*sequence)
+	// awaitUnfrozen blocks while the engine is frozen, and reports false once the engine
+	// has ended; nil for no check.
+	awaitUnfrozen func() bool
+	// onUnread is called when the reader is closed before the end of the response.
+	onUnread func(*sequence)
 
-	// The rest is guarded by seq.mu.
-	at       int // index of the next token to send
-	start    bool
-	replaced bool
-	breakAt  int // index before which a fault breaks off; -1 for none
-	// rest is the rest of a line that didn't fit the last Read.
-	rest []byte
+	// The fields below are guarded by seq.mu.
+	nextToken int // index of the next token to send
+	firstLine bool
+	replaced  bool
+	breakAt   int // index before which a fault breaks the stream; -1 for none
+	// pending is the rest of a line that didn't fit into the last Read.
+	pending []byte
 }
 
-// maxTokenLine is more than a token line usually takes, in bytes.
+// maxTokenLine is the buffer size for one line, in bytes; a usual line is shorter.
 const maxTokenLine = 192
 
-func (r *tokenReader) rouse() {
+func (r *tokenReader) wakeReader() {
 	select {
 	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Read implements io.Reader; it waits for the next token.
+// Read implements io.Reader and waits for the next token.
 func (r *tokenReader) Read(p []byte) (int, error) {
 	for {
-		if r.gate != nil && !r.gate() {
-			return 0, errCut
+		if r.awaitUnfrozen != nil && !r.awaitUnfrozen() {
+			return 0, errInterrupted
 		}
 		n, err := r.fill(p)
 		if n > 0 || err != nil {
@@ -184,7 +187,7 @@
 	}
 }
 
-// fill puts the lines that are ready into p.
+// fill copies the available lines to p.
 func (r *tokenReader) fill(p []byte) (int, error) {
 	s := r.seq
 	s.mu.Lock()
@@ -192,48 +195,49 @@
 	if r.replaced {
 		return 0, errReplaced
 	}
-	out := p[:copy(p, r.rest)]
-	r.rest = r.rest[len(out):]
-	for len(out) < len(p) && r.at < s.next && r.at != r.breakAt {
-		out = r.put(out, len(p))
+	out := p[:copy(p, r.pending)]
+	r.pending = r.pending[len(out):]
+	for len(out) < len(p) && r.nextToken < s.nextToken && r.nextToken != r.breakAt {
+		out = r.appendLine(out, len(p))
 	}
 	switch {
 	case len(out) > 0:
 		return len(out), nil
-	case r.at >= s.answer.Tokens:
+	case r.nextToken >= s.completion.Tokens:
 		return 0, io.EOF
-	case r.at == r.breakAt, s.end == cancelled, s.end == cut:
-		return 0, errCut
+	case r.nextToken == r.breakAt, s.status == statusCancelled, s.status == statusInterrupted:
+		return 0, errInterrupted
 	default:
 		return 0, nil
 	}
 }
 
-// put appends the next line to out, as far as limit allows.
-func (r *tokenReader) put(out []byte, limit int) []byte {
+// appendLine appends the next line to out, up to limit bytes; the rest becomes pending.
+func (r *tokenReader) appendLine(out []byte, limit int) []byte {
 	var space [maxTokenLine]byte
-	line := r.line(space[:0])
-	r.at++
-	r.start = false
+	line := r.encodeLine(space[:0])
+	r.nextToken++
+	r.firstLine = false
 	fits := min(len(line), limit-len(out))
-	r.rest = append(r.rest[:0], line[fits:]...)
+	r.pending = append(r.pending[:0], line[fits:]...)
 	return append(out, line[:fits]...)
 }
 
-// line appends the line of the token at r.at. The vocabulary needs no escapes.
-func (r *tokenReader) line(b []byte) []byte {
+// encodeLine appends the line of the next token to b. No word of the vocabulary needs
+// escaping.
+func (r *tokenReader) encodeLine(b []byte) []byte {
 	s := r.seq
 	b = append(b, `{"i":`...)
-	b = strconv.AppendInt(b, int64(r.at), 10)
+	b = strconv.AppendInt(b, int64(r.nextToken), 10)
 	b = append(b, `,"t":"`...)
-	b = append(b, s.answer.Token(r.at)...)
+	b = append(b, s.completion.Token(r.nextToken)...)
 	b = append(b, '"')
-	if r.at == s.answer.Tokens-1 {
+	if r.nextToken == s.completion.Tokens-1 {
 		b = append(b, `,"f":"`...)
-		b = append(b, s.answer.Finish...)
+		b = append(b, s.completion.Finish...)
 		b = append(b, '"')
 	}
-	if r.start {
+	if r.firstLine {
 		b = append(b, `,"p":`...)
 		b = strconv.AppendInt(b, int64(s.promptTokens), 10)
 		b = append(b, `,"c":`...)
@@ -242,20 +246,20 @@
 	return append(b, "}\n"...)
 }
 
-// Close implements io.Closer. The server calls it when the response is over or
-// its connection has broken.
+// Close implements io.Closer. The server calls it when the response has ended or its
+// connection has broken.
 func (r *tokenReader) Close() error {
 	s := r.seq
 	s.mu.Lock()
 	current := s.reader == r
 	if current {
 		s.reader = nil
-		s.lonely = time.Now()
+		s.unreadSince = time.Now()
 	}
-	unread := current && s.end == running
+	unread := current && s.status == statusRunning
 	s.mu.Unlock()
-	if unread && r.left != nil {
-		r.left(s)
+	if unread && r.onUnread != nil {
+		r.onUnread(s)
 	}
 	return nil
 }
--- a/internal/standin/engine_transfer.go
+++ b/internal/standin/engine_transfer.go
@@ -11,20 +11,19 @@
 	"tamarackchute/upstream"
 )
 
-// keepExport keeps a prefill's KV cache for another engine. It is called with
-// the lock held.
-func (e *Engine) keepExport(now time.Time, s *sequence) {
+// addExport keeps the KV cache of a prefill for another engine. The caller holds e.mu.
+func (e *Engine) addExport(now time.Time, s *sequence) {
 	handle := upstream.KVHandle{
 		Engine: e.Addr(),
 		ID:     uuid.NewString(),
 		Tokens: s.promptTokens,
 		Bytes:  int64(s.promptTokens) * e.config.Speed.KVBytesPerToken,
 	}
-	e.exports[s.id] = &export{seq: s, handle: handle, until: now.Add(kvKeep)}
-	time.AfterFunc(kvKeep, func() { e.takeExport(handle.ID) })
+	e.exports[s.id] = &export{seq: s, handle: handle, expires: now.Add(exportRetention)}
+	time.AfterFunc(exportRetention, func() { e.takeExport(handle.ID) })
 }
 
-// exportOf returns the handle that a prefill has made.
+// exportOf returns the handle of a prefill's KV cache.
 func (e *Engine) exportOf(s *sequence) (upstream.KVHandle, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -35,8 +34,8 @@
 	return x.handle, true
 }
 
-// takeExport hands out a kept KV cache, once, and frees its memory: the prompt
-// stays in the prefix cache.
+// takeExport returns an exported KV cache once and frees its memory; the prompt's blocks
+// stay in the prefix cache.
 func (e *Engine) takeExport(id string) (upstream.KVHandle, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -46,24 +45,23 @@
 		}
 		delete(e.exports, attempt)
 		e.batch.free(x.seq)
-		e.note(time.Now())
-		e.rouse()
+		e.recordLoad(time.Now())
+		e.wakeLoop()
 		return x.handle, true
 	}
 	return upstream.KVHandle{}, false
 }
 
-// importKV fetches a sequence's KV cache from the engine that has it, then
-// lets the sequence join the queue. If that fails, the prompt is worked
-// through here.
+// importKV transfers a sequence's KV cache from the engine that holds it and then enqueues
+// the sequence. If the transfer fails, this engine prefills the prompt.
 func (e *Engine) importKV(s *sequence, from upstream.KVHandle) {
-	whole, end := e.untilEnd()
-	defer end()
-	ctx, cancel := context.WithTimeout(whole, importTimeout)
+	lifetime, cancelLifetime := e.lifetimeContext()
+	defer cancelLifetime()
+	ctx, cancel := context.WithTimeout(lifetime, importTimeout)
 	defer cancel()
-	got, err := httpx.GetJSON[upstream.KVHandle](ctx, e.peers.to(from.Engine), engineclient.PathKV+from.ID)
+	got, err := httpx.GetJSON[upstream.KVHandle](ctx, e.peers.client(from.Engine), engineclient.PathKV+from.ID)
 	if err == nil {
-		e.pause(e.config.Speed.transferTime(got.Bytes))
+		e.sleep(e.config.Speed.transferTime(got.Bytes))
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -74,10 +72,10 @@
 	} else {
 		e.counters.KVImportsFailed++
 	}
-	if how, _ := s.state(); how == running {
+	if status, _ := s.state(); status == statusRunning {
 		e.enqueue(s)
 	}
 }
 
-// importTimeout bounds the request for KV cache, beside its transfer.
+// importTimeout bounds the request for a KV cache, not counting the transfer.
 const importTimeout = 2 * time.Second
--- a/internal/standin/list.go
+++ b/internal/standin/list.go
@@ -13,43 +13,44 @@
 	"tamarackchute/internal/adapters/listclient"
 )
 
-// ListConfig sets up the list of instances.
+// ListConfig configures the instance list.
 type ListConfig struct {
 	Addr string
 	TLS  *tls.Config
-	// Lag is how far the list is behind the truth.
-	Lag  time.Duration
-	Rows []infra.Instance
-	// OnLeaving is told, once the lag has passed, which instances the list
-	// now names as leaving.
-	OnLeaving func(names []string)
+	// Lag is how long the list takes to show a change.
+	Lag       time.Duration
+	Instances []infra.Instance
+	// OnTerminating is called with the names of the terminating instances once the list
+	// shows them, that is after the lag.
+	OnTerminating func(names []string)
 }
 
-// ListFaults are the list's faults. The last three change the truth, once.
+// ListFaults are the faults of the list. Terminating, Remove and Add change the actual
+// state once and are then cleared.
 type ListFaults struct {
-	Reach
+	NetworkFaults
 	LagMillis int `json:"lag_ms"`
-	// Leaving marks instances as leaving.
-	Leaving []string `json:"leaving"`
-	// Remove takes instances off the list.
+	// Terminating marks instances as terminating.
+	Terminating []string `json:"leaving"`
+	// Remove removes instances from the list.
 	Remove []string `json:"remove"`
-	// Add puts instances on the list, in place of rows with the same name.
+	// Add adds instances to the list and replaces those with the same names.
 	Add []infra.Instance `json:"add"`
 }
 
-// ListCounters are the list's counters.
+// ListCounters are the counters of the list.
 type ListCounters struct {
-	Reads   int64 `json:"reads"`
-	Changes int64 `json:"changes"`
-	Rows    int   `json:"rows"`
-	Leaving int   `json:"leaving"`
+	Reads       int64 `json:"reads"`
+	Changes     int64 `json:"changes"`
+	Instances   int   `json:"rows"`
+	Terminating int   `json:"leaving"`
 }
 
-// List stands in for the platform's list of instances.
+// List stands in for the platform's instance list.
 type List struct {
-	*node
+	*endpoint
 	config ListConfig
-	faults *switchboard[ListFaults]
+	faults *faultState[ListFaults]
 	reads  atomic.Int64
 
 	mu      sync.Mutex
@@ -57,26 +58,26 @@
 	changes int64
 }
 
-// NewList returns a list that listens already.
+// NewList returns a list that is already listening.
 func NewList(c ListConfig) (*List, error) {
-	n, err := newNode("list", "list", c.Addr, c.TLS)
+	base, err := newEndpoint("list", "list", c.Addr, c.TLS)
 	if err != nil {
 		return nil, err
 	}
 	faults := ListFaults{LagMillis: int(c.Lag.Milliseconds())}
 	return &List{
-		node:    n,
-		config:  c,
-		faults:  newSwitchboard(faults),
-		history: listHistory{{Rows: c.Rows}},
+		endpoint: base,
+		config:   c,
+		faults:   newFaultState(faults),
+		history:  listHistory{{Instances: c.Instances}},
 	}, nil
 }
 
-// Serve implements Part.
+// Serve implements Component.
 func (l *List) Serve(ctx context.Context) error { return l.serve(ctx, l.handle) }
 
 func (l *List) handle(ctx *fasthttp.RequestCtx) {
-	if admin(l, ctx) || cutOff(l.node, l.faults, ctx) {
+	if serveAdmin(l, ctx) || applyOutage(l.endpoint, l.faults, ctx) {
 		return
 	}
 	if string(ctx.Path()) != listclient.PathInstances {
@@ -84,15 +85,15 @@
 		return
 	}
 	l.reads.Add(1)
-	replyJSON(ctx, listclient.Reply{Instances: l.seen(time.Now())})
+	replyJSON(ctx, listclient.Reply{Instances: l.visible(time.Now())})
 }
 
 func (l *List) lag() time.Duration {
 	return time.Duration(l.faults.get().LagMillis) * time.Millisecond
 }
 
-// seen returns what the list says at a time.
-func (l *List) seen(now time.Time) []infra.Instance {
+// visible returns the instances that the list shows at a time.
+func (l *List) visible(now time.Time) []infra.Instance {
 	lag := l.lag()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -103,91 +104,91 @@
 func (l *List) Counters() ListCounters {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	rows := l.history.latest()
+	instances := l.history.latest()
 	return ListCounters{
-		Reads:   l.reads.Load(),
-		Changes: l.changes,
-		Rows:    len(rows),
-		Leaving: len(leavingNames(rows)),
+		Reads:       l.reads.Load(),
+		Changes:     l.changes,
+		Instances:   len(instances),
+		Terminating: len(terminatingNames(instances)),
 	}
 }
 
-// CountersJSON implements Part.
+// CountersJSON implements Component.
 func (l *List) CountersJSON() []byte { return encode(l.Counters()) }
 
-// FaultsJSON implements Part.
+// FaultsJSON implements Component.
 func (l *List) FaultsJSON() []byte { return encode(l.faults.get()) }
 
-// SetFaults implements Part.
+// SetFaults implements Component.
 func (l *List) SetFaults(doc []byte) error {
 	if err := l.faults.merge(doc); err != nil {
 		return err
 	}
 	f := l.faults.get()
-	l.faults.set(func(f *ListFaults) { f.Leaving, f.Remove, f.Add = nil, nil, nil })
-	if len(f.Leaving)+len(f.Remove)+len(f.Add) > 0 {
+	l.faults.set(func(f *ListFaults) { f.Terminating, f.Remove, f.Add = nil, nil, nil })
+	if len(f.Terminating)+len(f.Remove)+len(f.Add) > 0 {
 		l.change(f)
 	}
 	return nil
 }
 
-// change alters the truth; the list shows it after the lag.
+// change applies changes to the actual state; the list shows them after the lag.
 func (l *List) change(f ListFaults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	rows := changedRows(l.history.latest(), f)
-	l.history = l.history.add(time.Now(), rows)
+	instances := applyChanges(l.history.latest(), f)
+	l.history = l.history.add(time.Now(), instances)
 	l.changes++
-	if l.config.OnLeaving != nil {
-		names := leavingNames(rows)
-		time.AfterFunc(time.Duration(f.LagMillis)*time.Millisecond, func() { l.config.OnLeaving(names) })
+	if l.config.OnTerminating != nil {
+		names := terminatingNames(instances)
+		time.AfterFunc(time.Duration(f.LagMillis)*time.Millisecond, func() { l.config.OnTerminating(names) })
 	}
 }
 
-// listState is the truth from a time on.
+// listState is the actual state from a time on.
 type listState struct {
-	From time.Time
-	Rows []infra.Instance
+	From      time.Time
+	Instances []infra.Instance
 }
 
-// listHistory holds the states that the list may still show, oldest first; the
-// first is valid from ever.
+// listHistory holds the states that the list may still show, oldest first. The first one
+// also applies to all earlier times.
 type listHistory []listState
 
-// maxListHistory bounds the states kept.
+// maxListHistory bounds the number of states.
 const maxListHistory = 256
 
-func (h listHistory) latest() []infra.Instance { return h[len(h)-1].Rows }
+func (h listHistory) latest() []infra.Instance { return h[len(h)-1].Instances }
 
 func (h listHistory) at(t time.Time) []infra.Instance {
 	for i := len(h) - 1; i > 0; i-- {
 		if !h[i].From.After(t) {
-			return h[i].Rows
+			return h[i].Instances
 		}
 	}
-	return h[0].Rows
+	return h[0].Instances
 }
 
-func (h listHistory) add(from time.Time, rows []infra.Instance) listHistory {
-	h = append(h, listState{From: from, Rows: rows})
+func (h listHistory) add(from time.Time, instances []infra.Instance) listHistory {
+	h = append(h, listState{From: from, Instances: instances})
 	if len(h) > maxListHistory {
 		h = h[1:]
 	}
 	return h
 }
 
-func changedRows(rows []infra.Instance, f ListFaults) []infra.Instance {
+func applyChanges(instances []infra.Instance, f ListFaults) []infra.Instance {
 	added := nameSet(nil)
 	for _, r := range f.Add {
 		added[r.Name] = true
 	}
-	removed, leaving := nameSet(f.Remove), nameSet(f.Leaving)
+	removed, terminating := nameSet(f.Remove), nameSet(f.Terminating)
 	var out []infra.Instance
-	for _, r := range rows {
+	for _, r := range instances {
 		if removed[r.Name] || added[r.Name] {
 			continue
 		}
-		r.Terminating = r.Terminating || leaving[r.Name]
+		r.Terminating = r.Terminating || terminating[r.Name]
 		out = append(out, r)
 	}
 	return append(out, f.Add...)
@@ -201,9 +202,9 @@
 	return set
 }
 
-func leavingNames(rows []infra.Instance) []string {
+func terminatingNames(instances []infra.Instance) []string {
 	var names []string
-	for _, r := range rows {
+	for _, r := range instances {
 		if r.Terminating {
 			names = append(names, r.Name)
 		}
--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -16,7 +16,7 @@
 	"tamarackchute/internal/adapters/logclient"
 )
 
-// LogConfig sets up the log.
+// LogConfig configures the log.
 type LogConfig struct {
 	Addr string
 	TLS  *tls.Config
@@ -26,39 +26,39 @@
 	Retention time.Duration
 }
 
-// LogFaults are the log's faults.
+// LogFaults are the faults of the log.
 type LogFaults struct {
-	Reach
+	NetworkFaults
 	// SlowMillis delays each append and read.
 	SlowMillis int `json:"slow_ms"`
 	// LoseReply closes the connection after an append took effect.
-	LoseReply Dose `json:"lose_reply"`
-	// LandLate answers an append with an error and makes it take effect
-	// LandLateMillis later.
-	LandLate       Dose `json:"land_late"`
-	LandLateMillis int  `json:"land_late_ms"`
+	LoseReply Trigger `json:"lose_reply"`
+	// DelayAppend answers an append with an error and makes it take effect
+	// AppendDelayMillis later.
+	DelayAppend       Trigger `json:"land_late"`
+	AppendDelayMillis int     `json:"land_late_ms"`
 	// FailReads answers reads with an error.
-	FailReads Dose `json:"fail_reads"`
-	// ExpireAll drops the records kept at the moment, once.
+	FailReads Trigger `json:"fail_reads"`
+	// ExpireAll expires all current records; the field is then cleared.
 	ExpireAll bool `json:"expire_all"`
 }
 
-// LogCounters are the log's counters.
+// LogCounters are the counters of the log.
 type LogCounters struct {
-	Appends     int64  `json:"appends"`
-	AppendBytes int64  `json:"append_bytes"`
-	RateLimited int64  `json:"rate_limited"`
-	LostReplies int64  `json:"lost_replies"`
-	LandedLate  int64  `json:"landed_late"`
-	Reads       int64  `json:"reads"`
-	ReadBytes   int64  `json:"read_bytes"`
-	Oldest      uint64 `json:"oldest"`
-	Next        uint64 `json:"next"`
-	// Senders gives the same by sender, in order of name.
+	Appends        int64  `json:"appends"`
+	AppendBytes    int64  `json:"append_bytes"`
+	RateLimited    int64  `json:"rate_limited"`
+	LostReplies    int64  `json:"lost_replies"`
+	DelayedAppends int64  `json:"landed_late"`
+	Reads          int64  `json:"reads"`
+	ReadBytes      int64  `json:"read_bytes"`
+	Oldest         uint64 `json:"oldest"`
+	Next           uint64 `json:"next"`
+	// Senders breaks the counters down by sender, ordered by name.
 	Senders []LogSender `json:"senders"`
 }
 
-// LogSender counts one sender's use of the log.
+// LogSender counts the requests of one sender.
 type LogSender struct {
 	Sender      string `json:"sender"`
 	Appends     int64  `json:"appends"`
@@ -69,45 +69,45 @@
 
 // Log stands in for the platform's log.
 type Log struct {
-	*node
-	faults  *switchboard[LogFaults]
+	*endpoint
+	faults  *faultState[LogFaults]
 	limiter *rate.Limiter
 
 	mu       sync.Mutex
 	store    logStore
-	grown    chan struct{} // closed and replaced with each append
+	appended chan struct{} // closed and replaced at each append
 	counters LogCounters
 	senders  map[string]*LogSender
 }
 
-// burstSeconds of the rate limit may be appended at once.
+// burstSeconds is the rate limiter's burst, in seconds of the rate limit.
 const burstSeconds = 0.1
 
-// NewLog returns a log that listens already.
+// NewLog returns a log that is already listening.
 func NewLog(c LogConfig) (*Log, error) {
-	n, err := newNode("log", "log", c.Addr, c.TLS)
+	base, err := newEndpoint("log", "log", c.Addr, c.TLS)
 	if err != nil {
 		return nil, err
 	}
 	burst := max(1, int(c.AppendsPerSecond*burstSeconds))
 	return &Log{
-		node:    n,
-		faults:  newSwitchboard(LogFaults{}),
-		limiter: rate.NewLimiter(rate.Limit(c.AppendsPerSecond), burst),
-		store:   logStore{next: 1, oldest: 1, retention: c.Retention},
-		grown:   make(chan struct{}),
-		senders: map[string]*LogSender{},
+		endpoint: base,
+		faults:   newFaultState(LogFaults{}),
+		limiter:  rate.NewLimiter(rate.Limit(c.AppendsPerSecond), burst),
+		store:    logStore{next: 1, oldest: 1, retention: c.Retention},
+		appended: make(chan struct{}),
+		senders:  map[string]*LogSender{},
 	}, nil
 }
 
-// Serve implements Part.
+// Serve implements Component.
 func (l *Log) Serve(ctx context.Context) error { return l.serve(ctx, l.handle) }
 
 func (l *Log) handle(ctx *fasthttp.RequestCtx) {
-	if admin(l, ctx) || cutOff(l.node, l.faults, ctx) {
+	if serveAdmin(l, ctx) || applyOutage(l.endpoint, l.faults, ctx) {
 		return
 	}
-	l.pause(time.Duration(l.faults.get().SlowMillis) * time.Millisecond)
+	l.sleep(time.Duration(l.faults.get().SlowMillis) * time.Millisecond)
 	switch string(ctx.Path()) {
 	case logclient.PathAppend:
 		l.handleAppend(ctx)
@@ -121,32 +121,32 @@
 func (l *Log) handleAppend(ctx *fasthttp.RequestCtx) {
 	if !l.limiter.Allow() {
 		l.count(func(c *LogCounters) { c.RateLimited++ })
-		refuse(ctx, fasthttp.StatusTooManyRequests, "append rate limit")
+		replyNotRun(ctx, fasthttp.StatusTooManyRequests, "append rate limit")
 		return
 	}
 	data := append([]byte(nil), ctx.PostBody()...)
 	sender := string(ctx.Request.Header.Peek(httpx.HeaderSender))
-	if l.faults.take(func(f *LogFaults) *Dose { return &f.LandLate }) {
-		l.landLate(sender, data)
+	if l.faults.trigger(func(f *LogFaults) *Trigger { return &f.DelayAppend }) {
+		l.delayAppend(sender, data)
 		ctx.Error("append failed", fasthttp.StatusInternalServerError)
 		return
 	}
 	offset := l.append(sender, data)
-	if l.faults.take(func(f *LogFaults) *Dose { return &f.LoseReply }) {
+	if l.faults.trigger(func(f *LogFaults) *Trigger { return &f.LoseReply }) {
 		l.count(func(c *LogCounters) { c.LostReplies++ })
-		hangUp(ctx)
+		dropConnection(ctx)
 		return
 	}
 	ctx.Response.Header.Set(logclient.HeaderOffset, strconv.FormatUint(offset, 10))
 }
 
-// landLate appends after a delay, as a record does that was held up in the
-// log's own network while its writer was told of a failure.
-func (l *Log) landLate(sender string, data []byte) {
-	delay := time.Duration(l.faults.get().LandLateMillis) * time.Millisecond
+// delayAppend appends after a delay: it simulates a record that the log accepts after its
+// writer has been sent an error.
+func (l *Log) delayAppend(sender string, data []byte) {
+	delay := time.Duration(l.faults.get().AppendDelayMillis) * time.Millisecond
 	time.AfterFunc(delay, func() {
 		l.append(sender, data)
-		l.count(func(c *LogCounters) { c.LandedLate++ })
+		l.count(func(c *LogCounters) { c.DelayedAppends++ })
 	})
 }
 
@@ -154,8 +154,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	offset := l.store.append(time.Now(), data)
-	close(l.grown)
-	l.grown = make(chan struct{})
+	close(l.appended)
+	l.appended = make(chan struct{})
 	s := l.sender(sender)
 	l.counters.Appends++
 	s.Appends++
@@ -165,7 +165,7 @@
 }
 
 func (l *Log) handleRead(ctx *fasthttp.RequestCtx) {
-	if l.faults.take(func(f *LogFaults) *Dose { return &f.FailReads }) {
+	if l.faults.trigger(func(f *LogFaults) *Trigger { return &f.FailReads }) {
 		ctx.Error("read failed", fasthttp.StatusInternalServerError)
 		return
 	}
@@ -173,8 +173,8 @@
 	from := uint64(args.GetUintOrZero("from"))
 	limit := args.GetUintOrZero("max")
 	wait := time.Duration(args.GetUintOrZero("wait_ms")) * time.Millisecond
-	reply, trimmed := l.readWaiting(from, limit, wait)
-	if cutOff(l.node, l.faults, ctx) {
+	reply, trimmed := l.longPoll(from, limit, wait)
+	if applyOutage(l.endpoint, l.faults, ctx) {
 		return
 	}
 	doc, err := msgpack.Marshal(&reply)
@@ -189,9 +189,9 @@
 	ctx.SetBody(doc)
 }
 
-// readWaiting reads, and waits for the first record if there is none yet. A
-// change of the faults ends the wait, as an outage breaks off waiting reads.
-func (l *Log) readWaiting(from uint64, limit int, wait time.Duration) (logclient.ReadReply, bool) {
+// longPoll reads records and waits until there is at least one. A change of the faults ends
+// the wait, so that an outage also affects pending reads.
+func (l *Log) longPoll(from uint64, limit int, wait time.Duration) (logclient.ReadReply, bool) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	_, changed := l.faults.watch()
@@ -216,7 +216,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	reply, trimmed := l.store.read(time.Now(), from, limit)
-	return reply, trimmed, l.grown
+	return reply, trimmed, l.appended
 }
 
 func (l *Log) count(add func(*LogCounters)) {
@@ -257,13 +257,13 @@
 	return c
 }
 
-// CountersJSON implements Part.
+// CountersJSON implements Component.
 func (l *Log) CountersJSON() []byte { return encode(l.Counters()) }
 
-// FaultsJSON implements Part.
+// FaultsJSON implements Component.
 func (l *Log) FaultsJSON() []byte { return encode(l.faults.get()) }
 
-// SetFaults implements Part.
+// SetFaults implements Component.
 func (l *Log) SetFaults(doc []byte) error {
 	if err := l.faults.merge(doc); err != nil {
 		return err
--- a/internal/standin/platform_test.go
+++ b/internal/standin/platform_test.go
@@ -25,10 +25,10 @@
 		first   uint64 // 0 if none
 		trimmed bool
 	}{
-		{"all kept so far", 90 * time.Second, 4, 4, 4, false},
-		{"the oldest has gone", 91 * time.Second, 4, 5, 0, true},
-		{"from the end", 91 * time.Second, 11, 5, 0, false},
-		{"all have gone", time.Hour, 11, 11, 0, false},
+		{"none expired", 90 * time.Second, 4, 4, 4, false},
+		{"oldest expired", 91 * time.Second, 4, 5, 0, true},
+		{"read at the end", 91 * time.Second, 11, 5, 0, false},
+		{"all expired", time.Hour, 11, 11, 0, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -47,19 +47,19 @@
 }
 
 func TestListHistory(t *testing.T) {
-	row := func(name string) []infra.Instance { return []infra.Instance{{Name: name}} }
-	h := listHistory{{Rows: row("first")}}
-	h = h.add(noon, row("second"))
-	h = h.add(noon.Add(time.Second), row("third"))
-	assert.Equal(t, row("first"), h.at(noon.Add(-time.Nanosecond)))
-	assert.Equal(t, row("second"), h.at(noon))
-	assert.Equal(t, row("third"), h.at(noon.Add(time.Hour)))
+	instances := func(name string) []infra.Instance { return []infra.Instance{{Name: name}} }
+	h := listHistory{{Instances: instances("first")}}
+	h = h.add(noon, instances("second"))
+	h = h.add(noon.Add(time.Second), instances("third"))
+	assert.Equal(t, instances("first"), h.at(noon.Add(-time.Nanosecond)))
+	assert.Equal(t, instances("second"), h.at(noon))
+	assert.Equal(t, instances("third"), h.at(noon.Add(time.Hour)))
 }
 
-// Two data centres load weights at once: together they get the store's rate,
-// not each of them.
-func TestWeightLoadsShareTheRate(t *testing.T) {
-	w := &Weights{config: WeightsConfig{BytesPerSecond: 100}, faults: newSwitchboard(WeightFaults{})}
+// Concurrent loads, such as from two data centres, share the store's bandwidth; each of
+// them alone doesn't get all of it.
+func TestWeightLoadsShareBandwidth(t *testing.T) {
+	w := &WeightStore{config: WeightStoreConfig{BytesPerSecond: 100}, faults: newFaultState(WeightFaults{})}
 	assert.Equal(t, time.Second, w.reserve(noon, 100))
 	assert.Equal(t, 3*time.Second, w.reserve(noon, 200))
 	assert.Equal(t, 3*time.Second, w.reserve(noon.Add(time.Second), 100))
@@ -67,47 +67,47 @@
 }
 
 func TestFaultDocuments(t *testing.T) {
-	s := newSwitchboard(LogFaults{SlowMillis: 5})
+	s := newFaultState(LogFaults{SlowMillis: 5})
 	require.NoError(t, s.merge([]byte(`{"outage":"hang","blocked":["a","b"]}`)))
 	before := s.get()
 	require.NoError(t, s.merge([]byte(`{"blocked":["c"]}`)))
-	assert.Equal(t, []string{"a", "b"}, before.Blocked, "a copy handed out doesn't change")
+	assert.Equal(t, []string{"a", "b"}, before.Blocked, "a copy returned earlier does not change")
 	assert.Equal(t, OutageHang, s.get().Outage)
 	assert.Equal(t, 5, s.get().SlowMillis)
 	require.Error(t, s.merge([]byte(`{"outtage":"hang"}`)))
 	assert.Equal(t, OutageHang, s.get().Outage)
 }
 
-func TestDose(t *testing.T) {
+func TestTrigger(t *testing.T) {
 	for name, tc := range map[string]struct {
-		dose Dose
-		want int // of 1000
+		trigger Trigger
+		want    int // of 1000
 	}{
-		"none":     {Dose{}, 0},
-		"next 3":   {Dose{Next: 3}, 3},
-		"all":      {Dose{Next: -1}, 1000},
-		"fraction": {Dose{Fraction: 1}, 1000},
+		"none":     {Trigger{}, 0},
+		"next 3":   {Trigger{Next: 3}, 3},
+		"all":      {Trigger{Next: -1}, 1000},
+		"fraction": {Trigger{Fraction: 1}, 1000},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newSwitchboard(LogFaults{LoseReply: tc.dose})
-			struck := 0
+			s := newFaultState(LogFaults{LoseReply: tc.trigger})
+			fired := 0
 			for range 1000 {
-				if s.take(func(f *LogFaults) *Dose { return &f.LoseReply }) {
-					struck++
+				if s.trigger(func(f *LogFaults) *Trigger { return &f.LoseReply }) {
+					fired++
 				}
 			}
-			assert.Equal(t, tc.want, struck)
+			assert.Equal(t, tc.want, fired)
 		})
 	}
 }
 
-func TestLeavingMark(t *testing.T) {
-	var m leavingMark
-	assert.False(t, m.overdue(noon))
+func TestTerminationMark(t *testing.T) {
+	var m terminationMark
+	assert.False(t, m.graceExpired(noon))
 	m.set(noon, true)
 	m.set(noon.Add(time.Minute), true)
-	assert.False(t, m.overdue(noon.Add(leavingGrace)))
-	assert.True(t, m.overdue(noon.Add(leavingGrace+1)))
+	assert.False(t, m.graceExpired(noon.Add(terminationGrace)))
+	assert.True(t, m.graceExpired(noon.Add(terminationGrace+1)))
 	m.set(noon, false)
-	assert.False(t, m.overdue(noon.Add(time.Hour)))
+	assert.False(t, m.graceExpired(noon.Add(time.Hour)))
 }
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -13,109 +13,110 @@
 	"tamarackchute/internal/standin/oracle"
 )
 
-// HeaderIdempotencyKey names the call that may run at most once.
+// HeaderIdempotencyKey identifies a call that may run at most once.
 const HeaderIdempotencyKey = "Idempotency-Key"
 
-// leavingGrace is how long after the list shows an upstream as leaving it may
-// still be given new work.
-const leavingGrace = 3 * time.Second
+// terminationGrace is how long an upstream may still get new work after the list shows it
+// as terminating.
+const terminationGrace = 3 * time.Second
 
-// ServiceConfig sets up a plain service.
+// ServiceConfig configures a plain service.
 type ServiceConfig struct {
 	Name string
 	Addr string
 	TLS  *tls.Config
-	// Latency is how long a call runs.
+	// Latency is the duration of a call.
 	Latency time.Duration
-	// Ledger counts runs by key over all services that share it; nil makes one
-	// for this service alone.
-	Ledger *Ledger
+	// RunCounter counts runs by key over all services that share it; nil for a counter of
+	// this service only.
+	RunCounter *RunCounter
 }
 
-// ServiceFaults are a service's faults. Those with "before" strike before the
-// call has run, those with "after" once it has.
+// ServiceFaults are the faults of a service. Those with "before" apply before the call has
+// run, those with "after" once it has run.
 type ServiceFaults struct {
-	Reach
-	LatencyMillis int  `json:"latency_ms"`
-	CrashBefore   Dose `json:"crash_before"`
-	CrashAfter    Dose `json:"crash_after"`
-	// CloseBefore and CloseAfter close the connection without answering.
-	CloseBefore Dose `json:"close_before"`
-	CloseAfter  Dose `json:"close_after"`
-	// Hang runs the call and never answers.
-	Hang Dose `json:"hang"`
-	// HangMillis answers after that long instead, which is late for most.
+	NetworkFaults
+	LatencyMillis int     `json:"latency_ms"`
+	CrashBefore   Trigger `json:"crash_before"`
+	CrashAfter    Trigger `json:"crash_after"`
+	// CloseBefore and CloseAfter close the connection without a response.
+	CloseBefore Trigger `json:"close_before"`
+	CloseAfter  Trigger `json:"close_after"`
+	// Hang runs the call and never responds.
+	Hang Trigger `json:"hang"`
+	// HangMillis, if positive, makes Hang respond after that time, which is beyond most
+	// deadlines.
 	HangMillis int `json:"hang_ms"`
 	// Refuse answers that the call was not run.
-	Refuse Dose `json:"refuse"`
+	Refuse Trigger `json:"refuse"`
 	// Fail runs the call and answers 500.
-	Fail Dose `json:"fail"`
-	// Stray sends a second response, which nobody asked for, after one.
-	Stray Dose `json:"stray"`
-	// Poison is the marker in a body that crashes the service; empty for none.
+	Fail Trigger `json:"fail"`
+	// DuplicateResponse sends the response a second time, unsolicited.
+	DuplicateResponse Trigger `json:"stray"`
+	// Poison is a marker: a request whose body contains it crashes the service. Empty
+	// disables it.
 	Poison string `json:"poison"`
-	// RestartMillis is how long a crash lasts that names no time of its own.
+	// RestartMillis is the downtime of a crash that doesn't set its own.
 	RestartMillis int `json:"restart_ms"`
-	// Crash crashes it now, once.
+	// Crash crashes the service at once; the field is then cleared.
 	Crash *Crash `json:"crash"`
 }
 
-// ServiceCounters are a service's counters.
+// ServiceCounters are the counters of a service.
 type ServiceCounters struct {
-	Calls      int64 `json:"calls"`
-	Ran        int64 `json:"ran"`
-	RefusedRun int64 `json:"refused_not_run"`
-	Unanswered int64 `json:"unanswered"`
-	Crashes    int64 `json:"crashes"`
-	// WorkAfterLeaving counts calls that came more than 3 s after the list
-	// showed the service as leaving.
-	WorkAfterLeaving int64 `json:"work_after_leaving"`
-	// Keys, RanTwice and Doubled are those of the ledger, which services of
-	// one process share: keys seen, keys whose call ran more than once, and
-	// the first few of these.
-	Keys     int64    `json:"keys"`
-	RanTwice int64    `json:"ran_twice"`
-	Doubled  []string `json:"doubled"`
+	Calls         int64 `json:"calls"`
+	Ran           int64 `json:"ran"`
+	RefusedNotRun int64 `json:"refused_not_run"`
+	Unanswered    int64 `json:"unanswered"`
+	Crashes       int64 `json:"crashes"`
+	// WorkAfterTermination counts calls that arrived more than 3 s after the list showed
+	// the service as terminating.
+	WorkAfterTermination int64 `json:"work_after_leaving"`
+	// Keys, RanTwice and RepeatedKeys come from the RunCounter, which the services of a
+	// process share: the number of keys, the number of keys whose call ran more than once,
+	// and the first few of those.
+	Keys         int64    `json:"keys"`
+	RanTwice     int64    `json:"ran_twice"`
+	RepeatedKeys []string `json:"doubled"`
 }
 
-// ServiceAnswer is the body of a service's answer.
-type ServiceAnswer struct {
+// ServiceResponse is the body of a service's response.
+type ServiceResponse struct {
 	Service string `json:"service"`
-	// Echo is oracle.Echo of the request.
-	Echo string `json:"echo"`
-	// Run is how often a call with this key had run, this time included; 0
-	// without a key.
+	// RequestDigest is oracle.RequestDigest of the request.
+	RequestDigest string `json:"echo"`
+	// Run is how often a call with this key has run, including this time; 0 without a key.
 	Run int `json:"run"`
 }
 
 // Service stands in for a plain service.
 type Service struct {
-	*node
-	config  ServiceConfig
-	faults  *switchboard[ServiceFaults]
-	ledger  *Ledger
-	leaving leavingMark
+	*endpoint
+	config      ServiceConfig
+	faults      *faultState[ServiceFaults]
+	runs        *RunCounter
+	termination terminationMark
 
-	calls, ran, refused, unanswered, crashes, afterLeaving atomic.Int64
+	calls, ran, refused, unanswered, crashes, afterTermination atomic.Int64
 }
 
-// Defaults of the service's faults.
+// defaultRestartMillis is the default of RestartMillis for services and engines.
 const defaultRestartMillis = 2000
 
-// NewService returns a service that listens already.
+// NewService returns a service that is already listening.
 func NewService(c ServiceConfig) (*Service, error) {
-	n, err := newNode(c.Name, "service", c.Addr, c.TLS)
+	base, err := newEndpoint(c.Name, "service", c.Addr, c.TLS)
 	if err != nil {
 		return nil, err
 	}
-	if c.Ledger == nil {
-		c.Ledger = NewLedger()
+	if c.RunCounter == nil {
+		c.RunCounter = NewRunCounter()
 	}
 	return &Service{
-		node:   n,
-		config: c,
-		ledger: c.Ledger,
-		faults: newSwitchboard(ServiceFaults{
+		endpoint: base,
+		config:   c,
+		runs:     c.RunCounter,
+		faults: newFaultState(ServiceFaults{
 			LatencyMillis: int(c.Latency.Milliseconds()),
 			Poison:        oracle.PoisonMarker,
 			RestartMillis: defaultRestartMillis,
@@ -123,69 +124,69 @@
 	}, nil
 }
 
-// Serve implements Part.
+// Serve implements Component.
 func (s *Service) Serve(ctx context.Context) error { return s.serve(ctx, s.handle) }
 
 func (s *Service) handle(ctx *fasthttp.RequestCtx) {
-	if admin(s, ctx) || cutOff(s.node, s.faults, ctx) {
+	if serveAdmin(s, ctx) || applyOutage(s.endpoint, s.faults, ctx) {
 		return
 	}
 	s.calls.Add(1)
-	if s.leaving.overdue(time.Now()) {
-		s.afterLeaving.Add(1)
+	if s.termination.graceExpired(time.Now()) {
+		s.afterTermination.Add(1)
 	}
-	if !s.strikeBefore(ctx) {
+	if !s.faultBeforeRun(ctx) {
 		return
 	}
-	s.pause(time.Duration(s.faults.get().LatencyMillis) * time.Millisecond)
+	s.sleep(time.Duration(s.faults.get().LatencyMillis) * time.Millisecond)
 	run := s.run(ctx)
-	if s.strikeAfter(ctx) {
-		s.answer(ctx, run)
+	if s.faultAfterRun(ctx) {
+		s.respond(ctx, run)
 	}
 }
 
-// strikeBefore acts out the faults that keep a call from running, and reports
-// whether it is to run.
-func (s *Service) strikeBefore(ctx *fasthttp.RequestCtx) bool {
+// faultBeforeRun applies the faults that prevent a call from running, and reports whether
+// the call runs.
+func (s *Service) faultBeforeRun(ctx *fasthttp.RequestCtx) bool {
 	poison := s.faults.get().Poison
 	switch {
-	case s.faults.take(func(f *ServiceFaults) *Dose { return &f.Refuse }):
+	case s.faults.trigger(func(f *ServiceFaults) *Trigger { return &f.Refuse }):
 		s.refused.Add(1)
-		refuse(ctx, fasthttp.StatusServiceUnavailable, "service takes no work")
+		replyNotRun(ctx, fasthttp.StatusServiceUnavailable, "service takes no work")
 	case poison != "" && bytes.Contains(ctx.PostBody(), []byte(poison)),
-		s.faults.take(func(f *ServiceFaults) *Dose { return &f.CrashBefore }):
+		s.faults.trigger(func(f *ServiceFaults) *Trigger { return &f.CrashBefore }):
 		s.crashInHandler(ctx)
-	case s.faults.take(func(f *ServiceFaults) *Dose { return &f.CloseBefore }):
+	case s.faults.trigger(func(f *ServiceFaults) *Trigger { return &f.CloseBefore }):
 		s.unanswered.Add(1)
-		hangUp(ctx)
+		dropConnection(ctx)
 	default:
 		return true
 	}
 	return false
 }
 
-// run runs the call and returns the number of its run.
+// run counts a run of the call and returns its number.
 func (s *Service) run(ctx *fasthttp.RequestCtx) int {
 	s.ran.Add(1)
 	key := ctx.Request.Header.Peek(HeaderIdempotencyKey)
 	if len(key) == 0 {
 		return 0
 	}
-	return s.ledger.ran(string(key))
+	return s.runs.record(string(key))
 }
 
-// strikeAfter acts out the faults that keep a call's answer from its caller,
-// and reports whether to answer.
-func (s *Service) strikeAfter(ctx *fasthttp.RequestCtx) bool {
+// faultAfterRun applies the faults that affect a call after it has run, and reports whether
+// to respond.
+func (s *Service) faultAfterRun(ctx *fasthttp.RequestCtx) bool {
 	switch {
-	case s.faults.take(func(f *ServiceFaults) *Dose { return &f.CrashAfter }):
+	case s.faults.trigger(func(f *ServiceFaults) *Trigger { return &f.CrashAfter }):
 		s.crashInHandler(ctx)
-	case s.faults.take(func(f *ServiceFaults) *Dose { return &f.CloseAfter }):
+	case s.faults.trigger(func(f *ServiceFaults) *Trigger { return &f.CloseAfter }):
 		s.unanswered.Add(1)
-		hangUp(ctx)
-	case s.faults.take(func(f *ServiceFaults) *Dose { return &f.Hang }):
+		dropConnection(ctx)
+	case s.faults.trigger(func(f *ServiceFaults) *Trigger { return &f.Hang }):
 		return s.hang(ctx)
-	case s.faults.take(func(f *ServiceFaults) *Dose { return &f.Fail }):
+	case s.faults.trigger(func(f *ServiceFaults) *Trigger { return &f.Fail }):
 		ctx.Error("service failed", fasthttp.StatusInternalServerError)
 	default:
 		return true
@@ -193,64 +194,65 @@
 	return false
 }
 
-// hang keeps the answer back, for good or for the time that is set.
+// hang delays the response by HangMillis, or without one blocks until the service ends. It
+// reports whether to respond.
 func (s *Service) hang(ctx *fasthttp.RequestCtx) bool {
-	if late := s.faults.get().HangMillis; late > 0 {
-		s.pause(time.Duration(late) * time.Millisecond)
+	if delay := s.faults.get().HangMillis; delay > 0 {
+		s.sleep(time.Duration(delay) * time.Millisecond)
 		return true
 	}
 	s.unanswered.Add(1)
 	<-s.ended
-	hangUp(ctx)
+	dropConnection(ctx)
 	return false
 }
 
-func (s *Service) answer(ctx *fasthttp.RequestCtx, run int) {
-	echo := oracle.Echo(string(ctx.Method()), string(ctx.RequestURI()), ctx.PostBody())
+func (s *Service) respond(ctx *fasthttp.RequestCtx, run int) {
+	echo := oracle.RequestDigest(string(ctx.Method()), string(ctx.RequestURI()), ctx.PostBody())
 	if attempt := ctx.Request.Header.Peek(httpx.HeaderAttempt); len(attempt) > 0 {
 		ctx.Response.Header.SetBytesV(httpx.HeaderAttempt, attempt)
 	}
-	replyJSON(ctx, ServiceAnswer{Service: s.name, Echo: echo, Run: run})
-	if s.faults.take(func(f *ServiceFaults) *Dose { return &f.Stray }) {
-		sendTwice(ctx)
+	replyJSON(ctx, ServiceResponse{Service: s.name, RequestDigest: echo, Run: run})
+	if s.faults.trigger(func(f *ServiceFaults) *Trigger { return &f.DuplicateResponse }) {
+		sendDuplicate(ctx)
 	}
 }
 
 func (s *Service) crashInHandler(ctx *fasthttp.RequestCtx) {
 	s.unanswered.Add(1)
 	s.crash(time.Duration(s.faults.get().RestartMillis) * time.Millisecond)
-	hangUp(ctx)
+	dropConnection(ctx)
 }
 
 func (s *Service) crash(down time.Duration) {
 	s.crashes.Add(1)
-	s.gate.crash(down)
+	s.listener.crash(down)
 }
 
-// SetLeaving tells the service whether the list shows it as leaving.
-func (s *Service) SetLeaving(leaving bool) { s.leaving.set(time.Now(), leaving) }
+// SetTerminating records whether the list shows the service as terminating.
+func (s *Service) SetTerminating(terminating bool) { s.termination.set(time.Now(), terminating) }
 
 // Counters returns the counters.
 func (s *Service) Counters() ServiceCounters {
 	c := ServiceCounters{
-		Calls:            s.calls.Load(),
-		Ran:              s.ran.Load(),
-		RefusedRun:       s.refused.Load(),
-		Unanswered:       s.unanswered.Load(),
-		Crashes:          s.crashes.Load(),
-		WorkAfterLeaving: s.afterLeaving.Load(),
+		Calls:                s.calls.Load(),
+		Ran:                  s.ran.Load(),
+		RefusedNotRun:        s.refused.Load(),
+		Unanswered:           s.unanswered.Load(),
+		Crashes:              s.crashes.Load(),
+		WorkAfterTermination: s.afterTermination.Load(),
 	}
-	c.Keys, c.RanTwice, c.Doubled = s.ledger.totals()
+	c.Keys, c.RanTwice, c.RepeatedKeys = s.runs.totals()
 	return c
 }
 
-// CountersJSON implements Part.
+// CountersJSON implements Component.
 func (s *Service) CountersJSON() []byte { return encode(s.Counters()) }
 
-// FaultsJSON implements Part.
+// FaultsJSON implements Component.
 func (s *Service) FaultsJSON() []byte { return encode(s.faults.get()) }
 
-// SetFaults implements Part.
+// SetFaults implements Component.
 func (s *Service) SetFaults(doc []byte) error {
 	if err := s.faults.merge(doc); err != nil {
 		return err
--- a/internal/standin/set.go
+++ b/internal/standin/set.go
@@ -15,35 +15,33 @@
 	"tamarackchute/upstream"
 )
 
-// NamePlatform stands for the log, the list and the weight store.
+// NamePlatform stands for the log, the instance list and the weight store.
 const NamePlatform = "platform"
 
-// Config sets up the stand-ins of a deployment.
+// Config configures the stand-ins of a deployment.
 type Config struct {
 	Deployment *settings.Deployment
-	// Only names the parts to run: NamePlatform and names of upstreams. Empty
-	// means all.
+	// Only names the components to run: NamePlatform and names of upstreams. Empty means
+	// all.
 	Only []string
-	// Control is the address of the page for all parts; empty for none.
-	Control string
-	// TLS is for listening, ClientTLS for calls between parts; nil for plain
-	// TCP.
+	// ControlAddr is the address of the control API; empty for none.
+	ControlAddr string
+	// TLS is for listening, ClientTLS for requests between components; nil for plain TCP.
 	TLS, ClientTLS *tls.Config
-	// LogAppendsPerSecond is the log's limit over all writers.
+	// LogAppendsPerSecond is the log's rate limit over all writers.
 	LogAppendsPerSecond float64
-	// Retention is how long the log keeps a record; 0 means what the settings
-	// say.
+	// Retention is how long the log keeps a record; 0 for the value from the settings.
 	Retention time.Duration
-	// ListLag is how far the list of instances is behind.
+	// ListLag is how long the instance list takes to show a change.
 	ListLag time.Duration
-	// ServiceLatency is how long a call to a plain service runs.
+	// ServiceLatency is the duration of a call to a plain service.
 	ServiceLatency time.Duration
 	// WeightBytes is the size of each version of a model.
 	WeightBytes int64
 	Speed       Speed
 }
 
-// Defaults of Config.
+// Defaults for Config.
 const (
 	DefaultLogAppendsPerSecond = 300
 	DefaultListLag             = 2 * time.Second
@@ -51,29 +49,29 @@
 	DefaultWeightBytes         = 16 << 30
 )
 
-// The versions of each model; engines start with the first.
+// The versions of each model; engines start with the first one.
 const (
 	firstVersion  = "v1"
 	secondVersion = "v2"
 )
 
-// leaver is a part that wants to know whether the list shows it as leaving.
-type leaver interface {
-	Part
-	SetLeaving(leaving bool)
+// terminable is a component that is notified whether the list shows it as terminating.
+type terminable interface {
+	Component
+	SetTerminating(terminating bool)
 }
 
-// Set is the stand-ins of a deployment.
+// Set is all stand-ins of a deployment.
 type Set struct {
-	parts   []Part
-	leavers []leaver
-	control *Control
-	ledger  *Ledger
+	components []Component
+	upstreams  []terminable
+	control    *ControlServer
+	runs       *RunCounter
 }
 
-// NewSet makes the stand-ins; they listen already.
+// NewSet creates the stand-ins, which are already listening.
 func NewSet(c Config) (*Set, error) {
-	s := &Set{ledger: NewLedger()}
+	s := &Set{runs: NewRunCounter()}
 	err := s.build(c)
 	if err != nil {
 		s.closeAll()
@@ -83,40 +81,40 @@
 }
 
 func (s *Set) build(c Config) error {
-	if err := unknownNames(c); err != nil {
+	if err := checkNames(c); err != nil {
 		return err
 	}
-	if c.wants(NamePlatform) {
+	if c.includes(NamePlatform) {
 		if err := s.buildPlatform(c); err != nil {
 			return err
 		}
 	}
 	for _, u := range c.Deployment.Upstreams {
-		if !c.wants(u.Name) {
+		if !c.includes(u.Name) {
 			continue
 		}
 		if err := s.buildUpstream(c, u); err != nil {
 			return err
 		}
 	}
-	if c.Control == "" {
+	if c.ControlAddr == "" {
 		return nil
 	}
-	control, err := NewControl(c.Control, c.TLS, s.parts)
+	control, err := NewControlServer(c.ControlAddr, c.TLS, s.components)
 	s.control = control
 	return err
 }
 
-func (c Config) wants(name string) bool {
+func (c Config) includes(name string) bool {
 	return len(c.Only) == 0 || slices.Contains(c.Only, name)
 }
 
-func unknownNames(c Config) error {
+func checkNames(c Config) error {
 	for _, name := range c.Only {
 		known := name == NamePlatform || slices.ContainsFunc(c.Deployment.Upstreams,
 			func(u settings.Upstream) bool { return u.Name == name })
 		if !known {
-			return eris.Errorf("no stand-in is called %q", name)
+			return eris.Errorf("unknown stand-in %q", name)
 		}
 	}
 	return nil
@@ -134,68 +132,68 @@
 	if err != nil {
 		return err
 	}
-	s.parts = append(s.parts, log)
+	s.components = append(s.components, log)
 	list, err := NewList(ListConfig{
-		Addr: p.Instances, TLS: c.TLS, Lag: c.ListLag, Rows: rows(c.Deployment), OnLeaving: s.onLeaving,
+		Addr: p.Instances, TLS: c.TLS, Lag: c.ListLag, Instances: listedInstances(c.Deployment), OnTerminating: s.onTerminating,
 	})
 	if err != nil {
 		return err
 	}
-	s.parts = append(s.parts, list)
-	weights, err := NewWeights(WeightsConfig{
+	s.components = append(s.components, list)
+	weights, err := NewWeightStore(WeightStoreConfig{
 		Addr: p.Weights, TLS: c.TLS, BytesPerSecond: p.WeightBytesPerSecond, Versions: versions(c),
 	})
 	if err != nil {
 		return err
 	}
-	s.parts = append(s.parts, weights)
+	s.components = append(s.components, weights)
 	return nil
 }
 
 func (s *Set) buildUpstream(c Config, u settings.Upstream) error {
-	var part leaver
+	var component terminable
 	var err error
 	if u.Kind == settings.KindEngine {
-		part, err = NewEngine(EngineConfig{
-			Name:          u.Name,
-			Addr:          u.Address,
-			TLS:           c.TLS,
-			ClientTLS:     c.ClientTLS,
-			Models:        u.Models,
-			Role:          upstream.Role(u.Role),
-			ChecksFencing: u.Fencing != settings.FencingNone,
-			Weights:       c.Deployment.Platform.Weights,
-			Speed:         c.Speed,
+		component, err = NewEngine(EngineConfig{
+			Name:            u.Name,
+			Addr:            u.Address,
+			TLS:             c.TLS,
+			ClientTLS:       c.ClientTLS,
+			Models:          u.Models,
+			Role:            upstream.Role(u.Role),
+			ChecksFencing:   u.Fencing != settings.FencingNone,
+			WeightStoreAddr: c.Deployment.Platform.Weights,
+			Speed:           c.Speed,
 		})
 	} else {
-		part, err = NewService(ServiceConfig{
-			Name: u.Name, Addr: u.Address, TLS: c.TLS, Latency: c.ServiceLatency, Ledger: s.ledger,
+		component, err = NewService(ServiceConfig{
+			Name: u.Name, Addr: u.Address, TLS: c.TLS, Latency: c.ServiceLatency, RunCounter: s.runs,
 		})
 	}
 	if err != nil {
 		return err
 	}
-	s.parts = append(s.parts, part)
-	s.leavers = append(s.leavers, part)
+	s.components = append(s.components, component)
+	s.upstreams = append(s.upstreams, component)
 	return nil
 }
 
-func rows(d *settings.Deployment) []infra.Instance {
-	var out []infra.Instance
+func listedInstances(d *settings.Deployment) []infra.Instance {
+	var instances []infra.Instance
 	for _, i := range d.Instances {
-		out = append(out, infra.Instance{Name: i.Name, Kind: infra.KindEntry, DataCentre: i.DataCentre})
+		instances = append(instances, infra.Instance{Name: i.Name, Kind: infra.KindEntry, DataCentre: i.DataCentre})
 	}
 	for _, u := range d.Upstreams {
 		kind := infra.KindService
 		if u.Kind == settings.KindEngine {
 			kind = infra.KindEngine
 		}
-		out = append(out, infra.Instance{Name: u.Name, Kind: kind, DataCentre: u.DataCentre})
+		instances = append(instances, infra.Instance{Name: u.Name, Kind: kind, DataCentre: u.DataCentre})
 	}
-	return out
+	return instances
 }
 
-// versions gives each model of the deployment two versions.
+// versions returns two versions for each model of the deployment.
 func versions(c Config) []infra.WeightVersion {
 	var out []infra.WeightVersion
 	seen := map[string]bool{}
@@ -213,16 +211,16 @@
 	return out
 }
 
-func (s *Set) onLeaving(names []string) {
-	for _, p := range s.leavers {
-		p.SetLeaving(slices.Contains(names, p.Name()))
+func (s *Set) onTerminating(names []string) {
+	for _, u := range s.upstreams {
+		u.SetTerminating(slices.Contains(names, u.Name()))
 	}
 }
 
-// Parts returns the parts.
-func (s *Set) Parts() []Part { return s.parts }
+// Components returns the components.
+func (s *Set) Components() []Component { return s.components }
 
-// ControlAddr returns the address of the control page, or "".
+// ControlAddr returns the address of the control API, or "" if there is none.
 func (s *Set) ControlAddr() string {
 	if s.control == nil {
 		return ""
@@ -230,13 +228,13 @@
 	return s.control.Addr()
 }
 
-// Serve runs all parts until ctx ends.
+// Serve runs all components until ctx ends.
 func (s *Set) Serve(ctx context.Context) error {
 	sup := suture.New("standin", suture.Spec{EventHook: func(e suture.Event) {
 		slog.Error("stand-in", "event", e.String())
 	}})
-	for _, p := range s.parts {
-		sup.Add(p)
+	for _, component := range s.components {
+		sup.Add(component)
 	}
 	if s.control != nil {
 		sup.Add(s.control)
@@ -244,11 +242,11 @@
 	return sup.Serve(ctx)
 }
 
-// closeAll closes what listens, after a failure to make the rest.
+// closeAll closes the open listeners after NewSet has failed.
 func (s *Set) closeAll() {
-	for _, p := range s.parts {
-		if g, ok := p.(interface{ closeGate() }); ok {
-			g.closeGate()
+	for _, component := range s.components {
+		if l, ok := component.(interface{ closeListener() }); ok {
+			l.closeListener()
 		}
 	}
 }
--- a/internal/standin/set_test.go
+++ b/internal/standin/set_test.go
@@ -25,7 +25,7 @@
 
 const anyAddress = "127.0.0.1:0"
 
-func deployment() *settings.Deployment {
+func testDeployment() *settings.Deployment {
 	return &settings.Deployment{
 		Platform: settings.Platform{
 			Log: anyAddress, Instances: anyAddress, Weights: anyAddress,
@@ -40,9 +40,9 @@
 	}
 }
 
-// startSet runs a set until the returned function or the test's end.
+// startSet runs a set until the returned function is called or the test ends.
 func startSet(t *testing.T, c standin.Config) (*standin.Set, func() error) {
-	c.Control, c.Speed, c.LogAppendsPerSecond = anyAddress, standin.DefaultSpeed(), 300
+	c.ControlAddr, c.Speed, c.LogAppendsPerSecond = anyAddress, standin.DefaultSpeed(), 300
 	s, err := standin.NewSet(c)
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -58,17 +58,17 @@
 	return s, stop
 }
 
-// A crashed part can't be asked what it did: the page for all parts must say
-// it, and bring the part back.
-func TestControlPage(t *testing.T) {
-	s, stop := startSet(t, standin.Config{Deployment: deployment()})
-	page := httpx.New(s.ControlAddr(), httpx.Options{})
-	parts, err := httpx.GetJSON[[]standin.PartCounters](t.Context(), page, standin.PathCounters)
+// A crashed component can't report its own counters. The control API must serve them and be
+// able to restart the component.
+func TestControlServer(t *testing.T) {
+	s, stop := startSet(t, standin.Config{Deployment: testDeployment()})
+	control := httpx.New(s.ControlAddr(), httpx.Options{})
+	components, err := httpx.GetJSON[[]standin.ComponentCounters](t.Context(), control, standin.PathCounters)
 	require.NoError(t, err)
-	require.Len(t, parts, 6)
+	require.Len(t, components, 6)
 	address := map[string]string{}
-	for _, p := range parts {
-		address[p.Name] = p.Address
+	for _, c := range components {
+		address[c.Name] = c.Address
 	}
 	call := func(service string) error {
 		_, err := serviceclient.New(address[service], httpx.Options{}).Call(t.Context(), upstream.ServiceRequest{
@@ -80,8 +80,8 @@
 	require.NoError(t, call("service-2"))
 	crash := func(ms int) {
 		faults := standin.ServiceFaults{Poison: "p", Crash: &standin.Crash{DownMillis: ms}}
-		_, err := httpx.CallJSON[standin.ServiceFaults, standin.ServiceFaults](t.Context(), page,
-			fasthttp.MethodPost, standin.PathParts+"service-1"+standin.PathFaults, faults)
+		_, err := httpx.CallJSON[standin.ServiceFaults, standin.ServiceFaults](t.Context(), control,
+			fasthttp.MethodPost, standin.PathComponents+"service-1"+standin.PathFaults, faults)
 		require.NoError(t, err)
 	}
 	crash(-1)
@@ -89,32 +89,32 @@
 	crash(0)
 	require.Eventually(t, func() bool { return call("service-1") == nil }, 10*time.Second, time.Millisecond)
 
-	totals, err := httpx.GetJSON[standin.Totals](t.Context(), page, standin.PathTotals)
+	totals, err := httpx.GetJSON[standin.Totals](t.Context(), control, standin.PathTotals)
 	require.NoError(t, err)
 	assert.EqualValues(t, 1, totals.RanTwice)
 	assert.EqualValues(t, 2, totals.Crashes)
 	require.ErrorIs(t, stop(), context.Canceled)
 }
 
-func TestOnlySomeParts(t *testing.T) {
-	s, _ := startSet(t, standin.Config{Deployment: deployment(), Only: []string{"engine-1"}})
-	require.Len(t, s.Parts(), 1)
-	assert.Equal(t, "engine-1", s.Parts()[0].Name())
-	_, err := standin.NewSet(standin.Config{Deployment: deployment(), Only: []string{"engine-9"}})
+func TestOnlySelectedComponents(t *testing.T) {
+	s, _ := startSet(t, standin.Config{Deployment: testDeployment(), Only: []string{"engine-1"}})
+	require.Len(t, s.Components(), 1)
+	assert.Equal(t, "engine-1", s.Components()[0].Name())
+	_, err := standin.NewSet(standin.Config{Deployment: testDeployment(), Only: []string{"engine-9"}})
 	require.ErrorContains(t, err, "engine-9")
 }
 
-// An upstream that the list shows as leaving must count the work that comes
-// too late, without anybody telling it beside the list.
-func TestListTellsUpstreamsThatTheyLeave(t *testing.T) {
-	s, _ := startSet(t, standin.Config{Deployment: deployment()})
-	for _, p := range s.Parts() {
-		if p.Kind() == "list" {
-			standintest.Faults(t, p, `{"leaving":["engine-1"]}`)
+// An upstream that the list shows as terminating must count the requests that arrive too
+// late, with no other notification than the list's.
+func TestListNotifiesTerminatingUpstreams(t *testing.T) {
+	s, _ := startSet(t, standin.Config{Deployment: testDeployment()})
+	for _, c := range s.Components() {
+		if c.Kind() == "list" {
+			standintest.SetFaults(t, c, `{"leaving":["engine-1"]}`)
 		}
 	}
-	engine := s.Parts()[3].(*standin.Engine)
-	require.Eventually(t, func() bool { return engine.LeavingSince() != time.Time{} }, 10*time.Second, time.Millisecond)
+	engine := s.Components()[3].(*standin.Engine)
+	require.Eventually(t, func() bool { return engine.TerminatingSince() != time.Time{} }, 10*time.Second, time.Millisecond)
 }
 
 func TestModelOrderLoadsWeights(t *testing.T) {
@@ -126,12 +126,12 @@
 		"fails": {`{"fail_loads":{"next":1}}`, "v1", 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w, err := standin.NewWeights(standin.WeightsConfig{Addr: anyAddress, BytesPerSecond: 1e9,
+			w, err := standin.NewWeightStore(standin.WeightStoreConfig{Addr: anyAddress, BytesPerSecond: 1e9,
 				Versions: []infra.WeightVersion{{Model: "m", Version: "v2", Bytes: 100}}})
 			require.NoError(t, err)
 			standintest.Serve(t, w)
-			standintest.Faults(t, w, tc.faults)
-			e := standintest.Engine(t, standin.EngineConfig{Weights: w.Addr()})
+			standintest.SetFaults(t, w, tc.faults)
+			e := standintest.Engine(t, standin.EngineConfig{WeightStoreAddr: w.Addr()})
 			c := engineclient.New(e.Addr(), httpx.Options{})
 			order := upstream.Order{ID: "1", Kind: upstream.OrderModel, Model: "m", Version: "v2", FencingToken: 1}
 			require.NoError(t, c.Order(t.Context(), order))
@@ -144,12 +144,12 @@
 }
 
 func TestTLS(t *testing.T) {
-	certified := httptest.NewTLSServer(http.NotFoundHandler())
-	t.Cleanup(certified.Close)
-	s := standintest.Service(t, standin.ServiceConfig{TLS: certified.TLS.Clone()})
+	tlsServer := httptest.NewTLSServer(http.NotFoundHandler())
+	t.Cleanup(tlsServer.Close)
+	s := standintest.Service(t, standin.ServiceConfig{TLS: tlsServer.TLS.Clone()})
 	dials := 0
 	c := serviceclient.New(s.Addr(), httpx.Options{
-		TLS: certified.Client().Transport.(*http.Transport).TLSClientConfig,
+		TLS: tlsServer.Client().Transport.(*http.Transport).TLSClientConfig,
 		Dial: func(ctx context.Context, addr string) (net.Conn, error) {
 			dials++
 			var d net.Dialer
@@ -161,5 +161,5 @@
 		require.NoError(t, err)
 		assert.Equal(t, http.StatusOK, got.Status)
 	}
-	assert.Equal(t, 1, dials, "the connection is kept")
+	assert.Equal(t, 1, dials, "the connection is reused")
 }
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -13,44 +13,44 @@
 	"tamarackchute/internal/adapters/weightclient"
 )
 
-// PathWeightLoad is where engines load weights.
+// PathWeightLoad is the path at which engines load weights.
 const PathWeightLoad = "/load"
 
-// WeightsConfig sets up the weight store.
-type WeightsConfig struct {
+// WeightStoreConfig configures the weight store.
+type WeightStoreConfig struct {
 	Addr string
 	TLS  *tls.Config
-	// BytesPerSecond is shared by all loads.
+	// BytesPerSecond is the bandwidth shared by all loads.
 	BytesPerSecond float64
 	Versions       []infra.WeightVersion
 }
 
-// WeightLoad asks for the weights of a version; the response comes when they
-// have been read.
-type WeightLoad struct {
+// WeightLoadRequest asks for the weights of a version. The response is sent when the load
+// is complete.
+type WeightLoadRequest struct {
 	Model   string `json:"model"`
 	Version string `json:"version"`
 	Engine  string `json:"engine"`
 }
 
-// WeightLoaded is the response to a load.
-type WeightLoaded struct {
+// WeightLoadResponse is the response to a WeightLoadRequest.
+type WeightLoadResponse struct {
 	Bytes      int64 `json:"bytes"`
 	WaitMillis int64 `json:"wait_ms"`
 }
 
-// WeightFaults are the weight store's faults.
+// WeightFaults are the faults of the weight store.
 type WeightFaults struct {
-	Reach
-	// FailLoads answers loads with an error, after their time.
-	FailLoads Dose `json:"fail_loads"`
+	NetworkFaults
+	// FailLoads answers loads with an error after their usual duration.
+	FailLoads Trigger `json:"fail_loads"`
 	// SlowFactor above 1 makes loads slower.
 	SlowFactor float64 `json:"slow_factor"`
-	// Add stores versions, once.
+	// Add stores versions; the field is then cleared.
 	Add []infra.WeightVersion `json:"add"`
 }
 
-// WeightCounters are the weight store's counters.
+// WeightCounters are the counters of the weight store.
 type WeightCounters struct {
 	Loads         int64 `json:"loads"`
 	LoadBytes     int64 `json:"load_bytes"`
@@ -58,40 +58,39 @@
 	LongestMillis int64 `json:"longest_load_ms"`
 }
 
-// Weights stands in for the platform's weight store.
-type Weights struct {
-	*node
-	config WeightsConfig
-	faults *switchboard[WeightFaults]
+// WeightStore stands in for the platform's weight store.
+type WeightStore struct {
+	*endpoint
+	config WeightStoreConfig
+	faults *faultState[WeightFaults]
 
 	mu       sync.Mutex
 	versions []infra.WeightVersion
-	// busyUntil is when the loads taken so far end: they go one after the
-	// other, each at the full rate, which takes them the same time in all as
-	// sharing it would.
+	// busyUntil is when the loads accepted so far end. Loads run one after the other at the
+	// full bandwidth; all of them together take as long as with shared bandwidth.
 	busyUntil time.Time
 	counters  WeightCounters
 }
 
-// NewWeights returns a weight store that listens already.
-func NewWeights(c WeightsConfig) (*Weights, error) {
-	n, err := newNode("weights", "weights", c.Addr, c.TLS)
+// NewWeightStore returns a weight store that is already listening.
+func NewWeightStore(c WeightStoreConfig) (*WeightStore, error) {
+	base, err := newEndpoint("weights", "weights", c.Addr, c.TLS)
 	if err != nil {
 		return nil, err
 	}
-	return &Weights{
-		node:     n,
+	return &WeightStore{
+		endpoint: base,
 		config:   c,
-		faults:   newSwitchboard(WeightFaults{SlowFactor: 1}),
+		faults:   newFaultState(WeightFaults{SlowFactor: 1}),
 		versions: c.Versions,
 	}, nil
 }
 
-// Serve implements Part.
-func (w *Weights) Serve(ctx context.Context) error { return w.serve(ctx, w.handle) }
+// Serve implements Component.
+func (w *WeightStore) Serve(ctx context.Context) error { return w.serve(ctx, w.handle) }
 
-func (w *Weights) handle(ctx *fasthttp.RequestCtx) {
-	if admin(w, ctx) || cutOff(w.node, w.faults, ctx) {
+func (w *WeightStore) handle(ctx *fasthttp.RequestCtx) {
+	if serveAdmin(w, ctx) || applyOutage(w.endpoint, w.faults, ctx) {
 		return
 	}
 	switch string(ctx.Path()) {
@@ -105,7 +104,7 @@
 	}
 }
 
-func (w *Weights) versionsOf(model string) []infra.WeightVersion {
+func (w *WeightStore) versionsOf(model string) []infra.WeightVersion {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	out := []infra.WeightVersion{}
@@ -117,8 +116,8 @@
 	return out
 }
 
-func (w *Weights) handleLoad(ctx *fasthttp.RequestCtx) {
-	var load WeightLoad
+func (w *WeightStore) handleLoad(ctx *fasthttp.RequestCtx) {
+	var load WeightLoadRequest
 	if err := json.Unmarshal(ctx.PostBody(), &load); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return
@@ -129,8 +128,8 @@
 		return
 	}
 	wait := w.reserve(time.Now(), bytes)
-	w.pause(wait)
-	if w.faults.take(func(f *WeightFaults) *Dose { return &f.FailLoads }) {
+	w.sleep(wait)
+	if w.faults.trigger(func(f *WeightFaults) *Trigger { return &f.FailLoads }) {
 		w.count(func(c *WeightCounters) { c.FailedLoads++ })
 		ctx.Error("load failed", fasthttp.StatusInternalServerError)
 		return
@@ -140,11 +139,11 @@
 		c.LoadBytes += bytes
 		c.LongestMillis = max(c.LongestMillis, wait.Milliseconds())
 	})
-	replyJSON(ctx, WeightLoaded{Bytes: bytes, WaitMillis: wait.Milliseconds()})
+	replyJSON(ctx, WeightLoadResponse{Bytes: bytes, WaitMillis: wait.Milliseconds()})
 }
 
-// sizeOf finds a version; an empty one means the model's latest.
-func (w *Weights) sizeOf(load WeightLoad) (int64, bool) {
+// sizeOf returns the size of a version; an empty version means the model's latest.
+func (w *WeightStore) sizeOf(load WeightLoadRequest) (int64, bool) {
 	versions := w.versionsOf(load.Model)
 	for i := len(versions) - 1; i >= 0; i-- {
 		if load.Version == "" || versions[i].Version == load.Version {
@@ -154,8 +153,8 @@
 	return 0, false
 }
 
-// reserve books the time that a load takes and returns how long until its end.
-func (w *Weights) reserve(now time.Time, bytes int64) time.Duration {
+// reserve schedules a load and returns the time until it ends.
+func (w *WeightStore) reserve(now time.Time, bytes int64) time.Duration {
 	slow := max(1, w.faults.get().SlowFactor)
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -167,27 +166,27 @@
 	return w.busyUntil.Sub(now)
 }
 
-func (w *Weights) count(add func(*WeightCounters)) {
+func (w *WeightStore) count(add func(*WeightCounters)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	add(&w.counters)
 }
 
 // Counters returns the counters.
-func (w *Weights) Counters() WeightCounters {
+func (w *WeightStore) Counters() WeightCounters {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.counters
 }
 
-// CountersJSON implements Part.
-func (w *Weights) CountersJSON() []byte { return encode(w.Counters()) }
+// CountersJSON implements Component.
+func (w *WeightStore) CountersJSON() []byte { return encode(w.Counters()) }
 
-// FaultsJSON implements Part.
-func (w *Weights) FaultsJSON() []byte { return encode(w.faults.get()) }
+// FaultsJSON implements Component.
+func (w *WeightStore) FaultsJSON() []byte { return encode(w.faults.get()) }
 
-// SetFaults implements Part.
-func (w *Weights) SetFaults(doc []byte) error {
+// SetFaults implements Component.
+func (w *WeightStore) SetFaults(doc []byte) error {
 	if err := w.faults.merge(doc); err != nil {
 		return err
 	}
