--- a/rules/check.go
+++ b/rules/check.go
@@ -154,10 +154,13 @@
 	ast.Walk(&tree.Node, &constantVisitor{c: c, source: s, known: lists})
 }
 
+// constantVisitor reports strings that a condition compares with a known subject,
+// such as "model", and that aren't among the names listed for it.
 type constantVisitor struct {
 	c      *collector
 	source *ruleSource
-	known  map[string][]string
+	// known holds the allowed names by subject.
+	known map[string][]string
 }
 
 // Visit implements ast.Visitor.
--- a/rules/checkpointer.go
+++ b/rules/checkpointer.go
@@ -14,8 +14,9 @@
 const (
 	// defaultTick is the interval at which the state is checked.
 	defaultTick = 250 * time.Millisecond
-	// turnInterval separates the turns of two instances to answer a request for a
-	// checkpoint; maxTurnDelay bounds the sum in a large deployment.
+	// turnInterval is the time between the turns of two instances to write a record
+	// that all of them could write; in a large deployment it is shorter, so that
+	// the last turn comes within maxTurnDelay.
 	turnInterval = 300 * time.Millisecond
 	maxTurnDelay = 10 * time.Second
 	// requestInterval is the time after which an unanswered request is repeated.
--- a/rules/diff.go
+++ b/rules/diff.go
@@ -150,7 +150,7 @@
 func thenText(r *Rule) string {
 	text, err := json.Marshal(r.Then)
 	if err != nil {
-		panic(err) // strings and numbers that came from JSON
+		panic(err) // can't fail: the values came from JSON
 	}
 	return string(text)
 }
--- a/rules/document.go
+++ b/rules/document.go
@@ -11,8 +11,8 @@
 	"github.com/tailscale/hujson"
 )
 
-// Limits of a document. They keep it within one record of the log and bound the
-// cost of a match.
+// Limits of a document, which bound the cost of a match. maxCompressedBytes keeps
+// a document within one record of the log.
 const (
 	MaxDocumentBytes  = 256 << 10
 	MaxRules          = 1000
--- a/rules/peer.go
+++ b/rules/peer.go
@@ -36,7 +36,7 @@
 
 // ApplyPeerState merges a peer's state. A version higher than the one in force
 // comes into force at once; the log must later reach it. The result reports
-// whether the state changed anything.
+// whether the version in force changed or the state became settled.
 func (r *Replica) ApplyPeerState(p PeerState) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -53,11 +53,11 @@
 		r.recordVerdicts(r.fold.adopt(*r.settledPeerState))
 	}
 	r.refresh(true)
-	used := r.current.Load() != before || r.fold.settled != wasSettled
-	if used {
+	changed := r.current.Load() != before || r.fold.settled != wasSettled
+	if changed {
 		r.notify()
 	}
-	return used
+	return changed
 }
 
 // checkPeerState reports a peer's version that isn't in the log although the log
--- a/rules/publisher.go
+++ b/rules/publisher.go
@@ -44,26 +44,26 @@
 //
 // An error is an *InvalidError or matches infra.ErrNotWritten: the document is
 // then not published and never will be.
-func (p *Publisher) Publish(ctx context.Context, publish Publication) (Result, error) {
-	if err := p.check(publish.Document); err != nil {
+func (p *Publisher) Publish(ctx context.Context, publication Publication) (Result, error) {
+	if err := p.check(publication.Document); err != nil {
 		return Result{}, err
 	}
-	if publish.ID == "" {
-		publish.ID = uuid.NewString()
+	if publication.ID == "" {
+		publication.ID = uuid.NewString()
 	}
 	// Read before the verdict is looked up: a copy of the publication that is
 	// folded in between then has a higher offset.
-	publish.Through = p.log.Applied().Offset
-	if v, decided := p.replica.Verdict(publish.ID); decided {
-		return p.result(publish, v), nil
+	publication.Through = p.log.Applied().Offset
+	if v, decided := p.replica.Verdict(publication.ID); decided {
+		return p.result(publication, v), nil
 	}
-	entry := journal.Entry{Kind: journal.KindRules, ID: publish.ID, Body: encodePublication(publish)}
+	entry := journal.Entry{Kind: journal.KindRules, ID: publication.ID, Body: encodePublication(publication)}
 	_, err := p.log.Append(ctx, entry)
 	switch {
 	case err == nil:
-		return p.await(ctx, publish), nil
+		return p.await(ctx, publication), nil
 	case errors.Is(err, journal.ErrOutcomeUnknown):
-		return p.await(ctx, publish), nil
+		return p.await(ctx, publication), nil
 	default:
 		return Result{}, eris.Wrap(err, "rules: not published")
 	}
@@ -86,21 +86,21 @@
 }
 
 // await waits for the verdict on a publication that may be in the log.
-func (p *Publisher) await(ctx context.Context, publish Publication) Result {
+func (p *Publisher) await(ctx context.Context, publication Publication) Result {
 	for {
 		changed := p.replica.Changed()
-		if v, decided := p.replica.Verdict(publish.ID); decided {
-			return p.result(publish, v)
+		if v, decided := p.replica.Verdict(publication.ID); decided {
+			return p.result(publication, v)
 		}
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return p.result(publish, Verdict{ID: publish.ID, Outcome: OutcomeUnknown})
+			return p.result(publication, Verdict{ID: publication.ID, Outcome: OutcomeUnknown})
 		}
 	}
 }
 
-func (p *Publisher) result(publish Publication, v Verdict) Result {
+func (p *Publisher) result(publication Publication, v Verdict) Result {
 	r := Result{ID: v.ID, Outcome: v.Outcome}
 	document := []byte(nil)
 	if inForce := p.replica.Current(); inForce != nil {
@@ -110,7 +110,7 @@
 	case OutcomeAccepted:
 		r.Version = v.Version
 	case OutcomeConflict:
-		r.Diff, _ = DiffDocuments(document, publish.Document)
+		r.Diff, _ = DiffDocuments(document, publication.Document)
 	default:
 		r.Reason = p.unknownReason()
 	}
--- a/rules/replica.go
+++ b/rules/replica.go
@@ -41,10 +41,12 @@
 	verdicts         verdictCache
 	history          history
 	stateRecord      recordTimes
-	requestedAt      time.Time
-	unsettledSince   time.Time
-	faults           Faults
-	changed          chan struct{}
+	// requestedAt is when a request for a checkpoint was read that no checkpoint
+	// has followed yet, unsettledSince when fold stopped being settled.
+	requestedAt    time.Time
+	unsettledSince time.Time
+	faults         Faults
+	changed        chan struct{}
 }
 
 var (
@@ -63,7 +65,8 @@
 type Faults struct {
 	// Undecodable counts entries that couldn't be decoded as a record.
 	Undecodable int `json:"undecodable"`
-	// Contradictions counts checkpoints and peer states that contradict the log.
+	// Contradictions counts checkpoints and peer states that contradict themselves
+	// or the log.
 	Contradictions int `json:"contradictions"`
 	// Uncompiled counts versions whose document doesn't compile here.
 	Uncompiled int `json:"uncompiled"`
@@ -115,7 +118,8 @@
 // Status describes a replica for operators.
 type Status struct {
 	// InForce decides requests. Accepted is the newest known version; the two
-	// differ only if its document doesn't compile here or no rules are known.
+	// differ only if its document doesn't compile here. Both are zero if the rules
+	// aren't known.
 	InForce  Version `json:"in_force"`
 	Accepted Version `json:"accepted"`
 	// Settled is false if records expired before they were read: publications
@@ -160,7 +164,7 @@
 	}
 	switch rec.Kind {
 	case recordPublication:
-		r.applyPublish(p, rec.publication(p.Entry.ID))
+		r.applyPublication(p, rec.publication(p.Entry.ID))
 	case recordCheckpoint:
 		r.applyCheckpoint(p, rec.checkpoint())
 	case recordCheckpointRequest:
@@ -168,8 +172,8 @@
 	}
 }
 
-func (r *Replica) applyPublish(p journal.LogEntry, publish Publication) {
-	verdicts := r.fold.publish(loggedPublication{at: p.Position, logTime: p.At, Publication: publish})
+func (r *Replica) applyPublication(p journal.LogEntry, publication Publication) {
+	verdicts := r.fold.publish(loggedPublication{at: p.Position, logTime: p.At, Publication: publication})
 	if r.fold.state.Version == Version(p.Position) {
 		r.stateRecord = recordTimes{logTime: p.At, readAt: p.ReadAt}
 	}
