--- a/rolepolicy/balance.go
+++ b/rolepolicy/balance.go
@@ -14,8 +14,8 @@
 	// Dwell is the minimum time between two decisions.
 	Dwell time.Duration
 	// MinLossShare is the loss that a shortage must have caused before a change is
-	// made, as a share of the change's cost, the time for which the engine is out of
-	// service. A shorter shortage isn't worth that cost.
+	// made, as a share of the change's cost, which is the time that the engine is out
+	// of service. A shorter shortage isn't worth that cost.
 	MinLossShare float64
 	// MaxChangingShare bounds the share of the engines that change concurrently.
 	MaxChangingShare float64
@@ -136,8 +136,9 @@
 	}, true
 }
 
-// additionalPrefill is how many more engines should prefill, at most maxChanges: as long as
-// each adds at least MinGain and the streams keep their room.
+// additionalPrefill is how many more engines should prefill, at most maxChanges: as
+// long as each adds at least MinGain and the remaining decode engines suffice by
+// minDecode and LowWatermark.
 func (b *Balancer) additionalPrefill(p Pool, maxChanges int) int {
 	minLeft := b.minDecode(p.Prefill + p.Decode)
 	for n := range maxChanges {
--- a/rolepolicy/baselines.go
+++ b/rolepolicy/baselines.go
@@ -77,7 +77,8 @@
 
 // Assign returns the role of each engine, in the order of the argument. Leaders
 // that know the same engines get the same result, and two splits differ in as few
-// engines as their counts allow. Each role is spread over the data centres.
+// engines as their counts allow. Each role is spread over the data centres, so that
+// none of them is left with one role alone.
 func (s Split) Assign(engines []Engine) []upstream.Role {
 	order := interleaved(engines)
 	roles := make([]upstream.Role, len(engines))
--- a/rolepolicy/capacity.go
+++ b/rolepolicy/capacity.go
@@ -85,7 +85,8 @@
 // false if no engine has reported any rate.
 func (l learner) rates(engines []Engine) (rateTable, bool) {
 	var reported [roleCount]struct{ p, d []float64 }
-	var base struct{ p, d []float64 }
+	// implied holds the best rates that the reports imply by the prior table.
+	var implied struct{ p, d []float64 }
 	for _, e := range engines {
 		t := l.seen[e.Name]
 		if t == nil {
@@ -97,15 +98,15 @@
 			}
 			reported[r].p = append(reported[r].p, t[r].Prefill)
 			reported[r].d = append(reported[r].d, t[r].Decode)
-			base.p = append(base.p, t[r].Prefill/priorTable[r].Prefill)
-			base.d = append(base.d, t[r].Decode/priorTable[r].Decode)
+			implied.p = append(implied.p, t[r].Prefill/priorTable[r].Prefill)
+			implied.d = append(implied.d, t[r].Decode/priorTable[r].Decode)
 		}
 	}
 	var out rateTable
-	if len(base.p) == 0 {
+	if len(implied.p) == 0 {
 		return out, false
 	}
-	best := Rates{Prefill: median(base.p, 0), Decode: median(base.d, 0)}
+	best := Rates{Prefill: median(implied.p, 0), Decode: median(implied.d, 0)}
 	for r := range roleCount {
 		out[r].Prefill = median(reported[r].p, best.Prefill*priorTable[r].Prefill)
 		out[r].Decode = median(reported[r].d, best.Decode*priorTable[r].Decode)
--- a/rolepolicy/config.go
+++ b/rolepolicy/config.go
@@ -14,13 +14,14 @@
 	ChangeWeight float64
 	// Dwell is the minimum time between two changes of one engine.
 	Dwell time.Duration
-	// ChangeDuration is how long an engine is out of service for a change.
+	// ChangeDuration is how long an engine is out of service for a change, without
+	// the drain before it.
 	ChangeDuration time.Duration
 	// MaxAtOnce bounds the engines of one data centre that change concurrently.
 	MaxAtOnce int
 	// MaxReportAge is the maximum age of demand values and engine reports.
 	MaxReportAge time.Duration
-	// Horizon is how long a mix is expected to last until shifts have been
+	// Horizon is the expected length of a mix, used until shifts have been
 	// observed; 0 means forty times ChangeDuration.
 	Horizon time.Duration
 	// Schedule is used only by the "schedule" policy.
--- a/rolepolicy/demand.go
+++ b/rolepolicy/demand.go
@@ -122,7 +122,8 @@
 	return h.last.Sub(h.first).Seconds() >= warmUp*max(tau, 2*h.interval)
 }
 
-// forecast returns the demand expected in ahead seconds.
+// forecast returns the demand expected in ahead seconds from now. The trend is
+// followed for longer, by the age of the values that the level comes from.
 func (h *history) forecast(ahead float64) poolDemand {
 	f := h.level
 	ahead += f.age
--- a/rolepolicy/gain.go
+++ b/rolepolicy/gain.go
@@ -8,11 +8,9 @@
 )
 
 // Gain changes a role if the goodput gained over the expected length of the shift
-// exceeds the weighted capacity lost by the change.
-//
-// Every leader plans for the engines of all data centres and orders the candidates
-// in the same way, but decides only about its own engines. Leaders with the same
-// view therefore don't react twice to one shortage.
+// exceeds the weighted capacity lost by the change. Every leader plans for all data
+// centres, with the candidates in the same order, but decides only about its own
+// engines, so that leaders with the same view don't react twice to one shortage.
 type Gain struct {
 	c       Config
 	learner learner
@@ -28,8 +26,8 @@
 	// horizonChanges is the expected length of the first mix, in multiples of
 	// ChangeDuration.
 	horizonChanges = 40
-	// minFresh is the share of entries and of engines that must be exceeded by
-	// those with recent reports before any decision.
+	// minFresh is a share of the entries and of the engines: decisions are made
+	// only if more than this share has recent reports.
 	minFresh = 0.5
 	// drainPrior is the assumed length of a change with its drain, in multiples
 	// of ChangeDuration, until changes have been observed.
--- a/rolepolicy/pool.go
+++ b/rolepolicy/pool.go
@@ -6,7 +6,8 @@
 )
 
 // pool is a group of engines connected by common models, directly or through other
-// engines. Engines serve only requests for models of their pool.
+// engines. Engines serve only requests for models of their pool. It is the Gain
+// policy's unit of planning; a Balancer's input is a Pool.
 type pool struct {
 	models  []string
 	engines []Engine
