--- a/quarantine/backlog.go
+++ b/quarantine/backlog.go
@@ -48,7 +48,7 @@
 	g.pending = nil
 	g.mu.Unlock()
 	for i, e := range entries {
-		if _, err := g.w.Append(ctx, e); err != nil {
+		if _, err := g.journal.Append(ctx, e); err != nil {
 			for _, left := range entries[i:] {
 				g.enqueue(left)
 			}
@@ -59,7 +59,7 @@
 
 func (g *Guard) appendAll(ctx context.Context, entries []journal.Entry) {
 	for _, e := range entries {
-		if _, err := g.w.Append(ctx, e); err != nil {
+		if _, err := g.journal.Append(ctx, e); err != nil {
 			return
 		}
 	}
--- a/quarantine/checkpoint.go
+++ b/quarantine/checkpoint.go
@@ -31,17 +31,18 @@
 	return append(out, g.state.releasesDue(retention, g.writer)...)
 }
 
-// releasesDue returns copies of the releases that are about to expire.
+// releasesDue returns copies of the releases whose newest entry is older than half
+// the retention.
 func (s *State) releasesDue(retention time.Duration, writer string) []journal.Entry {
 	var out []journal.Entry
 	for d, r := range s.released {
 		if s.logNow.Sub(r.written) < retention/2 || len(out) == maxCheckpoints {
 			continue
 		}
-		again := r.release
-		again.Basis, again.At = r.position, r.at
+		release := r.release
+		release.Basis, release.At = r.position, r.at
 		id := fmt.Sprintf("quarantine/release/%s/%d", d, r.written.UnixNano())
-		out = append(out, entryOf(id, writer, message{Release: &again}))
+		out = append(out, entryOf(id, writer, message{Release: &release}))
 	}
 	return out
 }
--- a/quarantine/guard.go
+++ b/quarantine/guard.go
@@ -23,14 +23,13 @@
 	suspectRetry = 2 * time.Second
 )
 
-// Guard decides for one process which requests may run where. It folds the
-// journal, writes to it, and adds local observations: a crash observed by this
-// process counts here at once, even if the journal is down. It is safe for
-// concurrent use.
-//
-// While the log is down, suspects are isolated only from others in this process.
+// Guard decides for one process which requests may run where. It folds the journal,
+// writes to it, and adds local observations: a crash observed here counts at once,
+// even while the log is down. Then suspects are isolated only from others in this
+// process. It is safe for concurrent use.
 type Guard struct {
-	w      journal.Writer
+	journal journal.Writer
+	// writer identifies this process in the journal.
 	writer string
 	now    func() time.Time
 	// observe is called with each new quarantine; it may be nil.
@@ -52,7 +51,7 @@
 	}
 	completed, _ := simplelru.NewLRU[Digest, time.Time](maxCompleted, nil)
 	return &Guard{
-		w:           w,
+		journal:     w,
 		writer:      writer,
 		now:         now,
 		state:       NewState(cfg),
@@ -115,7 +114,7 @@
 		return nil
 	}
 	e := g.recordCrash(upstream, incarnation, inFlight)
-	_, err := g.w.Append(ctx, e)
+	_, err := g.journal.Append(ctx, e)
 	if err != nil {
 		g.enqueue(e)
 	}
@@ -158,7 +157,7 @@
 		return nil, ErrReserved
 	}
 	e := entryOf(uuid.NewString(), g.writer, message{Isolate: &isolate{d, upstream}})
-	_, err := g.w.Append(ctx, e)
+	_, err := g.journal.Append(ctx, e)
 	iso := &Isolation{g: g, upstream: upstream, digest: d, logged: err == nil}
 	if err != nil {
 		// The log is down or slow: isolation within this process is better than
@@ -210,7 +209,7 @@
 
 // Release lets a digest run again, on an operator's request.
 func (g *Guard) Release(ctx context.Context, r Release) error {
-	_, err := g.w.Append(ctx, entryOf(uuid.NewString(), g.writer, message{Release: &r}))
+	_, err := g.journal.Append(ctx, entryOf(uuid.NewString(), g.writer, message{Release: &r}))
 	if err != nil {
 		return err
 	}
--- a/quarantine/message.go
+++ b/quarantine/message.go
@@ -20,8 +20,8 @@
 // Crash reports that an upstream crashed with requests in flight.
 type Crash struct {
 	Upstream string `msgpack:"u"`
-	// Incarnation is the upstream's, or "" if the writer doesn't know it. Reports
-	// without it count as the same crash if they are close in time.
+	// Incarnation is the upstream's, or "" if the writer doesn't know it. Two reports
+	// of which either lacks it count as the same crash if they are close in time.
 	Incarnation string `msgpack:"n"`
 	// Suspects were in flight. So were Doubtful, but these got a complete
 	// response recently and are unlikely to be the cause.
@@ -35,8 +35,8 @@
 	Upstream string `msgpack:"u"`
 }
 
-// isolationEnd ends an isolated run. Passed says that it got further than the run
-// before, so that it is no longer a suspect.
+// isolationEnd ends an isolated run. Passed says that the run was complete or
+// got further than the one before, so that the digest is no longer a suspect.
 type isolationEnd struct {
 	Digest   Digest `msgpack:"d"`
 	Upstream string `msgpack:"u"`
--- a/quarantine/state.go
+++ b/quarantine/state.go
@@ -16,8 +16,8 @@
 	QuarantineFor time.Duration
 	// IsolateFor bounds an isolated run whose end isn't reported.
 	IsolateFor time.Duration
-	// CrashDedupWindow is the time within which reports of a crash of the same
-	// upstream, without an incarnation, mean the same crash.
+	// CrashDedupWindow is the time within which two reports of a crash of the same
+	// upstream mean the same crash if either has no incarnation.
 	CrashDedupWindow time.Duration
 	// MaxDigests bounds the known digests; the oldest suspect is evicted first.
 	MaxDigests int
@@ -50,7 +50,8 @@
 	lastStrike  string // upstream of the last strike
 	quarantined time.Time
 	last        time.Time // log time of the last crash
-	basis       journal.Position
+	// basis is the position of the last entry that this state reflects.
+	basis journal.Position
 	// written is the log time of the newest entry about the digest.
 	written time.Time
 }
@@ -183,11 +184,11 @@
 // applyIsolate reserves an upstream for a suspect, unless another suspect has it
 // or this one has another upstream: two concurrent runs could crash two upstreams.
 func (s *State) applyIsolate(i *isolate) {
-	if _, held := s.reservations[i.Upstream]; held {
+	if _, reserved := s.reservations[i.Upstream]; reserved {
 		return
 	}
-	for _, h := range s.reservations {
-		if h.digest == i.Digest {
+	for _, r := range s.reservations {
+		if r.digest == i.Digest {
 			return
 		}
 	}
@@ -268,8 +269,8 @@
 			delete(s.released, d)
 		}
 	}
-	for u, h := range s.reservations {
-		if s.logNow.Sub(h.since) >= s.cfg.IsolateFor {
+	for u, r := range s.reservations {
+		if s.logNow.Sub(r.since) >= s.cfg.IsolateFor {
 			delete(s.reservations, u)
 		}
 	}
--- a/quarantine/unconfirmed.go
+++ b/quarantine/unconfirmed.go
@@ -38,9 +38,10 @@
 	}
 }
 
-// verdict adds the unconfirmed crashes and counts them as the journal would.
-// Otherwise a process without a connection to the log would never quarantine a
-// poisonous request, and its retries would crash one upstream after the other.
+// verdict adds the unconfirmed crashes and counts their strikes as the journal
+// would. Otherwise a process without a connection to the log would never
+// quarantine a request that crashes upstreams, and its retries would crash one
+// after the other.
 func (g *Guard) verdict(d Digest) Verdict {
 	v := g.state.Verdict(d, g.now())
 	crashes := g.unconfirmed[d]
--- a/quarantine/verdict.go
+++ b/quarantine/verdict.go
@@ -58,14 +58,14 @@
 // MayRunOn reports whether a suspect may start on an upstream as far as the
 // journal shows: not where another suspect runs.
 func (s *State) MayRunOn(upstream string, d Digest) bool {
-	h, held := s.reservations[upstream]
-	return !held || h.digest == d
+	r, reserved := s.reservations[upstream]
+	return !reserved || r.digest == d
 }
 
 // reservedFor reports whether an upstream is reserved for a digest.
 func (s *State) reservedFor(upstream string, d Digest) bool {
-	h, held := s.reservations[upstream]
-	return held && h.digest == d
+	r, reserved := s.reservations[upstream]
+	return reserved && r.digest == d
 }
 
 // Error is the refusal of a request because upstreams crashed while it was in
