--- a/lease/keeper.go
+++ b/lease/keeper.go
@@ -16,8 +16,8 @@
 
 // Presence tells which instances the platform's list has.
 type Presence interface {
-	// Gone reports that no response of the list that was requested after a time
-	// has the instance, over at least the time by which the list may lag.
+	// Gone reports that the instance is missing from every response of the list
+	// that was requested after a time, for at least as long as the list may lag.
 	Gone(instance string, after time.Time) bool
 	// Listed reports that the list's last response has the instance.
 	Listed(instance string) bool
--- a/lease/state.go
+++ b/lease/state.go
@@ -25,8 +25,8 @@
 	FencingToken uint64
 	// Since is the log's wall clock at that claim.
 	Since time.Time
-	// Basis is why the claim was allowed; zero if the claim had expired from
-	// the log before this process started.
+	// Basis is why the claim was allowed; zero if the claim expired from the log
+	// before this process read it.
 	Basis Basis
 	// Last and LastID are the position and entry ID of the last accepted record.
 	Last   journal.Position
@@ -78,7 +78,7 @@
 	if link == LinkFollows && !s.allows(r) {
 		return s, false
 	}
-	next := s.with(p, r)
+	next := s.withRecord(p, r)
 	next.chain.Accept(link, r.After, p.Position)
 	next.Era = era
 	next.currentEra = s.currentEra || r.Era == era
@@ -121,7 +121,9 @@
 	}
 }
 
-func (s ScopeState) with(p journal.LogEntry, r Record) ScopeState {
+// withRecord returns the state with a record's contents. Apply sets the chain, the
+// era and the last record.
+func (s ScopeState) withRecord(p journal.LogEntry, r Record) ScopeState {
 	s.Scope = r.Scope
 	s.Known = true
 	s.Held = r.Op != OpRelease && !r.Released
@@ -136,6 +138,7 @@
 		return s
 	}
 	if s.FencingToken != r.FencingToken {
+		// The claim that began this term wasn't read, so its basis isn't known.
 		s.Basis = 0
 	}
 	s.FencingToken = r.FencingToken
--- a/lease/view.go
+++ b/lease/view.go
@@ -30,8 +30,8 @@
 }
 
 // View folds the journal's lease records into the leader of each scope. It
-// implements journal.StateMachine, journal.TrimListener and journal.RestoreListener; its other
-// methods are safe for concurrent use.
+// implements journal.StateMachine, journal.TrimListener and
+// journal.RestoreListener; its other methods are safe for concurrent use.
 type View struct {
 	state   State
 	current atomic.Pointer[Snapshot]
