--- a/claim/call.go
+++ b/claim/call.go
@@ -108,6 +108,7 @@
 	}
 }
 
+// replay returns the recorded result of a key whose call ran for another request.
 func replay(v keyView) Done {
 	if v.outcome == nil {
 		return Done{Response: Response{Status: int(v.status)}, Replayed: true}
--- a/claim/checkpoint.go
+++ b/claim/checkpoint.go
@@ -23,9 +23,9 @@
 const checkpointPartBytes = 32 << 10
 
 // gap collects entries after records expired unread, until a checkpoint that
-// covers them is read; the entries after it are then folded on top. Time alone
-// closes no gap: a claim that was rejected for an unknown one seems accepted
-// here, and makes later verdicts on its key wrong for as long as it is used.
+// covers them is read; the entries after it are then folded on top. A gap doesn't
+// close by time alone: a claim that was rejected because of an unread one seems
+// accepted here, and verdicts on its key stay wrong for as long as the key is used.
 type gap struct {
 	oldest infra.Offset
 	// since is the log's time of the first entry read after the gap.
@@ -80,44 +80,44 @@
 	if l.gap == nil || c.UpTo.Offset+1 < l.gap.oldest {
 		return
 	}
-	if s := l.gap.add(c); s != nil {
-		l.closeGap(s)
+	if complete := l.gap.add(c); complete != nil {
+		l.closeGap(complete)
 	}
 }
 
 // add adds a part and returns its checkpoint if that is complete.
 func (g *gap) add(c *checkpoint) *partialCheckpoint {
-	s, ok := g.checkpoints[c.Set]
+	p, ok := g.checkpoints[c.Set]
 	if !ok {
-		s = &partialCheckpoint{upTo: c.UpTo, now: c.NowMillis, parts: map[uint32][]byte{}}
-		g.checkpoints[c.Set] = s
+		p = &partialCheckpoint{upTo: c.UpTo, now: c.NowMillis, parts: map[uint32][]byte{}}
+		g.checkpoints[c.Set] = p
 		g.order = append(g.order, c.Set)
 		if len(g.order) > maxPartialCheckpoints {
 			delete(g.checkpoints, g.order[0])
 			g.order = g.order[1:]
 		}
 	}
-	s.parts[c.Part] = c.Rows
-	if c.Parts == 0 || len(s.parts) < int(c.Parts) {
+	p.parts[c.Part] = c.Rows
+	if c.Parts == 0 || len(p.parts) < int(c.Parts) {
 		return nil
 	}
-	return s
+	return p
 }
 
 // closeGap rebuilds the ledger from a checkpoint and the entries after it. Entries
 // that the checkpoint covers are skipped: they are in its rows. The responses
 // read so far are kept, as rows have none.
-func (l *Ledger) closeGap(s *partialCheckpoint) {
+func (l *Ledger) closeGap(complete *partialCheckpoint) {
 	now, tail, responses := l.now, l.gap.tail, l.responses
 	l.clear()
 	l.gap = nil
 	l.responses = responses
-	l.now = time.UnixMilli(s.now)
-	for _, part := range s.parts {
+	l.now = time.UnixMilli(complete.now)
+	for _, part := range complete.parts {
 		l.loadRows(part)
 	}
 	for _, e := range tail {
-		if s.upTo.Less(e.position) {
+		if complete.upTo.Less(e.position) {
 			l.apply(e)
 		}
 	}
@@ -202,6 +202,8 @@
 	return checkpointEntries(before, time.Time{}, [][]byte{nil})
 }
 
+// checkpointEntries returns the entries of a checkpoint, one for each part. set
+// identifies the checkpoint: readers collect the parts that have the same one.
 func checkpointEntries(upTo journal.Position, now time.Time, parts [][]byte) []journal.Entry {
 	set := newAttempt()
 	entries := make([]journal.Entry, len(parts))
@@ -221,6 +223,7 @@
 
 // checkpointTracker notes when a complete checkpoint was last read.
 type checkpointTracker struct {
+	// parts counts the parts read of each checkpoint, by checkpoint.Set.
 	parts map[AttemptID]uint32
 	// last is the log's time of that checkpoint's last part, lastRead the
 	// reader's.
@@ -228,10 +231,10 @@
 }
 
 // note counts a part and reports whether its checkpoint is complete.
-func (w *checkpointTracker) note(c *checkpoint) bool {
-	if w.parts == nil || len(w.parts) >= maxPartialCheckpoints {
-		w.parts = map[AttemptID]uint32{}
+func (t *checkpointTracker) note(c *checkpoint) bool {
+	if t.parts == nil || len(t.parts) >= maxPartialCheckpoints {
+		t.parts = map[AttemptID]uint32{}
 	}
-	w.parts[c.Set]++
-	return w.parts[c.Set] == c.Parts
+	t.parts[c.Set]++
+	return t.parts[c.Set] == c.Parts
 }
--- a/claim/config.go
+++ b/claim/config.go
@@ -23,16 +23,16 @@
 	defaultDrainTimeout       = 5 * time.Second
 )
 
-// minTTLFactor is the smallest ratio of KeyTTL to the longest time of a call. A
-// claim's holder that was paused for longer than a call may take gives up long
-// before others could forget the claim.
+// minTTLFactor is the smallest ratio of KeyTTL to the longest time of a call, and
+// to KeySkew. A claim's holder that was paused for longer than a call may take
+// gives up long before others could forget the claim.
 const minTTLFactor = 4
 
 // Config configures a Guard. Every process of a deployment needs the same KeyTTL,
 // KeySkew and Retention, as their folds must agree. Zero values select the
 // defaults.
 type Config struct {
-	// Writer is the journal's name of this process.
+	// Writer is the name under which this process writes to the journal.
 	Writer string
 	// ClaimTimeout bounds a claim's append; after it the call is refused as not
 	// run. Two seconds by default.
@@ -41,8 +41,9 @@
 	// a call that was paused for longer is not dispatched. ClaimTimeout plus
 	// five seconds by default.
 	MaxClaimAge time.Duration
-	// MaxDispatch bounds a dispatch. A claim that has no outcome after this time
-	// plus MaxClaimAge is treated as broken off. 30 s by default.
+	// MaxDispatch bounds a dispatch. If a claim has no outcome after this time plus
+	// MaxClaimAge, none is expected any more and retries get MayHaveRun. 30 s by
+	// default.
 	MaxDispatch time.Duration
 	// KeyTTL is how long a key is known after its claim. 24 h by default.
 	KeyTTL time.Duration
--- a/claim/core.go
+++ b/claim/core.go
@@ -9,12 +9,10 @@
 	"tamarackchute/journal"
 )
 
-// Core is the decision logic of one process's protected calls: a state machine
-// without I/O, over the process's Ledger. Guard runs it, and so can simulations.
-// It isn't safe for concurrent use.
-//
-// A call goes through Start, then Claimed, Confirm and Dispatched as its steps
-// request. While it waits, Changed says when to call Resume.
+// Core decides on one process's protected calls, over its Ledger and without I/O, so
+// that simulations can run it as Guard does. It isn't safe for concurrent use. A call
+// goes through Start, then Claimed, Confirm and Dispatched as its steps request.
+// While it waits, Changed says when to call Resume.
 type Core struct {
 	cfg    Config
 	ledger *Ledger
--- a/claim/guard.go
+++ b/claim/guard.go
@@ -22,7 +22,7 @@
 type Journal interface {
 	journal.Writer
 	// Applied returns the position up to which all entries were passed to the
-	// folders.
+	// state machines.
 	Applied() journal.Position
 	Health() journal.Health
 }
@@ -34,7 +34,7 @@
 type Dispatch func(ctx context.Context) (Response, DispatchResult)
 
 // Guard runs protected calls at most once. It must be registered with the journal
-// as the folder of journal.KindClaim, and Serve must run under a supervisor while
+// as the state machine of journal.KindClaim, and Serve must run under a supervisor while
 // calls may arrive. The journal must be served longer than the Guard, so that a
 // Guard that shuts down can still record outcomes.
 type Guard struct {
@@ -44,13 +44,16 @@
 	// background is the context of appends, which may outlive their calls.
 	background context.Context
 	cancel     context.CancelFunc
-	appends    conc.WaitGroup
-	// ended holds at most one signal that a call or an append has ended.
+	// goroutines holds the dispatches and the background appends.
+	goroutines conc.WaitGroup
+	// ended holds at most one signal that a call, dispatch or append has ended.
 	ended chan struct{}
 
-	mu       sync.Mutex
-	core     *Core
-	waiters  map[CallID]chan struct{}
+	mu      sync.Mutex
+	core    *Core
+	waiters map[CallID]chan struct{}
+	// active counts the calls, dispatches and background appends in progress,
+	// sending those appends alone, dropped the messages that were given up.
 	active   int
 	sending  int
 	dropped  int
@@ -166,7 +169,7 @@
 	ended := make(chan Step, 1)
 	var caught panics.Catcher
 	g.withCore(func() { g.active++ })
-	g.appends.Go(func() {
+	g.goroutines.Go(func() {
 		defer g.end()
 		// A dispatch that panics may have run.
 		r, result := Response{}, DispatchMayHaveRun
@@ -244,7 +247,7 @@
 	return true
 }
 
-// end counts the end of a call or an append.
+// end counts the end of a call, a dispatch or an append.
 func (g *Guard) end() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/claim/messages.go
+++ b/claim/messages.go
@@ -78,6 +78,7 @@
 	//lint:ignore U1000 read by msgpack
 	_msgpack struct{} `msgpack:",as_array"`
 
+	// Set identifies the checkpoint, Part the part among its Parts.
 	Set         AttemptID
 	Part, Parts uint32
 	UpTo        journal.Position
--- a/claim/outbox.go
+++ b/claim/outbox.go
@@ -16,7 +16,7 @@
 	}
 	g.sending++
 	g.active++
-	g.appends.Go(func() {
+	g.goroutines.Go(func() {
 		defer g.end()
 		sent := g.appendWithRetry(m.Entry)
 		g.withCore(func() {
--- a/claim/serve.go
+++ b/claim/serve.go
@@ -15,7 +15,7 @@
 	Keys int
 	// Complete says that every claim of the last KeyTTL is known.
 	Complete bool
-	// Active is the number of active calls and background appends.
+	// Active is the number of active calls, dispatches and background appends.
 	Active int
 	// Dropped counts outcomes and withdrawals that were given up; retries of
 	// their calls get MayHaveRun.
