--- a/orders/next.go
+++ b/orders/next.go
@@ -23,8 +23,8 @@
 type Limits struct {
 	// DrainTimeout is the maximum duration of a drain; then the change is undone.
 	DrainTimeout time.Duration
-	// OrderTimeout is the time added to DrainTimeout within which the engine must
-	// have accepted the order.
+	// OrderTimeout and DrainTimeout together bound the time until the engine has
+	// accepted the order.
 	OrderTimeout time.Duration
 	// SettleTime is the time within which a responsive engine that doesn't enforce
 	// fencing has processed everything that was sent to it before.
@@ -315,21 +315,20 @@
 }
 
 // canNoLongerApply reports whether an order that the engine's state doesn't show
-// can no longer take effect.
-//
-// After a reply the only copy has arrived, and the engine has since abandoned the
-// order or restarted. Otherwise, and for an order of a former leader, a copy may
-// still be in a buffer or in a paused sender. An engine that enforces fencing
-// rejects it once the token was raised above the order's. For other engines the
-// sender has died or is this process, whose connection is closed, and the engine
-// has answered reads for SettleTime, in which it processes what it had received.
+// can no longer take effect. Unless the engine accepted it from this leader, a copy
+// may still be in a buffer or in a paused sender.
 func canNoLongerApply(in Input, sess *Session, ownToken bool) bool {
 	if ownToken && sess.sendOutcome == OutcomeAccepted {
+		// The only copy has arrived, and the engine has since abandoned the order
+		// or restarted.
 		return true
 	}
 	if in.EnforcesFencing {
+		// The engine rejects a copy once its token was raised above the order's.
 		return !ownToken
 	}
+	// The sender has died or is this process, whose connection is closed. The engine
+	// has answered reads for SettleTime, in which it processes what it had received.
 	return !sess.responsiveSince.IsZero() && sess.readAt.Sub(sess.responsiveSince) >= in.Limits.SettleTime
 }
 
--- a/orders/session.go
+++ b/orders/session.go
@@ -66,7 +66,7 @@
 	retryAt time.Time
 }
 
-// bindToken clears the session if it was kept under another fencing token.
+// bindToken clears the session if it belongs to another fencing token.
 func (sess *Session) bindToken(token uint64) {
 	if sess.token != token {
 		*sess = Session{token: token}
@@ -125,6 +125,7 @@
 	}
 }
 
+// backOff delays the next action after an error, and ends the delay without one.
 func (sess *Session) backOff(err error, now time.Time, retryDelay time.Duration) {
 	sess.retryAt = time.Time{}
 	if err != nil {
--- a/orders/state.go
+++ b/orders/state.go
@@ -33,13 +33,10 @@
 	return e.Change
 }
 
-// TakesWork reports whether new work may be sent to the engine, that is whether
-// it isn't being drained or changed.
-//
-// A router must count the request as in flight on the engine before it takes the
-// snapshot that it calls TakesWork on; if the result is false, it must undo the
-// count and pick another engine. Otherwise it could report nothing in flight at a
-// position and then send a request that it had routed before that position.
+// TakesWork reports whether new work may be sent to the engine: it isn't being
+// drained or changed. A router must count a request as in flight before it takes
+// the snapshot for this call, and undo that if the result is false. Otherwise it
+// could report nothing in flight and then send a request routed before the report.
 func (e Engine) TakesWork() bool { return e.Open() == nil }
 
 // Leases returns who leads a scope at the journal position being applied. A
