--- a/journal/queue.go
+++ b/journal/queue.go
@@ -75,11 +75,14 @@
 	}
 }
 
+// drop forgets a pending entry. One that still waits for the writer must also be
+// removed with unqueue.
 func (q *queue) drop(p *pending) {
 	delete(q.byID, p.entry.ID)
 	q.bytes -= p.size
 }
 
+// unqueue removes an entry from those that wait for the writer.
 func (q *queue) unqueue(p *pending) {
 	for i, w := range q.waiting {
 		if w == p {
--- a/journal/reader.go
+++ b/journal/reader.go
@@ -67,6 +67,7 @@
 	return j.checkProgress(ctx, res)
 }
 
+// readFrom returns the next offset to read, and whether it is the first read.
 func (j *Journal) readFrom() (from infra.Offset, first bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/journal/writer.go
+++ b/journal/writer.go
@@ -42,6 +42,7 @@
 	}
 }
 
+// acquire takes a slot for an append; it returns false if ctx ends first.
 func acquire(ctx context.Context, slots chan struct{}) bool {
 	select {
 	case slots <- struct{}{}:
@@ -86,6 +87,8 @@
 	}
 }
 
+// lingerRemaining returns how long the oldest queued entry still waits for others
+// to share its append, and whether any entry is queued.
 func (j *Journal) lingerRemaining() (wait time.Duration, queued bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
