--- a/membership/config.go
+++ b/membership/config.go
@@ -23,8 +23,8 @@
 	Nearest func(dataCentre string) []string
 
 	// HeartbeatInterval is the time between heartbeats. An instance without
-	// heartbeats is suspected after SuspectAfter and gone after GoneAfter, unless
-	// another instance vouches for it.
+	// heartbeats is suspected after SuspectAfter, and after GoneAfter it is gone
+	// unless another instance vouches for it.
 	HeartbeatInterval, SuspectAfter, GoneAfter time.Duration
 	// SummaryInterval is the time between summaries, SummaryTTL how long a summary
 	// is used.
--- a/membership/machine.go
+++ b/membership/machine.go
@@ -169,13 +169,13 @@
 	m.updateView(now)
 }
 
-// ReceiveHeartbeat applies a heartbeat of an instance of this data centre.
-//
-// A heartbeat of an earlier incarnation is ignored: it arrives late from a process
-// that has been replaced. If the replacement has the lower incarnation, because its
-// clock was set back, the others report the one they know in Heartbeat.Silent, and
-// the replacement continues with a higher one.
+// ReceiveHeartbeat applies a heartbeat of an instance of this data centre. One of an
+// earlier incarnation is ignored: it arrives late from a process that has been
+// replaced.
 func (m *Machine) ReceiveHeartbeat(h Heartbeat, now time.Time) {
+	// If this instance replaced a process with a higher incarnation, because the
+	// clock was set back, the others ignore its heartbeats and report the incarnation
+	// that they know. It then continues with a higher one.
 	for _, s := range h.Silent {
 		if s.Name == m.self.Name && s.Incarnation > m.self.incarnation {
 			m.self.incarnation = s.Incarnation + 1
--- a/membership/send.go
+++ b/membership/send.go
@@ -75,11 +75,12 @@
 
 // summaryReceiver returns the instance to which the summaries of the data centre
 // from are sent. It changes only if that instance is no longer running or if the
-// remote data centre doesn't confirm that summaries arrive. Then each summary goes
-// to the next instance, which reconnects two data centres after both their senders
-// were replaced at once and avoids a broken link between two instances.
+// remote data centre doesn't confirm that summaries arrive.
 func (dc *remoteDC) summaryReceiver(from string) string {
 	if !dc.receivesFrom(from) {
+		// Trying the next instance with each summary reconnects two data centres
+		// after both their senders were replaced at once, and avoids a broken link
+		// between two instances.
 		dc.receiverIndex = (dc.receiverIndex + 1) % len(dc.members)
 	} else if !dc.isRunning(dc.receiverIndex) {
 		dc.receiverIndex = dc.firstRunning(dc.receiverIndex)
--- a/membership/summaries.go
+++ b/membership/summaries.go
@@ -75,7 +75,8 @@
 	return best, found
 }
 
-// receivesFrom reports whether some sender has recent summaries of a data centre.
+// receivesFrom reports whether a sender of the remote data centre has recent
+// summaries of the given one.
 func (ss *summaries) receivesFrom(dataCentre string) bool {
 	for _, r := range ss.bySender {
 		if slices.Contains(r.summary.ReceivesFrom, dataCentre) {
