--- a/rules/document.go
+++ b/rules/document.go
@@ -50,7 +50,7 @@
 	}
 	var list *hujson.Value
 	d := decoder{c: c}
-	d.object(&value, "the document", map[string]member{
+	d.object(&value, "the document", map[string]fieldSpec{
 		"rules": {required: true, read: func(v *hujson.Value) { list = v }},
 	})
 	if list == nil {
@@ -97,7 +97,7 @@
 	s := ruleSource{at: v.StartOffset, when: v.StartOffset, thenAt: v.StartOffset, then: map[string]int{}}
 	d := decoder{c: c}
 	first := len(c.problems)
-	d.object(v, "a rule", map[string]member{
+	d.object(v, "a rule", map[string]fieldSpec{
 		"name": {required: true, read: func(v *hujson.Value) { d.value(v, "name", &s.rule.Name) }},
 		"when": {required: true, read: func(v *hujson.Value) {
 			d.value(v, "when", &s.rule.When)
@@ -116,16 +116,16 @@
 func (s *ruleSource) decodeThen(d *decoder, v *hujson.Value) {
 	s.thenAt = v.StartOffset
 	t := &s.rule.Then
-	recorded := func(name string, read func(v *hujson.Value)) member {
-		return member{read: func(v *hujson.Value) {
+	recorded := func(name string, read func(v *hujson.Value)) fieldSpec {
+		return fieldSpec{read: func(v *hujson.Value) {
 			s.then[name] = v.StartOffset
 			read(v)
 		}}
 	}
-	field := func(name string, into any) member {
+	field := func(name string, into any) fieldSpec {
 		return recorded(name, func(v *hujson.Value) { d.value(v, name, into) })
 	}
-	d.object(v, "then", map[string]member{
+	d.object(v, "then", map[string]fieldSpec{
 		"pool":        field("pool", &t.Pool),
 		"priority":    field("priority", &t.Priority),
 		"deadline_ms": field("deadline_ms", &t.DeadlineMillis),
@@ -134,14 +134,14 @@
 		"class":       field("class", &t.Class),
 		"refuse": recorded("refuse", func(v *hujson.Value) {
 			t.Refuse = &Refusal{}
-			d.object(v, "refuse", map[string]member{
+			d.object(v, "refuse", map[string]fieldSpec{
 				"status": field("status", &t.Refuse.Status),
 				"reason": field("reason", &t.Refuse.Reason),
 			})
 		}),
 		"limit": recorded("limit", func(v *hujson.Value) {
 			t.Limit = &Limit{}
-			d.object(v, "limit", map[string]member{
+			d.object(v, "limit", map[string]fieldSpec{
 				"requests_per_s": field("requests_per_s", &t.Limit.RequestsPerSecond),
 				"concurrent":     field("concurrent", &t.Limit.Concurrent),
 				"per":            field("per", &t.Limit.Per),
@@ -150,8 +150,8 @@
 	})
 }
 
-// member describes how a field of an object is decoded.
-type member struct {
+// fieldSpec describes how a field of an object is decoded.
+type fieldSpec struct {
 	required bool
 	read     func(v *hujson.Value)
 }
@@ -167,7 +167,7 @@
 }
 
 // object decodes an object's fields and reports those that aren't in the table.
-func (d *decoder) object(v *hujson.Value, what string, members map[string]member) {
+func (d *decoder) object(v *hujson.Value, what string, specs map[string]fieldSpec) {
 	object, ok := v.Value.(*hujson.Object)
 	if !ok {
 		d.fail(v.StartOffset, "%s must be an object", what)
@@ -177,7 +177,7 @@
 	for i := range object.Members {
 		m := &object.Members[i]
 		name := m.Name.Value.(hujson.Literal).String()
-		spec, known := members[name]
+		spec, known := specs[name]
 		switch {
 		case !known:
 			d.fail(m.Name.StartOffset, "unknown field %q in %s", name, what)
@@ -189,7 +189,7 @@
 		seen[name] = true
 	}
 	for _, name := range []string{"rules", "name", "when", "then"} {
-		if members[name].required && !seen[name] {
+		if specs[name].required && !seen[name] {
 			d.fail(v.StartOffset, "%s has no field %q", what, name)
 		}
 	}
