--- a/internal/entry/answer/answer.go
+++ b/internal/entry/answer/answer.go
@@ -23,7 +23,7 @@
 	retryState dispatch.State
 	// waitedForEngine is the total time spent waiting for another engine.
 	waitedForEngine time.Duration
-	// noSplit keeps prefill and decode on one engine after a KV transfer has failed.
+	// noSplit keeps prefill and decode on one engine after a separate prefill has failed.
 	noSplit bool
 	// deliverFrom is the index of the first token that the caller doesn't have:
 	// above 0 for a resumed answer.
--- a/internal/entry/answer/open.go
+++ b/internal/entry/answer/open.go
@@ -55,8 +55,8 @@
 
 // errIsolationConflict says that the request may not run on the engine now because
 // another suspect runs there. It counts as a refusal for the request but not for the
-// engine: recorded as the engine's own, such refusals ejected the only engine left
-// until the streams that waited for it had exceeded MaxEngineWait.
+// engine. Otherwise the router would keep ejecting an engine, perhaps the only one
+// left, until the streams that wait for it exceed MaxEngineWait.
 var errIsolationConflict = fmt.Errorf("another suspect runs on the engine: %w", upstream.ErrRefused)
 
 // replan drops a plan whose engine is shutting down. Nothing was sent, so it
@@ -107,6 +107,8 @@
 	return plan, route, nil
 }
 
+// noEngineFailure returns the failure of a request for which the router found no
+// engine. It is a quarantine failure if only the isolation of suspects prevents one.
 func (a *Answer) noEngineFailure(err error) *outcome.Failure {
 	var noUpstream *router.NoUpstreamError
 	if errors.As(err, &noUpstream) && noUpstream.Reason == router.NoUpstreamIsolation {
@@ -132,6 +134,8 @@
 	return false
 }
 
+// release undoes reserve. It skips empty names, as only a split plan names a prefill
+// engine.
 func (a *Answer) release(engines ...string) {
 	for _, name := range engines {
 		if name != "" {
@@ -254,9 +258,9 @@
 }
 
 // mayContinue reports whether another engine may continue an answer whose engine
-// failed. A stream may in every class except never, as its caller already has a
-// part of the answer. Continuations are bounded by the failed engine's streams and
-// by the attempts of each, so they don't consume the retry budget.
+// failed. A stream may in every class except never, as its caller already has a part
+// of the answer, which would otherwise be cut off. Continuations are bounded by the
+// failed engine's streams and their attempts, so they don't consume the retry budget.
 func (a *Answer) mayContinue() bool {
 	if !a.job.Request.Stream {
 		return a.retryState.Next(dispatch.MayHaveRun, true) == dispatch.Retry
--- a/internal/entry/answer/runner.go
+++ b/internal/entry/answer/runner.go
@@ -77,7 +77,7 @@
 	Route   router.Request
 	Retry   rules.RetryClass
 	Digest  quarantine.Digest
-	// Answer is the response's id as the caller sees it.
+	// Answer is the answer's id as the caller sees it.
 	Answer  string
 	Created time.Time
 }
--- a/internal/entry/demand.go
+++ b/internal/entry/demand.go
@@ -26,9 +26,9 @@
 	return max(w, minDemandWindow)
 }
 
-// demandMeter measures what callers request of each model, whether it is admitted or
-// not. The work that was done would never exceed the capacity, and so would hide a
-// shortage from the leaders that could end it.
+// demandMeter measures the tokens and requests that callers demand of each model,
+// whether admitted or not. The work that the engines did never exceeds their capacity
+// and would hide a shortage from the leaders, which can end it by role changes.
 type demandMeter struct {
 	now    func() time.Time
 	window time.Duration
@@ -70,7 +70,7 @@
 	return r.sum / window.Seconds()
 }
 
-func newDemand(now func() time.Time, window time.Duration) *demandMeter {
+func newDemandMeter(now func() time.Time, window time.Duration) *demandMeter {
 	return &demandMeter{now: now, window: window, models: map[string]*modelDemand{}}
 }
 
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -182,7 +182,7 @@
 	e.admission = admission.New(a, nil)
 	e.drains = newPeerDrains(e.orders, e.journal.CaughtUp())
 	e.inflight = inflight.NewCounter(e.drains, e.journal.Applied, engineNames(d))
-	e.demand = newDemand(time.Now, demandWindow(d.Roles))
+	e.demand = newDemandMeter(time.Now, demandWindow(d.Roles))
 	e.load = &loadFraction{}
 	e.crashDetector = crash.New(e.quarantine, e.cfg.Upstreams.Probe)
 }
--- a/internal/entry/gateway/gateway.go
+++ b/internal/entry/gateway/gateway.go
@@ -69,7 +69,8 @@
 	MaxBodyBytes int
 	// DefaultDeadline applies to requests whose rule sets no deadline.
 	DefaultDeadline time.Duration
-	// Heartbeat is the longest time without an event or a heartbeat on a stream.
+	// Heartbeat is the time between two heartbeats on a stream without events. The
+	// first comes one to two such intervals after the last event.
 	Heartbeat time.Duration
 	// WriteTimeout bounds how long a caller may leave a response unread.
 	WriteTimeout time.Duration
--- a/internal/entry/gateway/metrics.go
+++ b/internal/entry/gateway/metrics.go
@@ -25,8 +25,8 @@
 }
 
 type failureKey struct {
-	code outcome.Code
-	ran  outcome.Execution
+	code      outcome.Code
+	execution outcome.Execution
 }
 
 func newMetrics(s tally.Scope) *metrics {
@@ -46,15 +46,15 @@
 
 // failed counts a failure by its code and execution.
 func (m *metrics) failed(f *outcome.Failure) {
-	m.failure(failureKey{f.Code, f.Execution}).Inc(1)
+	m.failureCounter(failureKey{f.Code, f.Execution}).Inc(1)
 }
 
-func (m *metrics) failure(key failureKey) tally.Counter {
+func (m *metrics) failureCounter(key failureKey) tally.Counter {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	counter := m.failures[key]
 	if counter == nil {
-		tags := map[string]string{"reason": string(key.code), "outcome": string(key.ran)}
+		tags := map[string]string{"reason": string(key.code), "outcome": string(key.execution)}
 		counter = m.scope.Tagged(tags).Counter("requests_failed")
 		m.failures[key] = counter
 	}
--- a/internal/entry/peerdrains.go
+++ b/internal/entry/peerdrains.go
@@ -9,10 +9,10 @@
 	"tamarackchute/orders"
 )
 
-// peerDrains adds the drains that peers report to the journal's orders until the log
-// has been read. An entry that starts while the log is down serves with a peer's rules
-// and could otherwise send a request to a draining engine, whose order would cut it
-// off. It implements inflight.Orders and status.Drains.
+// peerDrains merges the drains reported by peers into the journal's orders until the
+// log has been read. An entry that starts while the log is down serves with a peer's
+// rules and could otherwise send a request to a draining engine, which cuts it off once
+// it executes its order. It implements inflight.Orders and status.Drains.
 type peerDrains struct {
 	orders   inflight.Orders
 	caughtUp <-chan struct{}
--- a/internal/entry/stream/eventid.go
+++ b/internal/entry/stream/eventid.go
@@ -16,8 +16,8 @@
 
 // Origin is what an instance needs to resume an answer in progress.
 type Origin struct {
-	// Answer is the answer's id as the caller sees it, Created its time in
-	// Unix seconds.
+	// Answer is the answer's id as the caller sees it, Created the time at which
+	// its first request began, in Unix seconds.
 	Answer  string `msgpack:"i"`
 	Created int64  `msgpack:"c"`
 	// Upstream names the engine, Attempt the attempt in progress there.
@@ -83,8 +83,8 @@
 	return strconv.AppendInt(dst, int64(index), 10)
 }
 
-// Open verifies an event id and returns its origin and token index. The error is
-// always ErrEventID.
+// Open verifies an event id and returns its origin and token index. Its only error
+// is ErrEventID.
 func (s *Signer) Open(id string, digest RequestDigest) (Origin, int, error) {
 	encoded, number, found := strings.Cut(id, ".")
 	index, err := strconv.Atoi(number)
