--- a/internal/ctl/concurrent.go
+++ b/internal/ctl/concurrent.go
@@ -56,6 +56,8 @@
 	return nil
 }
 
+// printConcurrent prints the prefills of other requests that overlap r, and their
+// total. Only lines whose text names the engine but not the request are parsed.
 func (s *session) printConcurrent(r prefillInterval, id, files string) error {
 	engine, quoted := []byte(r.engine), []byte(fmt.Sprintf("%q", id))
 	lines, err := s.filterLines(files, func(text []byte) (logLine, bool) {
