--- a/internal/settings/types.go
+++ b/internal/settings/types.go
@@ -166,8 +166,8 @@
 // Roles configures the role policy.
 type Roles struct {
 	Policy string `json:"policy" validate:"oneof=gain fixed threshold schedule"`
-	// ChangeWeight weighs the cost of a role change: 1 favours goodput most, higher
-	// values make changes rarer.
+	// ChangeWeight multiplies the cost of a role change, the capacity that it loses:
+	// 1 favours goodput most, higher values make changes rarer.
 	ChangeWeight float64 `json:"change_weight" validate:"gt=0"`
 	// DwellSeconds is the least time between two changes of one engine.
 	DwellSeconds float64 `json:"dwell_s" validate:"gte=0"`
