--- a/internal/load/doc.go
+++ b/internal/load/doc.go
@@ -1,5 +1,5 @@
-// Package load sends recorded mixes of requests, drawn from a seed, to a deployment and measures
-// the outcome for the callers. The load is open-loop: each request is sent at its scheduled
+// Package load draws a mix of requests from a seed, sends them to a deployment and measures the
+// outcome for the callers. The load is open-loop: each request is sent at its scheduled
 // time, regardless of the requests before it, and its latency counts from that time, so that a
 // stalled system can't hide its delay.
 //
--- a/internal/load/mix.go
+++ b/internal/load/mix.go
@@ -121,7 +121,7 @@
 	return time.Duration(float64(d) / factor)
 }
 
-// Arrival is one request of a recorded mix.
+// Arrival is one request drawn from a mix.
 type Arrival struct {
 	// At is the time of sending, relative to the start of the run.
 	At    time.Duration
--- a/internal/load/preset.go
+++ b/internal/load/preset.go
@@ -11,9 +11,10 @@
 
 // The names of the classes that all presets have.
 const (
-	// ClassShort is short queries on fields and faults, which must be answered quickly.
+	// ClassShort is short queries, for example about a field or a fault, which must be answered
+	// quickly.
 	ClassShort = "short"
-	// ClassLong is summaries and bundles of specifications.
+	// ClassLong is requests with long prompts, for summaries or about bundles of specifications.
 	ClassLong = "long"
 	// ClassChat is a conversation.
 	ClassChat      = "chat"
@@ -47,8 +48,8 @@
 }
 
 // classes returns the classes of request. A short query has a short prompt and half a page of
-// output; a long one has a long prompt and gets a grade with reasons. The deadlines are those of
-// the deployments' own rules.
+// output; a long one has a long prompt and little output: a grade with reasons. The deadlines are
+// those of the deployments' own rules.
 func classes(path string, short, long time.Duration) []Class {
 	return []Class{
 		{Name: ClassShort, Kind: KindCompletion, Prompt: Range{30, 150}, Output: Range{150, 350},
@@ -81,7 +82,7 @@
 // Mix returns the mix of the given name, sized for a fleet of engines of the given speed.
 func (p Preset) Mix(name string, seed uint64, engines int, speed Speed) (Mix, error) {
 	m := Mix{Name: name, Classes: p.Classes}
-	rng := rand.New(rand.NewPCG(seed, 77))
+	rng := rand.New(rand.NewPCG(seed, 77)) // Arrivals draws from other streams, 1 and up
 	switch name {
 	case MixShift:
 		m.Phases = p.shiftPhases(rng, engines, speed)
--- a/internal/load/standins.go
+++ b/internal/load/standins.go
@@ -12,7 +12,8 @@
 )
 
 // Counters are the stand-ins' counters. They tell what the system did to its upstreams
-// independently of what it reports.
+// independently of what it reports. standin.EngineCounters and standin.ServiceCounters define
+// them, under the same JSON keys.
 type Counters struct {
 	Tokens            int64 `json:"tokens"`
 	CutByOrder        int64 `json:"cut_by_order"`
@@ -31,7 +32,7 @@
 	c.RoleChanges += o.RoleChanges
 	c.ConflictingOrders += o.ConflictingOrders
 	c.WorkAfterLeaving += o.WorkAfterLeaving
-	// Services of one process share their count of keys.
+	// Services of one process share these counters, so their sum would count a call repeatedly.
 	c.Keys = max(c.Keys, o.Keys)
 	c.RanTwice = max(c.RanTwice, o.RanTwice)
 }
@@ -92,10 +93,10 @@
 	return eris.Wrap(json.NewDecoder(resp.Body).Decode(into), "counters")
 }
 
-// SetFaults sets the faults of one stand-in in the JSON form that stand-ins accept. It needs the
-// control page.
-func (s Standins) SetFaults(ctx context.Context, part string, faults []byte) error {
-	url := "http://" + s.Control + "/parts/" + part + "/faults"
+// SetFaults sets the faults of the named stand-in in the JSON form that stand-ins accept. It needs
+// the control page.
+func (s Standins) SetFaults(ctx context.Context, name string, faults []byte) error {
+	url := "http://" + s.Control + "/parts/" + name + "/faults"
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(faults))
 	if err != nil {
 		return eris.Wrap(err, "faults")
@@ -106,7 +107,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode >= http.StatusMultipleChoices {
-		return eris.Errorf("faults: status %d for %s", resp.StatusCode, part)
+		return eris.Errorf("faults: status %d for %s", resp.StatusCode, name)
 	}
 	return nil
 }
