--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -157,7 +157,7 @@
 }
 
 // scheduleClose closes a plain request after a random delay of up to 200 ms, a stream after its
-// second event. The caller must call onEvent after each event.
+// second event. The returned function must be called after each event.
 func (c *caller) scheduleClose(id string, s service, cancel func()) (onEvent func()) {
 	closeNow := func() {
 		c.site.oracle.callerClosed(id)
--- a/internal/soak/checks.go
+++ b/internal/soak/checks.go
@@ -194,6 +194,7 @@
 	return int(b.ratio*float64(most)) + b.slack
 }
 
+// countBetween counts the times that are after from and not after to.
 func countBetween(times []time.Time, from, to time.Time) int {
 	n := 0
 	for _, t := range times {
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -37,11 +37,11 @@
 	mu         sync.Mutex
 	requests   map[string]*request
 	violations []Violation
-	// pools maps each incarnation to its pool, draining to the time at which its entry was
-	// marked as draining.
+	// pools maps a server's ID to its pool, draining to the time at which its entry was marked as
+	// draining.
 	pools    map[string]string
 	draining map[string]time.Time
-	// removed maps an incarnation to the time at which its entry was removed.
+	// removed maps a server's ID to the time at which its entry was removed.
 	removed map[string]time.Time
 	// published holds the publication time of each version; versions count from 1.
 	published []time.Time
@@ -90,7 +90,7 @@
 	return slices.Clone(o.violations)
 }
 
-// serverListed records the pool of an incarnation.
+// serverListed records the pool of a server.
 func (o *oracle) serverListed(id, pool string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -147,8 +147,8 @@
 	return kindWeights[i].kind
 }
 
-// drawDuration draws a duration of at least 50 ms, uniformly below limit, limit/2, limit/4 or
-// limit/8 with equal probability.
+// drawDuration draws 50 ms plus a duration that is uniform below limit, limit/2, limit/4 or
+// limit/8, each with equal probability, so that short faults are frequent too.
 func drawDuration(rng *rand.Rand, limit time.Duration) time.Duration {
 	shift := rng.IntN(4)
 	return time.Duration(rng.Int64N(int64(limit>>shift))) + 50*time.Millisecond
--- a/internal/soak/troubles.go
+++ b/internal/soak/troubles.go
@@ -6,7 +6,8 @@
 )
 
 // faultLog records what was disturbed and when. Promises with a time limit are checked only
-// where nothing that they depend on was disturbed.
+// where nothing that they depend on was disturbed. A subject names a part of the site that can be
+// disturbed, such as the store or a daemon.
 type faultLog struct {
 	mu        sync.Mutex
 	intervals map[string][]interval
