--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -271,5 +271,5 @@
 	return c
 }
 
-// peerTimeout bounds a load of weights or a KV transfer.
+// peerTimeout bounds a request for a load of weights or for a KV cache.
 const peerTimeout = 10 * time.Minute
--- a/internal/standin/engine_sequence.go
+++ b/internal/standin/engine_sequence.go
@@ -223,8 +223,9 @@
 	return append(out, line[:fits]...)
 }
 
-// encodeLine appends the line of the next token to b. No word of the vocabulary needs
-// escaping.
+// encodeLine appends the line of the next token to b: its index i, text t and, at the end,
+// finish reason f. The first line also holds the prompt's tokens p and, of these, the cached
+// ones c. No word of the vocabulary needs escaping.
 func (r *tokenReader) encodeLine(b []byte) []byte {
 	s := r.seq
 	b = append(b, `{"i":`...)
--- a/internal/standin/engine_speed.go
+++ b/internal/standin/engine_speed.go
@@ -7,7 +7,7 @@
 )
 
 // Speed sets how fast an engine works. Scale multiplies every speed: with a scale of 10, a
-// load profile of 20 minutes runs in 2.
+// mix of 20 minutes runs in 2.
 type Speed struct {
 	Scale float64
 	// PrefillPerSec is the number of prompt tokens per second at full efficiency.
@@ -24,7 +24,7 @@
 	// KVBytesPerToken and KVBytesPerSec determine the duration of a KV transfer.
 	KVBytesPerToken int64
 	KVBytesPerSec   float64
-	// ChangeDuration is how long a role change takes the engine out of service.
+	// ChangeDuration is how long the engine is out of service during a role change.
 	ChangeDuration time.Duration
 	// LoadLag is the age of a load report, EventLag the delay of a cache event.
 	LoadLag, EventLag time.Duration
--- a/internal/standin/engine_transfer.go
+++ b/internal/standin/engine_transfer.go
@@ -23,7 +23,8 @@
 	time.AfterFunc(exportRetention, func() { e.takeExport(handle.ID) })
 }
 
-// exportOf returns the handle of a prefill's KV cache.
+// exportOf returns the handle of a prefill's KV cache, or false if the cache isn't kept for
+// another engine now.
 func (e *Engine) exportOf(s *sequence) (upstream.KVHandle, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
