--- a/internal/member/backoff.go
+++ b/internal/member/backoff.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// retryMin and retryMax bound the wait after a failed call to the store, at a site of up to
-	// baselineDaemons. At a larger one they grow with the number of daemons, which keeps the
+	// retryMin and retryMax bound the mean wait after a failed call to the store, at a site of up
+	// to baselineDaemons. At a larger one they grow with the number of daemons, which keeps the
 	// total rate of calls constant; the first daemon that gets an answer passes the result on to
 	// its peers.
 	retryMin        = 100 * time.Millisecond
 	retryMax        = 500 * time.Millisecond
 	baselineDaemons = 10
-	// maxRetryWait limits the wait at any size, so that a daemon uses the store again within
+	// maxRetryWait limits the mean wait at any size, so that a daemon uses the store again within
 	// seconds of its recovery.
 	maxRetryWait = 4 * time.Second
 	// probeTimeout is how long other callers wait for the one that probes the store.
@@ -30,8 +30,8 @@
 	daemons func() int
 
 	mu sync.Mutex
-	// interval is the current retry interval, 0 while the store answers; retryAt is when the
-	// next probe may start; lastFailure is when a failure was last counted.
+	// interval is the mean wait before the next probe, 0 while the store answers; retryAt is when
+	// that may start; lastFailure is when a failure was last counted.
 	interval             time.Duration
 	retryAt, lastFailure time.Time
 }
--- a/internal/member/catchup.go
+++ b/internal/member/catchup.go
@@ -97,21 +97,21 @@
 	return list
 }
 
-// fromPeers asks the serving peers, one after the other, for what is missing.
+// fromPeers asks the serving peers, one after the other, for the caches still unknown.
 func (c *catchUp) fromPeers(ctx context.Context) {
 	for _, peer := range c.member.peers.Serving() {
-		missing := c.member.tracker.UnknownCaches()
-		if len(missing) == 0 {
+		unknown := c.member.tracker.UnknownCaches()
+		if len(unknown) == 0 {
 			return
 		}
-		c.fromPeer(ctx, peer.Peers, missing)
+		c.fromPeer(ctx, peer.Peers, unknown)
 	}
 }
 
-func (c *catchUp) fromPeer(ctx context.Context, peer string, missing []placement.Key) {
+func (c *catchUp) fromPeer(ctx context.Context, peer string, engines []placement.Key) {
 	ctx, cancel := context.WithTimeout(ctx, viewTimeout)
 	defer cancel()
-	answer, err := wire.Request(ctx, c.member.wireConfig(), peer, wire.SnapshotRequest{Engines: missing})
+	answer, err := wire.Request(ctx, c.member.wireConfig(), peer, wire.SnapshotRequest{Engines: engines})
 	if err != nil {
 		c.log.Warn("request for a peer's cache state failed", "peer", peer, "err", err)
 		return
@@ -121,15 +121,15 @@
 		return
 	}
 	c.member.tracker.Restore(peer, reply.Snapshot)
-	c.log.Info("cache state received from a peer", "peer", peer, "missing", len(missing), "engines", len(reply.Snapshot.Cached))
+	c.log.Info("cache state received from a peer", "peer", peer, "missing", len(engines), "engines", len(reply.Snapshot.Cached))
 }
 
-// fromEngines queries the engines that are still missing: this daemon's share, as the other
-// daemons query the rest and all share the results, or all of them.
+// fromEngines queries the engines whose caches are still unknown: all of them, or only this
+// daemon's share, while the other daemons query theirs and all share the results.
 func (c *catchUp) fromEngines(ctx context.Context, all bool) {
-	missing := c.member.tracker.UnknownCaches()
+	unknown := c.member.tracker.UnknownCaches()
 	for _, u := range c.engines() {
-		if ctx.Err() == nil && slices.Contains(missing, placement.KeyOf(u.ID, u.Started)) && (all || c.isOwnShare(u)) {
+		if ctx.Err() == nil && slices.Contains(unknown, placement.KeyOf(u.ID, u.Started)) && (all || c.isOwnShare(u)) {
 			c.queryEngine(ctx, u)
 		}
 	}
--- a/internal/member/collectorline.go
+++ b/internal/member/collectorline.go
@@ -86,7 +86,7 @@
 	loggedAt      time.Time
 }
 
-// candidate returns the current parent.
+// candidate returns the candidate that is the parent now, and false if none is left.
 func (s *parentState) candidate() (wire.MemberAddress, bool) {
 	if s.current >= len(s.candidates) {
 		return wire.MemberAddress{}, false
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -36,7 +36,7 @@
 	// nothing known only to the system's processes. It rejects other protocols.
 	peerSecret = "tamarackchute member exchange, protocol 3"
 	// replacedTimeout is how long all daemons avoid an upstream whose address now belongs to
-	// another one: its store entry expires after three missed heartbeats.
+	// another one: its store entry lapses after three missed heartbeats.
 	replacedTimeout = 3 * time.Second
 	// minRetryAfter is the minimum retry delay that a refusal names.
 	minRetryAfter = 400 * time.Millisecond
--- a/internal/member/tallynews.go
+++ b/internal/member/tallynews.go
@@ -14,8 +14,8 @@
 	version uint64
 }
 
-// unavailableSlack is the difference up to which two ends of an unavailability count as equal:
-// each report has been on its way for a while.
+// unavailableSlack is the difference up to which the ends of unavailability in two reports count
+// as equal: each report took some time to arrive.
 const unavailableSlack = 200 * time.Millisecond
 
 // applyUnavailable records unavailable engines. The later of two ends counts.
--- a/internal/member/topicreader.go
+++ b/internal/member/topicreader.go
@@ -16,8 +16,8 @@
 	// entry is written about once a second, so a long poll would return at once; a change must
 	// be known well within the last two seconds of a draining upstream.
 	upstreamsInterval = 450 * time.Millisecond
-	// upstreamsJitter is the maximum random delay added, so that one daemon reads and the others
-	// learn the result from it.
+	// upstreamsJitter is the mean of the random delay added, so that one daemon reads and the
+	// others learn the result from it.
 	upstreamsJitter = 300 * time.Millisecond
 	// callTimeout limits a call to the store, in addition to the requested wait.
 	callTimeout = 1500 * time.Millisecond
@@ -45,7 +45,7 @@
 	// applyRestored processes the newest entries of a store restored from an older copy; nil
 	// means applyAll.
 	applyRestored func([]Entry)
-	// jitter is the maximum random delay added to interval, during which a peer's read may
+	// jitter is the mean of the random delay added to interval, during which a peer's read may
 	// replace this one; 0 for none.
 	jitter time.Duration
 	// readsFirst reports whether this daemon reads without the jitter; nil means no.
@@ -69,7 +69,7 @@
 // String implements fmt.Stringer; the supervisor logs it.
 func (r *topicReader) String() string { return "feed of " + r.name }
 
-// age returns the time since the last successful read.
+// age returns the time since the last successful read; an hour if there was none.
 func (r *topicReader) age() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -129,7 +129,7 @@
 func (r *topicReader) pollsRarely() bool { return r.peersNotify != nil && r.peersNotify() }
 
 // longPollWait returns how long the next read may wait for a change. After a failure it is 0, so
-// that the recovery of the store is noticed at once.
+// that the recovery of the store is noticed at once; also while peers report all changes.
 func (r *topicReader) longPollWait() time.Duration {
 	if r.isDown() || r.pollsRarely() {
 		return 0
@@ -137,7 +137,8 @@
 	return r.longPoll
 }
 
-// wakeInterval is how often a paused reader checks whether it is expedited.
+// wakeInterval is how often a waiting reader checks whether it is expedited, or, after a failure,
+// whether it may call the store.
 const wakeInterval = 50 * time.Millisecond
 
 // pause sleeps for a time, or until the reader is expedited.
