--- a/internal/controller/chooser.go
+++ b/internal/controller/chooser.go
@@ -95,7 +95,8 @@
 }
 
 // engineState describes one engine. Its role is taken from the journal if known, else from
-// the engine's report, else from the settings.
+// the engine's report, else from the settings. Without a report, the report's age is the
+// highest possible.
 func (c *PolicyRunner) engineState(e settings.Upstream, known orders.Engine, now time.Time) rolepolicy.Engine {
 	out := rolepolicy.Engine{
 		Name: e.Name, DataCentre: e.DataCentre, Models: e.Models,
--- a/internal/controller/page.go
+++ b/internal/controller/page.go
@@ -19,7 +19,7 @@
 const (
 	maxRequestBody = 4 << 10
 	requestTimeout = 10 * time.Second
-	// pageCloseTimeout bounds the wait for requests in flight when the controller stops.
+	// serverCloseTimeout bounds the wait for requests in flight when the controller stops.
 	serverCloseTimeout = time.Second
 	metricsContentType = "text/plain; version=0.0.4; charset=utf-8"
 )
--- a/internal/controller/presence.go
+++ b/internal/controller/presence.go
@@ -32,7 +32,7 @@
 	firstRequestedAt time.Time
 }
 
-// NewPresence returns a follower of the list. An instance counts as gone only after it has
+// NewPresence returns a Presence that polls the list. An instance counts as gone only after it has
 // been missing from all responses for maxLag.
 func NewPresence(list infra.InstanceList, maxLag time.Duration, log *slog.Logger) *Presence {
 	return &Presence{list: list, maxLag: maxLag, log: log, absentSince: map[string]time.Time{}}
@@ -119,7 +119,8 @@
 }
 
 // TerminatingOrGone reports whether the instance is being taken away or is missing from the
-// last response. It is false before the first response.
+// last response. Unlike Gone, it doesn't wait until maxLag has passed. It is false before
+// the first response.
 func (p *Presence) TerminatingOrGone(instance string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
