--- a/internal/status/fetch.go
+++ b/internal/status/fetch.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	// firstFetchDelay is how long a starting entry waits for the log before it asks peers.
-	// A leader counts a killed predecessor's acknowledged drain for wire.MaxStatusAge; until
-	// then its order could cut off this entry's requests. A later drain is complete without
-	// this entry only if every peer has applied it, and then replies name it.
+	// firstFetchDelay is how long a starting entry waits for the log before it asks peers. If
+	// it was killed after acknowledging a drain, leaders count that for wire.MaxStatusAge, and
+	// an order could cut off its new requests. Any drain that is complete later without this
+	// entry was applied by every peer, and then replies name it.
 	firstFetchDelay = wire.MaxStatusAge + 100*time.Millisecond
 	// maxConcurrentFetches limits how many peers are asked at the same time.
 	maxConcurrentFetches = 8
--- a/internal/status/node.go
+++ b/internal/status/node.go
@@ -58,9 +58,10 @@
 type Node struct {
 	opts        Options
 	incarnation uint64
-	peers       map[string]settings.Instance
-	cfg         wire.Config
-	log         *slog.Logger
+	// instances holds all instances of the deployment by name, this one included.
+	instances map[string]settings.Instance
+	cfg       wire.Config
+	log       *slog.Logger
 
 	server    *wire.Server
 	members   *membership.Runner
@@ -75,7 +76,7 @@
 	n := &Node{
 		opts:        o,
 		incarnation: uint64(time.Now().UnixMilli()),
-		peers:       map[string]settings.Instance{},
+		instances:   map[string]settings.Instance{},
 		log:         o.Logger,
 		cfg: wire.Config{
 			Name: o.Self.Name + "/entry", Secret: o.Secret,
@@ -84,7 +85,7 @@
 	}
 	var all []membership.Peer
 	for _, in := range o.Deployment.Instances {
-		n.peers[in.Name] = in
+		n.instances[in.Name] = in
 		all = append(all, membership.Peer{Name: in.Name, DataCentre: in.DataCentre})
 	}
 	n.peerLinks = wire.NewLinks("links to entries", n.cfg, nil, n.log)
@@ -147,7 +148,7 @@
 
 // Send implements membership.Transport.
 func (t transport) Send(to string, m membership.Message) {
-	address := t.node.peers[to].Peers
+	address := t.node.instances[to].Peers
 	switch m := m.(type) {
 	case membership.Heartbeat:
 		t.node.peerLinks.Send(address, wire.Heartbeat{Heartbeat: m})
--- a/internal/status/push.go
+++ b/internal/status/push.go
@@ -65,7 +65,7 @@
 	status.Seq = p.seq
 	status.At = time.Now()
 	for _, name := range leaders {
-		if in, ok := p.node.peers[name]; ok {
+		if in, ok := p.node.instances[name]; ok {
 			p.node.leaderLinks.Send(in.ControllerPeers, status)
 		}
 	}
