--- a/internal/prove/claims/call.go
+++ b/internal/prove/claims/call.go
@@ -31,7 +31,8 @@
 	// pendingInCore is whether the core still tracks the call.
 	pendingInCore bool
 	reply         *reply
-	sentAt        time.Time
+	// dispatchStart is when the dispatch's time limit started.
+	dispatchStart time.Time
 }
 
 // begin starts the processing of a caller's request.
@@ -120,7 +121,7 @@
 // scheduleDispatch makes the dispatch the next step and starts its time limit.
 func (c *call) scheduleDispatch() {
 	c.stage = stageDispatching
-	c.sentAt = c.process.world.now
+	c.dispatchStart = c.process.world.now
 }
 
 // dispatch sends the request over the network, unless the connection fails or the
@@ -128,7 +129,7 @@
 func (c *call) dispatch() {
 	w := c.process.world
 	c.stage = stageSent
-	late := w.now.Sub(c.sentAt) >= config.MaxDispatch && w.mutant != mutantNoClockCheck
+	late := w.now.Sub(c.dispatchStart) >= config.MaxDispatch && w.mutant != mutantNoClockCheck
 	if late || (!w.faultsEnded && w.chance(5)) {
 		c.reply = &reply{result: claim.DispatchNotRun}
 		return
@@ -141,7 +142,7 @@
 func (c *call) handleReply() {
 	p, w := c.process, c.process.world
 	r := c.reply
-	if r == nil && w.now.Sub(c.sentAt) >= config.MaxDispatch {
+	if r == nil && w.now.Sub(c.dispatchStart) >= config.MaxDispatch {
 		r = &reply{result: claim.DispatchMayHaveRun}
 		w.report.Event("dispatch timed out")
 	}
--- a/internal/prove/claims/checks.go
+++ b/internal/prove/claims/checks.go
@@ -146,8 +146,8 @@
 	}
 }
 
-// checkGapsClose waits for the next checkpoint. If no process has the complete history,
-// none can be written.
+// checkGapsClose checks that every process has the complete history after the next
+// checkpoint. If none has it before, no checkpoint can be written and nothing is checked.
 func (w *world) checkGapsClose() {
 	complete := 0
 	for _, p := range w.procs {
@@ -175,7 +175,7 @@
 	}
 }
 
-// checkRefusedKeysRun sends the keys again that no process has claimed.
+// checkRefusedKeysRun sends the plain keys again that have no claim, and checks that they run.
 func (w *world) checkRefusedKeysRun() {
 	p := pick(w, w.procs)
 	for _, k := range w.keys {
--- a/internal/prove/claims/outside.go
+++ b/internal/prove/claims/outside.go
@@ -40,7 +40,7 @@
 	sentAt  time.Time
 }
 
-// maxDelivery bounds a request's time in transit. It also covers a process that is paused
+// maxDelivery bounds a request's time in transit, which includes any pause of the process
 // during the write itself.
 const maxDelivery = 5 * time.Minute
 
@@ -107,7 +107,7 @@
 // lastLostDraw is the highest random draw in deliver for which a request is lost.
 const lastLostDraw = 22
 
-// deliver lets a random request reach the upstream or get lost.
+// deliver ends a random request's transit: it reaches the upstream, fails or gets lost.
 func (w *world) deliver() {
 	if len(w.network) == 0 {
 		return
