--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -101,11 +101,11 @@
 	if err := raw.SetDeadline(time.Now().Add(cfg.Limits.Handshake)); err != nil {
 		return nil, err
 	}
-	sec, err := handshakeClient(raw, cfg.Name, cfg.Secret)
+	sess, err := handshakeClient(raw, cfg.Name, cfg.Secret)
 	if err != nil {
 		return nil, err
 	}
-	return newConn(raw, sec, cfg.Limits), raw.SetDeadline(time.Time{})
+	return newConn(raw, sess, cfg.Limits), raw.SetDeadline(time.Time{})
 }
 
 // withServerName returns a configuration that checks the certificate against the
--- a/internal/wire/links.go
+++ b/internal/wire/links.go
@@ -48,14 +48,14 @@
 func (ls *Links) Send(address string, m Message) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
-	u, ok := ls.links[address]
+	active, ok := ls.links[address]
 	if !ok {
-		u = &activeLink{link: NewLink(ls.cfg, address, ls.handle, ls.log)}
-		u.token = ls.Add(u.link)
-		ls.links[address] = u
+		active = &activeLink{link: NewLink(ls.cfg, address, ls.handle, ls.log)}
+		active.token = ls.Add(active.link)
+		ls.links[address] = active
 	}
-	u.lastUsed = time.Now()
-	u.link.Send(m)
+	active.lastUsed = time.Now()
+	active.link.Send(m)
 }
 
 // sweeper removes links that are no longer used, such as those to former leaders.
@@ -75,10 +75,10 @@
 func (ls *Links) sweep(now time.Time) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
-	for address, u := range ls.links {
-		if now.Sub(u.lastUsed) >= linkIdleTimeout {
+	for address, active := range ls.links {
+		if now.Sub(active.lastUsed) >= linkIdleTimeout {
 			delete(ls.links, address)
-			_ = ls.Remove(u.token)
+			_ = ls.Remove(active.token)
 		}
 	}
 }
--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -166,9 +166,9 @@
 	if err := raw.SetDeadline(time.Now().Add(s.cfg.Limits.Handshake)); err != nil {
 		return nil, err
 	}
-	sec, err := handshakeServer(raw, s.cfg.Name, s.cfg.Secret)
+	sess, err := handshakeServer(raw, s.cfg.Name, s.cfg.Secret)
 	if err != nil {
 		return nil, err
 	}
-	return newConn(raw, sec, s.cfg.Limits), raw.SetDeadline(time.Time{})
+	return newConn(raw, sess, s.cfg.Limits), raw.SetDeadline(time.Time{})
 }
