--- a/internal/adapters/httpx/client.go
+++ b/internal/adapters/httpx/client.go
@@ -71,6 +71,8 @@
 	return secured, nil
 }
 
+// tlsConfig returns the TLS options, with the client's address as the server name unless
+// another one is set.
 func (c *Client) tlsConfig() *tls.Config {
 	if c.opts.TLS.ServerName != "" || c.opts.TLS.InsecureSkipVerify {
 		return c.opts.TLS
@@ -153,6 +155,8 @@
 	}
 }
 
+// timeRemaining returns the time until the context's deadline, or 0 if there is none. A
+// deadline that has passed gives a short time, since 0 would mean no limit.
 func timeRemaining(ctx context.Context) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok {
--- a/internal/adapters/httpx/errors.go
+++ b/internal/adapters/httpx/errors.go
@@ -37,9 +37,9 @@
 
 func notSent(cause error) error { return &CallError{Kind: upstream.ErrNotSent, Cause: cause} }
 
-// Broken wraps the cause of a failure after the request was sent. The result never
-// matches io.EOF, which marks the end of a complete stream: a response that was cut
-// off would otherwise look complete.
+// Broken wraps the cause of a failure after the sending of the request has begun. The
+// result never matches io.EOF, which marks the end of a complete stream: a response
+// that was cut off would otherwise look complete.
 func Broken(cause error) error {
 	if errors.Is(cause, io.EOF) {
 		cause = io.ErrUnexpectedEOF
