--- a/internal/wire/member.go
+++ b/internal/wire/member.go
@@ -55,7 +55,8 @@
 	Observations map[string]enginemodel.Observations
 	// Demands is the demand of the daemon's callers, by pool.
 	Demands map[string]MemberDemand
-	// Unavailable are engines that have been ordered to change their role.
+	// Unavailable are the engines that this daemon has reported as accepting no work, for
+	// example because it ordered them to change their role.
 	Unavailable []UnavailableEngine
 	// KnownPeers are the daemons from which this one receives states.
 	KnownPeers []MemberAddress
@@ -100,7 +101,8 @@
 func (MemberState) Kind() Kind { return KindMemberState }
 
 // ViewRequest asks a peer for its copy of the store's content. It is sent by a daemon
-// that can't reach the store itself.
+// whose own copy is older, so that few daemons read the store and one that can't reach it
+// gets new data.
 type ViewRequest struct {
 	// ConfigOnly asks for the configuration without the list of upstreams.
 	ConfigOnly bool `msgpack:"c,omitempty"`
@@ -123,7 +125,7 @@
 // Kind implements Message.
 func (ViewReply) Kind() Kind { return KindViewReply }
 
-// LoadReport reports to a collector what the sender, and the daemons that report to
+// LoadReport reports to an aggregator what the sender, and the daemons that report to
 // it, have in flight.
 type LoadReport struct {
 	//lint:ignore U1000 msgpack reads it: the fields are encoded without their names.
@@ -137,8 +139,8 @@
 	// tree in which they report to each other.
 	Daemons int
 	Depth   int
-	// Unavailable holds changes to the engines that accept no work, Prefills recent
-	// prefills.
+	// Unavailable holds the engines that have newly been reported as accepting no work,
+	// Prefills recent prefills.
 	Unavailable []UnavailableEngine
 	Prefills    PrefillEvents
 	// NoReply means that the sender doesn't need the totals now.
@@ -156,7 +158,7 @@
 func (LoadReport) Kind() Kind { return KindLoadReport }
 
 // LoadTotals is what all daemons except the receiver have in flight, as known to the
-// collector.
+// aggregator.
 type LoadTotals struct {
 	//lint:ignore U1000 msgpack reads it: the fields are encoded without their names.
 	_msgpack struct{} `msgpack:",as_array"`
@@ -165,12 +167,12 @@
 	Loads UpstreamLoads
 	// Daemons is the number of daemons that the totals cover.
 	Daemons int
-	// Unavailable holds changes to the engines that accept no work, Prefills recent
-	// prefills.
+	// Unavailable holds the engines that have newly been reported as accepting no work,
+	// Prefills recent prefills.
 	Unavailable []UnavailableEngine
 	Prefills    PrefillEvents
-	// ConfigVersion, ListPosition, ListDigest, ListSize and ListAge describe the collector's
-	// state, as in MemberState: it reads the store for all.
+	// ConfigVersion, ListPosition, ListDigest, ListSize and ListAge describe the
+	// aggregator's state, as in MemberState: it reads the store for all.
 	ConfigVersion uint64
 	ListPosition  uint64
 	ListDigest    uint64
