--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -77,7 +77,7 @@
 	// settings are the current ones, lease is this daemon's lease status.
 	settings atomic.Pointer[Settings]
 	lease    atomic.Pointer[daemonstatus.Lease]
-	// backoff applies to all calls to the store.
+	// backoff is shared by all services that retry failed calls to the store.
 	backoff *backoff
 }
 
--- a/internal/member/peers.go
+++ b/internal/member/peers.go
@@ -100,8 +100,9 @@
 	seq         uint64
 	summary     Summary
 	demands     map[string]wire.MemberDemand
-	// lastState is when its last state or load update came, lastUpdate when its summary was last
-	// updated, by a state or with the totals.
+	// lastReceived is when its last state or load update came, lastUpdate when its summary was
+	// last updated, by a state or with the totals, and lastNamed when its address was last added
+	// or confirmed.
 	lastReceived, lastUpdate time.Time
 	lastNamed                time.Time
 	up                       bool
--- a/internal/member/peerview.go
+++ b/internal/member/peerview.go
@@ -14,7 +14,8 @@
 }
 
 // MarkUnavailable makes all daemons avoid an engine for a time, or until it has the role to; to
-// is empty if its role doesn't change.
+// is empty if its role doesn't change. The other daemons aren't told again while an earlier
+// report still holds for more than half of the time.
 func (p *Peers) MarkUnavailable(id string, to upstream.Role, d time.Duration) {
 	key := p.tracker.KeyOf(id)
 	p.tracker.MarkUnavailable(key, to, d)
--- a/internal/member/topicreader.go
+++ b/internal/member/topicreader.go
@@ -37,7 +37,7 @@
 	// peersNotify reports whether peers report all changes, so that occasional polling suffices;
 	// nil means no.
 	peersNotify func() bool
-	// backoff is shared by all callers of the store.
+	// backoff is shared by all services that retry failed calls to the store.
 	backoff *backoff
 	// applyAll processes the newest entries, applyChanges the changes since.
 	applyAll     func([]Entry)
--- a/internal/member/upstreams.go
+++ b/internal/member/upstreams.go
@@ -246,7 +246,7 @@
 	f.publish(false)
 }
 
-// entries returns the entries read, for a peer that can't reach the store. Lapsed ones are left
+// entries returns the entries read, for a peer whose list is older. Lapsed ones are left
 // out: the peer would neither treat them as lapsed nor receive their removal, which lies before
 // the position from which it continues.
 func (f *upstreamFeed) entries() map[string][]byte {
