--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -36,7 +36,7 @@
 	// nothing known only to the system's processes. It rejects other protocols.
 	peerSecret = "tamarackchute member exchange, protocol 3"
 	// replacedTimeout is how long all daemons avoid an upstream whose address now belongs to
-	// another one: its store entry expires after three missed heartbeats.
+	// another one: its store entry lapses after three missed heartbeats.
 	replacedTimeout = 3 * time.Second
 	// minRetryAfter is the minimum retry delay that a refusal names.
 	minRetryAfter = 400 * time.Millisecond
@@ -77,7 +77,7 @@
 	// settings are the current ones, lease is this daemon's lease status.
 	settings atomic.Pointer[Settings]
 	lease    atomic.Pointer[daemonstatus.Lease]
-	// backoff applies to all calls to the store.
+	// backoff is shared by all services that retry failed calls to the store.
 	backoff *backoff
 }
 
