--- a/enginemodel/fit.go
+++ b/enginemodel/fit.go
@@ -20,17 +20,17 @@
 	outlierRatio    = 3.0
 	// An observation counts less the farther it is from the prediction: half at a log ratio
 	// of trustScale, times aboveWeight if it took longer, as lost packets, stalls and
-	// unknown queues are more frequent than cache hits. Otherwise a model trained in a
-	// crowd, as after a full restart, stays several times too slow for ten seconds.
+	// unknown queues are more frequent than cache hits. Otherwise a model trained under
+	// load, as after a full restart, stays several times too slow for ten seconds.
 	aboveWeight = 0.5
 	trustScale  = 0.5
 	// minTime is the least prediction, in milliseconds, by which errors are divided.
 	minTime = 1.0
 )
 
-// Stats are the weighted normal equations of a linear fit, in units of its coefficients.
-// The statistics of several processes add up, so that each process uses the observations of
-// all.
+// Stats are the weighted normal equations of a linear fit: Normal is their matrix by rows,
+// Right their right side, for coefficients in units of their priors. The statistics of
+// several processes add up, so that each process uses the observations of all.
 type Stats struct {
 	Normal, Right []float64
 	// Count is the number of observations.
@@ -49,8 +49,8 @@
 	coef   []float64
 	local  Stats
 	others map[string]Stats
-	// all is the sum of others.
-	all Stats
+	// othersSum is the sum of others.
+	othersSum Stats
 	// stale is set if coef doesn't include the last observation.
 	stale bool
 }
@@ -70,7 +70,7 @@
 func newFit(prior ...coefficient) *fit {
 	f := &fit{
 		prior: prior, coef: make([]float64, len(prior)),
-		local: newStats(len(prior)), others: make(map[string]Stats), all: newStats(len(prior)),
+		local: newStats(len(prior)), others: make(map[string]Stats), othersSum: newStats(len(prior)),
 	}
 	for i, c := range prior {
 		f.coef[i] = c.assumed
@@ -97,7 +97,7 @@
 }
 
 // count returns the number of observations of all processes.
-func (f *fit) count() int { return f.local.Count + f.all.Count }
+func (f *fit) count() int { return f.local.Count + f.othersSum.Count }
 
 // learn adds an observed time. weight is its relative weight, 1 for a reliable observation.
 func (f *fit) learn(took, weight float64, features ...float64) {
@@ -151,9 +151,9 @@
 		return
 	}
 	if known {
-		f.all.add(before, -1)
+		f.othersSum.add(before, -1)
 	}
-	f.all.add(s, 1)
+	f.othersSum.add(s, 1)
 	f.others[from] = s
 	f.stale = true
 }
@@ -161,7 +161,7 @@
 // sum adds up the statistics of all processes.
 func (f *fit) sum() Stats {
 	total := f.local.clone()
-	total.add(f.all, 1)
+	total.add(f.othersSum, 1)
 	return total
 }
 
--- a/enginemodel/observations.go
+++ b/enginemodel/observations.go
@@ -10,6 +10,8 @@
 // exchange them so that each knows the observations of all: a process that has just started
 // would otherwise begin with guesses, and admit requests that miss their objectives.
 type Observations struct {
+	// Prefill and Decode are the prefills on the engines of these roles, Takeover the
+	// handoffs, Interval the intervals between events.
 	Prefill, Decode    Stats
 	Takeover, Interval Stats
 	// Generated is the total duration of complete streams in milliseconds, Events their
@@ -92,7 +94,7 @@
 }
 
 // AllObservations returns the combined observations of all processes; ok is false if there
-// are none.
+// are none. The sums of streams and long responses are scaled to the memory of one process.
 func (m *Model) AllObservations() (o Observations, ok bool) {
 	o = Observations{
 		Prefill: m.prefill[upstream.RolePrefill].sum(), Decode: m.prefill[upstream.RoleDecode].sum(),
--- a/enginemodel/parameters.go
+++ b/enginemodel/parameters.go
@@ -81,10 +81,10 @@
 	return p.handoff.base + p.handoff.transfer*float64(tokens)/1000 + p.handoff.queue*queue
 }
 
-// Coefficients returns the parameters for display, in milliseconds: of a prefill the
-// constant, per token and per million pairs; of a handoff the constant, per thousand tokens
-// and per queued millisecond; of the interval the constant and per stream. "events" are per
-// token, "answers" the longest responses' tokens and the mean time allowed.
+// Coefficients returns the parameters for display, in milliseconds. "prefill" and "decode"
+// are prefills by role: constant, per token, per million pairs; "takeover" is a handoff:
+// constant, per thousand tokens, per queued millisecond; "interval": alone, per other stream.
+// "events" is a number per token, "answers" are LongResponseTokens and LongResponseMillis.
 func (p *Parameters) Coefficients() map[string][]float64 {
 	return map[string][]float64{
 		"prefill":  {p.prefill.start, p.prefill.token, p.prefill.pair},
