--- a/router/config.go
+++ b/router/config.go
@@ -9,8 +9,8 @@
 	// Links lists the one-way latencies between data centres, equal in both
 	// directions.
 	Links []Link
-	// StaleAfter is the greatest report age at which a report's statement about
-	// other processes' work is weighted by a quarter.
+	// StaleAfter bounds the age at which a report's weight in the estimate of
+	// other processes' work has fallen to a quarter.
 	StaleAfter time.Duration
 	// StaleFraction sets that age as a fraction of the mean response time, up to
 	// StaleAfter; 0 means StaleAfter.
--- a/router/engine.go
+++ b/router/engine.go
@@ -108,7 +108,8 @@
 	return Estimate{seconds(queue), seconds(first), seconds(complete), m.unloadedTime(float64(prompt), output)}
 }
 
-// unloadedTime is the time of a response at an idle engine.
+// unloadedTime is the time of a response at an idle engine. It leaves out the
+// learned gap factor.
 func (m *engineModel) unloadedTime(prompt, output float64) time.Duration {
 	return seconds(prompt/m.prefill + output*m.stepSingleReported)
 }
--- a/router/learn.go
+++ b/router/learn.go
@@ -50,7 +50,7 @@
 	from, to := k.transferredFrom.node, k.engine.node
 	same := from.dc == to.dc
 	s := k.t.snap.Load()
-	expected := k.t.cfg.kvTransferSeconds(k.tokens, same, s.latency[from.dc][to.dc])
+	expected := k.t.cfg.kvTransferSeconds(k.promptTokens, same, s.latency[from.dc][to.dc])
 	took := max(0, k.firstAt.Sub(k.transferStart).Seconds()-k.predictedGap)
 	f := k.t.kvTransfer.factor(same)
 	adjust(f, (took+timingSlack)/(expected*f.load()+timingSlack))
--- a/router/outlier.go
+++ b/router/outlier.go
@@ -68,9 +68,9 @@
 	ut.mu.Lock()
 	defer ut.mu.Unlock()
 	l := &ut.node.live
-	r := &ut.history
-	r.consecutive++
-	r.attempts++
+	h := &ut.history
+	h.consecutive++
+	h.attempts++
 	l.failureRate.store(l.failureRate.load() + failureStep*(1-l.failureRate.load()))
 	cfg := &ut.t.cfg.Outlier
 	switch ut.node.healthAt(now) {
@@ -83,8 +83,8 @@
 		}
 		return
 	}
-	tooMany := r.attempts >= cfg.MinAttempts && l.failureRate.load() > cfg.MaxFailureRate
-	if r.consecutive >= cfg.ConsecutiveFailures || tooMany || isUnreachable(o) {
+	tooMany := h.attempts >= cfg.MinAttempts && l.failureRate.load() > cfg.MaxFailureRate
+	if h.consecutive >= cfg.ConsecutiveFailures || tooMany || isUnreachable(o) {
 		ut.ejectIfAllowed(o, now)
 	}
 }
@@ -158,18 +158,18 @@
 // period of four times MaxEjectionTime without one resets it.
 func (ut *upstreamTracker) eject(o Outcome, now time.Time) {
 	cfg := &ut.t.cfg.Outlier
-	r := &ut.history
-	if now.Sub(r.lastEjected) > 4*cfg.MaxEjectionTime {
-		r.ejections = 0
+	h := &ut.history
+	if now.Sub(h.lastEjected) > 4*cfg.MaxEjectionTime {
+		h.ejections = 0
 	}
 	longest := cfg.MaxEjectionTime
 	if isUnreachable(o) {
 		longest = cfg.MaxEjectionTimeUnreachable
 	}
-	duration := min(longest, cfg.BaseEjectionTime<<min(r.ejections, 16))
-	r.ejections++
-	r.trialsPassed = 0
-	r.lastEjected = now
+	duration := min(longest, cfg.BaseEjectionTime<<min(h.ejections, 16))
+	h.ejections++
+	h.trialsPassed = 0
+	h.lastEjected = now
 	l := &ut.node.live
 	l.unreachable.Store(isUnreachable(o))
 	l.ejectedUntil.Store(now.Add(duration).UnixNano())
--- a/router/pick.go
+++ b/router/pick.go
@@ -24,8 +24,8 @@
 	ageShare  float64
 }
 
-// minSpread is the default of the band's least width.
-const minSpread = 5 * time.Millisecond
+// defaultMinWidth is the minWidth of the default pipeline.
+const defaultMinWidth = 5 * time.Millisecond
 
 func (p spreadPicker) Pick(cands []Candidate, _ *Request, rnd *rand.Rand) (int, PlanReason) {
 	best := lowestCost(cands)
--- a/router/schedule.go
+++ b/router/schedule.go
@@ -40,7 +40,7 @@
 			drainingFilter{}, serviceFilter{}, memoryFilter{}, ejectedFilter{},
 			excludedFilter{}, isolatedFilter{},
 		},
-		Picker: spreadPicker{minWidth: minSpread, costShare: cfg.SpreadByCost, ageShare: cfg.SpreadByAge},
+		Picker: spreadPicker{minWidth: defaultMinWidth, costShare: cfg.SpreadByCost, ageShare: cfg.SpreadByAge},
 		cfg:    cfg,
 	}
 	s.Scorers = []Scorer{
--- a/router/snapshot.go
+++ b/router/snapshot.go
@@ -49,12 +49,12 @@
 	return s
 }
 
-func newSnapshot(cfg Config, cache *PrefixIndex, h *kvTransferFactors) *Snapshot {
+func newSnapshot(cfg Config, cache *PrefixIndex, f *kvTransferFactors) *Snapshot {
 	s := &Snapshot{
 		cfg:        cfg,
 		scheduler:  cfg.pipeline(),
 		cache:      cache,
-		kvTransfer: h,
+		kvTransfer: f,
 		byName:     map[string]*node{},
 		pools:      map[string]int{},
 		groups:     map[groupKey]*group{},
--- a/router/split.go
+++ b/router/split.go
@@ -11,21 +11,21 @@
 type kvTransferFactors struct{ sameDC, crossDC atomicFloat }
 
 func newKVTransferFactors() *kvTransferFactors {
-	h := &kvTransferFactors{}
-	h.sameDC.store(1)
-	h.crossDC.store(1)
-	return h
+	f := &kvTransferFactors{}
+	f.sameDC.store(1)
+	f.crossDC.store(1)
+	return f
 }
 
-func (h *kvTransferFactors) factor(same bool) *atomicFloat {
+func (f *kvTransferFactors) factor(same bool) *atomicFloat {
 	if same {
-		return &h.sameDC
+		return &f.sameDC
 	}
-	return &h.crossDC
+	return &f.crossDC
 }
 
 // kvTransferSeconds is the time to transfer a prompt's KV cache between two
-// engines by the configured rates.
+// engines by the configured rates, plus a round trip.
 func (c *Config) kvTransferSeconds(tokens int, same bool, oneWay time.Duration) float64 {
 	rate := c.CrossDCKVTransferBytesPerSecond
 	if same {
--- a/router/ticket.go
+++ b/router/ticket.go
@@ -14,7 +14,7 @@
 	prefill *upstreamTracker // nil unless a separate engine runs prefill
 	// transferredFrom is the prefill engine once prefill is done.
 	transferredFrom *upstreamTracker
-	tokens          int // in the prompt
+	promptTokens    int
 	began           time.Time
 	trial           bool
 	noQueue         bool // a fresh report showed no prompts ahead at the start
@@ -23,9 +23,9 @@
 	localAhead, secondsPerPromptToken float64
 
 	mu              sync.Mutex
-	prompt          int // prompt tokens still recorded as pending
-	output          int // output tokens still recorded as pending
-	kv              int // KV tokens recorded
+	pendingPrompt   int // prompt tokens still recorded as pending
+	pendingOutput   int // output tokens still recorded as pending
+	recordedKV      int // KV tokens recorded
 	requestedOutput int
 	produced        int
 	firstAt         time.Time
@@ -40,19 +40,19 @@
 		return
 	}
 	l := &k.engine.node.live
-	l.localOutput.Add(int64(k.output))
+	l.localOutput.Add(int64(k.pendingOutput))
 	k.observeEngine(now)
 	if k.engine.node.healthAt(now) == trial {
 		k.trial = true
 		l.trials.Add(1)
 	}
 	if k.prefill == nil {
-		k.engine.record(now, 1, k.prompt, k.kv)
+		k.engine.record(now, 1, k.pendingPrompt, k.recordedKV)
 		k.t.cache.addPredicted(k.engine.node.id, blocks, now)
 		return
 	}
-	k.engine.record(now, 1, 0, k.kv)
-	k.prefill.record(now, 1, k.prompt, k.prompt)
+	k.engine.record(now, 1, 0, k.recordedKV)
+	k.prefill.record(now, 1, k.pendingPrompt, k.pendingPrompt)
 	k.t.cache.addPredicted(k.prefill.node.id, blocks, now)
 }
 
@@ -76,9 +76,9 @@
 		return
 	}
 	now := k.t.now()
-	k.prefill.record(now, -1, -k.prompt, -k.prompt)
+	k.prefill.record(now, -1, -k.pendingPrompt, -k.pendingPrompt)
 	k.prefill.recordPrefillSuccess(now)
-	k.prompt = 0
+	k.pendingPrompt = 0
 	k.transferredFrom = k.prefill
 	k.transferStart = now
 	k.prefill = nil
@@ -99,9 +99,9 @@
 	}
 	k.firstAt = k.t.now()
 	k.predictedGap = k.engine.reportedGap()
-	if k.prompt > 0 && k.prefill == nil {
-		k.engine.record(k.firstAt, 0, -k.prompt, 0)
-		k.prompt = 0
+	if k.pendingPrompt > 0 && k.prefill == nil {
+		k.engine.record(k.firstAt, 0, -k.pendingPrompt, 0)
+		k.pendingPrompt = 0
 	}
 	switch {
 	case k.transferredFrom != nil:
@@ -119,8 +119,8 @@
 		return
 	}
 	k.produced += n
-	n = min(n, k.output)
-	k.output -= n
+	n = min(n, k.pendingOutput)
+	k.pendingOutput -= n
 	k.engine.node.live.localOutput.Add(int64(-n))
 }
 
@@ -135,17 +135,17 @@
 	k.ended = true
 	now := k.t.now()
 	l := &k.engine.node.live
-	l.localOutput.Add(int64(-k.output))
+	l.localOutput.Add(int64(-k.pendingOutput))
 	if k.trial {
 		l.trials.Add(-1)
 	}
 	blamed := k.engine
 	if k.prefill != nil {
-		k.prefill.record(now, -1, -k.prompt, -k.prompt)
-		k.engine.record(now, -1, 0, -k.kv)
+		k.prefill.record(now, -1, -k.pendingPrompt, -k.pendingPrompt)
+		k.engine.record(now, -1, 0, -k.recordedKV)
 		blamed = k.prefill
 	} else {
-		k.engine.record(now, -1, -k.prompt, -k.kv)
+		k.engine.record(now, -1, -k.pendingPrompt, -k.recordedKV)
 	}
 	blamed.recordOutcome(o, k.began, now)
 	if o == OutcomeOK {
--- a/router/tracker.go
+++ b/router/tracker.go
@@ -158,11 +158,11 @@
 func (t *Tracker) Begin(p Plan, r Request) *Ticket {
 	now := t.now()
 	k := &Ticket{t: t, engine: t.byName[p.Engine], began: now, plan: p}
-	k.prompt = max(0, r.PromptTokens-p.CachedTokens)
-	k.output = r.OutputTokens
+	k.pendingPrompt = max(0, r.PromptTokens-p.CachedTokens)
+	k.pendingOutput = r.OutputTokens
 	k.requestedOutput = r.OutputTokens
-	k.tokens = r.PromptTokens
-	k.kv = r.PromptTokens + r.OutputTokens
+	k.promptTokens = r.PromptTokens
+	k.recordedKV = r.PromptTokens + r.OutputTokens
 	if p.Prefill != "" {
 		k.prefill = t.byName[p.Prefill]
 	}
--- a/router/types.go
+++ b/router/types.go
@@ -28,7 +28,7 @@
 	DataCentre string
 	// Models are those that an engine serves; empty for a plain service.
 	Models []string
-	// Role is the engine's current role by the journal or its report.
+	// Role is the engine's current role, by an order in the journal or its report.
 	Role upstream.Role
 	// Report is the last load report, ReportAt the time by the local clock at
 	// which it was measured; zero if there is none.
--- a/router/upstream_tracker.go
+++ b/router/upstream_tracker.go
@@ -39,30 +39,30 @@
 func (ut *upstreamTracker) record(at time.Time, requests, prompt, kv int) {
 	ut.mu.Lock()
 	defer ut.mu.Unlock()
-	c := workDelta{at, int64(requests), int64(prompt), int64(kv)}
+	d := workDelta{at, int64(requests), int64(prompt), int64(kv)}
 	l := &ut.node.live
-	l.deltaRequests.Add(c.requests)
-	l.deltaPrompt.Add(c.prompt)
-	l.deltaKV.Add(c.kv)
-	l.inFlight.Add(c.requests)
-	l.localPrompt.Add(c.prompt)
-	l.localKV.Add(c.kv)
+	l.deltaRequests.Add(d.requests)
+	l.deltaPrompt.Add(d.prompt)
+	l.deltaKV.Add(d.kv)
+	l.inFlight.Add(d.requests)
+	l.localPrompt.Add(d.prompt)
+	l.localKV.Add(d.kv)
 	last := len(ut.deltas) - 1
-	if last >= 0 && c.at.Sub(ut.deltas[last].at) < deltaGranularity {
-		ut.deltas[last].merge(c)
+	if last >= 0 && d.at.Sub(ut.deltas[last].at) < deltaGranularity {
+		ut.deltas[last].merge(d)
 		return
 	}
 	if len(ut.deltas) == maxDeltas {
 		ut.deltas[1].merge(ut.deltas[0])
 		ut.deltas = append(ut.deltas[:0], ut.deltas[1:]...)
 	}
-	ut.deltas = append(ut.deltas, c)
+	ut.deltas = append(ut.deltas, d)
 }
 
-func (c *workDelta) merge(o workDelta) {
-	c.requests += o.requests
-	c.prompt += o.prompt
-	c.kv += o.kv
+func (d *workDelta) merge(o workDelta) {
+	d.requests += o.requests
+	d.prompt += o.prompt
+	d.kv += o.kv
 }
 
 // setReport applies a load report and reports whether a new snapshot is needed.
@@ -102,8 +102,8 @@
 	}
 	ut.deltas = append(ut.deltas[:0], ut.deltas[keep:]...)
 	var sum workDelta
-	for _, c := range ut.deltas {
-		sum.merge(c)
+	for _, d := range ut.deltas {
+		sum.merge(d)
 	}
 	l := &ut.node.live
 	l.deltaRequests.Store(sum.requests)
