--- a/admission/budget.go
+++ b/admission/budget.go
@@ -3,7 +3,7 @@
 import "time"
 
 // A budget holds at most maxBudgetTokens retries, and refills by
-// budgetRefillPerSecond whatever the traffic, so that an idle entry can retry.
+// budgetRefillPerSecond whatever the traffic, so that an idle process can retry.
 const (
 	maxBudgetTokens       = 20.0
 	budgetRefillPerSecond = 0.5
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -18,16 +18,18 @@
 	pools    map[poolKey]*pool
 	limits   *limits
 	budget   budget
-	queued   int
+	waiting  int
 	stopping bool
 	counts   Counts
 }
 
 // Counts are totals since the start, and the current number of waiting requests.
 type Counts struct {
+	// Queued counts the requests that did not start at once, whatever came of them.
 	Admitted, Queued uint64
 	Refused          map[Reason]uint64
-	Waiting          int
+	// Waiting counts the requests that wait now, over all pools.
+	Waiting int
 }
 
 // New returns a controller. now is the clock; nil means time.Now. Without a running
@@ -141,7 +143,7 @@
 	}
 	c.budget.earn(now)
 	p.enqueue(w)
-	c.queued++
+	c.waiting++
 	c.startWaiting(p)
 	if !w.outstanding {
 		c.counts.Queued++
@@ -162,7 +164,7 @@
 		p.forClass(w.class).pressure.add(refusalPressure)
 		return ref
 	}
-	if c.queued >= c.cfg.MaxQueued {
+	if c.waiting >= c.cfg.MaxQueued {
 		return &Refusal{Reason: ReasonQueueFull, RetryAfter: min(c.cfg.MaxRetryAfter, retryAfter(wait))}
 	}
 	return nil
@@ -172,7 +174,7 @@
 func (c *Controller) startWaiting(p *pool) {
 	now := c.now()
 	for w := p.next(now); w != nil; w = p.next(now) {
-		c.queued--
+		c.waiting--
 		c.counts.Admitted++
 		w.decision <- nil
 	}
@@ -232,7 +234,7 @@
 // refuseWaiting removes a waiting request with a refusal.
 func (c *Controller) refuseWaiting(p *pool, w *waiter, ref *Refusal) {
 	p.removeWaiting(w)
-	c.queued--
+	c.waiting--
 	c.limits.release(&w.req)
 	c.counts.Refused[ref.Reason]++
 }
@@ -310,7 +312,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := c.counts
-	out.Waiting = c.queued
+	out.Waiting = c.waiting
 	out.Refused = make(map[Reason]uint64, len(c.counts.Refused))
 	for k, v := range c.counts.Refused {
 		out.Refused[k] = v
--- a/admission/meter.go
+++ b/admission/meter.go
@@ -23,7 +23,7 @@
 	last       time.Time
 }
 
-// seed sets an initial rate, as if observed for a second.
+// seed sets an initial rate, as if observed for a second, unless one was observed.
 func (m *meter) seed(rate float64) {
 	if m.busy > 0 || rate <= 0 {
 		return
--- a/admission/pool.go
+++ b/admission/pool.go
@@ -65,6 +65,7 @@
 	return p
 }
 
+// forClass returns the state of a class; ClassAuto must have been resolved.
 func (p *pool) forClass(c Class) *classState {
 	if c == ClassLong {
 		return &p.classes[1]
@@ -100,11 +101,11 @@
 
 // expectedWait is the expected queueing time of a request that arrives now.
 func (p *pool) expectedWait(w *waiter) time.Duration {
-	l := p.forClass(w.class)
-	if l.queue.len == 0 {
+	cs := p.forClass(w.class)
+	if cs.queue.len == 0 {
 		return 0
 	}
-	return l.meter.wait(l.queue.ahead(w.req.Organisation, w.req.Priority))
+	return cs.meter.wait(cs.queue.ahead(w.req.Organisation, w.req.Priority))
 }
 
 // checkDeadline returns the refusal of a request that would miss its deadline after
@@ -165,13 +166,13 @@
 // from its queue and counts in its window.
 func (p *pool) next(now time.Time) *waiter {
 	for _, c := range [...]Class{ClassShort, ClassLong} {
-		l := p.forClass(c)
-		it := l.queue.peek()
+		cs := p.forClass(c)
+		it := cs.queue.peek()
 		if it == nil || !p.mayStart(it.waiter) {
 			continue
 		}
-		l.queue.pop()
-		l.meter.serve(it.cost)
+		cs.queue.pop()
+		cs.meter.serve(it.cost)
 		p.markSent(it.waiter, now)
 		return it.waiter
 	}
@@ -191,7 +192,7 @@
 	return win.fits(w.work())
 }
 
-// maxLongOutstanding bounds this entry's outstanding long requests.
+// maxLongOutstanding bounds this entry instance's outstanding long requests.
 func (p *pool) maxLongOutstanding() int {
 	return max(1, int((1-p.cfg.ShortReserve)*float64(p.capacity.Engines)))
 }
@@ -203,7 +204,8 @@
 	p.forClass(w.class).window.add(w.work())
 }
 
-// firstToken records a request's first token.
+// firstToken records a request's first token: the request leaves its window, and the
+// delay until then beyond its prefill counts as pressure.
 func (p *pool) firstToken(w *waiter, now time.Time) {
 	if p.leaveWindow(w) {
 		p.recordPressure(w, now.Sub(w.granted)-w.req.Estimate.prefillTime())
@@ -260,9 +262,9 @@
 func (p *pool) findLate(now time.Time) []lateRequest {
 	var out []lateRequest
 	for i := range p.classes {
-		l := &p.classes[i]
-		l.queue.visit(func(it *item, own float64) {
-			wait := l.meter.wait(l.queue.aheadOf(it.priority, own) * lateMargin)
+		cs := &p.classes[i]
+		cs.queue.visit(func(it *item, own float64) {
+			wait := cs.meter.wait(cs.queue.aheadOf(it.priority, own) * lateMargin)
 			if own == 0 {
 				wait = 0
 			}
--- a/admission/refusal.go
+++ b/admission/refusal.go
@@ -21,7 +21,7 @@
 	ReasonNoCapacity Reason = "no upstream in service"
 	// ReasonCancelled is a request whose caller cancelled while it waited.
 	ReasonCancelled Reason = "cancelled while waiting"
-	// ReasonStopping is a request that was waiting or arrived as the entry stopped.
+	// ReasonStopping is a request that was waiting or arrived as the process stopped.
 	ReasonStopping Reason = "instance is stopping"
 )
 
--- a/admission/types.go
+++ b/admission/types.go
@@ -75,7 +75,8 @@
 type Capacity struct {
 	// Engines counts the engines that may get work.
 	Engines int
-	// Entries counts the entry instances that share them, this one included.
+	// Entries counts the entry instances, the processes that take callers' requests,
+	// that share the engines, this one included.
 	Entries int
 	// PrefillPerSecond and DecodePerSecond are the engines' total rates in tokens.
 	PrefillPerSecond float64
@@ -99,8 +100,8 @@
 type Config struct {
 	// MaxQueued bounds the waiting requests over all pools.
 	MaxQueued int
-	// ShortReserve is the fraction of the engines that an entry keeps free of long
-	// requests that have not started.
+	// ShortReserve is the fraction of the engines that an entry instance keeps free
+	// of long requests that have not started.
 	ShortReserve float64
 	// LongThrottlePressure and ShortThrottlePressure are the fractions of their
 	// slack that short requests may lose to waiting at the engines before fewer
--- a/admission/window.go
+++ b/admission/window.go
@@ -9,7 +9,7 @@
 	windowSamples   = 3
 	windowGrowth    = 1.08
 	windowShrinkage = 0.85
-	// minWindow ensures that an entry can always have some work outstanding.
+	// minWindow ensures that an entry instance can always have some work outstanding.
 	minWindow = 10 * time.Millisecond
 	// maxWindowPerEngine bounds the window, for each engine of the pool.
 	maxWindowPerEngine = 20 * time.Second
@@ -19,19 +19,19 @@
 
 // window bounds a class's outstanding work, in seconds of prefill: sent, but not
 // started at the engines. It keeps their queues short, so that priorities and fair
-// shares take effect in the entry's. Like a congestion window it needs no
-// coordination of the entries; an engine with a full batch closes it as well.
+// shares take effect in the queues here. Like a congestion window it needs no
+// coordination of the processes; an engine with a full batch closes it as well.
 type window struct {
 	limit           time.Duration
 	ceiling         time.Duration
-	enginesPerEntry float64       // engines divided by entries
+	enginesPerEntry float64       // engines divided by entry instances
 	outstanding     time.Duration // outstanding work
 	requests        int           // outstanding requests
 	limited         bool          // the window held a request back in this period
 }
 
 // resize sets the bound and the initial size from the number of engines and
-// entries.
+// entry instances.
 func (w *window) resize(c Capacity) {
 	engines := max(1, c.Engines)
 	w.ceiling = maxWindowPerEngine * time.Duration(engines)
