--- a/internal/relay/budget.go
+++ b/internal/relay/budget.go
@@ -32,14 +32,16 @@
 	Requests, Retries, Allowed float64
 }
 
+// window counts the requests and retries of the last windowBuckets buckets of time; current
+// is the number of the newest one since the epoch.
 type window struct {
 	buckets [windowBuckets]struct{ requests, retries float64 }
 	current int64
 }
 
-// NewRetryBudget returns a budget that allows ratio of a window's requests to be retried
-// and slack retries more, where slack returns this daemon's current share. now is the
-// clock, nil means time.Now.
+// NewRetryBudget returns a budget whose windows have the given length. In each it allows
+// ratio times the requests as retries and slack() more, this daemon's current share. now
+// is the clock; nil means time.Now.
 func NewRetryBudget(ratio float64, slack func() float64, length time.Duration, now func() time.Time) *RetryBudget {
 	if now == nil {
 		now = time.Now
@@ -94,9 +96,9 @@
 
 // sum adds up the window's buckets.
 func (w *window) sum() (requests, retries float64) {
-	for _, s := range w.buckets {
-		requests += s.requests
-		retries += s.retries
+	for _, b := range w.buckets {
+		requests += b.requests
+		retries += b.retries
 	}
 	return requests, retries
 }
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -61,7 +61,7 @@
 	// lastPlan is the plan that placement found last, whether it was used or not. Of a
 	// refused request it says what was expected.
 	lastPlan placement.Plan
-	// late says that the last plan was sought for a response beyond the objective.
+	// late says that the last plan was sought although it may miss the objective.
 	late bool
 	// demandCounted says that the request has been added to the measured demand.
 	demandCounted bool
@@ -211,8 +211,8 @@
 	}
 }
 
-// retryAfter returns the delay after which the caller should retry. It stays below a
-// third of the caller's remaining time, since callers don't wait longer than that.
+// retryAfter returns the delay after which the caller should retry. It is a quarter of the
+// caller's remaining time at most: callers don't wait longer than a third of it.
 func (c *call) retryAfter() time.Duration {
 	left := time.Until(c.deadline)
 	return max(0, min(c.relay.cfg.MinRetryAfter, left/4))
--- a/internal/relay/callertimeout.go
+++ b/internal/relay/callertimeout.go
@@ -33,32 +33,32 @@
 }
 
 // isRetry records a timeout, and reports whether it is what is left of a longer one.
-func (b *timeoutStats) isRetry(rule string, timeout time.Duration) bool {
+func (s *timeoutStats) isRetry(rule string, timeout time.Duration) bool {
 	if timeout <= 0 {
 		return false
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.rules == nil {
-		b.rules = make(map[string]*timeoutHistogram)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.rules == nil {
+		s.rules = make(map[string]*timeoutHistogram)
 	}
-	s := b.rules[rule]
-	if s == nil {
-		s = &timeoutHistogram{counts: make(map[int]float64)}
-		b.rules[rule] = s
+	h := s.rules[rule]
+	if h == nil {
+		h = &timeoutHistogram{counts: make(map[int]float64)}
+		s.rules[rule] = h
 	}
 	bucket := bucketOf(timeout)
-	s.add(bucket)
-	return !s.common(bucket) && s.hasLongerCommon(bucket)
+	h.add(bucket)
+	return !h.common(bucket) && h.hasLongerCommon(bucket)
 }
 
 // retain drops the rules that aren't in force.
-func (b *timeoutStats) retain(inForce map[string]bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for rule := range b.rules {
+func (s *timeoutStats) retain(inForce map[string]bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for rule := range s.rules {
 		if !inForce[rule] {
-			delete(b.rules, rule)
+			delete(s.rules, rule)
 		}
 	}
 }
@@ -70,33 +70,34 @@
 // minBucketCount is the count below which a bucket is dropped.
 const minBucketCount = 0.05
 
-func (s *timeoutHistogram) add(bucket int) {
+// add counts a timeout after decaying all counts.
+func (h *timeoutHistogram) add(bucket int) {
 	const decay = 1 - 1.0/timeoutSamples
-	for other, n := range s.counts {
+	for other, n := range h.counts {
 		if n *= decay; n < minBucketCount {
-			s.sum -= s.counts[other] * decay
-			delete(s.counts, other)
+			h.sum -= h.counts[other] * decay
+			delete(h.counts, other)
 			continue
 		}
-		s.counts[other] = n
+		h.counts[other] = n
 	}
-	s.sum = s.sum*decay + 1
-	s.counts[bucket]++
+	h.sum = h.sum*decay + 1
+	h.counts[bucket]++
 }
 
 // common reports whether many requests have this timeout. The neighbouring buckets
 // count too, since a timeout near a bucket's bound is spread over both.
-func (s *timeoutHistogram) common(bucket int) bool {
-	n := s.counts[bucket-1] + s.counts[bucket] + s.counts[bucket+1]
-	return n >= commonShare*s.sum
+func (h *timeoutHistogram) common(bucket int) bool {
+	n := h.counts[bucket-1] + h.counts[bucket] + h.counts[bucket+1]
+	return n >= commonShare*h.sum
 }
 
 // hasLongerCommon reports whether a common timeout is so much longer that this one can
 // be what is left of it.
-func (s *timeoutHistogram) hasLongerCommon(bucket int) bool {
+func (h *timeoutHistogram) hasLongerCommon(bucket int) bool {
 	from := bucket + int(math.Ceil(math.Log(1/retriedShare)/math.Log(timeoutBucketRatio)))
-	for other := range s.counts {
-		if other >= from && s.common(other) {
+	for other := range h.counts {
+		if other >= from && h.common(other) {
 			return true
 		}
 	}
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -21,6 +21,7 @@
 	return &metrics{scope: s, buckets: tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 15)}
 }
 
+// forRule returns the scope of a rule's metrics; the rule is empty if none matched.
 func (m *metrics) forRule(rule string) tally.Scope {
 	return m.scope.Tagged(map[string]string{"rule": rule})
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -34,8 +34,8 @@
 	OnReplaced func(id string)
 	// Metrics receives counters and histograms; nil drops them.
 	Metrics tally.Scope
-	// MinRetryAfter is the retry delay that error responses name, unless the caller's
-	// remaining time is too short for it.
+	// MinRetryAfter is the retry delay that error responses name; they name a shorter one
+	// if the caller's remaining time is too short for it.
 	MinRetryAfter time.Duration
 }
 
@@ -154,6 +154,8 @@
 	return m
 }
 
+// connsTo returns the connections to an upstream. Those to an earlier incarnation are
+// closed.
 func (r *Relay) connsTo(u *fleet.Upstream) *exchange.Pool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/relay/stall.go
+++ b/internal/relay/stall.go
@@ -59,7 +59,7 @@
 	return max(minStallTimeout, eventGapTimeoutFactor*c.rule.PauseObjective)
 }
 
-// arm starts the timeout for the next data from the upstream; 0 is none.
+// arm starts the timeout for the next data from the upstream; 0 means no timeout.
 func (w *stallWatchdog) arm(limit time.Duration) {
 	if limit == 0 {
 		return
