--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -43,7 +43,7 @@
 	MayHaveRun
 )
 
-// String returns the value's name in logs.
+// String returns the value's name in logs and metrics.
 func (e Execution) String() string {
 	return [...]string{"not sent", "not run", "may have run"}[e]
 }
@@ -76,18 +76,19 @@
 	AllowRetry func() bool
 }
 
-// State is the state of one request's attempts. It isn't safe for concurrent use.
+// State is the state of one request's attempts. Its user decides which attempts count. It
+// isn't safe for concurrent use.
 type State struct {
-	policy   Policy
-	attempts int
-	ran      bool
+	policy     Policy
+	attempts   int
+	mayHaveRun bool
 }
 
 // New returns the state of a request that hasn't been sent.
 func New(p Policy) State { return State{policy: p} }
 
 // MayHaveRun reports whether the request may have run.
-func (s *State) MayHaveRun() bool { return s.ran }
+func (s *State) MayHaveRun() bool { return s.mayHaveRun }
 
 // Attempts returns the number of counted attempts.
 func (s *State) Attempts() int { return s.attempts }
@@ -95,11 +96,11 @@
 // RecordAttempt counts one more attempt.
 func (s *State) RecordAttempt() { s.attempts++ }
 
-// RemoveAttempt uncounts an attempt that didn't take place after all.
+// RemoveAttempt takes back the count of an attempt that didn't take place after all.
 func (s *State) RemoveAttempt() { s.attempts-- }
 
 // RecordRun records that the request may have run.
-func (s *State) RecordRun() { s.ran = true }
+func (s *State) RecordRun() { s.mayHaveRun = true }
 
 // Exhausted reports whether all attempts are used up.
 func (s *State) Exhausted() bool { return s.attempts >= s.policy.MaxAttempts }
