--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,5 +1,5 @@
 // Package fleet holds a daemon's view of the site: the rules in force, the pools and
-// their upstreams. Feeds update it; requests use an immutable snapshot.
+// their upstreams. State keeps the current view; requests use an immutable snapshot of it.
 package fleet
 
 import (
@@ -111,11 +111,11 @@
 // Snapshot returns the current snapshot.
 func (s *State) Snapshot() *Snapshot { return s.current.Load() }
 
-// Watch makes each change call f, in order. It must be called before the first change;
-// f must not change the state.
+// Watch registers f to be called after each change, in the order of the changes. It must
+// be called before the first change; f must not change the state.
 func (s *State) Watch(f func(*Snapshot)) { s.watch = append(s.watch, f) }
 
-// ApplyConfig puts a version into force and returns true, unless the one in force is as
+// ApplyConfig makes c the current version and returns true, unless the current one is as
 // new: a delayed or repeated message must never bring an older version back.
 func (s *State) ApplyConfig(c *Config) bool {
 	s.mu.Lock()
@@ -140,6 +140,7 @@
 	s.swap(&next)
 }
 
+// swap makes next the current snapshot and calls the watchers. The caller holds s.mu.
 func (s *State) swap(next *Snapshot) {
 	s.current.Store(next)
 	for _, f := range s.watch {
