--- a/internal/exchange/conn.go
+++ b/internal/exchange/conn.go
@@ -16,13 +16,16 @@
 
 // conn is one connection to an upstream. It carries one exchange at a time.
 type conn struct {
-	raw       net.Conn
-	reader    *bufio.Reader
-	writer    *bufio.Writer
+	raw    net.Conn
+	reader *bufio.Reader
+	writer *bufio.Writer
+	// used is set once the connection has carried a request.
 	used      bool
 	idleSince time.Time
-	maxIdle   time.Duration
-	closing   sync.Once
+	// maxIdle is the idle time from which it isn't reused: the pool's, or the upstream's by
+	// its last Keep-Alive header.
+	maxIdle time.Duration
+	closing sync.Once
 }
 
 func newConn(raw net.Conn, maxIdle time.Duration) *conn {
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -26,10 +26,13 @@
 	body io.ReadCloser
 	pool *Pool
 	conn *conn
+	// stop keeps the end of the context from closing conn; it returns false if it is too late.
 	stop func() bool
+	// sent receives the result of writing the request.
 	sent chan error
 	// complete is set once the body has been read to its proper end.
 	complete bool
+	// reusable is set if the headers allow another exchange on the connection.
 	reusable bool
 }
 
--- a/internal/exchange/keepalive.go
+++ b/internal/exchange/keepalive.go
@@ -11,7 +11,8 @@
 // in whole seconds.
 const keepAliveMargin = 300 * time.Millisecond
 
-// parseKeepAlive returns the longest idle time that a Keep-Alive header allows.
+// parseKeepAlive returns the longest idle time that a Keep-Alive header allows, less
+// keepAliveMargin.
 func parseKeepAlive(header string) (time.Duration, bool) {
 	for part := range strings.SplitSeq(header, ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(part), "=")
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -22,7 +22,7 @@
 	UnackedTimeout time.Duration
 }
 
-// The defaults of Options.
+// The defaults of Options, and the limit of idle connections.
 const (
 	// Within a site a connection takes a few milliseconds; a lost SYN is resent after
 	// one second, which is too long to wait.
--- a/internal/exchange/request.go
+++ b/internal/exchange/request.go
@@ -23,7 +23,7 @@
 	NonIdempotent bool
 }
 
-// write writes the request. Headers and a short body go out in one write.
+// write writes the request. If headers and body fit the buffer, they go out in one write.
 func (r *Request) write(w *bufio.Writer) error {
 	for _, part := range []string{r.Method, " ", r.Target, " HTTP/1.1\r\nHost: ", r.Host, "\r\n"} {
 		if _, err := w.WriteString(part); err != nil {
