--- a/router/candidate.go
+++ b/router/candidate.go
@@ -31,15 +31,15 @@
 	node     *node
 	model    engineModel
 	kvTokens int           // KV tokens that the request takes
-	slack    time.Duration // until the deadline, or noSlack
+	timeLeft time.Duration // until the deadline, or noDeadline
 }
 
 // fill sets the candidate from the current state of a node.
 func (c *Candidate) fill(s *Snapshot, n *node, r *Request, dc int32, now time.Time) {
 	u := n.state.Load()
-	*c = Candidate{Upstream: u, node: n, SameDataCentre: n.dc == dc, Link: s.latency[dc][n.dc], slack: noSlack}
+	*c = Candidate{Upstream: u, node: n, SameDataCentre: n.dc == dc, Link: s.latency[dc][n.dc], timeLeft: noDeadline}
 	if !r.Deadline.IsZero() {
-		c.slack = r.Deadline.Sub(now)
+		c.timeLeft = r.Deadline.Sub(now)
 	}
 	h := n.healthAt(now)
 	c.Ejected = h == ejected
--- a/router/score.go
+++ b/router/score.go
@@ -12,8 +12,8 @@
 }
 
 // timeScorer scores the expected time to the complete response, weighted by the
-// fraction of the time until the deadline that it takes: a request with slack can
-// queue, and leaves an idle engine to a more urgent one.
+// fraction of the time until the deadline that it takes: a request with much time
+// left can queue, and leaves an idle engine to a more urgent one.
 type timeScorer struct{}
 
 func (timeScorer) Cost(c *Candidate, r *Request) time.Duration {
@@ -22,26 +22,26 @@
 		return c.Estimate.Complete
 	}
 	c.Estimate = estimateSingleEngine(c, r)
-	return weightByUrgency(c.Estimate.Complete, c.slack)
+	return weightByUrgency(c.Estimate.Complete, c.timeLeft)
 }
 
 // maxUrgency bounds the weight of a request that will miss its deadline.
 const maxUrgency = 3.0
 
-// weightByUrgency weights a time by the fraction of the slack that it takes.
-func weightByUrgency(t, slack time.Duration) time.Duration {
-	if slack == noSlack {
+// weightByUrgency weights a time by the fraction of the time left that it takes.
+func weightByUrgency(t, timeLeft time.Duration) time.Duration {
+	if timeLeft == noDeadline {
 		return t
 	}
 	share := maxUrgency
-	if slack > 0 {
-		share = min(maxUrgency, float64(t)/float64(slack))
+	if timeLeft > 0 {
+		share = min(maxUrgency, float64(t)/float64(timeLeft))
 	}
 	return time.Duration(float64(t) * share)
 }
 
-// noSlack marks a request without a deadline.
-const noSlack = time.Duration(-1 << 63)
+// noDeadline marks a request without a deadline.
+const noDeadline = time.Duration(-1 << 63)
 
 // occupancyScorer scores the time that the request takes from others.
 type occupancyScorer struct{ weight float64 }
--- a/router/split.go
+++ b/router/split.go
@@ -89,7 +89,7 @@
 	queue := c.queueWaitSeconds()
 	done := queue + c.model.prefillSeconds(float64(prompt), min(c.Work.Requests, c.model.batch)) + 2*c.Link.Seconds()
 	c.Estimate = Estimate{seconds(queue), seconds(done), seconds(done), c.model.unloadedTime(float64(prompt), 0)}
-	c.Cost = weightByUrgency(c.Estimate.Complete, c.slack) + seconds(p.cfg.OccupancyWeight*c.occupancy(prompt, 0))
+	c.Cost = weightByUrgency(c.Estimate.Complete, c.timeLeft) + seconds(p.cfg.OccupancyWeight*c.occupancy(prompt, 0))
 	c.Cost += p.cfg.crossDCCost(c)
 }
 
@@ -120,7 +120,7 @@
 	complete := first + output*m.step(c.Work.Requests+1)
 	unloaded := pre.Estimate.Unloaded + seconds(transfer) + m.unloadedTime(0, output)
 	c.Estimate = Estimate{pre.Estimate.Queue, seconds(first), seconds(complete), unloaded}
-	c.Cost = pre.Cost - weightByUrgency(pre.Estimate.Complete, c.slack) + weightByUrgency(c.Estimate.Complete, c.slack)
+	c.Cost = pre.Cost - weightByUrgency(pre.Estimate.Complete, c.timeLeft) + weightByUrgency(c.Estimate.Complete, c.timeLeft)
 	c.Cost += seconds(p.cfg.OccupancyWeight * c.occupancy(0, r.OutputTokens))
 	c.Cost += p.cfg.crossDCCost(c)
 }
