--- a/admission/window.go
+++ b/admission/window.go
@@ -5,8 +5,9 @@
 // Parameters of the windows.
 const (
 	// A period ends after windowSamples samples, or after windowPeriod.
-	windowPeriod    = 250 * time.Millisecond
-	windowSamples   = 3
+	windowPeriod  = 250 * time.Millisecond
+	windowSamples = 3
+	// windowGrowth and windowShrinkage multiply the window at a period's end.
 	windowGrowth    = 1.08
 	windowShrinkage = 0.85
 	// minWindow ensures that an entry instance can always have some work outstanding.
@@ -20,7 +21,7 @@
 // window bounds a class's outstanding work, in seconds of prefill: sent, but not
 // started at the engines. It keeps their queues short, so that priorities and fair
 // shares take effect in the queues here. Like a congestion window it needs no
-// coordination of the processes; an engine with a full batch closes it as well.
+// coordination of the processes. Engines with full batches start nothing, so it fills.
 type window struct {
 	limit           time.Duration
 	ceiling         time.Duration
