--- a/internal/entry/answer/open.go
+++ b/internal/entry/answer/open.go
@@ -39,7 +39,7 @@
 		if err == nil {
 			return nil
 		}
-		if errors.Is(err, errEngineShuttingDown) {
+		if errors.Is(err, errEngineTerminating) {
 			a.replan()
 			continue
 		}
@@ -49,9 +49,9 @@
 	}
 }
 
-// errEngineShuttingDown says that the planned engine began to shut down before
+// errEngineTerminating says that the platform began to remove the planned engine before
 // the request was sent to it.
-var errEngineShuttingDown = errors.New("the planned engine is shutting down")
+var errEngineTerminating = errors.New("the planned engine is shutting down")
 
 // errIsolationConflict says that the request may not run on the engine now because
 // another suspect runs there. It counts as a refusal for the request but not for the
@@ -59,7 +59,7 @@
 // until the streams that waited for it had exceeded MaxEngineWait.
 var errIsolationConflict = fmt.Errorf("another suspect runs on the engine: %w", upstream.ErrRefused)
 
-// replan drops a plan whose engine is shutting down. Nothing was sent, so it
+// replan drops a plan whose engine is terminating. Nothing was sent, so it
 // doesn't count as an attempt, whatever the rule's retry class.
 func (a *Answer) replan() {
 	a.retryState.RemoveAttempt()
@@ -166,10 +166,10 @@
 		t.ticket.PrefillDone()
 	}
 	// A prefill on another engine, or the wait for isolation, can take seconds. An
-	// engine that began to shut down meanwhile must not get new work: the platform
+	// engine that began to terminate meanwhile must not get new work: the platform
 	// could stop it and cut the answer off.
-	if t.ticket.EngineShuttingDown() {
-		return errEngineShuttingDown
+	if t.ticket.EngineTerminating() {
+		return errEngineTerminating
 	}
 	engine := a.runner.Engines.Engine(plan.Engine)
 	if engine == nil {
--- a/internal/entry/feeds.go
+++ b/internal/entry/feeds.go
@@ -112,7 +112,7 @@
 func (f *capacityFeed) localLoad() float64 {
 	requests, capacity := 0, 0
 	for _, u := range f.tracker.Snapshot().Upstreams(time.Now()) {
-		if u.Kind != infra.KindEngine || u.DataCentre != f.dataCentre || u.ShuttingDown || u.Draining {
+		if u.Kind != infra.KindEngine || u.DataCentre != f.dataCentre || u.Terminating || u.Draining {
 			continue
 		}
 		requests += max(0, u.Report.Running+u.Report.Waiting+u.LocalDelta.Requests)
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -91,7 +91,7 @@
 			DataCentre: u.DataCentre,
 			Pool:       u.Pool,
 			Role:       string(u.Role),
-			Usable:     !u.ShuttingDown && !u.Draining && !u.Ejected,
+			Usable:     !u.Terminating && !u.Draining && !u.Ejected,
 			InFlight:   u.InFlight,
 		}
 		if change := changes.Engine(u.Name).Open(); change != nil {
--- a/router/filter.go
+++ b/router/filter.go
@@ -21,9 +21,9 @@
 	memoryFilter   struct{}
 )
 
-// drainingFilter rejects upstreams that are shutting down or about to be changed.
+// drainingFilter rejects upstreams that are terminating or about to be changed.
 func (drainingFilter) Keep(c *Candidate, _ *Request) bool {
-	return !c.Upstream.ShuttingDown && !c.Upstream.Draining
+	return !c.Upstream.Terminating && !c.Upstream.Draining
 }
 func (drainingFilter) Reason() NoUpstreamReason { return NoUpstreamDraining }
 
--- a/router/node.go
+++ b/router/node.go
@@ -70,7 +70,7 @@
 	case u.Ejected:
 		n.live.health.Store(uint32(ejected))
 		n.live.ejectedUntil.Store(math.MaxInt64)
-	case u.Trial:
+	case u.Probing:
 		n.live.health.Store(uint32(trial))
 	}
 	n.state.Store(&u)
@@ -110,6 +110,6 @@
 	u.ServiceTime = time.Duration(n.live.serviceTime.Load())
 	h := n.healthAt(now)
 	u.Ejected = h == ejected
-	u.Trial = h == trial
+	u.Probing = h == trial
 	return u
 }
--- a/router/ticket.go
+++ b/router/ticket.go
@@ -84,10 +84,10 @@
 	k.prefill = nil
 }
 
-// EngineShuttingDown reports whether the platform is shutting down the engine that
-// is to decode.
-func (k *Ticket) EngineShuttingDown() bool {
-	return k.engine != nil && k.engine.node.state.Load().ShuttingDown
+// EngineTerminating reports whether the platform is removing the engine that is to
+// decode.
+func (k *Ticket) EngineTerminating() bool {
+	return k.engine != nil && k.engine.node.state.Load().Terminating
 }
 
 // FirstToken records that the first token has arrived.
--- a/router/tracker.go
+++ b/router/tracker.go
@@ -119,7 +119,7 @@
 }
 
 // SetInstances applies the platform's instance list. An upstream that it marks as
-// leaving, or that an earlier list contained and this one doesn't, gets no new
+// terminating, or that an earlier list contained and this one doesn't, gets no new
 // work.
 func (t *Tracker) SetInstances(list []infra.Instance) {
 	t.mu.Lock()
@@ -130,9 +130,9 @@
 		t.everListed[i.Name] = true
 	}
 	for name, ut := range t.byName {
-		leaving, ok := listed[name]
+		terminating, ok := listed[name]
 		gone := !ok && t.everListed[name]
-		ut.updateState(func(u *Upstream) { u.ShuttingDown = leaving || gone })
+		ut.updateState(func(u *Upstream) { u.Terminating = terminating || gone })
 	}
 }
 
@@ -193,7 +193,7 @@
 	now := t.now()
 	for _, n := range g.nodes {
 		u := n.state.Load()
-		if u.ShuttingDown || u.Draining || n.healthAt(now) == ejected {
+		if u.Terminating || u.Draining || n.healthAt(now) == ejected {
 			continue
 		}
 		m := modelOf(&s.cfg, u, &n.live)
--- a/router/tracker_test.go
+++ b/router/tracker_test.go
@@ -153,12 +153,12 @@
 	require.Equal(t, 1, trials, "one trial at a time")
 
 	u, _ := tr.Snapshot().Upstream("a", clock.now())
-	require.True(t, u.Trial)
+	require.True(t, u.Probing)
 	for range 2 {
 		tr.Begin(Plan{Engine: "a"}, testRequest).End(OutcomeOK)
 	}
 	u, _ = tr.Snapshot().Upstream("a", clock.now())
-	require.False(t, u.Trial || u.Ejected)
+	require.False(t, u.Probing || u.Ejected)
 }
 
 // All upstreams fail alike, for example because of what the callers request.
--- a/router/types.go
+++ b/router/types.go
@@ -40,14 +40,14 @@
 	LocalDelta Work
 	// InFlight counts this process's requests in flight.
 	InFlight int
-	// Draining is set while an order is about to change the upstream, ShuttingDown
+	// Draining is set while an order is about to change the upstream, Terminating
 	// while the platform removes it. Neither gets new work.
-	Draining     bool
-	ShuttingDown bool
-	// Ejected is set while recent failures keep the upstream out, Trial while it
+	Draining    bool
+	Terminating bool
+	// Ejected is set while recent failures keep the upstream out, Probing while it
 	// recovers and takes one request at a time.
 	Ejected bool
-	Trial   bool
+	Probing bool
 	// PrefillFactor and GapFactor are learned ratios of observed time to the time
 	// by the report's rates. 0 means the same as 1.
 	PrefillFactor float64
