--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -201,10 +201,10 @@
 	return v
 }
 
-// Where returns the addresses that callers of a data centre may connect to: the daemons there if
+// Locate returns the addresses that callers of a data centre may connect to: the daemons there if
 // there are at least two, since traffic between data centres adds latency and cost, and all
 // daemons otherwise.
-func (m *Member) Where(dataCentre string) ([]string, time.Duration) {
+func (m *Member) Locate(dataCentre string) ([]string, time.Duration) {
 	serving := m.peers.Serving()
 	if m.Ready() {
 		serving = append(serving, m.self)
