--- a/internal/relay/assign.go
+++ b/internal/relay/assign.go
@@ -264,7 +264,7 @@
 		r.Objective = c.rule.Objective
 		r.OutputTokens, r.MaxOutputTokens = expectedOutput(g), g.MaxOutput
 		r.TimeLeft = time.Until(c.deadline)
-		r.GapObjective = c.rule.PauseObjective
+		r.GapObjective = c.rule.GapObjective
 		r.Elapsed = time.Since(c.arrived)
 	}
 	return r
--- a/internal/relay/attempt.go
+++ b/internal/relay/attempt.go
@@ -91,7 +91,7 @@
 		Body:          c.body,
 		IDHeader:      d.RequestIDHeader(),
 		ID:            c.ID,
-		NonIdempotent: c.rule.Repeat == pathset.Once,
+		NonIdempotent: c.rule.RetryMode == pathset.NonIdempotent,
 	}
 }
 
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -122,7 +122,7 @@
 		Mode: dispatch.RetryAlways, MaxAttempts: c.rule.MaxAttempts,
 		AllowRetry: func() bool { return c.retryReserved.Swap(false) || c.relay.cfg.RetryBudget.AllowRetry(c.pool) },
 	}
-	if c.rule.Repeat == pathset.Once {
+	if c.rule.RetryMode == pathset.NonIdempotent {
 		p.Mode = dispatch.RetryIfNotRun
 	}
 	return p
--- a/internal/relay/log.go
+++ b/internal/relay/log.go
@@ -55,7 +55,7 @@
 	}
 	if c.stream != nil {
 		attrs = append(attrs, "first_ms", telemetry.Millis(c.stream.started.Sub(c.arrived)), "objective_ms", telemetry.Millis(c.rule.Objective),
-			"gap_ms", telemetry.Millis(c.stream.longestGap), "gap_objective_ms", telemetry.Millis(c.rule.PauseObjective), "last_event", c.stream.lastEvent)
+			"gap_ms", telemetry.Millis(c.stream.longestGap), "gap_objective_ms", telemetry.Millis(c.rule.GapObjective), "last_event", c.stream.lastEvent)
 	}
 	if f == nil {
 		c.log.Info("answered", attrs...)
--- a/internal/relay/stall.go
+++ b/internal/relay/stall.go
@@ -53,10 +53,10 @@
 
 // eventGapTimeout returns the timeout between two events of a stream, 0 for none.
 func (c *call) eventGapTimeout() time.Duration {
-	if c.rule.PauseObjective == 0 || !c.attempts.MayRetry(0) {
+	if c.rule.GapObjective == 0 || !c.attempts.MayRetry(0) {
 		return 0
 	}
-	return max(minStallTimeout, eventGapTimeoutFactor*c.rule.PauseObjective)
+	return max(minStallTimeout, eventGapTimeoutFactor*c.rule.GapObjective)
 }
 
 // arm starts the timeout for the next data from the upstream; 0 is none.
--- a/rules/pathset/pathset.go
+++ b/rules/pathset/pathset.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// Repeat says whether upstreams may run a request more than once.
-type Repeat uint8
+// RetryMode says whether upstreams may run a request more than once.
+type RetryMode uint8
 
-// The values of Repeat.
+// The values of RetryMode.
 const (
-	// Once runs a request at most once: a second run would repeat its effects.
-	Once Repeat = iota
+	// NonIdempotent runs a request at most once: a second run would repeat its effects.
+	NonIdempotent RetryMode = iota
 	// Idempotent lets a request run again after any failure.
 	Idempotent
 	// Resumable lets a stream continue at another upstream after the last event
@@ -36,8 +36,8 @@
 	// Host and Prefix are the condition. Prefix begins and ends with a slash.
 	Host, Prefix string
 	// Targets are the pools that share the rule's requests; at least one.
-	Targets []Target
-	Repeat  Repeat
+	Targets   []Target
+	RetryMode RetryMode
 	// Stream says that the response is a series of events.
 	Stream bool
 	// Timeout bounds the time to the complete response; 0 leaves it to the caller.
@@ -45,9 +45,8 @@
 	// Objective is the target latency of a response; for a stream, of its first
 	// event.
 	Objective time.Duration
-	// PauseObjective is the target for the longest pause between the events of a
-	// stream.
-	PauseObjective time.Duration
+	// GapObjective is the target for the longest gap between the events of a stream.
+	GapObjective time.Duration
 	// MaxAttempts bounds the number of upstreams that one request is sent to.
 	MaxAttempts int
 	// Priority ranks requests of different rules; 0 is the most urgent.
