--- a/internal/entry/answer/answer_test.go
+++ b/internal/entry/answer/answer_test.go
@@ -57,7 +57,7 @@
 
 type noQuarantine struct{ crash.Quarantine }
 
-func (noQuarantine) Answered(quarantine.Digest) {}
+func (noQuarantine) Completed(quarantine.Digest) {}
 
 func (noQuarantine) Crashed(context.Context, string, string, []quarantine.Digest) error { return nil }
 
--- a/internal/entry/crash/crash.go
+++ b/internal/entry/crash/crash.go
@@ -21,8 +21,8 @@
 	MayRunOn(upstream string, d quarantine.Digest) bool
 	Isolate(ctx context.Context, upstream string, d quarantine.Digest) (*quarantine.Isolation, error)
 	Crashed(ctx context.Context, upstream, incarnation string, inFlight []quarantine.Digest) error
-	Answered(d quarantine.Digest)
-	Waiting(d quarantine.Digest) *quarantine.Error
+	Completed(d quarantine.Digest)
+	IsolationError(d quarantine.Digest) *quarantine.Error
 }
 
 // Probe checks whether an engine responds. An error that matches
@@ -83,7 +83,9 @@
 
 // IsolationError returns the refusal of a suspect that found no engine without
 // other suspects.
-func (det *Detector) IsolationError(d quarantine.Digest) error { return det.quarantine.Waiting(d) }
+func (det *Detector) IsolationError(d quarantine.Digest) error {
+	return det.quarantine.IsolationError(d)
+}
 
 // Result says how a run at an engine ended.
 type Result uint8
@@ -135,7 +137,7 @@
 	det := r.detector
 	switch result {
 	case Completed:
-		det.quarantine.Answered(r.digest)
+		det.quarantine.Completed(r.digest)
 	case Broken:
 		det.awaitCheck(r)
 	}
--- a/quarantine/guard.go
+++ b/quarantine/guard.go
@@ -143,9 +143,9 @@
 	return ok && g.now().Sub(at) < g.state.cfg.SuspectFor
 }
 
-// Answered records that a digest got its complete response, which makes it an
+// Completed records that a digest got its complete response, which makes it an
 // unlikely cause of the next crash.
-func (g *Guard) Answered(d Digest) {
+func (g *Guard) Completed(d Digest) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.completed.Add(d, g.now())
@@ -201,8 +201,8 @@
 	}
 }
 
-// Waiting returns the refusal of a suspect that found no upstream to reserve.
-func (g *Guard) Waiting(d Digest) *Error {
+// IsolationError returns the refusal of a suspect that found no upstream to reserve.
+func (g *Guard) IsolationError(d Digest) *Error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return &Error{Digest: d, Verdict: g.verdict(d), RetryAfter: suspectRetry}
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -183,12 +183,12 @@
 			crash(l.guards[1], "c", "1")
 		}, Suspected},
 		{"succeeded recently, so probably not the cause", func(l *fakeLog) {
-			l.guards[0].Answered(d)
+			l.guards[0].Completed(d)
 			crash(l.guards[0], "a", "1")
 			crash(l.guards[0], "b", "1")
 		}, Clean},
 		{"succeeded recently, but three crashes", func(l *fakeLog) {
-			l.guards[0].Answered(d)
+			l.guards[0].Completed(d)
 			for _, u := range []string{"a", "b", "c"} {
 				crash(l.guards[0], u, "1")
 			}
