--- a/internal/entry/peerdrains.go
+++ b/internal/entry/peerdrains.go
@@ -12,7 +12,7 @@
 // peerDrains adds the drains that peers report to the journal's orders until the log
 // has been read. An entry that starts while the log is down serves with a peer's rules
 // and could otherwise send a request to a draining engine, whose order would cut it
-// off. It implements inflight.Orders and status.Drains.
+// off. It implements inflight.Orders and status.DrainTracker.
 type peerDrains struct {
 	orders   inflight.Orders
 	caughtUp <-chan struct{}
@@ -26,9 +26,9 @@
 	return &peerDrains{orders: o, caughtUp: caughtUp, reported: map[string]bool{}}
 }
 
-// Avoid implements status.Drains. Earlier reports remain valid, as only the log shows
+// ExcludeDraining implements status.DrainTracker. Earlier reports remain valid, as only the log shows
 // that a drain has ended.
-func (p *peerDrains) Avoid(engines []string) {
+func (p *peerDrains) ExcludeDraining(engines []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, name := range engines {
@@ -38,7 +38,7 @@
 	}
 }
 
-// Draining implements status.Drains.
+// Draining implements status.DrainTracker.
 func (p *peerDrains) Draining() []string {
 	var names []string
 	for name, engine := range p.Snapshot().Engines {
--- a/internal/entry/peerdrains_test.go
+++ b/internal/entry/peerdrains_test.go
@@ -23,15 +23,15 @@
 	caughtUp := make(chan struct{})
 	drains := newPeerDrains(log, caughtUp)
 	counter := inflight.NewCounter(drains, func() journal.Position { return journal.Position{} }, []string{"e1", "e2"})
-	drains.Avoid([]string{"e1"})
-	drains.Avoid(nil) // another peer, which hasn't applied the drain yet
+	drains.ExcludeDraining([]string{"e1"})
+	drains.ExcludeDraining(nil) // another peer, which hasn't applied the drain yet
 	require.False(t, counter.Reserve("e1"))
 	require.True(t, counter.Reserve("e2"))
 	require.Equal(t, []string{"e1"}, drains.Draining(), "peers get the reported drains too")
 
 	close(caughtUp)
 	require.True(t, counter.Reserve("e1"))
-	drains.Avoid([]string{"e2"}) // a late report has no effect
+	drains.ExcludeDraining([]string{"e2"}) // a late report has no effect
 	require.True(t, counter.Reserve("e2"))
 	require.Empty(t, drains.Draining())
 }
--- a/internal/status/fetch.go
+++ b/internal/status/fetch.go
@@ -78,7 +78,7 @@
 		return false
 	}
 	// Drains are applied first, because the entry begins to serve once it has rules.
-	n.opts.Drains.Avoid(reply.Draining)
+	n.opts.Drains.ExcludeDraining(reply.Draining)
 	return n.opts.Rules.ApplyPeerState(reply.PeerState)
 }
 
--- a/internal/status/node.go
+++ b/internal/status/node.go
@@ -27,9 +27,9 @@
 type DrainTracker interface {
 	// Draining returns the engines that get no new work.
 	Draining() []string
-	// Avoid excludes engines to which a peer sends no new work. It has an effect only until
+	// ExcludeDraining excludes engines to which a peer sends no new work. It has an effect only until
 	// the log has been read.
-	Avoid(engines []string)
+	ExcludeDraining(engines []string)
 }
 
 // Source returns the entry's status; the node fills in the sender and the time. It
--- a/internal/status/status_test.go
+++ b/internal/status/status_test.go
@@ -51,11 +51,11 @@
 
 type fakeDrains struct {
 	draining []string
-	avoided  chan []string
+	excluded chan []string
 }
 
-func (d *fakeDrains) Draining() []string     { return d.draining }
-func (d *fakeDrains) Avoid(engines []string) { d.avoided <- engines }
+func (d *fakeDrains) Draining() []string               { return d.draining }
+func (d *fakeDrains) ExcludeDraining(engines []string) { d.excluded <- engines }
 
 // start runs an instance's node until the test ends. Its log is down.
 func start(t *testing.T, d *settings.Deployment, i int) testNode {
@@ -91,7 +91,7 @@
 	target := start(t, d, 2)
 	require.Eventually(t, func() bool { return target.replica.Current().Version == version }, waitTimeout, time.Millisecond)
 	require.GreaterOrEqual(t, time.Since(started), firstFetchDelay)
-	require.Equal(t, []string{"ei0"}, <-target.drainTracker.avoided)
+	require.Equal(t, []string{"ei0"}, <-target.drainTracker.excluded)
 	decision := target.replica.Current().Set.Match(rules.Request{})
 	require.Equal(t, "p", decision.Then.Pool)
 }
