--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -176,7 +176,7 @@
 	}
 	got := phaseStats(m, []Result{at(0, false), at(1999, true), at(2000, false)})
 	assert.Equal(t, []PhaseStats{
-		{Name: "a", RequestRate: 1, Goodput: 0.5, ShortInTime: 0.5}, {Name: "b", RequestRate: 1, Goodput: 1, ShortInTime: 1}}, got)
+		{Name: "a", RequestRate: 1, Goodput: 0.5, ShortWithinDeadline: 0.5}, {Name: "b", RequestRate: 1, Goodput: 1, ShortWithinDeadline: 1}}, got)
 }
 
 func TestArrivalsRepeatWithTheSeed(t *testing.T) {
@@ -214,6 +214,6 @@
 	add(Unknown, true, "10.0.0.2:1")
 	s := rec.Summarise(m, time.Second, []string{"10.0.0.1:1"}, Counters{Keys: 4})
 	assert.Equal(t, int64(1), s.NotRunButRan)
-	assert.Equal(t, 1, s.CutByPlannedStop)
+	assert.Equal(t, 1, s.InterruptedByPlannedStop)
 	assert.Equal(t, []int{4, 1, 2, 1}, []int{s.Requests, s.Complete, s.NotRun, s.Unknown})
 }
--- a/internal/load/standins.go
+++ b/internal/load/standins.go
@@ -14,23 +14,23 @@
 // Counters are the stand-ins' counters. They tell what the system did to its upstreams
 // independently of what it reports.
 type Counters struct {
-	Tokens            int64 `json:"tokens"`
-	CutByOrder        int64 `json:"cut_by_order"`
-	CutByCrash        int64 `json:"cut_by_crash"`
-	RoleChanges       int64 `json:"role_changes"`
-	ConflictingOrders int64 `json:"conflicting_orders"`
-	WorkAfterLeaving  int64 `json:"work_after_leaving"`
-	Keys              int64 `json:"keys"`
-	RanTwice          int64 `json:"ran_twice"`
+	Tokens               int64 `json:"tokens"`
+	InterruptedByOrder   int64 `json:"cut_by_order"`
+	InterruptedByCrash   int64 `json:"cut_by_crash"`
+	RoleChanges          int64 `json:"role_changes"`
+	ConflictingOrders    int64 `json:"conflicting_orders"`
+	WorkAfterTermination int64 `json:"work_after_leaving"`
+	Keys                 int64 `json:"keys"`
+	RanTwice             int64 `json:"ran_twice"`
 }
 
 func (c *Counters) add(o Counters) {
 	c.Tokens += o.Tokens
-	c.CutByOrder += o.CutByOrder
-	c.CutByCrash += o.CutByCrash
+	c.InterruptedByOrder += o.InterruptedByOrder
+	c.InterruptedByCrash += o.InterruptedByCrash
 	c.RoleChanges += o.RoleChanges
 	c.ConflictingOrders += o.ConflictingOrders
-	c.WorkAfterLeaving += o.WorkAfterLeaving
+	c.WorkAfterTermination += o.WorkAfterTermination
 	// Services of one process share their count of keys.
 	c.Keys = max(c.Keys, o.Keys)
 	c.RanTwice = max(c.RanTwice, o.RanTwice)
@@ -39,14 +39,14 @@
 // since returns the difference from earlier counters.
 func (c Counters) since(before Counters) Counters {
 	return Counters{
-		Tokens:            c.Tokens - before.Tokens,
-		CutByOrder:        c.CutByOrder - before.CutByOrder,
-		CutByCrash:        c.CutByCrash - before.CutByCrash,
-		RoleChanges:       c.RoleChanges - before.RoleChanges,
-		ConflictingOrders: c.ConflictingOrders - before.ConflictingOrders,
-		WorkAfterLeaving:  c.WorkAfterLeaving - before.WorkAfterLeaving,
-		Keys:              c.Keys - before.Keys,
-		RanTwice:          c.RanTwice - before.RanTwice,
+		Tokens:               c.Tokens - before.Tokens,
+		InterruptedByOrder:   c.InterruptedByOrder - before.InterruptedByOrder,
+		InterruptedByCrash:   c.InterruptedByCrash - before.InterruptedByCrash,
+		RoleChanges:          c.RoleChanges - before.RoleChanges,
+		ConflictingOrders:    c.ConflictingOrders - before.ConflictingOrders,
+		WorkAfterTermination: c.WorkAfterTermination - before.WorkAfterTermination,
+		Keys:                 c.Keys - before.Keys,
+		RanTwice:             c.RanTwice - before.RanTwice,
 	}
 }
 
--- a/internal/load/summary.go
+++ b/internal/load/summary.go
@@ -21,16 +21,16 @@
 	Unknown  int `json:"unknown"`
 	// WrongAnswer counts responses with the outcome Wrong.
 	WrongAnswer int `json:"wrong_answer"`
-	// CutByPlannedStop counts connections that broke in flight at instances that were not
+	// InterruptedByPlannedStop counts connections that broke in flight at instances that were not
 	// killed.
-	CutByPlannedStop int `json:"cut_by_planned_stop"`
-	Late             int `json:"late"`
-	Resumed          int `json:"resumed"`
-	Resent           int `json:"resent"`
-	// RanTwice, CutByOrder and RoleChanges are stand-in counters.
-	RanTwice    int64 `json:"ran_twice"`
-	CutByOrder  int64 `json:"cut_by_order"`
-	RoleChanges int64 `json:"role_changes"`
+	InterruptedByPlannedStop int `json:"cut_by_planned_stop"`
+	Late                     int `json:"late"`
+	Resumed                  int `json:"resumed"`
+	Resent                   int `json:"resent"`
+	// RanTwice, InterruptedByOrder and RoleChanges are stand-in counters.
+	RanTwice           int64 `json:"ran_twice"`
+	InterruptedByOrder int64 `json:"cut_by_order"`
+	RoleChanges        int64 `json:"role_changes"`
 	// NotRunButRan counts keys that ran although every answer said that they had not.
 	NotRunButRan  int64   `json:"not_run_but_ran"`
 	P50           float64 `json:"p50"`
@@ -43,8 +43,8 @@
 	// prompt and output tokens per second.
 	Goodput       float64 `json:"goodput"`
 	GoodputTokens float64 `json:"goodput_tokens"`
-	// ShortInTime is the share of short requests with a complete response within the deadline.
-	ShortInTime float64 `json:"short_in_time"`
+	// ShortWithinDeadline is the share of short requests with a complete response within the deadline.
+	ShortWithinDeadline float64 `json:"short_in_time"`
 	// Phases summarises each phase of the mix by the times at which requests were due; empty for
 	// a single phase.
 	Phases []PhaseStats `json:"phases,omitempty"`
@@ -54,10 +54,10 @@
 
 // PhaseStats holds the results of one phase of a mix.
 type PhaseStats struct {
-	Name        string  `json:"name"`
-	RequestRate float64 `json:"asked"` // model requests per second
-	Goodput     float64 `json:"goodput"`
-	ShortInTime float64 `json:"short_in_time"`
+	Name                string  `json:"name"`
+	RequestRate         float64 `json:"asked"` // model requests per second
+	Goodput             float64 `json:"goodput"`
+	ShortWithinDeadline float64 `json:"short_in_time"`
 }
 
 // phaseStats computes the results by phase.
@@ -82,12 +82,12 @@
 			}
 			stats.Goodput++
 			if short {
-				stats.ShortInTime++
+				stats.ShortWithinDeadline++
 			}
 		}
 		stats.RequestRate /= p.Length.Seconds()
 		stats.Goodput /= p.Length.Seconds()
-		stats.ShortInTime /= max(1, shortRequests)
+		stats.ShortWithinDeadline /= max(1, shortRequests)
 		out = append(out, stats)
 		start += p.Length
 	}
@@ -101,10 +101,10 @@
 	defer r.mu.Unlock()
 	s := Summary{
 		Requests: len(r.results), RanTwice: counters.RanTwice,
-		CutByOrder: counters.CutByOrder, RoleChanges: counters.RoleChanges,
+		InterruptedByOrder: counters.InterruptedByOrder, RoleChanges: counters.RoleChanges,
 	}
 	latency, firstToken, sendDelay := newHistogram(), newHistogram(), newHistogram()
-	var shortRequests, shortInTime int
+	var shortRequests, shortWithinDeadline int
 	var keysMayHaveRun int64
 	for _, res := range r.results {
 		s.addOutcome(res, killed)
@@ -129,7 +129,7 @@
 			s.Goodput++
 			s.GoodputTokens += float64(res.Prompt + res.Tokens)
 			if class.Name == ClassShort {
-				shortInTime++
+				shortWithinDeadline++
 			}
 		}
 	}
@@ -137,7 +137,7 @@
 	s.GoodputTokens /= length.Seconds()
 	s.NotRunButRan = max(0, counters.Keys-keysMayHaveRun)
 	if shortRequests > 0 {
-		s.ShortInTime = float64(shortInTime) / float64(shortRequests)
+		s.ShortWithinDeadline = float64(shortWithinDeadline) / float64(shortRequests)
 	}
 	if len(m.Phases) > 1 {
 		s.Phases = phaseStats(m, r.results)
@@ -173,7 +173,7 @@
 	s.Resumed += res.Resumed
 	for _, addr := range res.BrokenAt {
 		if !slices.Contains(killed, addr) {
-			s.CutByPlannedStop++
+			s.InterruptedByPlannedStop++
 		}
 	}
 }
--- a/internal/load/table.go
+++ b/internal/load/table.go
@@ -140,7 +140,7 @@
 	fmt.Fprintln(w, "policy\tphase\tasked/s\tgoodput/s\tshort in time\t")
 	for _, r := range rows {
 		for _, p := range r.trials[0].Summary.Phases {
-			fmt.Fprintf(w, "%s\t%s\t%.1f\t%.1f\t%.3f\t\n", r.policy, p.Name, p.RequestRate, p.Goodput, p.ShortInTime)
+			fmt.Fprintf(w, "%s\t%s\t%.1f\t%.1f\t%.3f\t\n", r.policy, p.Name, p.RequestRate, p.Goodput, p.ShortWithinDeadline)
 		}
 	}
 	fmt.Fprintln(w)
@@ -161,6 +161,6 @@
 		of(func(s Summary) float64 { return s.FirstTokenP95 }),
 		of(func(s Summary) float64 { return s.TokenGapP50 }),
 		of(func(s Summary) float64 { return s.TokenGapP95 }),
-		of(func(s Summary) float64 { return s.ShortInTime }),
+		of(func(s Summary) float64 { return s.ShortWithinDeadline }),
 		of(changes))
 }
