--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// meanThinkTime is the mean time between two requests of a caller, meanStickyThinkTime that
-	// of a sticky one: long enough that some of its connections are idle while their daemon
+	// meanThinkTime is the mean time between two requests of a caller, meanSingleConnThinkTime that
+	// of a single-connection one: long enough that some of its connections are idle while their daemon
 	// shuts down.
-	meanThinkTime       = 20 * time.Millisecond
-	meanStickyThinkTime = 2 * time.Second
-	// There is one sticky caller for each callersPerSticky callers.
-	callersPerSticky = 2
+	meanThinkTime           = 20 * time.Millisecond
+	meanSingleConnThinkTime = 2 * time.Second
+	// There is one single-connection caller for each callersPerSingleConn callers.
+	callersPerSingleConn = 2
 	// One in closeOneIn requests is closed by its caller before the response is complete.
 	closeOneIn = 6
 	// minResolveInterval bounds how often a caller asks a directory for addresses.
@@ -33,16 +33,16 @@
 	name int
 	site *site
 	rng  *rand.Rand
-	// client queries the directory, and sends the requests of a caller that isn't sticky.
+	// client queries the directory, and sends the requests of a caller with many connections.
 	client      *standin.Caller
 	addresses   []string
 	nextResolve time.Time
 	sent        int
-	sticky      *stickyConn
+	single      *singleConn
 }
 
-// stickyConn is the connection that a sticky caller uses until the daemon closes it.
-type stickyConn struct {
+// singleConn is the connection that a single-connection caller uses until the daemon closes it.
+type singleConn struct {
 	client  *standin.Caller
 	address string
 	// launch is the number of the daemon process that the connection was made to.
@@ -53,9 +53,9 @@
 	return &caller{name: name, site: s, rng: rand.New(rand.NewPCG(seed, uint64(name)+1)), client: standin.NewCaller()}
 }
 
-func newStickyCaller(s *site, seed uint64, name int) *caller {
+func newSingleConnectionCaller(s *site, seed uint64, name int) *caller {
 	c := newCaller(s, seed, name)
-	c.sticky = &stickyConn{}
+	c.single = &singleConn{}
 	return c
 }
 
@@ -63,9 +63,9 @@
 func (c *caller) run(ctx context.Context) {
 	defer c.client.Close()
 	thinkTime := meanThinkTime
-	if c.sticky != nil {
-		thinkTime = meanStickyThinkTime
-		defer func() { c.sticky.close() }()
+	if c.single != nil {
+		thinkTime = meanSingleConnThinkTime
+		defer func() { c.single.close() }()
 	}
 	for ctx.Err() == nil {
 		c.sendNext()
@@ -76,11 +76,11 @@
 	}
 }
 
-// sendNext sends a request over the sticky connection if it is open, otherwise to a daemon that
+// sendNext sends a request over the single connection if it is open, otherwise to a daemon that
 // the directory names.
 func (c *caller) sendNext() {
-	if c.sticky != nil && c.sticky.client != nil && c.sticky.client.Open() {
-		c.request(c.sticky.client, c.sticky.address, c.sticky.launch)
+	if c.single != nil && c.single.client != nil && c.single.client.Open() {
+		c.request(c.single.client, c.single.address, c.single.launch)
 		return
 	}
 	c.resolve()
@@ -94,15 +94,15 @@
 		return
 	}
 	client, launch := c.client, d.currentLaunch()
-	if c.sticky != nil {
-		c.sticky.close()
+	if c.single != nil {
+		c.single.close()
 		client = standin.NewSingleConnectionCaller()
-		*c.sticky = stickyConn{client: client, address: address, launch: launch}
+		*c.single = singleConn{client: client, address: address, launch: launch}
 	}
 	c.request(client, address, launch)
 }
 
-func (c *stickyConn) close() {
+func (c *singleConn) close() {
 	if c.client != nil {
 		c.client.Close()
 	}
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -107,8 +107,8 @@
 	for i := range o.Callers {
 		wg.Go(func() { newCaller(s, o.Seed, i).run(ctx) })
 	}
-	for i := range o.Callers / callersPerSticky {
-		wg.Go(func() { newStickyCaller(s, o.Seed, o.Callers+i).run(ctx) })
+	for i := range o.Callers / callersPerSingleConn {
+		wg.Go(func() { newSingleConnectionCaller(s, o.Seed, o.Callers+i).run(ctx) })
 	}
 	var steps conc.WaitGroup
 	start := time.Now()
