--- a/internal/entry/gateway/service.go
+++ b/internal/entry/gateway/service.go
@@ -64,7 +64,7 @@
 			DataCentre:   g.opts.DataCentre,
 			Priority:     then.Priority,
 			Deadline:     k.deadline,
-			NoTrial:      then.Protected,
+			NoProbe:      then.Protected,
 		},
 		Retry: then.RetryClass(),
 	}
--- a/router/candidate.go
+++ b/router/candidate.go
@@ -13,10 +13,10 @@
 	// Work is the work in flight there: the report corrected by local work.
 	Work     Work
 	InFlight int
-	// Ejected and Trial are its health at the time of the decision.
-	Ejected, Trial bool
-	// Trials counts this process's trial requests in flight there.
-	Trials int
+	// Ejected and Probing are its health at the time of the decision.
+	Ejected, Probing bool
+	// Probes counts this process's probes in flight there.
+	Probes int
 	// Link is the one-way latency from the request's data centre.
 	Link           time.Duration
 	SameDataCentre bool
@@ -43,8 +43,8 @@
 	}
 	h := n.healthAt(now)
 	c.Ejected = h == ejected
-	c.Trial = h == trial
-	c.Trials = int(n.live.trials.Load())
+	c.Probing = h == probing
+	c.Probes = int(n.live.probes.Load())
 	c.InFlight = int(n.live.inFlight.Load())
 	if !u.ReportAt.IsZero() {
 		c.ReportAge = max(0, now.Sub(u.ReportAt))
--- a/router/config.go
+++ b/router/config.go
@@ -83,10 +83,10 @@
 	SlowFactor float64
 	// BaseEjectionTime is the first ejection's length. It doubles up to
 	// MaxEjectionTime, or up to MaxEjectionTimeUnreachable for an upstream that
-	// can't be reached, because a trial of that one costs little.
+	// can't be reached, because a probe of that one costs little.
 	BaseEjectionTime, MaxEjectionTime, MaxEjectionTimeUnreachable time.Duration
-	// SuccessfulTrials is the number of trials that must succeed in a row.
-	SuccessfulTrials int
+	// SuccessfulProbes is the number of probes that must succeed in a row.
+	SuccessfulProbes int
 	// MaxEjectedFraction is the greatest fraction of a pool that may be ejected at
 	// once; unreachable upstreams don't count.
 	MaxEjectedFraction float64
@@ -123,7 +123,7 @@
 			BaseEjectionTime:           2 * time.Second,
 			MaxEjectionTime:            8 * time.Second,
 			MaxEjectionTimeUnreachable: 4 * time.Second,
-			SuccessfulTrials:           2,
+			SuccessfulProbes:           2,
 			MaxEjectedFraction:         0.34,
 		},
 	}
--- a/router/filter.go
+++ b/router/filter.go
@@ -15,7 +15,7 @@
 	drainingFilter struct{}
 	serviceFilter  struct{}
 	ejectedFilter  struct{}
-	trialFilter    struct{}
+	probingFilter  struct{}
 	excludedFilter struct{}
 	isolatedFilter struct{}
 	memoryFilter   struct{}
@@ -36,12 +36,12 @@
 func (ejectedFilter) Keep(c *Candidate, _ *Request) bool { return !c.Ejected }
 func (ejectedFilter) Reason() NoUpstreamReason           { return NoUpstreamEjected }
 
-// trialFilter allows an upstream on trial one request at a time, and none with
-// NoTrial set.
-func (trialFilter) Keep(c *Candidate, r *Request) bool {
-	return !c.Trial || (c.Trials == 0 && !r.NoTrial)
+// probingFilter allows an upstream that is probed one request at a time, and none with
+// NoProbe set.
+func (probingFilter) Keep(c *Candidate, r *Request) bool {
+	return !c.Probing || (c.Probes == 0 && !r.NoProbe)
 }
-func (trialFilter) Reason() NoUpstreamReason { return NoUpstreamEjected }
+func (probingFilter) Reason() NoUpstreamReason { return NoUpstreamEjected }
 
 // excludedFilter rejects upstreams that an earlier attempt of the request used.
 func (excludedFilter) Keep(c *Candidate, r *Request) bool {
--- a/router/node.go
+++ b/router/node.go
@@ -11,8 +11,8 @@
 
 const (
 	healthy health = iota
-	ejected        // rejected until ejectedUntil, then on trial
-	trial          // takes one request at a time until enough succeed
+	ejected        // rejected until ejectedUntil, then probing
+	probing        // takes one request at a time until enough succeed
 )
 
 // node is one upstream in a snapshot. Its identity never changes; state is
@@ -35,7 +35,7 @@
 	health                                      atomic.Uint32
 	ejectedUntil                                atomic.Int64 // Unix nanoseconds
 	unreachable                                 atomic.Bool  // ejected because it can't be reached
-	trials                                      atomic.Int64 // requests in flight that are trials
+	probes                                      atomic.Int64 // requests in flight that are probes
 	prefillFactor                               atomicFloat
 	gapFactor                                   atomicFloat
 	latencyFactor                               atomicFloat // observed over predicted time, queueing included
@@ -71,7 +71,7 @@
 		n.live.health.Store(uint32(ejected))
 		n.live.ejectedUntil.Store(math.MaxInt64)
 	case u.Probing:
-		n.live.health.Store(uint32(trial))
+		n.live.health.Store(uint32(probing))
 	}
 	n.state.Store(&u)
 	return n
@@ -85,11 +85,11 @@
 }
 
 // healthAt returns the health at a time: an ejection that has expired counts as
-// trial.
+// probing.
 func (n *node) healthAt(now time.Time) health {
 	h := health(n.live.health.Load())
 	if h == ejected && now.UnixNano() >= n.live.ejectedUntil.Load() {
-		return trial
+		return probing
 	}
 	return h
 }
@@ -110,6 +110,6 @@
 	u.ServiceTime = time.Duration(n.live.serviceTime.Load())
 	h := n.healthAt(now)
 	u.Ejected = h == ejected
-	u.Probing = h == trial
+	u.Probing = h == probing
 	return u
 }
--- a/router/outlier.go
+++ b/router/outlier.go
@@ -10,7 +10,7 @@
 	attempts     int // since the start or the last recovery
 	consecutive  int // failures in a row
 	ejections    int // without a long healthy period between; sets the next one's length
-	trialsPassed int // trials in a row that succeeded
+	probesPassed int // probes in a row that succeeded
 	lastEjected  time.Time
 }
 
@@ -19,7 +19,7 @@
 
 // recordOutcome updates the upstream's history with an attempt's outcome. A
 // failing upstream looks idle because it loses its work, so failures eject it. It
-// recovers through single trials, and ejections lengthen, so that an upstream that
+// recovers through single probes, and ejections lengthen, so that an upstream that
 // keeps failing costs one request at a time and ever more rarely.
 func (ut *upstreamTracker) recordOutcome(o Outcome, began, now time.Time) {
 	switch o {
@@ -41,19 +41,19 @@
 	ut.history.consecutive = 0
 	ut.history.attempts++
 	l.failureRate.store(l.failureRate.load() * (1 - failureStep))
-	if ut.node.healthAt(now) == trial && began.UnixNano() >= l.ejectedUntil.Load() {
-		ut.passTrial()
+	if ut.node.healthAt(now) == probing && began.UnixNano() >= l.ejectedUntil.Load() {
+		ut.passProbe()
 		return
 	}
 	ut.ejectIfSlow(now)
 }
 
-// passTrial counts a successful trial and restores the upstream after the last.
-func (ut *upstreamTracker) passTrial() {
+// passProbe counts a successful probe and restores the upstream after the last.
+func (ut *upstreamTracker) passProbe() {
 	l := &ut.node.live
-	ut.history.trialsPassed++
-	l.health.Store(uint32(trial))
-	if ut.history.trialsPassed < ut.t.cfg.Outlier.SuccessfulTrials {
+	ut.history.probesPassed++
+	l.health.Store(uint32(probing))
+	if ut.history.probesPassed < ut.t.cfg.Outlier.SuccessfulProbes {
 		return
 	}
 	l.health.Store(uint32(healthy))
@@ -76,7 +76,7 @@
 	switch ut.node.healthAt(now) {
 	case ejected:
 		return
-	case trial:
+	case probing:
 		// Requests that began before the ejection say nothing about the recovery.
 		if began.UnixNano() >= l.ejectedUntil.Load() {
 			ut.eject(o, now)
@@ -90,7 +90,7 @@
 }
 
 // isUnreachable reports whether an outcome means that the upstream can't be
-// reached. One such failure ejects: an early trial costs little.
+// reached. One such failure ejects: an early probe costs little.
 func isUnreachable(o Outcome) bool { return o == OutcomeNotSent || o == OutcomeBroken }
 
 // ejectIfSlow ejects an upstream that is far slower than the rest of its pool.
@@ -168,7 +168,7 @@
 	}
 	duration := min(longest, cfg.BaseEjectionTime<<min(r.ejections, 16))
 	r.ejections++
-	r.trialsPassed = 0
+	r.probesPassed = 0
 	r.lastEjected = now
 	l := &ut.node.live
 	l.unreachable.Store(isUnreachable(o))
@@ -180,7 +180,7 @@
 }
 
 // endEjectionOnReport ends the ejection of an unreachable upstream that has sent a
-// report measured since. It is on trial then.
+// report measured since. It is probed then.
 func (ut *upstreamTracker) endEjectionOnReport(measured time.Time) {
 	l := &ut.node.live
 	if !l.unreachable.Load() || health(l.health.Load()) != ejected || !measured.After(ut.history.lastEjected) {
--- a/router/pick.go
+++ b/router/pick.go
@@ -76,8 +76,8 @@
 }
 
 func reasonFor(c *Candidate, otherwise PlanReason) PlanReason {
-	if c.Trial {
-		return ReasonTrial
+	if c.Probing {
+		return ReasonProbe
 	}
 	if c.CachedTokens > 0 {
 		return ReasonCachedPrefix
--- a/router/schedule.go
+++ b/router/schedule.go
@@ -21,8 +21,8 @@
 type Scheduler struct {
 	// Filters apply to requests on one engine, cheapest first.
 	Filters []Filter
-	// Fallback replaces Filters if those leave no candidate: it lets upstreams on
-	// trial run more than one request.
+	// Fallback replaces Filters if those leave no candidate: it lets upstreams that
+	// are probed run more than one request.
 	Fallback []Filter
 	Scorers  []Scorer
 	Picker   Picker
@@ -34,7 +34,7 @@
 	s := &Scheduler{
 		Filters: []Filter{
 			drainingFilter{}, serviceFilter{}, memoryFilter{}, ejectedFilter{},
-			trialFilter{}, excludedFilter{}, isolatedFilter{},
+			probingFilter{}, excludedFilter{}, isolatedFilter{},
 		},
 		Fallback: []Filter{
 			drainingFilter{}, serviceFilter{}, memoryFilter{}, ejectedFilter{},
--- a/router/score.go
+++ b/router/score.go
@@ -72,7 +72,7 @@
 type failureScorer struct{}
 
 func (failureScorer) Cost(c *Candidate, _ *Request) time.Duration {
-	if c.Trial {
+	if c.Probing {
 		return 0 // the ejection has accounted for its failures
 	}
 	f := min(c.node.live.failureRate.load(), maxFailureRate)
--- a/router/split.go
+++ b/router/split.go
@@ -73,7 +73,7 @@
 		var c Candidate
 		c.fill(d.s, n, d.r, d.dc, d.now)
 		c.kvTokens = d.r.PromptTokens
-		if c.Trial || firstDrop(p.Filters, &c, d.r) >= 0 {
+		if c.Probing || firstDrop(p.Filters, &c, d.r) >= 0 {
 			continue
 		}
 		c.CachedTokens = d.expectedCachedTokens(n)
@@ -99,7 +99,7 @@
 	out := d.sc.decode[:0]
 	for i := range d.sc.cands {
 		c := d.sc.cands[i]
-		if c.role() == upstream.RolePrefill || c.Trial || c.node == pre.node {
+		if c.role() == upstream.RolePrefill || c.Probing || c.node == pre.node {
 			continue
 		}
 		same := c.node.dc == pre.node.dc
--- a/router/ticket.go
+++ b/router/ticket.go
@@ -16,7 +16,7 @@
 	transferredFrom *upstreamTracker
 	tokens          int // in the prompt
 	began           time.Time
-	trial           bool
+	probe           bool
 	noQueue         bool // a fresh report showed no prompts ahead at the start
 	// localAhead is this process's prompt tokens ahead at the start,
 	// secondsPerPromptToken the engine's estimated prefill time of one.
@@ -42,9 +42,9 @@
 	l := &k.engine.node.live
 	l.localOutput.Add(int64(k.output))
 	k.observeEngine(now)
-	if k.engine.node.healthAt(now) == trial {
-		k.trial = true
-		l.trials.Add(1)
+	if k.engine.node.healthAt(now) == probing {
+		k.probe = true
+		l.probes.Add(1)
 	}
 	if k.prefill == nil {
 		k.engine.record(now, 1, k.prompt, k.kv)
@@ -136,8 +136,8 @@
 	now := k.t.now()
 	l := &k.engine.node.live
 	l.localOutput.Add(int64(-k.output))
-	if k.trial {
-		l.trials.Add(-1)
+	if k.probe {
+		l.probes.Add(-1)
 	}
 	blamed := k.engine
 	if k.prefill != nil {
--- a/router/tracker_test.go
+++ b/router/tracker_test.go
@@ -124,14 +124,14 @@
 		require.Zero(t, l.localPrompt.Load())
 		require.Zero(t, l.localKV.Load())
 		require.Zero(t, l.localOutput.Load())
-		require.Zero(t, l.trials.Load())
+		require.Zero(t, l.probes.Load())
 	}
 }
 
 // An engine that has died fails requests and therefore looks idle, which would draw
 // more of them. It must be excluded at once, tried by single requests, and return
 // to service soon after it answers.
-func TestUnreachableUpstreamRecoversByTrial(t *testing.T) {
+func TestUnreachableUpstreamRecoversByProbe(t *testing.T) {
 	tr, clock := newTestTracker("a", "b")
 	tr.Begin(Plan{Engine: "a"}, testRequest).End(OutcomeBroken)
 	for range 20 {
@@ -140,17 +140,17 @@
 		require.Equal(t, "b", plan.Engine)
 	}
 	clock.advance(2 * time.Second)
-	trials := 0
+	probes := 0
 	rnd := testRand()
 	for range 20 {
 		plan, err := Pick(tr.Snapshot(), testRequest, clock.now(), rnd)
 		require.NoError(t, err)
 		if plan.Engine == "a" {
-			trials++
+			probes++
 			tr.Begin(plan, testRequest)
 		}
 	}
-	require.Equal(t, 1, trials, "one trial at a time")
+	require.Equal(t, 1, probes, "one probe at a time")
 
 	u, _ := tr.Snapshot().Upstream("a", clock.now())
 	require.True(t, u.Probing)
@@ -180,7 +180,7 @@
 	require.Equal(t, 2, out)
 }
 
-// Ejection times double while trials fail, and stay short enough for a return
+// Ejection times double while probes fail, and stay short enough for a return
 // within 10 s of the fault's end.
 func TestEjectionTimesGrow(t *testing.T) {
 	tr, clock := newTestTracker("a", "b")
--- a/router/types.go
+++ b/router/types.go
@@ -75,9 +75,9 @@
 	Deadline time.Time
 	// Exclude names upstreams that an earlier attempt used.
 	Exclude []string
-	// NoTrial keeps the request off upstreams on trial unless no others remain.
+	// NoProbe keeps the request off upstreams that are probed unless no others remain.
 	// Set it for calls that can't be repeated.
-	NoTrial bool
+	NoProbe bool
 	// NoSplit keeps prefill and decode on one engine.
 	NoSplit bool
 	// MayRunOn, if set, rejects candidates for which it returns false. It keeps
@@ -106,7 +106,7 @@
 	ReasonLeastCost    PlanReason = "least expected time"
 	ReasonSpread       PlanReason = "drawn among nearly equal upstreams"
 	ReasonCachedPrefix PlanReason = "prefix cache saves more than the queue costs"
-	ReasonTrial        PlanReason = "trial of a recovering upstream"
+	ReasonProbe        PlanReason = "trial of a recovering upstream"
 	ReasonSplit        PlanReason = "prefill and decode on two engines is faster"
 	ReasonFallback     PlanReason = "only upstreams on trial are left"
 )
