--- a/cmd/chute-standin/main.go
+++ b/cmd/chute-standin/main.go
@@ -90,13 +90,13 @@
 
 func speedFlags(f *flag.FlagSet, s *standin.Speed) {
 	f.Float64Var(&s.Scale, "scale", s.Scale, "multiplies every speed of the engines")
-	f.Float64Var(&s.PrefillPerSec, "prefill-rate", s.PrefillPerSec, "prompt tokens per second at full efficiency")
+	f.Float64Var(&s.PrefillPerSecond, "prefill-rate", s.PrefillPerSecond, "prompt tokens per second at full efficiency")
 	f.DurationVar(&s.MinStepTime, "step-first", s.MinStepTime, "duration of a decode step at batch size 1")
 	f.DurationVar(&s.MaxStepTime, "step-full", s.MaxStepTime, "duration of a decode step at the largest batch size")
 	f.IntVar(&s.MaxBatch, "max-batch", s.MaxBatch, "largest batch size")
 	f.IntVar(&s.KVTokens, "kv-tokens", s.KVTokens, "KV memory of an engine in tokens")
 	f.Int64Var(&s.KVBytesPerToken, "kv-bytes-per-token", s.KVBytesPerToken, "bytes of KV cache per token, for KV transfers")
-	f.Float64Var(&s.KVBytesPerSec, "kv-bytes-per-s", s.KVBytesPerSec, "bandwidth of a KV transfer in bytes per second")
+	f.Float64Var(&s.KVBytesPerSecond, "kv-bytes-per-s", s.KVBytesPerSecond, "bandwidth of a KV transfer in bytes per second")
 	f.DurationVar(&s.ChangeDuration, "change", s.ChangeDuration, "how long a role change takes an engine out of service")
 	f.DurationVar(&s.LoadLag, "load-lag", s.LoadLag, "age of load reports")
 	f.DurationVar(&s.EventLag, "event-lag", s.EventLag, "delay of cache events")
--- a/internal/controller/chooser.go
+++ b/internal/controller/chooser.go
@@ -105,7 +105,7 @@
 		out.Role = load.report.Role
 		out.InService = load.report.InService
 		out.ReportAge = load.age(now)
-		out.Reported = rolepolicy.Rates{Prefill: load.report.PrefillPerSec, Decode: load.report.DecodePerSec}
+		out.Reported = rolepolicy.Rates{Prefill: load.report.PrefillPerSecond, Decode: load.report.DecodePerSecond}
 		out.Running, out.Waiting = load.report.Running, load.report.Waiting
 		out.QueuedPrompt, out.MaxBatch = load.report.QueuedPrompt, load.report.MaxBatch
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -313,8 +313,8 @@
 	return &ModelLoader{
 		engines: c.allEngines(), executors: c.executors, loadReports: c.loadReports, view: c.changes,
 		instances: c.instances, weights: c.cfg.Weights, log: c.log,
-		bytesPerSec:  c.cfg.Deployment.Platform.WeightBytesPerSecond,
-		maxReportAge: seconds(c.cfg.Deployment.Roles.MaxReportAgeSeconds),
+		bytesPerSecond: c.cfg.Deployment.Platform.WeightBytesPerSecond,
+		maxReportAge:   seconds(c.cfg.Deployment.Roles.MaxReportAgeSeconds),
 	}
 }
 
--- a/internal/controller/interleave/engine.go
+++ b/internal/controller/interleave/engine.go
@@ -86,7 +86,7 @@
 
 // handleOrder accepts or rejects an order.
 func (e *engine) handleOrder(o upstream.Order) error {
-	if o.Kind == upstream.OrderFence {
+	if o.Kind == upstream.OrderRaiseToken {
 		return e.handleRaise(o)
 	}
 	if e.isFenced(o) {
--- a/internal/controller/loader.go
+++ b/internal/controller/loader.go
@@ -38,9 +38,9 @@
 	weights     infra.WeightStore
 	// bytesPerSec is the weight store's transfer rate; maxReportAge is the age up to which
 	// an engine's load report is used.
-	bytesPerSec  float64
-	maxReportAge time.Duration
-	log          *slog.Logger
+	bytesPerSecond float64
+	maxReportAge   time.Duration
+	log            *slog.Logger
 }
 
 // String names the service for the supervisor's log.
@@ -116,6 +116,6 @@
 		ID: uuid.NewString(), Kind: upstream.OrderModel,
 		Target:      orders.Settings{Model: model, Version: newest.Version},
 		Reason:      "the engine should serve the model and doesn't have it",
-		Reservation: &orders.Reservation{Bytes: newest.Bytes, BytesPerSec: l.bytesPerSec / maxConcurrentLoads, LimitPerSec: l.bytesPerSec},
+		Reservation: &orders.Reservation{Bytes: newest.Bytes, BytesPerSec: l.bytesPerSecond / maxConcurrentLoads, LimitPerSec: l.bytesPerSecond},
 	}, nil
 }
--- a/internal/entry/entrybench/upstream.go
+++ b/internal/entry/entrybench/upstream.go
@@ -37,7 +37,7 @@
 	case path == engineclient.PathLoad:
 		reply(ctx, upstream.LoadReport{
 			At: time.Now(), Role: upstream.RoleMixed, InService: true, KVTotalTokens: 1 << 24,
-			PrefillPerSec: 1e6, DecodePerSec: 1e6, MaxBatch: 1 << 14, Models: []string{"agronomy"},
+			PrefillPerSecond: 1e6, DecodePerSecond: 1e6, MaxBatch: 1 << 14, Models: []string{"agronomy"},
 		})
 	case path == engineclient.PathCacheEvents:
 		reply(ctx, engineclient.CacheEventsReply{})
--- a/internal/entry/gateway/gateway.go
+++ b/internal/entry/gateway/gateway.go
@@ -156,7 +156,7 @@
 	g.app.Use(g.closeIfShuttingDown)
 	g.app.Get("/healthz", g.healthz)
 	g.app.Get("/readyz", g.readyz)
-	g.app.Get("/v1/where", g.where)
+	g.app.Get("/v1/where", g.locate)
 	g.app.Get("/v1/models", g.models)
 	g.app.Post("/v1/completions", g.completions)
 	g.app.Post("/v1/chat/completions", g.chat)
--- a/internal/entry/gateway/pages.go
+++ b/internal/entry/gateway/pages.go
@@ -21,7 +21,7 @@
 }
 
 // where lists the addresses that the caller may connect to.
-func (g *Gateway) where(c *fiber.Ctx) error {
+func (g *Gateway) locate(c *fiber.Ctx) error {
 	a := g.deps.Directory.Locate(c.Query("data_centre"))
 	c.Set(fiber.HeaderCacheControl, "max-age="+strconv.Itoa(int(a.MaxAgeSeconds)))
 	return c.JSON(a)
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -233,20 +233,20 @@
 func (e *Engine) recordLoad(now time.Time) {
 	prefill, decode := e.config.Speed.rates(e.control.state.Role)
 	e.load.add(upstream.LoadReport{
-		At:              now,
-		Role:            e.control.state.Role,
-		InService:       e.control.inService,
-		Running:         len(e.batch.running),
-		Waiting:         e.batch.queue.Len(),
-		QueuedPrompt:    e.batch.queuedPrompt,
-		KVUsedTokens:    e.kv.used(),
-		KVTotalTokens:   e.kv.total,
-		PrefillPerSec:   prefill,
-		DecodePerSec:    decode,
-		MaxBatch:        e.config.Speed.MaxBatch,
-		Models:          e.control.models,
-		FencingToken:    e.control.state.FencingToken,
-		OrdersCompleted: e.control.completed,
+		At:               now,
+		Role:             e.control.state.Role,
+		InService:        e.control.inService,
+		Running:          len(e.batch.running),
+		Waiting:          e.batch.queue.Len(),
+		QueuedPrompt:     e.batch.queuedPrompt,
+		KVUsedTokens:     e.kv.used(),
+		KVTotalTokens:    e.kv.total,
+		PrefillPerSecond: prefill,
+		DecodePerSecond:  decode,
+		MaxBatch:         e.config.Speed.MaxBatch,
+		Models:           e.control.models,
+		FencingToken:     e.control.state.FencingToken,
+		OrdersCompleted:  e.control.completed,
 	})
 }
 
--- a/internal/standin/engine_control.go
+++ b/internal/standin/engine_control.go
@@ -125,7 +125,7 @@
 		return known
 	case upstream.OrderModel:
 		return o.Model != ""
-	case upstream.OrderAdapter, upstream.OrderFence:
+	case upstream.OrderAdapter, upstream.OrderRaiseToken:
 		return true
 	default:
 		return false
@@ -150,7 +150,7 @@
 		e.counters.OutdatedOrdersAccepted++
 	}
 	switch {
-	case o.Kind == upstream.OrderFence:
+	case o.Kind == upstream.OrderRaiseToken:
 		return nil
 	case o.ID != "" && o.ID == e.control.state.LastOrder:
 		e.counters.RepeatedOrders++
--- a/internal/standin/engine_speed.go
+++ b/internal/standin/engine_speed.go
@@ -11,7 +11,7 @@
 type Speed struct {
 	Scale float64
 	// PrefillPerSec is the number of prompt tokens per second at full efficiency.
-	PrefillPerSec float64
+	PrefillPerSecond float64
 	// MinStepTime and MaxStepTime are the durations of a decode step at batch size 1 and at
 	// MaxBatch; between them the duration grows linearly.
 	MinStepTime, MaxStepTime time.Duration
@@ -22,8 +22,8 @@
 	// KVTokens is the size of the KV memory in tokens.
 	KVTokens int
 	// KVBytesPerToken and KVBytesPerSec determine the duration of a KV transfer.
-	KVBytesPerToken int64
-	KVBytesPerSec   float64
+	KVBytesPerToken  int64
+	KVBytesPerSecond float64
 	// ChangeDuration is how long a role change takes the engine out of service.
 	ChangeDuration time.Duration
 	// LoadLag is the age of a load report, EventLag the delay of a cache event.
@@ -36,7 +36,7 @@
 func DefaultSpeed() Speed {
 	return Speed{
 		Scale:             1,
-		PrefillPerSec:     8000,
+		PrefillPerSecond:  8000,
 		MinStepTime:       15 * time.Millisecond,
 		MaxStepTime:       30 * time.Millisecond,
 		MaxBatch:          32,
@@ -44,7 +44,7 @@
 		PrefillOnlyTokens: 1024,
 		KVTokens:          60_000,
 		KVBytesPerToken:   128 << 10,
-		KVBytesPerSec:     10e9,
+		KVBytesPerSecond:  10e9,
 		ChangeDuration:    5 * time.Second,
 		LoadLag:           time.Second,
 		EventLag:          500 * time.Millisecond,
@@ -63,7 +63,7 @@
 
 // prefillTime returns how long prefilling takes, before scaling.
 func (s Speed) prefillTime(role upstream.Role, tokens int) time.Duration {
-	rate := s.PrefillPerSec * efficiencies[role].prefill
+	rate := s.PrefillPerSecond * efficiencies[role].prefill
 	return time.Duration(float64(tokens) / rate * float64(time.Second))
 }
 
@@ -97,5 +97,5 @@
 
 // transferTime returns the duration of a KV transfer on the clock.
 func (s Speed) transferTime(bytes int64) time.Duration {
-	return s.scaled(time.Duration(float64(bytes) / s.KVBytesPerSec * float64(time.Second)))
+	return s.scaled(time.Duration(float64(bytes) / s.KVBytesPerSecond * float64(time.Second)))
 }
--- a/internal/standin/golden_test.go
+++ b/internal/standin/golden_test.go
@@ -104,7 +104,7 @@
 	require.NoError(t, err)
 	_, err = c.CacheEvents(t.Context(), 0)
 	require.NoError(t, err)
-	require.NoError(t, c.Order(t.Context(), upstream.Order{Kind: upstream.OrderFence, FencingToken: 8}))
+	require.NoError(t, c.Order(t.Context(), upstream.Order{Kind: upstream.OrderRaiseToken, FencingToken: 8}))
 	order := upstream.Order{ID: "order-1", Kind: upstream.OrderRole, Role: upstream.RoleMixed, FencingToken: 7}
 	require.ErrorIs(t, c.Order(t.Context(), order), upstream.ErrFenced)
 	order.FencingToken = 9
--- a/orders/next.go
+++ b/orders/next.go
@@ -123,7 +123,7 @@
 
 func raiseAction(in Input) Action {
 	id := fmt.Sprintf("fence-%s-%d", in.Engine.Name, in.Authority.FencingToken)
-	o := upstream.Order{ID: id, Kind: upstream.OrderFence, FencingToken: in.Authority.FencingToken}
+	o := upstream.Order{ID: id, Kind: upstream.OrderRaiseToken, FencingToken: in.Authority.FencingToken}
 	return Action{Kind: ActionRaiseToken, Order: o, Reason: "new leader"}
 }
 
--- a/orders/state_test.go
+++ b/orders/state_test.go
@@ -110,9 +110,9 @@
 	assert.False(t, f.apply(other), "a checkpoint changes nothing")
 }
 
-// situation returns the input of a leader with fencing token 5 for an engine that
+// leaderInput returns the input of a leader with fencing token 5 for an engine that
 // enforces fencing.
-func situation(c *Change, now time.Time) Input {
+func leaderInput(c *Change, now time.Time) Input {
 	return Input{
 		Now: now, EnforcesFencing: true, Drained: true,
 		Authority: lease.Authority{Scope: "a", FencingToken: 5},
@@ -129,7 +129,7 @@
 func TestTokenIsRaisedAgainAfterRestart(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	var sess Session
-	s := situation(nil, now)
+	s := leaderInput(nil, now)
 	require.Equal(t, ActionRaiseToken, Next(s, &sess).Kind)
 	sess.RaiseDone(nil, now, s.Limits.RetryDelay)
 	require.Equal(t, ActionRead, Next(s, &sess).Kind)
@@ -153,7 +153,7 @@
 	for _, enforces := range []bool{true, false} {
 		var sess Session
 		at := func(d time.Duration) Input {
-			s := situation(ch, start.Add(d))
+			s := leaderInput(ch, start.Add(d))
 			s.EnforcesFencing = enforces
 			return s
 		}
--- a/router/engine.go
+++ b/router/engine.go
@@ -21,8 +21,8 @@
 // modelOf uses the report's rates, or the configured ones where there is none,
 // corrected by the learned factors.
 func modelOf(cfg *Config, u *Upstream, l *liveState) engineModel {
-	m := engineModel{prefill: u.Report.PrefillPerSec, batch: u.Report.MaxBatch, chunk: cfg.ChunkTokens}
-	decode := u.Report.DecodePerSec
+	m := engineModel{prefill: u.Report.PrefillPerSecond, batch: u.Report.MaxBatch, chunk: cfg.ChunkTokens}
+	decode := u.Report.DecodePerSecond
 	if m.prefill <= 0 {
 		m.prefill = cfg.PrefillPerSecond
 	}
--- a/router/fleet_test.go
+++ b/router/fleet_test.go
@@ -78,7 +78,7 @@
 	e.reports = append(e.reports, upstream.LoadReport{
 		Role: e.role, InService: true, Running: len(e.running), Waiting: len(e.waiting), QueuedPrompt: queued,
 		KVUsedTokens: e.kvUsed, KVTotalTokens: e.kvTotal, MaxBatch: fakeBatch,
-		PrefillPerSec: e.prefill, DecodePerSec: fakeBatch / e.stepFull,
+		PrefillPerSecond: e.prefill, DecodePerSecond: fakeBatch / e.stepFull,
 	})
 	e.reportsAt = append(e.reportsAt, now)
 }
--- a/router/pick_test.go
+++ b/router/pick_test.go
@@ -19,7 +19,7 @@
 	u := Upstream{
 		Name: name, Kind: infra.KindEngine, Pool: "p", DataCentre: "dc", Models: []string{"m"},
 		Role: upstream.RoleMixed, ReportAt: testNow,
-		Report: upstream.LoadReport{InService: true, PrefillPerSec: 5000, DecodePerSec: 640, MaxBatch: 32, KVTotalTokens: 60000},
+		Report: upstream.LoadReport{InService: true, PrefillPerSecond: 5000, DecodePerSecond: 640, MaxBatch: 32, KVTotalTokens: 60000},
 	}
 	if change != nil {
 		change(&u)
@@ -115,11 +115,11 @@
 		return []Upstream{
 			engine("pre", func(u *Upstream) {
 				u.Role = upstream.RolePrefill
-				u.Report.PrefillPerSec, u.Report.DecodePerSec, u.Report.QueuedPrompt = 8000, 266, queued
+				u.Report.PrefillPerSecond, u.Report.DecodePerSecond, u.Report.QueuedPrompt = 8000, 266, queued
 			}),
 			engine("dec", func(u *Upstream) {
 				u.Role = upstream.RoleDecode
-				u.Report.PrefillPerSec, u.Report.DecodePerSec, u.Report.Running = 2000, 1066, 8
+				u.Report.PrefillPerSecond, u.Report.DecodePerSecond, u.Report.Running = 2000, 1066, 8
 			}),
 		}
 	}
--- a/router/tracker_test.go
+++ b/router/tracker_test.go
@@ -29,7 +29,7 @@
 
 func report(running, queued int, age time.Duration) upstream.LoadReport {
 	return upstream.LoadReport{InService: true, Role: upstream.RoleMixed, Running: running, QueuedPrompt: queued,
-		PrefillPerSec: 5000, DecodePerSec: 640, MaxBatch: 32, AgeMillis: age.Milliseconds()}
+		PrefillPerSecond: 5000, DecodePerSecond: 640, MaxBatch: 32, AgeMillis: age.Milliseconds()}
 }
 
 var testRequest = Request{Pool: "p", Model: "m", PromptTokens: 1000, OutputTokens: 50}
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -86,21 +86,21 @@
 type LoadReport struct {
 	// At is the engine's clock at the time of measurement, AgeMillis the age of the
 	// measurements when it responded.
-	At              time.Time `json:"at"`
-	AgeMillis       int64     `json:"age_ms"`
-	Role            Role      `json:"role"`
-	InService       bool      `json:"in_service"`
-	Running         int       `json:"running"`
-	Waiting         int       `json:"waiting"`
-	QueuedPrompt    int       `json:"queued_prompt_tokens"`
-	KVUsedTokens    int       `json:"kv_used_tokens"`
-	KVTotalTokens   int       `json:"kv_total_tokens"`
-	PrefillPerSec   float64   `json:"prefill_tokens_per_s"`
-	DecodePerSec    float64   `json:"decode_tokens_per_s"`
-	MaxBatch        int       `json:"max_batch"`
-	Models          []string  `json:"models"`
-	FencingToken    uint64    `json:"fencing_number"`
-	OrdersCompleted uint64    `json:"orders_completed"`
+	At               time.Time `json:"at"`
+	AgeMillis        int64     `json:"age_ms"`
+	Role             Role      `json:"role"`
+	InService        bool      `json:"in_service"`
+	Running          int       `json:"running"`
+	Waiting          int       `json:"waiting"`
+	QueuedPrompt     int       `json:"queued_prompt_tokens"`
+	KVUsedTokens     int       `json:"kv_used_tokens"`
+	KVTotalTokens    int       `json:"kv_total_tokens"`
+	PrefillPerSecond float64   `json:"prefill_tokens_per_s"`
+	DecodePerSecond  float64   `json:"decode_tokens_per_s"`
+	MaxBatch         int       `json:"max_batch"`
+	Models           []string  `json:"models"`
+	FencingToken     uint64    `json:"fencing_number"`
+	OrdersCompleted  uint64    `json:"orders_completed"`
 }
 
 // CacheEvent reports that an engine has stored or evicted a prefix block.
@@ -119,8 +119,8 @@
 	OrderRole    OrderKind = "role"
 	OrderModel   OrderKind = "model"
 	OrderAdapter OrderKind = "adapter"
-	// OrderFence only raises the fencing token.
-	OrderFence OrderKind = "fence"
+	// OrderRaiseToken only raises the fencing token.
+	OrderRaiseToken OrderKind = "fence"
 )
 
 // Order is a command to an engine.
