--- a/enginemodel/model.go
+++ b/enginemodel/model.go
@@ -108,7 +108,7 @@
 		prefill: prefill, decode: decode,
 		handoff: handoffOf(m.handoff), interval: linearOf(m.interval),
 		millisPerToken: streams.millisPerToken(), eventsPerToken: streams.eventsPerToken(), typicalPrefill: m.meanTypical(),
-		longTokens: streams.Answers.longTokens(), longMillis: streams.Answers.meanTimeLeft(),
+		longTokens: streams.Responses.longTokens(), longMillis: streams.Responses.meanTimeLeft(),
 		known: map[upstream.Role]bool{
 			upstream.RolePrefill: m.prefill[upstream.RolePrefill].count() > 0,
 			upstream.RoleDecode:  m.prefill[upstream.RoleDecode].count() > 0,
--- a/enginemodel/observations.go
+++ b/enginemodel/observations.go
@@ -10,13 +10,14 @@
 // exchange them so that each knows the observations of all: a process that has just started
 // would otherwise begin with guesses, and admit requests that miss their objectives.
 type Observations struct {
-	Prefill, Decode    Stats
-	Takeover, Interval Stats
+	Prefill, Decode Stats
+	Handoff         Stats `msgpack:"Takeover" json:"Takeover"`
+	Interval        Stats
 	// Generated is the total duration of complete streams in milliseconds, Events their
 	// number of events, Expected the number of tokens expected of them.
 	Generated, Events, Expected float64
-	// Answers are the statistics of the long responses requested.
-	Answers ResponseStats
+	// Responses are the statistics of the long responses requested.
+	Responses ResponseStats `msgpack:"Answers" json:"Answers"`
 	// Typical is the smoothed prefill time in milliseconds; 0 without observations.
 	Typical float64
 }
@@ -25,8 +26,8 @@
 func (m *Model) LocalObservations() Observations {
 	return Observations{
 		Prefill: m.prefill[upstream.RolePrefill].local.clone(), Decode: m.prefill[upstream.RoleDecode].local.clone(),
-		Takeover: m.handoff.local.clone(), Interval: m.interval.local.clone(),
-		Generated: m.streamMillis, Events: m.streamEvents, Expected: m.streamTokens, Answers: m.responses, Typical: m.typical,
+		Handoff: m.handoff.local.clone(), Interval: m.interval.local.clone(),
+		Generated: m.streamMillis, Events: m.streamEvents, Expected: m.streamTokens, Responses: m.responses, Typical: m.typical,
 	}
 }
 
@@ -38,7 +39,7 @@
 func (m *Model) Merge(from string, o Observations) {
 	m.prefill[upstream.RolePrefill].merge(from, o.Prefill)
 	m.prefill[upstream.RoleDecode].merge(from, o.Decode)
-	m.handoff.merge(from, o.Takeover)
+	m.handoff.merge(from, o.Handoff)
 	m.interval.merge(from, o.Interval)
 	if o.Typical > 0 {
 		m.others[from] = o
@@ -48,12 +49,12 @@
 
 // allStreams sums up the stream observations of all processes.
 func (m *Model) allStreams() Observations {
-	all := Observations{Generated: m.streamMillis, Events: m.streamEvents, Expected: m.streamTokens, Answers: m.responses}
+	all := Observations{Generated: m.streamMillis, Events: m.streamEvents, Expected: m.streamTokens, Responses: m.responses}
 	for _, o := range m.others {
 		all.Generated += o.Generated
 		all.Events += o.Events
 		all.Expected += o.Expected
-		all.Answers = all.Answers.plus(o.Answers)
+		all.Responses = all.Responses.plus(o.Responses)
 	}
 	return all
 }
@@ -96,14 +97,14 @@
 func (m *Model) AllObservations() (o Observations, ok bool) {
 	o = Observations{
 		Prefill: m.prefill[upstream.RolePrefill].sum(), Decode: m.prefill[upstream.RoleDecode].sum(),
-		Takeover: m.handoff.sum(), Interval: m.interval.sum(),
+		Handoff: m.handoff.sum(), Interval: m.interval.sum(),
 		Typical: m.meanTypical(),
 	}
 	streams := m.allStreams()
 	o.Expected = streamMemory
 	o.Generated, o.Events = streams.millisPerToken()*o.Expected, streams.eventsPerToken()*o.Expected
-	if n := streams.Answers.Count; n > 0 {
-		o.Answers = streams.Answers.times(min(n, responseMemory) / n)
+	if n := streams.Responses.Count; n > 0 {
+		o.Responses = streams.Responses.times(min(n, responseMemory) / n)
 	}
 	return o, o.Prefill.Count+o.Decode.Count > 0
 }
