--- a/internal/ctl/daemons.go
+++ b/internal/ctl/daemons.go
@@ -97,12 +97,12 @@
 	if err := s.printServers(responder.Upstreams); err != nil {
 		return err
 	}
-	return s.printBudgets(responder.Budgets)
+	return s.printRetryBudgets(responder.RetryBudgets)
 }
 
 func daemonState(d *daemonstatus.Daemon) string {
 	switch {
-	case d.Stopping:
+	case d.ShuttingDown:
 		return "stopping"
 	case d.Ready:
 		return "ready"
@@ -155,7 +155,7 @@
 	return t.flush()
 }
 
-func (s *session) printBudgets(budgets []daemonstatus.Budget) error {
+func (s *session) printRetryBudgets(budgets []daemonstatus.RetryBudget) error {
 	fmt.Fprintln(s.Stdout)
 	t := s.table("POOL", "REQUESTS", "REPEATS", "ALLOWED")
 	for _, b := range budgets {
--- a/internal/ctl/daemons_test.go
+++ b/internal/ctl/daemons_test.go
@@ -24,7 +24,7 @@
 		{ID: "e1", Pool: "llm", Address: "10.0.0.1:80", DataCentre: "a", Role: "prefill", Usable: true, Running: 3, Slots: 12},
 		{ID: "s1", Pool: "slips", Address: "10.0.0.2:80", DataCentre: "b", Draining: true, Slots: 6},
 	},
-	Budgets: []daemonstatus.Budget{{Pool: "llm", Requests: 900, Retries: 4, Allowed: 185.4}},
+	RetryBudgets: []daemonstatus.RetryBudget{{Pool: "llm", Requests: 900, Retries: 4, Allowed: 185.4}},
 }
 
 func statusServer(t *testing.T, d daemonstatus.Daemon) string {
--- a/internal/ctl/summary.go
+++ b/internal/ctl/summary.go
@@ -19,7 +19,7 @@
 	causeAdmittedLate    lateCause = "late: let in as late, nothing could be in time"
 	causeEarlierAttempts lateCause = "late: waited or was tried elsewhere first"
 	causeSlowPrefill     lateCause = "late: the prompt took longer than expected"
-	causeSlowTakeover    lateCause = "late: the engine that took it over was slow to begin"
+	causeSlowHandoff     lateCause = "late: the engine that took it over was slow to begin"
 	causeLongGap         lateCause = "late: a pause between events was too long"
 )
 
@@ -135,6 +135,6 @@
 	case last.PrefillTime > last.Expected+longPrefillFraction*e.Objective:
 		return causeSlowPrefill
 	default:
-		return causeSlowTakeover
+		return causeSlowHandoff
 	}
 }
--- a/internal/ctl/summary_test.go
+++ b/internal/ctl/summary_test.go
@@ -28,7 +28,7 @@
 	out, _, code := runCommand(t, log, "summary")
 	require.Equal(t, ExitOK, code)
 	for _, c := range []lateCause{
-		causeNone, causeLongGap, causeAdmittedLate, causeSlowPrefill, causeSlowTakeover, causeEarlierAttempts,
+		causeNone, causeLongGap, causeAdmittedLate, causeSlowPrefill, causeSlowHandoff, causeEarlierAttempts,
 		"refused or failed: no place", "refused again: no place",
 	} {
 		require.Contains(t, out, "0.125  "+string(c))
--- a/internal/daemonstatus/status.go
+++ b/internal/daemonstatus/status.go
@@ -8,11 +8,11 @@
 
 // Daemon is the status of a daemon and its view of its surroundings.
 type Daemon struct {
-	Instance   string `json:"instance"`
-	DataCentre string `json:"data_centre"`
-	Callers    string `json:"callers"`
-	Ready      bool   `json:"ready"`
-	Stopping   bool   `json:"stopping"`
+	Instance     string `json:"instance"`
+	DataCentre   string `json:"data_centre"`
+	Callers      string `json:"callers"`
+	Ready        bool   `json:"ready"`
+	ShuttingDown bool   `json:"stopping"`
 	// Requests is the number of requests in progress.
 	Requests      int64  `json:"requests"`
 	ConfigVersion uint64 `json:"config_version"`
@@ -20,11 +20,11 @@
 	StoreEra uint64 `json:"store_era"`
 	// UpstreamsAgeMS is the time since the list of upstreams was last read, by this daemon or by
 	// a peer with the same list.
-	UpstreamsAgeMS float64    `json:"upstreams_age_ms"`
-	Lease          Lease      `json:"lease"`
-	Peers          []Peer     `json:"peers"`
-	Upstreams      []Upstream `json:"upstreams"`
-	Budgets        []Budget   `json:"budgets"`
+	UpstreamsAgeMS float64       `json:"upstreams_age_ms"`
+	Lease          Lease         `json:"lease"`
+	Peers          []Peer        `json:"peers"`
+	Upstreams      []Upstream    `json:"upstreams"`
+	RetryBudgets   []RetryBudget `json:"budgets"`
 }
 
 // Lease is the daemon's part in the lease whose holder orders role changes.
@@ -65,8 +65,8 @@
 	Slots   int `json:"slots"`
 }
 
-// Budget is a pool's use of its retry budget in the current window.
-type Budget struct {
+// RetryBudget is a pool's use of its retry budget in the current window.
+type RetryBudget struct {
 	Pool     string  `json:"pool"`
 	Requests float64 `json:"requests"`
 	Retries  float64 `json:"repeats"`
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -131,7 +131,7 @@
 func TestProtectedCallIsResentUnderItsKey(t *testing.T) {
 	echo := func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
-		_ = json.NewEncoder(w).Encode(serviceAnswer{Service: "s", Run: 1, Echo: oracle.RequestDigest(r.Method, r.URL.Path, body)})
+		_ = json.NewEncoder(w).Encode(serviceResponse{Service: "s", Run: 1, Echo: oracle.RequestDigest(r.Method, r.URL.Path, body)})
 	}
 	notRun := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(headerOutcome, outcomeNotRun)
--- a/internal/load/protected.go
+++ b/internal/load/protected.go
@@ -14,18 +14,18 @@
 
 // serviceCall is one call to a plain service in progress.
 type serviceCall struct {
-	caller      *caller
-	class       Class
-	method      string
-	path        string
-	body        []byte
-	headers     http.Header
-	result      Result
-	firstAnswer *serviceAnswer
+	caller        *caller
+	class         Class
+	method        string
+	path          string
+	body          []byte
+	headers       http.Header
+	result        Result
+	firstResponse *serviceResponse
 }
 
-// serviceAnswer is a stand-in service's answer.
-type serviceAnswer struct {
+// serviceResponse is a stand-in service's response.
+type serviceResponse struct {
 	Service string `json:"service"`
 	Echo    string `json:"echo"`
 	Run     int    `json:"run"`
@@ -123,21 +123,21 @@
 		return true
 	}
 	s.result.Status = resp.StatusCode
-	s.checkAnswer(body)
+	s.checkResponse(body)
 	return true
 }
 
-func (s *serviceCall) checkAnswer(body []byte) {
-	var got serviceAnswer
+func (s *serviceCall) checkResponse(body []byte) {
+	var got serviceResponse
 	want := oracle.RequestDigest(s.method, s.path, s.body)
 	switch {
 	case json.Unmarshal(body, &got) != nil || got.Echo != want:
 		s.result.Outcome, s.result.Detail = Wrong, fmt.Sprintf("answer %.80q, want echo %s", body, want)
-	case s.firstAnswer != nil && got != *s.firstAnswer:
+	case s.firstResponse != nil && got != *s.firstResponse:
 		s.result.Outcome, s.result.Detail = Wrong, "a resend got another answer"
 	default:
 		s.result.Outcome = Complete
-		s.firstAnswer = &got
+		s.firstResponse = &got
 	}
 }
 
--- a/internal/load/summary.go
+++ b/internal/load/summary.go
@@ -19,8 +19,8 @@
 	Complete int `json:"complete"`
 	NotRun   int `json:"not_run"`
 	Unknown  int `json:"unknown"`
-	// WrongAnswer counts responses with the outcome Wrong.
-	WrongAnswer int `json:"wrong_answer"`
+	// WrongResponse counts responses with the outcome Wrong.
+	WrongResponse int `json:"wrong_answer"`
 	// InterruptedByPlannedStop counts connections that broke in flight at instances that were not
 	// killed.
 	InterruptedByPlannedStop int `json:"cut_by_planned_stop"`
@@ -162,7 +162,7 @@
 	case Unknown:
 		s.Unknown++
 	case Wrong:
-		s.WrongAnswer++
+		s.WrongResponse++
 	}
 	if res.Late && res.Outcome == Complete {
 		s.Late++
--- a/internal/load/table.go
+++ b/internal/load/table.go
@@ -156,7 +156,7 @@
 		of(func(s Summary) float64 { return float64(s.NotRun) }),
 		of(func(s Summary) float64 { return float64(s.Late) }),
 		of(func(s Summary) float64 { return float64(s.Unknown) }),
-		of(func(s Summary) float64 { return float64(s.WrongAnswer) }),
+		of(func(s Summary) float64 { return float64(s.WrongResponse) }),
 		of(func(s Summary) float64 { return s.FirstTokenP50 }),
 		of(func(s Summary) float64 { return s.FirstTokenP95 }),
 		of(func(s Summary) float64 { return s.TokenGapP50 }),
--- a/internal/member/catchup.go
+++ b/internal/member/catchup.go
@@ -21,11 +21,11 @@
 	// catchUpInterval is how often a daemon that has just started asks its peers for the cache
 	// state of engines.
 	catchUpInterval = 100 * time.Millisecond
-	// queryOwnShareAfter is how long after its start it queries its share of the engines
+	// queryLocalShareAfter is how long after its start it queries its share of the engines
 	// directly: peers, if any, report within a heartbeat or two. queryAllAfter is when it
 	// queries all engines that are still unknown.
-	queryOwnShareAfter = 400 * time.Millisecond
-	queryAllAfter      = 1500 * time.Millisecond
+	queryLocalShareAfter = 400 * time.Millisecond
+	queryAllAfter        = 1500 * time.Millisecond
 	// giveUpAfter is when the caches of engines that can't be queried are taken to be empty.
 	giveUpAfter = 5 * time.Second
 	// finalQueryDelay is how long after that a peer is queried once more.
@@ -57,7 +57,7 @@
 		}
 		c.fromPeers(ctx)
 		elapsed := time.Since(start)
-		if elapsed > queryOwnShareAfter {
+		if elapsed > queryLocalShareAfter {
 			c.fromEngines(ctx, elapsed > queryAllAfter)
 		}
 		if len(c.member.tracker.UnknownCaches()) == 0 || elapsed > giveUpAfter {
@@ -129,15 +129,15 @@
 func (c *catchUp) fromEngines(ctx context.Context, all bool) {
 	missing := c.member.tracker.UnknownCaches()
 	for _, u := range c.engines() {
-		if ctx.Err() == nil && slices.Contains(missing, placement.KeyOf(u.ID, u.Started)) && (all || c.isOwnShare(u)) {
+		if ctx.Err() == nil && slices.Contains(missing, placement.KeyOf(u.ID, u.Started)) && (all || c.isLocalShare(u)) {
 			c.queryEngine(ctx, u)
 		}
 	}
 }
 
-// isOwnShare reports whether this daemon is the one to query an engine, by rendezvous hashing
+// isLocalShare reports whether this daemon is the one to query an engine, by rendezvous hashing
 // among the serving daemons.
-func (c *catchUp) isOwnShare(u *fleet.Upstream) bool {
+func (c *catchUp) isLocalShare(u *fleet.Upstream) bool {
 	score := func(daemon string) uint64 { return xxhash.Sum64String(daemon + " " + u.ID) }
 	localScore := score(c.member.self.Peers)
 	return !slices.ContainsFunc(c.member.peers.Serving(), func(a wire.MemberAddress) bool { return score(a.Peers) > localScore })
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -71,9 +71,9 @@
 	peers                   *Peers
 	upstreams               *upstreamFeed
 	readers                 []*topicReader
-	budget                  *relay.RetryBudget
+	retryBudget             *relay.RetryBudget
 	self                    wire.MemberAddress
-	draining                atomic.Bool
+	shuttingDown            atomic.Bool
 	// settings are the current ones, lease is this daemon's lease status.
 	settings atomic.Pointer[Settings]
 	lease    atomic.Pointer[daemonstatus.Lease]
@@ -88,13 +88,13 @@
 	m.self = wire.MemberAddress{Instance: s.Instance, DataCentre: s.DataCentre, Callers: s.Callers, Peers: s.PeerAddress, Capacity: s.Capacity}
 	cfg.Store.Eras().SetLogger(m.log)
 	m.settings.Store(&s)
-	m.budget = relay.NewRetryBudget(s.RetryRatio, m.retrySlack, s.RetryWindow, nil)
+	m.retryBudget = relay.NewRetryBudget(s.RetryRatio, m.retrySlack, s.RetryWindow, nil)
 	m.relay = relay.New(relay.Config{
 		DataCentre:    s.DataCentre,
 		Dialect:       cfg.Dialect,
 		State:         m.state,
 		Tracker:       m.tracker,
-		RetryBudget:   m.budget,
+		RetryBudget:   m.retryBudget,
 		Logger:        m.log,
 		Metrics:       cfg.Metrics.Scope,
 		Refresh:       func(ctx context.Context) { m.peers.Refresh(ctx) },
@@ -174,7 +174,7 @@
 
 // Ready reports whether the daemon accepts callers.
 func (m *Member) Ready() bool {
-	return !m.draining.Load() && m.state.Snapshot().Config != nil
+	return !m.shuttingDown.Load() && m.state.Snapshot().Config != nil
 }
 
 func (m *Member) summary() Summary {
@@ -308,7 +308,7 @@
 
 // drain stops accepting callers and returns once the process may exit.
 func (m *Member) drain() {
-	m.draining.Store(true)
+	m.shuttingDown.Store(true)
 	stop := shutdown.State{
 		DiscoveryTTL: directoryTTLFactor * directoryTTL, Grace: m.settings.Load().Grace - directoryTTLFactor*directoryTTL - stopMargin,
 		CloseIdle: m.callerConns.CloseIdle,
--- a/internal/member/reload.go
+++ b/internal/member/reload.go
@@ -60,7 +60,7 @@
 
 // applySettings passes the current settings to the components that keep a copy.
 func (m *Member) applySettings(s *Settings) {
-	m.budget.SetRatio(s.RetryRatio)
+	m.retryBudget.SetRatio(s.RetryRatio)
 	limitMemory(s.MemoryBytes)
 	for _, seed := range s.Seeds {
 		m.peers.Add(wire.MemberAddress{Peers: seed})
--- a/internal/member/status.go
+++ b/internal/member/status.go
@@ -17,15 +17,15 @@
 	summary := m.summary()
 	d := daemonstatus.Daemon{
 		Instance: m.self.Instance, DataCentre: m.self.DataCentre, Callers: m.self.Callers,
-		Ready: summary.Serving, Stopping: m.draining.Load(), Requests: m.relay.Active(),
+		Ready: summary.Serving, ShuttingDown: m.shuttingDown.Load(), Requests: m.relay.Active(),
 		ConfigVersion: summary.Config, StoreEra: m.cfg.Store.Eras().Current(), UpstreamsAgeMS: telemetry.Millis(summary.ListAge),
-		Peers: m.peers.peerStatuses(time.Now()), Upstreams: m.upstreamStatuses(m.state.Snapshot()), Budgets: []daemonstatus.Budget{},
+		Peers: m.peers.peerStatuses(time.Now()), Upstreams: m.upstreamStatuses(m.state.Snapshot()), RetryBudgets: []daemonstatus.RetryBudget{},
 	}
 	if l := m.lease.Load(); l != nil {
 		d.Lease = *l
 	}
-	for _, b := range m.budget.State() {
-		d.Budgets = append(d.Budgets, daemonstatus.Budget{Pool: b.Pool, Requests: b.Requests, Retries: b.Retries, Allowed: b.Allowed})
+	for _, b := range m.retryBudget.State() {
+		d.RetryBudgets = append(d.RetryBudgets, daemonstatus.RetryBudget{Pool: b.Pool, Requests: b.Requests, Retries: b.Retries, Allowed: b.Allowed})
 	}
 	return d
 }
--- a/internal/wire/member.go
+++ b/internal/wire/member.go
@@ -123,7 +123,7 @@
 // Kind implements Message.
 func (ViewReply) Kind() Kind { return KindViewReply }
 
-// LoadReport reports to a collector what the sender, and the daemons that report to
+// LoadReport reports to an aggregator what the sender, and the daemons that report to
 // it, have in flight.
 type LoadReport struct {
 	//lint:ignore U1000 msgpack reads it: the fields are encoded without their names.
@@ -156,7 +156,7 @@
 func (LoadReport) Kind() Kind { return KindLoadReport }
 
 // LoadTotals is what all daemons except the receiver have in flight, as known to the
-// collector.
+// aggregator.
 type LoadTotals struct {
 	//lint:ignore U1000 msgpack reads it: the fields are encoded without their names.
 	_msgpack struct{} `msgpack:",as_array"`
@@ -169,7 +169,7 @@
 	// prefills.
 	Unavailable []UnavailableEngine
 	Prefills    PrefillEvents
-	// ConfigVersion, ListPosition, ListDigest, ListSize and ListAge describe the collector's
+	// ConfigVersion, ListPosition, ListDigest, ListSize and ListAge describe the aggregator's
 	// state, as in MemberState: it reads the store for all.
 	ConfigVersion uint64
 	ListPosition  uint64
