--- a/internal/controller/loader.go
+++ b/internal/controller/loader.go
@@ -36,7 +36,7 @@
 	view        *orders.View
 	instances   *Presence
 	weights     infra.WeightStore
-	// bytesPerSec is the weight store's transfer rate; maxReportAge is the age up to which
+	// bytesPerSecond is the weight store's transfer rate; maxReportAge is the age up to which
 	// an engine's load report is used.
 	bytesPerSecond float64
 	maxReportAge   time.Duration
--- a/internal/standin/engine_speed.go
+++ b/internal/standin/engine_speed.go
@@ -7,10 +7,10 @@
 )
 
 // Speed sets how fast an engine works. Scale multiplies every speed: with a scale of 10, a
-// load profile of 20 minutes runs in 2.
+// mix of 20 minutes runs in 2.
 type Speed struct {
 	Scale float64
-	// PrefillPerSec is the number of prompt tokens per second at full efficiency.
+	// PrefillPerSecond is the number of prompt tokens per second at full efficiency.
 	PrefillPerSecond float64
 	// MinStepTime and MaxStepTime are the durations of a decode step at batch size 1 and at
 	// MaxBatch; between them the duration grows linearly.
@@ -21,10 +21,10 @@
 	ChunkTokens, PrefillOnlyTokens int
 	// KVTokens is the size of the KV memory in tokens.
 	KVTokens int
-	// KVBytesPerToken and KVBytesPerSec determine the duration of a KV transfer.
+	// KVBytesPerToken and KVBytesPerSecond determine the duration of a KV transfer.
 	KVBytesPerToken  int64
 	KVBytesPerSecond float64
-	// ChangeDuration is how long a role change takes the engine out of service.
+	// ChangeDuration is how long the engine is out of service during a role change.
 	ChangeDuration time.Duration
 	// LoadLag is the age of a load report, EventLag the delay of a cache event.
 	LoadLag, EventLag time.Duration
--- a/internal/wire/member.go
+++ b/internal/wire/member.go
@@ -55,7 +55,8 @@
 	Observations map[string]enginemodel.Observations
 	// Demands is the demand of the daemon's callers, by pool.
 	Demands map[string]MemberDemand
-	// Unavailable are engines that have been ordered to change their role.
+	// Unavailable are the engines that this daemon has reported as accepting no work, for
+	// example because it ordered them to change their role.
 	Unavailable []UnavailableEngine
 	// KnownPeers are the daemons from which this one receives states.
 	KnownPeers []MemberAddress
@@ -100,7 +101,8 @@
 func (MemberState) Kind() Kind { return KindMemberState }
 
 // ViewRequest asks a peer for its copy of the store's content. It is sent by a daemon
-// that can't reach the store itself.
+// whose own copy is older, so that few daemons read the store and one that can't reach it
+// gets new data.
 type ViewRequest struct {
 	// ConfigOnly asks for the configuration without the list of upstreams.
 	ConfigOnly bool `msgpack:"c,omitempty"`
@@ -137,8 +139,8 @@
 	// tree in which they report to each other.
 	Daemons int
 	Depth   int
-	// Unavailable holds changes to the engines that accept no work, Prefills recent
-	// prefills.
+	// Unavailable holds the engines that have newly been reported as accepting no work,
+	// Prefills recent prefills.
 	Unavailable []UnavailableEngine
 	Prefills    PrefillEvents
 	// NoReply means that the sender doesn't need the totals now.
@@ -165,12 +167,12 @@
 	Loads UpstreamLoads
 	// Daemons is the number of daemons that the totals cover.
 	Daemons int
-	// Unavailable holds changes to the engines that accept no work, Prefills recent
-	// prefills.
+	// Unavailable holds the engines that have newly been reported as accepting no work,
+	// Prefills recent prefills.
 	Unavailable []UnavailableEngine
 	Prefills    PrefillEvents
-	// ConfigVersion, ListPosition, ListDigest, ListSize and ListAge describe the aggregator's
-	// state, as in MemberState: it reads the store for all.
+	// ConfigVersion, ListPosition, ListDigest, ListSize and ListAge describe the
+	// aggregator's state, as in MemberState: it reads the store for all.
 	ConfigVersion uint64
 	ListPosition  uint64
 	ListDigest    uint64
