--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -75,7 +75,7 @@
 		{"deadline shorter than the response", nil, func(r *Request) { r.Deadline = testStart.Add(100 * time.Millisecond) }, ReasonDeadline},
 		{"no engine", func(c *Controller) { c.SetCapacity("p", "m", Capacity{}) }, nil, ReasonNoCapacity},
 		{"queue full", func(c *Controller) { c.cfg.MaxQueued = 0 }, nil, ReasonQueueFull},
-		{"stopping", func(c *Controller) { c.Stop() }, nil, ReasonStopping},
+		{"stopping", func(c *Controller) { c.Stop() }, nil, ReasonShuttingDown},
 		{"rate", func(c *Controller) {
 			r := shortRequest("o", time.Minute, testStart)
 			r.Limits = []Limit{{Rule: "slow", RequestsPerSecond: 1}}
--- a/admission/controller.go
+++ b/admission/controller.go
@@ -14,13 +14,13 @@
 	cfg Config
 	now func() time.Time
 
-	mu       sync.Mutex
-	pools    map[poolKey]*pool
-	limits   *limits
-	budget   budget
-	waiting  int
-	stopping bool
-	counts   Counts
+	mu           sync.Mutex
+	pools        map[poolKey]*pool
+	limits       *limits
+	budget       budget
+	waiting      int
+	shuttingDown bool
+	counts       Counts
 }
 
 // Counts are totals since the start, and the current number of waiting requests.
@@ -153,8 +153,8 @@
 
 // checkCapacity refuses a request that can't meet its deadline or finds no room.
 func (c *Controller) checkCapacity(p *pool, w *waiter, now time.Time) *Refusal {
-	if c.stopping {
-		return &Refusal{Reason: ReasonStopping, RetryAfter: time.Second}
+	if c.shuttingDown {
+		return &Refusal{Reason: ReasonShuttingDown, RetryAfter: time.Second}
 	}
 	if p.capacityKnown && p.capacity.Engines == 0 {
 		return &Refusal{Reason: ReasonNoCapacity, RetryAfter: 2 * time.Second}
@@ -287,11 +287,11 @@
 func (c *Controller) Stop() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.stopping = true
+	c.shuttingDown = true
 	for _, p := range c.pools {
 		for i := range p.classes {
 			for it := p.classes[i].queue.peek(); it != nil; it = p.classes[i].queue.peek() {
-				ref := &Refusal{Reason: ReasonStopping, RetryAfter: time.Second}
+				ref := &Refusal{Reason: ReasonShuttingDown, RetryAfter: time.Second}
 				c.refuseWaiting(p, it.waiter, ref)
 				it.waiter.decision <- ref
 			}
--- a/admission/refusal.go
+++ b/admission/refusal.go
@@ -21,8 +21,8 @@
 	ReasonNoCapacity Reason = "no upstream in service"
 	// ReasonCancelled is a request whose caller cancelled while it waited.
 	ReasonCancelled Reason = "cancelled while waiting"
-	// ReasonStopping is a request that was waiting or arrived as the process stopped.
-	ReasonStopping Reason = "instance is stopping"
+	// ReasonShuttingDown is a request that was waiting or arrived as the process stopped.
+	ReasonShuttingDown Reason = "instance is stopping"
 )
 
 // Refusal is the error of a request that was not run and won't be: nothing was sent
--- a/claim/guard.go
+++ b/claim/guard.go
@@ -54,10 +54,10 @@
 	waiters map[CallID]chan struct{}
 	// active counts the calls, dispatches and background appends in progress,
 	// sending those appends alone, dropped the messages that were given up.
-	active   int
-	sending  int
-	dropped  int
-	stopping bool
+	active       int
+	sending      int
+	dropped      int
+	shuttingDown bool
 }
 
 var (
@@ -100,7 +100,7 @@
 // returns at once, while an active dispatch goes on and its outcome is recorded.
 func (g *Guard) Do(ctx context.Context, key string, digest uint64, dispatch Dispatch) Result {
 	if !g.begin() {
-		return NotRun{Reason: ReasonStopping, RetryAfter: g.cfg.RetryAfter}
+		return NotRun{Reason: ReasonShuttingDown, RetryAfter: g.cfg.RetryAfter}
 	}
 	defer g.end()
 	var id CallID
@@ -240,7 +240,7 @@
 func (g *Guard) begin() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.stopping {
+	if g.shuttingDown {
 		return false
 	}
 	g.active++
--- a/claim/guard_test.go
+++ b/claim/guard_test.go
@@ -226,7 +226,7 @@
 		require.Equal(t, claim.KeyTooOld{}, b.do(old.String(), s.book))
 		require.EqualValues(t, 2, s.runs.Load())
 		a.stop()
-		require.Equal(t, claim.ReasonStopping, a.do("other", s.book).(claim.NotRun).Reason)
+		require.Equal(t, claim.ReasonShuttingDown, a.do("other", s.book).(claim.NotRun).Reason)
 	})
 }
 
--- a/claim/result.go
+++ b/claim/result.go
@@ -86,7 +86,7 @@
 	ReasonCallerGone     NotRunReason = "caller_gone"      // the caller's deadline passed before the dispatch
 	ReasonUpstream       NotRunReason = "upstream_refused" // not sent, or refused by the upstream
 	ReasonKeyFromFuture  NotRunReason = "key_from_future"  // a timed key whose creator's clock is ahead
-	ReasonStopping       NotRunReason = "stopping"         // this process is shutting down
+	ReasonShuttingDown   NotRunReason = "stopping"         // this process is shutting down
 )
 
 // MayHaveRun says that the call may have run, but its outcome is not known.
--- a/claim/serve.go
+++ b/claim/serve.go
@@ -68,7 +68,7 @@
 // drain waits for calls and appends to end, for DrainTimeout at most.
 func (g *Guard) drain() {
 	g.mu.Lock()
-	g.stopping = true
+	g.shuttingDown = true
 	g.mu.Unlock()
 	timeout := time.NewTimer(g.cfg.DrainTimeout)
 	defer timeout.Stop()
--- a/internal/entry/answer/fail.go
+++ b/internal/entry/answer/fail.go
@@ -17,8 +17,8 @@
 	statusQuarantined    = http.StatusUnprocessableEntity
 	statusNoUpstream     = http.StatusServiceUnavailable
 	retryAfterNoUpstream = time.Second
-	// retryAfterStopping is short because other instances serve the retry.
-	retryAfterStopping = 100 * time.Millisecond
+	// retryAfterShutdown is short because other instances serve the retry.
+	retryAfterShutdown = 100 * time.Millisecond
 	// cancelTimeout bounds a cancellation that runs in the background.
 	cancelTimeout = time.Second
 )
@@ -48,9 +48,9 @@
 	if errors.Is(cause, callerwatch.ErrGone) {
 		return a.fail(outcome.StatusCallerGone, outcome.CodeCallerGone, cause, "the caller closed its connection")
 	}
-	if errors.Is(cause, outcome.ErrStopping) {
-		return a.fail(http.StatusServiceUnavailable, outcome.CodeStopping, cause,
-			"the instance is stopping; take the stream up again at another").WithRetryAfter(retryAfterStopping)
+	if errors.Is(cause, outcome.ErrShuttingDown) {
+		return a.fail(http.StatusServiceUnavailable, outcome.CodeShuttingDown, cause,
+			"the instance is stopping; take the stream up again at another").WithRetryAfter(retryAfterShutdown)
 	}
 	return a.fail(http.StatusGatewayTimeout, outcome.CodeDeadline, cause, "the deadline has passed")
 }
@@ -71,7 +71,7 @@
 // off. It returns the final failure, or nil if another engine may continue.
 func (a *Answer) handleStreamFailure(ctx context.Context, err error) *outcome.Failure {
 	a.excluded = append(a.excluded, a.attempt.engine)
-	if errors.Is(context.Cause(ctx), outcome.ErrStopping) {
+	if errors.Is(context.Cause(ctx), outcome.ErrShuttingDown) {
 		// The stream isn't closed, as that would cancel it at the engine. The engine
 		// sees the connection end with the process and keeps the stream, so that
 		// the caller can resume it at another instance.
--- a/internal/entry/forward/forward.go
+++ b/internal/entry/forward/forward.go
@@ -144,8 +144,8 @@
 	if errors.Is(cause, callerwatch.ErrGone) {
 		return c.fail(outcome.StatusCallerGone, outcome.CodeCallerGone, cause, "the caller closed its connection")
 	}
-	if errors.Is(cause, outcome.ErrStopping) {
-		return c.fail(http.StatusServiceUnavailable, outcome.CodeStopping, cause, "the instance is stopping")
+	if errors.Is(cause, outcome.ErrShuttingDown) {
+		return c.fail(http.StatusServiceUnavailable, outcome.CodeShuttingDown, cause, "the instance is stopping")
 	}
 	return c.fail(http.StatusGatewayTimeout, outcome.CodeDeadline, cause, "the deadline has passed")
 }
--- a/internal/entry/gateway/gateway.go
+++ b/internal/entry/gateway/gateway.go
@@ -184,7 +184,7 @@
 // Abort ends the requests still in progress when the grace period of a shutdown is
 // over. Their callers get an error, and engines keep the streams for a while, so that
 // callers can resume them at another instance.
-func (g *Gateway) Abort() { g.cancelAll(outcome.ErrStopping) }
+func (g *Gateway) Abort() { g.cancelAll(outcome.ErrShuttingDown) }
 
 // App returns the HTTP application.
 func (g *Gateway) App() *fiber.App { return g.app }
--- a/internal/entry/gateway/stream_test.go
+++ b/internal/entry/gateway/stream_test.go
@@ -128,7 +128,7 @@
 	r.gateway.Abort()
 	_, _, last := s.tokens(t, -1)
 	require.Equal(t, "error", last.name)
-	require.Contains(t, last.data, outcome.CodeStopping)
+	require.Contains(t, last.data, outcome.CodeShuttingDown)
 	r.gateway.Wait()
 	require.Empty(t, engine.cancelled)
 }
--- a/internal/entry/outcome/outcome.go
+++ b/internal/entry/outcome/outcome.go
@@ -44,9 +44,9 @@
 	KeyOutcomeUnknown = "unknown"
 )
 
-// ErrStopping is the cause of a context that ended because the instance is
+// ErrShuttingDown is the cause of a context that ended because the instance is
 // stopping and its grace period is over.
-var ErrStopping = errors.New("the instance is stopping")
+var ErrShuttingDown = errors.New("the instance is stopping")
 
 // Code is the machine-readable reason of a failure.
 type Code string
@@ -76,7 +76,7 @@
 	CodeStreamUnknown       Code = "stream_not_known"
 	CodeStreamLost          Code = "stream_lost"
 	CodeInvalidEventID      Code = "event_id_not_valid"
-	CodeStopping            Code = "instance_stopping"
+	CodeShuttingDown        Code = "instance_stopping"
 	CodeInternal            Code = "internal_error"
 )
 
--- a/rolepolicy/choose.go
+++ b/rolepolicy/choose.go
@@ -14,13 +14,13 @@
 
 // choose selects engines for the first steps of the plan and returns the decisions
 // for those of this data centre.
-func (g *Gain) choose(sit situation, found plan, engines []Engine, centre string, now time.Time, room int) []Decision {
+func (g *Gain) choose(problem poolProblem, found plan, engines []Engine, centre string, now time.Time, room int) []Decision {
 	var out []Decision
 	taken := map[string]bool{}
 	perCentre := busyPerCentre(engines)
-	counts := sit.now
+	counts := problem.now
 	for len(out) < room {
-		give, take, ok := sit.step(counts, found.target)
+		give, take, ok := problem.step(counts, found.target)
 		if !ok {
 			break
 		}
@@ -37,7 +37,7 @@
 		}
 		out = append(out, Decision{
 			Engine: e.Name, From: e.Role, To: roleNames[take],
-			Reason: g.reason(sit, found),
+			Reason: g.reason(problem, found),
 			Gain:   found.gain / float64(found.moves),
 			Cost:   found.cost / float64(found.moves),
 		})
--- a/rolepolicy/gain.go
+++ b/rolepolicy/gain.go
@@ -105,13 +105,13 @@
 	if !ok {
 		return nil
 	}
-	sit := g.situation(table, serving, h, now)
-	found := sit.best()
+	problem := g.problem(table, serving, h, now)
+	found := problem.best()
 	h.missed.add(found.rate, now)
-	if found.moves == 0 || room <= 0 || h.missed.sum < persistence*sit.unitCost() {
+	if found.moves == 0 || room <= 0 || h.missed.sum < persistence*problem.unitCost() {
 		return nil
 	}
-	return g.choose(sit, found, serving, s.DataCentre, now, room)
+	return g.choose(problem, found, serving, s.DataCentre, now, room)
 }
 
 // reported reports whether the engine's report is recent enough to use.
@@ -139,8 +139,8 @@
 	return e.Role
 }
 
-func (g *Gain) situation(table rateTable, engines []Engine, h *history, now time.Time) situation {
-	s := situation{
+func (g *Gain) problem(table rateTable, engines []Engine, h *history, now time.Time) poolProblem {
+	s := poolProblem{
 		table:    table,
 		change:   g.changes.mean.Seconds(),
 		parallel: g.parallel(engines),
@@ -190,13 +190,13 @@
 	return max(1, len(centres)*g.c.MaxAtOnce)
 }
 
-func (g *Gain) reason(sit situation, found plan) string {
-	d := sit.demands[0]
-	have := sit.table.capacity(sit.now)
+func (g *Gain) reason(problem poolProblem, found plan) string {
+	d := problem.demands[0]
+	have := problem.table.capacity(problem.now)
 	return fmt.Sprintf("gain: demand %.0f prompt and %.0f output tokens/s against %.0f and %.0f served; "+
 		"%d/%d/%d prefill/decode/mixed to %d/%d/%d wins %.0f requests over %.0f s, costs %.0f",
 		d.Prefill, d.Decode, have.Prefill, have.Decode,
-		sit.now[prefill], sit.now[decode], sit.now[mixed],
+		problem.now[prefill], problem.now[decode], problem.now[mixed],
 		found.target[prefill], found.target[decode], found.target[mixed],
-		found.gain, sit.horizon, found.cost)
+		found.gain, problem.horizon, found.cost)
 }
--- a/rolepolicy/optimise.go
+++ b/rolepolicy/optimise.go
@@ -1,8 +1,8 @@
 package rolepolicy
 
-// situation is the optimisation problem of one pool: which number of engines in
+// poolProblem is the optimisation problem of one pool: which number of engines in
 // each role is worth the changes to reach it.
-type situation struct {
+type poolProblem struct {
 	table   rateTable
 	now     counts
 	demands []poolDemand // the forecast, then its possible errors
@@ -30,7 +30,7 @@
 
 // best tries every split of the pool and returns the one whose gain exceeds its
 // cost the most; moves is 0 if there is none.
-func (s situation) best() plan {
+func (s poolProblem) best() plan {
 	n := s.now.total()
 	now := s.shares(s.now)
 	unit := s.unitCost()
@@ -58,13 +58,13 @@
 }
 
 // delay is the mean time in seconds until a change takes effect.
-func (s situation) delay(moves int) float64 {
+func (s poolProblem) delay(moves int) float64 {
 	rounds := (moves + s.parallel - 1) / s.parallel
 	return s.change * float64(1+rounds) / 2
 }
 
 // shares returns the share served of each possible demand.
-func (s situation) shares(c counts) []float64 {
+func (s poolProblem) shares(c counts) []float64 {
 	out := make([]float64, len(s.demands))
 	for i, d := range s.demands {
 		out[i] = s.table.served(c, d.Rates)
@@ -74,7 +74,7 @@
 
 // gain returns how many more requests a second the target serves in the least
 // favourable of the possible demands.
-func (s situation) gain(now []float64, target counts) float64 {
+func (s poolProblem) gain(now []float64, target counts) float64 {
 	least := 0.0
 	for i, d := range s.demands {
 		g := (s.table.served(target, d.Rates) - now[i]) * d.requests
@@ -87,7 +87,7 @@
 
 // unitCost returns the cost of one change, in requests: an engine's share of the
 // present goodput during the change, weighted.
-func (s situation) unitCost() float64 {
+func (s poolProblem) unitCost() float64 {
 	n := s.now.total()
 	if n == 0 {
 		return 0
@@ -106,7 +106,7 @@
 }
 
 // step returns the single change towards the target with the largest immediate gain.
-func (s situation) step(from, target counts) (give, take roleIndex, ok bool) {
+func (s poolProblem) step(from, target counts) (give, take roleIndex, ok bool) {
 	best := -1.0
 	for g := range roleCount {
 		for t := range roleCount {
