--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -73,7 +73,7 @@
 	log         *slog.Logger
 
 	journal       *journal.Journal
-	rules         *rules.Replica
+	replica       *rules.Replica
 	ruleSource    ruleSource
 	trail         *audit.Trail
 	leases        *lease.View
@@ -136,13 +136,13 @@
 		Logger:           e.log,
 	})
 	e.trail = audit.NewTrail(0, e.log)
-	e.rules = rules.NewReplica(rules.ReplicaOptions{Logger: e.log, Observe: e.trail.ObserveRules})
-	e.ruleSource = ruleSource{e.rules, e.journal.CaughtUp()}
+	e.replica = rules.NewReplica(rules.ReplicaOptions{Logger: e.log, Observe: e.trail.ObserveRules})
+	e.ruleSource = ruleSource{e.replica, e.journal.CaughtUp()}
 	e.leases = lease.NewView()
 	e.orders = orders.NewView(e.leases)
 	e.quarantine = quarantine.NewGuard(quarantine.DefaultConfig(), e.journal, e.writer(), nil)
 	e.quarantine.Observe(e.trail.ObserveQuarantine)
-	e.journal.Register(journal.KindRules, e.rules)
+	e.journal.Register(journal.KindRules, e.replica)
 	e.journal.Register(journal.KindAudit, e.trail)
 	e.journal.Register(journal.KindLease, e.leases)
 	e.journal.Register(journal.KindOrder, e.orders)
--- a/internal/entry/exchange.go
+++ b/internal/entry/exchange.go
@@ -38,7 +38,7 @@
 		ServerTLS:  e.cfg.ServerTLS,
 		ClientTLS:  e.cfg.ClientTLS,
 		Leases:     e.leases,
-		Rules:      e.rules,
+		Rules:      e.replica,
 		Drains:     e.drains,
 		Applied:    e.journal.Applied,
 		CaughtUp:   e.journal.CaughtUp(),
--- a/internal/entry/gauges.go
+++ b/internal/entry/gauges.go
@@ -60,7 +60,7 @@
 	g.set("log_applied_offset", float64(e.journal.Applied().Offset))
 	g.set("log_appends", float64(stats.Appends))
 	g.set("log_appends_failed", float64(stats.FailedAppends))
-	rules := e.rules.Status()
+	rules := e.replica.Status()
 	g.set("rules_version_offset", float64(rules.InForce.Offset))
 	g.set("rules_settled", boolGauge(rules.Settled))
 }
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -36,8 +36,8 @@
 	known := api.KnownNames(e.cfg.Deployment)
 	operator.Register(app, operator.Deps{
 		Operators:  e.cfg.Deployment.Security.Operators,
-		Publisher:  rules.NewPublisher(e.journal, e.rules, known),
-		Replica:    e.rules,
+		Publisher:  rules.NewPublisher(e.journal, e.replica, known),
+		Replica:    e.replica,
 		KnownNames: known,
 		Trail:      e.trail,
 		Journal:    e.journal,
@@ -60,7 +60,7 @@
 		LogUp:        e.journal.Health().LogUp,
 		Requests:     e.gateway.Active(),
 		Claims:       api.ClaimStatus{Complete: claims.Complete, Keys: claims.Keys},
-		Rules:        e.rules.Status(),
+		Rules:        e.replica.Status(),
 		Upstreams:    e.upstreamStatus(),
 	}
 	for _, m := range e.node.View().Members {
--- a/internal/entry/tree.go
+++ b/internal/entry/tree.go
@@ -85,7 +85,7 @@
 func (e *Entry) checkpointer() *rules.Checkpointer {
 	instances := e.cfg.Deployment.Instances
 	slot := slices.IndexFunc(instances, func(in settings.Instance) bool { return in.Name == e.self.Name })
-	return rules.NewCheckpointer(e.journal, e.rules, rules.CheckpointerOptions{
+	return rules.NewCheckpointer(e.journal, e.replica, rules.CheckpointerOptions{
 		Retention: seconds(e.cfg.Deployment.Platform.RetentionSeconds),
 		Slot:      slot,
 		Slots:     len(instances),
