--- a/enginemodel/errors.go
+++ b/enginemodel/errors.go
@@ -31,20 +31,20 @@
 	_ = e.histogram.RecordValue(min(maxError, max(1, share))) // the value is clamped, so this can't fail
 }
 
-// Error is the distribution of relative prediction errors of prefills.
-type Error struct {
+// ErrorStats is the distribution of relative prediction errors of prefills.
+type ErrorStats struct {
 	Count    int64
 	P50, P90 float64
 }
 
-// Error returns the prediction errors of prefills by engines of a role.
-func (m *Model) Error(role upstream.Role) Error {
+// PredictionErrors returns the prediction errors of prefills by engines of a role.
+func (m *Model) PredictionErrors(role upstream.Role) ErrorStats {
 	e := m.errors[role]
 	if e == nil {
-		return Error{}
+		return ErrorStats{}
 	}
 	h := e.histogram
-	return Error{
+	return ErrorStats{
 		Count: h.TotalCount(),
 		P50:   float64(h.ValueAtQuantile(50)) * errorUnit,
 		P90:   float64(h.ValueAtQuantile(90)) * errorUnit,
--- a/enginemodel/model_test.go
+++ b/enginemodel/model_test.go
@@ -64,7 +64,7 @@
 			m := New()
 			train(m, e, r, 60, 0)
 			require.Less(t, worstRatio(m, e, r), 1.35)
-			require.Less(t, m.Error(upstream.RolePrefill).P50, 0.3)
+			require.Less(t, m.PredictionErrors(upstream.RolePrefill).P50, 0.3)
 		})
 	}
 }
--- a/internal/member/figures.go
+++ b/internal/member/figures.go
@@ -44,7 +44,7 @@
 	r.publish(pool, "decode", p.DecodeError)
 }
 
-func (r *parametersReporter) publish(pool, role string, e enginemodel.Error) {
+func (r *parametersReporter) publish(pool, role string, e enginemodel.ErrorStats) {
 	s := r.scope.Tagged(map[string]string{"pool": pool, "role": role})
 	s.Gauge("reading_error_p50").Update(e.P50)
 	s.Gauge("reading_error_p90").Update(e.P90)
--- a/placement/snapshot.go
+++ b/placement/snapshot.go
@@ -132,7 +132,7 @@
 // prefill predictions.
 type PoolParameters struct {
 	Parameters                *enginemodel.Parameters
-	PrefillError, DecodeError enginemodel.Error
+	PrefillError, DecodeError enginemodel.ErrorStats
 }
 
 // Parameters returns the learned parameters of the engines, by pool.
@@ -141,7 +141,7 @@
 	defer tr.mu.Unlock()
 	all := make(map[string]PoolParameters, len(tr.models))
 	for pool, m := range tr.models {
-		all[pool] = PoolParameters{Parameters: m.Parameters(), PrefillError: m.Error(upstream.RolePrefill), DecodeError: m.Error(upstream.RoleDecode)}
+		all[pool] = PoolParameters{Parameters: m.Parameters(), PrefillError: m.PredictionErrors(upstream.RolePrefill), DecodeError: m.PredictionErrors(upstream.RoleDecode)}
 	}
 	return all
 }
