--- a/internal/entry/gateway/gateway.go
+++ b/internal/entry/gateway/gateway.go
@@ -157,7 +157,7 @@
 	g.app.Use(g.closeIfShuttingDown)
 	g.app.Get("/healthz", g.healthz)
 	g.app.Get("/readyz", g.readyz)
-	g.app.Get("/v1/where", g.where)
+	g.app.Get("/v1/where", g.locate)
 	g.app.Get("/v1/models", g.models)
 	g.app.Post("/v1/completions", g.completions)
 	g.app.Post("/v1/chat/completions", g.chat)
@@ -184,7 +184,7 @@
 // Abort ends the requests still in progress when the grace period of a shutdown is
 // over. Their callers get an error, and engines keep the streams for a while, so that
 // callers can resume them at another instance.
-func (g *Gateway) Abort() { g.cancelAll(outcome.ErrStopping) }
+func (g *Gateway) Abort() { g.cancelAll(outcome.ErrShuttingDown) }
 
 // App returns the HTTP application.
 func (g *Gateway) App() *fiber.App { return g.app }
--- a/router/pick_test.go
+++ b/router/pick_test.go
@@ -19,7 +19,7 @@
 	u := Upstream{
 		Name: name, Kind: infra.KindEngine, Pool: "p", DataCentre: "dc", Models: []string{"m"},
 		Role: upstream.RoleMixed, ReportAt: testNow,
-		Report: upstream.LoadReport{InService: true, PrefillPerSec: 5000, DecodePerSec: 640, MaxBatch: 32, KVTotalTokens: 60000},
+		Report: upstream.LoadReport{InService: true, PrefillPerSecond: 5000, DecodePerSecond: 640, MaxBatch: 32, KVTotalTokens: 60000},
 	}
 	if change != nil {
 		change(&u)
@@ -51,15 +51,15 @@
 	}{
 		{"unknown pool", nil, request, "", NoUpstreamUnknownPool},
 		{"unknown model", []Upstream{engine("a", nil)}, with(func(r *Request) { r.Model = "x" }), "", NoUpstreamUnknownModel},
-		{"shutting down", []Upstream{engine("a", func(u *Upstream) { u.ShuttingDown = true })}, request, "", NoUpstreamDraining},
+		{"terminating", []Upstream{engine("a", func(u *Upstream) { u.Terminating = true })}, request, "", NoUpstreamDraining},
 		{"draining skipped", []Upstream{engine("a", func(u *Upstream) { u.Draining = true }), engine("b", nil)}, request, "b", ""},
 		{"out of service", []Upstream{engine("a", func(u *Upstream) { u.Report.InService = false })}, request, "", NoUpstreamOutOfService},
 		{"ejected skipped", []Upstream{engine("a", func(u *Upstream) { u.Ejected = true }), engine("b", nil)}, request, "b", ""},
 		{"all ejected", []Upstream{engine("a", func(u *Upstream) { u.Ejected = true })}, request, "", NoUpstreamEjected},
-		{"not on trial", []Upstream{engine("a", func(u *Upstream) { u.Trial = true }), engine("b", func(u *Upstream) { u.Report.QueuedPrompt = 9000 })},
-			with(func(r *Request) { r.NoTrial = true }), "b", ""},
-		{"on trial if no others remain", []Upstream{engine("a", func(u *Upstream) { u.Trial = true })},
-			with(func(r *Request) { r.NoTrial = true }), "a", ""},
+		{"not as a probe", []Upstream{engine("a", func(u *Upstream) { u.Probing = true }), engine("b", func(u *Upstream) { u.Report.QueuedPrompt = 9000 })},
+			with(func(r *Request) { r.NoProbe = true }), "b", ""},
+		{"as a probe if no others remain", []Upstream{engine("a", func(u *Upstream) { u.Probing = true })},
+			with(func(r *Request) { r.NoProbe = true }), "a", ""},
 		{"excluded", []Upstream{engine("a", nil)}, with(func(r *Request) { r.Exclude = []string{"a"} }), "", NoUpstreamExcluded},
 		{"isolated", []Upstream{engine("a", nil), engine("b", nil)},
 			with(func(r *Request) { r.MayRunOn = func(e string) bool { return e == "b" } }), "b", ""},
@@ -115,11 +115,11 @@
 		return []Upstream{
 			engine("pre", func(u *Upstream) {
 				u.Role = upstream.RolePrefill
-				u.Report.PrefillPerSec, u.Report.DecodePerSec, u.Report.QueuedPrompt = 8000, 266, queued
+				u.Report.PrefillPerSecond, u.Report.DecodePerSecond, u.Report.QueuedPrompt = 8000, 266, queued
 			}),
 			engine("dec", func(u *Upstream) {
 				u.Role = upstream.RoleDecode
-				u.Report.PrefillPerSec, u.Report.DecodePerSec, u.Report.Running = 2000, 1066, 8
+				u.Report.PrefillPerSecond, u.Report.DecodePerSecond, u.Report.Running = 2000, 1066, 8
 			}),
 		}
 	}
